--- a/benchmarks/restored_store.py
+++ b/benchmarks/restored_store.py
@@ -141,11 +141,11 @@
         table=TABLE,
         take=take,
         rank=lambda: watch.watch_rank(entry.fleet),
-        tell=entry.gossip.tell_store_news,
+        tell=entry.gossip.broadcast_store_news,
         history=history,
     )
     entry.gossip.followers[TABLE] = follower
-    entry.spread.takers["store_news"] = entry.gossip.take_store_news
+    entry.spread.takers["store_news"] = entry.gossip.receive_store_news
     return asyncio.ensure_future(follower.run())
 
 
--- a/src/rattanpier/_internal/programs/relay.py
+++ b/src/rattanpier/_internal/programs/relay.py
@@ -76,13 +76,13 @@
         gone=state.gone.on_next,
     )
     gossip = await add_peers(kernel, settings, fleet, state, beliefs, clock)
-    beliefs.quarantine.tell = gossip.tell_quarantine
-    beliefs.limits.tell = gossip.tell_limit
-    beliefs.directory.tell_leaving = gossip.tell_leaving
+    beliefs.quarantine.tell = gossip.schedule_quarantine_broadcast
+    beliefs.limits.tell = gossip.broadcast_limit
+    beliefs.directory.tell_leaving = gossip.broadcast_leaving
     entry = RelayEntry(
         kernel, settings, state, fleet, drain, metrics, edge, gossip
     )
-    gossip.renew = renewal(entry)
+    gossip.refresh_own_state = renewal(entry)
     add_followers(entry)
     add_own_rows(entry)
     add_worker_news(entry)
--- a/src/rattanpier/_internal/programs/relay_peers.py
+++ b/src/rattanpier/_internal/programs/relay_peers.py
@@ -70,7 +70,7 @@
         clock=clock,
         seeds=settings.seeds,
         snapshots=snapshots,
-        renew=lambda: False,
+        refresh_own_state=lambda: False,
     )
     server.on_call("beat", gossip.serve_beat)
     server.on_call("summary", gossip.serve_summary)
@@ -78,8 +78,8 @@
     server.on_notice("spread", spread.take_hint)
     server.on_call("report", gossip.serve_report)
     server.on_call("snapshot", snapshots.serve)
-    spread.takers["rumors"] = gossip.take_rumors
-    spread.takers["store_news"] = gossip.take_store_news
+    spread.takers["rumors"] = gossip.receive_rumors
+    spread.takers["store_news"] = gossip.receive_store_news
     await server.start(settings.peers.host, settings.peers.port)
     hints = kernel.add(
         "hints", Hints(server.take_notice, kernel.find("metrics"))
--- a/src/rattanpier/_internal/programs/relay_store.py
+++ b/src/rattanpier/_internal/programs/relay_store.py
@@ -110,7 +110,7 @@
         kernel.find("history"),
         kernel.find("clock"),
         lambda: health.available,
-        lambda era: entry.gossip.tell_all(News(restored=era)),
+        lambda era: entry.gossip.broadcast(News(restored=era)),
         (rows.lost, held.lost, driver.lost),
     )
     kernel.spawn(driver.run())
@@ -166,7 +166,7 @@
             table=table,
             take=take,
             rank=lambda: watch_rank(entry.fleet),
-            tell=entry.gossip.tell_store_news,
+            tell=entry.gossip.broadcast_store_news,
             history=kernel.find("history"),
         )
         entry.gossip.followers[table] = follower
--- a/src/rattanpier/_internal/relay/gossip.py
+++ b/src/rattanpier/_internal/relay/gossip.py
@@ -43,23 +43,23 @@
 
 log = structlog.get_logger(part="fleet")
 
-BEAT_EVERY_S = 0.5
+HEARTBEAT_INTERVAL_S = 0.5
 CALL_TIMEOUT_S = 0.45  # Peers answer within some ms; less than a round.
 # One call may be lost or its entry be busy for a moment.
-TIMEOUTS_TO_DOWN = 2
+PROBE_ATTEMPTS = 2
 COMPARE_TIMEOUT_S = 1.0  # States of hundreds of entries over a slow link.
 # While something changes anywhere, digests differ for as long as news take to
 # get round, some ten ms: only a difference that lasts is worth its bytes.
-DIFFERENCES_TO_COMPARE = 2
+MISMATCHES_TO_COMPARE = 2
 # In every second round one entry that stands apart is asked for its digest, so
 # that what an entry missed it has within some two seconds.
-ROUNDS_A_TURN = 2
+ROUNDS_PER_DISTANT_PROBE = 2
 # Where all start or change at once digests differ for seconds, and a comparison
 # in which one lacks the states of all takes both ends some ten ms.
-COMPARE_EVERY_S = 1.0
+MIN_COMPARE_INTERVAL_S = 1.0
 # News of workers that ended wait so long for each other: much less than a
 # request takes that goes on from one worker to the next.
-GATHER_S = 0.01
+QUARANTINE_BATCH_DELAY_S = 0.01
 
 
 @attrs.define(eq=False, repr=False)
@@ -73,15 +73,15 @@
       spread: Tells all of them.
       seeds: Addresses to ask while nobody is known.
       snapshots: What peers know stands in for the store.
-      renew: Brings this entry's own news up to date; says whether they
-        changed.
+      refresh_own_state: Brings this entry's own news up to date; says
+        whether they changed.
       followers: Of the store's tables, by name; hear what watchers tell.
-      told: What was told last, so that only changes are.
+      published: What was told last, so that only changes are.
       compared_at: When this entry asked for what it lacks last, in monotonic
         seconds.
-      differences: Digests in a row that differed from this entry's.
-      turn: Counts the rounds.
-      telling: When what was gathered of the quarantine is told.
+      digest_mismatches: Digests in a row that differed from this entry's.
+      round_count: Counts the rounds.
+      quarantine_timer: When what was gathered of the quarantine is told.
     """
 
     fleet: Fleet
@@ -91,20 +91,20 @@
     clock: Clock
     seeds: tuple[Address, ...]
     snapshots: Snapshots
-    renew: Callable[[], bool]
+    refresh_own_state: Callable[[], bool]
     followers: dict[str, TableFollower] = attrs.Factory(dict)
-    told: News = attrs.Factory(News)
+    published: News = attrs.Factory(News)
     compared_at: float = float("-inf")
-    differences: int = 0
-    turn: int = 0
+    digest_mismatches: int = 0
+    round_count: int = 0
     reported: Evidence | None = None
-    telling: asyncio.TimerHandle | None = None
+    quarantine_timer: asyncio.TimerHandle | None = None
 
     async def run(self) -> None:
         """Asks and tells the others, round after round."""
         while True:
             if not await self.round():
-                await self.clock.sleep(BEAT_EVERY_S)
+                await self.clock.sleep(HEARTBEAT_INTERVAL_S)
 
     async def round(self) -> bool:
         """Asks the neighbours, and tells everybody what changed.
@@ -115,12 +115,12 @@
         """
         self.fleet.forget_down()
         self.fleet.log_changes()
-        self.tell_changes()
-        self.turn += 1
+        self.broadcast_changes()
+        self.round_count += 1
         lost = await asyncio.gather(
             *(self.probe(news) for news in self.fleet.probed()),
-            self.report(),
-            self.compare_in_turn(),
+            self.report_evidence(),
+            self.probe_distant_entry(),
         )
         if len(self.fleet.live()) == 1:
             await self.join()
@@ -131,50 +131,50 @@
 
     # Who lives.
 
-    async def probe(self, news: MemberNews) -> bool:
+    async def probe(self, state: MemberNews) -> bool:
         """Asks one entry whether it lives; says whether it was found lost."""
-        name = news.member.name
+        name = state.member.name
         reason = "calls time out"
-        for _ in range(TIMEOUTS_TO_DOWN):
+        for _ in range(PROBE_ATTEMPTS):
             try:
-                await self.beat_with(news)
+                await self.exchange_heartbeat(state)
             except PeerRefusedError:
                 reason = "no process listens"
                 break
             except PeerUnavailableError:
                 continue
             return False
-        return self.found_down(name, reason)
+        return self.report_down(name, reason)
 
-    async def beat_with(self, news: MemberNews) -> None:
+    async def exchange_heartbeat(self, state: MemberNews) -> None:
         """Tells an entry that this one lives, and compares their knowledge.
 
         Raises:
           PeerRefusedError: No process listens there.
           PeerUnavailableError: No answer in time.
         """
-        call = peer_pb2.Call(beat=self.beat(news.down))
-        reply = await self.links.to(news.member).call(call, CALL_TIMEOUT_S)
+        call = peer_pb2.Call(beat=self.build_beat(state.down))
+        reply = await self.links.to(state.member).call(call, CALL_TIMEOUT_S)
         self.beliefs.history.note(reply.beat.store_era, "peer")
         if reply.beat.digest == self.digest():
-            self.differences = 0
+            self.digest_mismatches = 0
             return
-        self.differences += 1
-        if self.is_to_compare():
-            self.differences = 0
+        self.digest_mismatches += 1
+        if self.should_compare():
+            self.digest_mismatches = 0
             self.compared_at = self.clock.monotonic()
-            await self.compare(news.member)
+            await self.compare(state.member)
 
-    def is_to_compare(self) -> bool:
+    def should_compare(self) -> bool:
         """Says whether a digest that differs is a reason to compare now."""
         since_s = self.clock.monotonic() - self.compared_at
         if math.isinf(since_s):
             # It has just started, and knows the others by old rows.
             return True
-        lasts = self.differences >= DIFFERENCES_TO_COMPARE
-        return lasts and since_s >= COMPARE_EVERY_S
+        lasts = self.digest_mismatches >= MISMATCHES_TO_COMPARE
+        return lasts and since_s >= MIN_COMPARE_INTERVAL_S
 
-    def beat(self, believed_down: bool) -> peer_pb2.Beat:
+    def build_beat(self, believed_down: bool) -> peer_pb2.Beat:
         """Returns what is told with each question."""
         me = self.fleet.me
         return peer_pb2.Beat(
@@ -196,92 +196,97 @@
         if call.beat.believed_down:
             me = self.fleet.me
             self.fleet.refute(attrs.evolve(me, down=True))
-        return peer_pb2.Reply(beat=self.beat(believed_down=False))
+        return peer_pb2.Reply(beat=self.build_beat(believed_down=False))
 
-    def found_down(self, name: str, reason: str) -> bool:
+    def report_down(self, name: str, reason: str) -> bool:
         """Tells everybody that an entry does not answer, if that is new."""
-        news = self.fleet.note_down(name, reason)
-        if news is None:
+        state = self.fleet.note_down(name, reason)
+        if state is None:
             return False
-        self.tell_all(News(members=[news]))
+        self.broadcast(News(members=[state]))
         return True
 
     # What changed.
 
-    def tell_changes(self) -> None:
+    def broadcast_changes(self) -> None:
         """Tells everybody what changed here since the last round."""
-        self.renew()
+        self.refresh_own_state()
         rollouts = self.beliefs.rollouts
         stopped = sorted(rollouts.stopped)
-        now = News(
+        current = News(
             members=[self.fleet.me],
             records=list(rollouts.records.values()),
             stopped=stopped,
             held=rollouts.sessions.take_news(),
         )
-        before, self.told = self.told, attrs.evolve(now, held=[])
-        if self.told != before or now.held:
-            self.tell_all(now)
+        previous, self.published = (
+            self.published,
+            attrs.evolve(current, held=[]),
+        )
+        if self.published != previous or current.held:
+            self.broadcast(current)
 
-    def tell_all(self, news: News) -> None:
+    def broadcast(self, update: News) -> None:
         """Begins to tell everybody; some may not answer for a while."""
-        rumors = peer_pb2.Rumors(text=encode(news).encode())
+        rumors = peer_pb2.Rumors(text=encode(update).encode())
         self.spread.begin(peer_pb2.Spread(rumors=rumors), self.fleet.ring())
 
-    def tell_quarantine(self) -> None:
+    def schedule_quarantine_broadcast(self) -> None:
         """Begins to tell everybody of workers that ended, in a moment.
 
         All answers of a worker that ends break off within some ms: they are
         told of together.
         """
-        if self.telling is None:
+        if self.quarantine_timer is None:
             loop = asyncio.get_running_loop()
-            self.telling = loop.call_later(GATHER_S, self.tell_gathered)
+            self.quarantine_timer = loop.call_later(
+                QUARANTINE_BATCH_DELAY_S, self.broadcast_quarantine
+            )
 
-    def tell_gathered(self) -> None:
+    def broadcast_quarantine(self) -> None:
         """Begins to tell everybody of the workers that ended by now."""
-        self.telling = None
+        self.quarantine_timer = None
         untold = self.beliefs.quarantine.take_untold()
-        self.tell_all(News(quarantine=untold))
+        self.broadcast(News(quarantine=untold))
 
-    def tell_limit(self, word: RateLimit) -> None:
+    def broadcast_limit(self, limit: RateLimit) -> None:
         """Begins to tell everybody how much a worker takes."""
-        self.tell_all(News(limits=[word]))
+        self.broadcast(News(limits=[limit]))
 
-    def tell_leaving(self, incarnation: str) -> None:
+    def broadcast_leaving(self, incarnation: str) -> None:
         """Begins to tell everybody that a worker leaves."""
-        self.tell_all(News(leaving=[incarnation]))
+        self.broadcast(News(leaving=[incarnation]))
 
-    def take_rumors(self, rumors: peer_pb2.Rumors) -> None:
+    def receive_rumors(self, rumors: peer_pb2.Rumors) -> None:
         """Takes in what another entry tells all."""
-        self.take(decode(News, rumors.text))
+        self.apply_update(decode(News, rumors.text))
 
-    def take(self, news: News) -> None:
+    def apply_update(self, update: News) -> None:
         """Takes in what another entry tells."""
-        self.fleet.take_all(news.members)
-        self.beliefs.take(news)
+        self.fleet.take_all(update.members)
+        self.beliefs.take(update)
 
     # What was missed.
 
-    async def compare_in_turn(self) -> None:
+    async def probe_distant_entry(self) -> None:
         """Asks one of a few entries all over the ring for its digest.
 
         An entry misses news together with those that stand near it; these
         stand apart, and connections to them are open anyway.
         """
         firsts = [part[0] for part in split(self.fleet.ring())]
-        turn, rest = divmod(self.turn, ROUNDS_A_TURN)
+        turn, rest = divmod(self.round_count, ROUNDS_PER_DISTANT_PROBE)
         if rest or not firsts:
             return
-        news = self.fleet.others[firsts[turn % len(firsts)].name]
+        state = self.fleet.others[firsts[turn % len(firsts)].name]
         # One that does not answer is for those to find that stand before it.
         with contextlib.suppress(PeerRefusedError, PeerUnavailableError):
-            await self.beat_with(news)
+            await self.exchange_heartbeat(state)
 
     async def compare(self, peer: Member) -> None:
         """Makes two entries know the same."""
         known = Knowledge(
-            {news.member.name: news.order for news in self.fleet.all_news()}
+            {state.member.name: state.order for state in self.fleet.all_news()}
         )
         call = peer_pb2.Call(summary=peer_pb2.Summary(packed=pack(known)))
         try:
@@ -290,11 +295,11 @@
         except (PeerUnavailableError, UnreadableError) as error:
             log.info("Not compared.", entry=peer.name, error=str(error))
             return
-        self.take(compared.news)
+        self.apply_update(compared.news)
         members = [
-            news
-            for news in self.fleet.all_news()
-            if news.member.name in compared.wanted
+            state
+            for state in self.fleet.all_news()
+            if state.member.name in compared.wanted
         ]
         log.info(
             "Compared.",
@@ -303,16 +308,16 @@
             told=len(members),
         )
         if members or self.beliefs.has_more_to_tell():
-            await self.tell_one(peer, self.beliefs.news_with(members))
+            await self.send_update(peer, self.beliefs.news_with(members))
 
     async def serve_summary(self, call: peer_pb2.Call) -> peer_pb2.Reply:
         """Answers with what the asker lacks, and names what it knows better."""
         known = unpack(Knowledge, call.summary.packed).orders
-        mine = {news.member.name: news for news in self.fleet.all_news()}
+        mine = {state.member.name: state for state in self.fleet.all_news()}
         lacking = [
-            news
-            for name, news in mine.items()
-            if name not in known or news.order > known[name]
+            state
+            for name, state in mine.items()
+            if name not in known or state.order > known[name]
         ]
         wanted = [
             name
@@ -322,9 +327,9 @@
         packed = pack(Compared(self.beliefs.news_with(lacking), wanted))
         return peer_pb2.Reply(summary=peer_pb2.Comparison(packed=packed))
 
-    async def tell_one(self, peer: Member, news: News) -> None:
+    async def send_update(self, peer: Member, update: News) -> None:
         """Tells one entry, which does not pass it on."""
-        rumors = peer_pb2.Rumors(text=encode(news).encode())
+        rumors = peer_pb2.Rumors(text=encode(update).encode())
         call = peer_pb2.Call(spread=peer_pb2.Spread(rumors=rumors))
         try:
             await self.links.to(peer).call(call, COMPARE_TIMEOUT_S)
@@ -345,7 +350,7 @@
 
     # What was seen.
 
-    async def report(self) -> None:
+    async def report_evidence(self) -> None:
         """Reports evidence on new versions to the entry that drives."""
         evidence = self.beliefs.rollouts.evidence(
             self.fleet.me.member.incarnation
@@ -371,17 +376,19 @@
 
     # What watchers read.
 
-    def tell_store_news(self, news: TableNews) -> None:
+    def broadcast_store_news(self, update: TableNews) -> None:
         """Begins to tell everybody of an answer of a feed."""
-        told = peer_pb2.StoreNews(packed=pack_news(news))
-        self.spread.begin(peer_pb2.Spread(store_news=told), self.fleet.ring())
+        message = peer_pb2.StoreNews(packed=pack_news(update))
+        self.spread.begin(
+            peer_pb2.Spread(store_news=message), self.fleet.ring()
+        )
 
-    def take_store_news(self, told: peer_pb2.StoreNews) -> None:
+    def receive_store_news(self, message: peer_pb2.StoreNews) -> None:
         """Takes in what a watcher read."""
-        news = unpack(TableNews, told.packed)
-        follower = self.followers.get(news.table)
+        update = unpack(TableNews, message.packed)
+        follower = self.followers.get(update.table)
         if follower is not None:
-            follower.hear(news)
+            follower.hear(update)
 
 
 def seed_member(seed: Address) -> Member:
--- a/tests/lib/ring.py
+++ b/tests/lib/ring.py
@@ -23,7 +23,7 @@
 from rattanpier._internal.relay.directory import WorkerDirectory
 from rattanpier._internal.relay.exposure import ExposureBound
 from rattanpier._internal.relay.fleet import Fleet, MemberNews
-from rattanpier._internal.relay.gossip import BEAT_EVERY_S, Gossip
+from rattanpier._internal.relay.gossip import HEARTBEAT_INTERVAL_S, Gossip
 from rattanpier._internal.relay.history import StoreHistory
 from rattanpier._internal.relay.rollouts import Rollouts
 from rattanpier._internal.relay.snapshots import Snapshots
@@ -152,13 +152,13 @@
                 make=lambda: None,
                 restore=lambda _snapshot: None,
             ),
-            renew=lambda: False,
+            refresh_own_state=lambda: False,
         )
-        gossip.beliefs.quarantine.tell = gossip.tell_quarantine
-        gossip.beliefs.limits.tell = gossip.tell_limit
-        gossip.beliefs.directory.tell_leaving = gossip.tell_leaving
+        gossip.beliefs.quarantine.tell = gossip.schedule_quarantine_broadcast
+        gossip.beliefs.limits.tell = gossip.broadcast_limit
+        gossip.beliefs.directory.tell_leaving = gossip.broadcast_leaving
         entry = Entry(fleet, spread, gossip)
-        spread.takers["rumors"] = gossip.take_rumors
+        spread.takers["rumors"] = gossip.receive_rumors
         spread.takers["queue_news"] = entry.note_hint
         self.entries[member.name] = entry
         return entry
@@ -186,13 +186,13 @@
             for entry in self.live()
             if entry.fleet.me.member.name not in self.silent
         ]
-        await asyncio.sleep(count * BEAT_EVERY_S)
+        await asyncio.sleep(count * HEARTBEAT_INTERVAL_S)
         for task in talking:
             task.cancel()
         await asyncio.gather(*talking, return_exceptions=True)
 
     async def talk(self, entry):
-        await asyncio.sleep(self.rng.uniform(0.0, 0.8 * BEAT_EVERY_S))
+        await asyncio.sleep(self.rng.uniform(0.0, 0.8 * HEARTBEAT_INTERVAL_S))
         await entry.gossip.run()
 
     def knowing(self, name, state):
@@ -240,7 +240,9 @@
                 each for each in news if each is not entry.fleet.me
             )
             entry.gossip.compared_at = 0.0
-            entry.gossip.told = entry.gossip.beliefs.news_with([entry.fleet.me])
+            entry.gossip.published = entry.gossip.beliefs.news_with(
+                [entry.fleet.me]
+            )
     return ring
 
 
--- a/tests/relay/test_spread.py
+++ b/tests/relay/test_spread.py
@@ -7,7 +7,7 @@
 
 from rattanpier._internal.models.member import MemberState
 from rattanpier._internal.peers.proto import peer_pb2
-from rattanpier._internal.relay.gossip import CALL_TIMEOUT_S, TIMEOUTS_TO_DOWN
+from rattanpier._internal.relay.gossip import CALL_TIMEOUT_S, PROBE_ATTEMPTS
 from rattanpier._internal.relay.spread import WIDTH
 from tests.lib.relay_parts import make_worker
 from tests.lib.ring import ORDER, make_ring
@@ -202,7 +202,7 @@
     began = ring.clock.monotonic()
     await teller.gossip.round()
     # What a neighbour that does not answer takes, and no more behind it.
-    limit_s = 1.1 * TIMEOUTS_TO_DOWN * CALL_TIMEOUT_S
+    limit_s = 1.1 * PROBE_ATTEMPTS * CALL_TIMEOUT_S
     assert ring.clock.monotonic() - began < limit_s
 
 
