--- a/benchmarks/restored_store.py
+++ b/benchmarks/restored_store.py
@@ -145,7 +145,7 @@
         history=history,
     )
     entry.gossip.followers[TABLE] = follower
-    entry.spread.takers["store_news"] = entry.gossip.receive_store_news
+    entry.broadcaster.handlers["store_news"] = entry.gossip.receive_store_news
     return asyncio.ensure_future(follower.run())
 
 
--- a/src/rattanpier/_internal/programs/relay_peers.py
+++ b/src/rattanpier/_internal/programs/relay_peers.py
@@ -12,10 +12,10 @@
 from rattanpier._internal.peers.links import Links
 from rattanpier._internal.peers.server import PeerServer
 from rattanpier._internal.relay.beliefs import Beliefs
+from rattanpier._internal.relay.broadcast import Broadcaster
 from rattanpier._internal.relay.fleet import Fleet, MemberNews
 from rattanpier._internal.relay.gossip import Gossip
 from rattanpier._internal.relay.snapshots import Snapshots
-from rattanpier._internal.relay.spread import Spread
 from rattanpier._internal.relay.state import RelayState
 from rattanpier._internal.utils.clock import SystemClock
 
@@ -49,7 +49,7 @@
     kernel.services["peer_server"].stop = server.stop
     links = kernel.add("links", Links(settings.name))
     kernel.services["links"].stop = links.close
-    spread = Spread(fleet, links)
+    broadcaster = Broadcaster(fleet, links)
     snapshots = Snapshots(
         fleet=fleet,
         links=links,
@@ -66,7 +66,7 @@
         fleet=fleet,
         beliefs=beliefs,
         links=links,
-        spread=spread,
+        broadcaster=broadcaster,
         clock=clock,
         seeds=settings.seeds,
         snapshots=snapshots,
@@ -74,12 +74,12 @@
     )
     server.on_call("beat", gossip.serve_beat)
     server.on_call("summary", gossip.serve_summary)
-    server.on_call("spread", spread.serve)
-    server.on_notice("spread", spread.take_hint)
+    server.on_call("spread", broadcaster.serve)
+    server.on_notice("spread", broadcaster.handle_notice)
     server.on_call("report", gossip.serve_report)
     server.on_call("snapshot", snapshots.serve)
-    spread.takers["rumors"] = gossip.receive_rumors
-    spread.takers["store_news"] = gossip.receive_store_news
+    broadcaster.handlers["rumors"] = gossip.receive_rumors
+    broadcaster.handlers["store_news"] = gossip.receive_store_news
     await server.start(settings.peers.host, settings.peers.port)
     hints = kernel.add(
         "hints", Hints(server.take_notice, kernel.find("metrics"))
--- a/src/rattanpier/_internal/programs/relay_workers.py
+++ b/src/rattanpier/_internal/programs/relay_workers.py
@@ -82,8 +82,8 @@
         fleet=entry.fleet,
         directory=state.directory,
         loads=entry.edge.dispatcher.loads,
-        hint_all=entry.gossip.spread.hint_all,
-        hint_one=entry.gossip.spread.hint_one,
+        hint_all=entry.gossip.broadcaster.notify_all,
+        hint_one=entry.gossip.broadcaster.notify_one,
         clock=entry.edge.dispatcher.clock,
         engines=state.engines,
         read=read_report,
@@ -92,8 +92,8 @@
         rests=lambda worker: rests.opens_in_s(worker.incarnation) > 0.0,
     )
     state.gone.subscribe(lambda worker: queues.born.pop(worker, None))
-    entry.gossip.spread.takers["queue_news"] = queues.take_told
-    entry.gossip.spread.takers["queue_part"] = queues.hear_part
+    entry.gossip.broadcaster.handlers["queue_news"] = queues.take_told
+    entry.gossip.broadcaster.handlers["queue_part"] = queues.hear_part
     if entry.settings.policy.queue_reading:
         entry.kernel.spawn(queues.run())
 
--- a/src/rattanpier/_internal/relay/spread.py
+++ b/src/rattanpier/_internal/relay/broadcast.py
@@ -33,119 +33,128 @@
 
 # Runs that a ring, or a run, is split into. Fleets of up to so many others are
 # told directly; 195 and 420 entries are reached in three steps.
-WIDTH = 8
+FANOUT = 8
 # Peers answer within some ms; less than the pause between two heartbeats.
-TAKEN_TIMEOUT_S = 0.45
+ACK_TIMEOUT_S = 0.45
 
 
-def split(run: Sequence[Member]) -> Iterator[Sequence[Member]]:
+def split_segment(segment: Sequence[Member]) -> Iterator[Sequence[Member]]:
     """Yields the parts that a run is told in, of nearly the same size.
 
-    >>> [len(part) for part in split(range(19))]
+    >>> [len(part) for part in split_segment(range(19))]
     [3, 3, 3, 2, 2, 2, 2, 2]
     """
-    count = min(WIDTH, len(run))
+    count = min(FANOUT, len(segment))
     start = 0
     for number in range(count):
-        size = len(run) // count + (number < len(run) % count)
-        yield run[start : start + size]
+        size = len(segment) // count + (number < len(segment) % count)
+        yield segment[start : start + size]
         start += size
 
 
 @attrs.define(eq=False, repr=False)
-class Spread:
+class Broadcaster:
     """Tells all others, and passes on what others tell.
 
     Attributes:
       fleet: The others.
       links: Connections to them.
-      takers: What takes news in, by their kind.
-      passing: News that are being passed on.
+      handlers: What takes news in, by their kind.
+      forwarding: News that are being passed on.
     """
 
     fleet: Fleet
     links: Links
-    takers: dict[str, Callable[[Any], None]] = attrs.Factory(dict)
-    passing: set[asyncio.Task[None]] = attrs.Factory(set)
+    handlers: dict[str, Callable[[Any], None]] = attrs.Factory(dict)
+    forwarding: set[asyncio.Task[None]] = attrs.Factory(set)
 
-    def hint_all(self, news: peer_pb2.Spread) -> None:
+    def notify_all(self, message: peer_pb2.Spread) -> None:
         """Tells all others what may be lost on the way to some."""
-        self.hint_run(news, self.fleet.ring())
+        self.notify_segment(message, self.fleet.ring())
 
-    def hint_one(self, news: peer_pb2.Spread, name: str) -> None:
+    def notify_one(self, message: peer_pb2.Spread, name: str) -> None:
         """Tells one entry what may be lost, if it is known."""
-        known = self.fleet.others.get(name)
-        if known is not None:
-            notice = peer_pb2.Notice(spread=addressed(news, []))
-            self.links.to(known.member).notify(notice)
+        peer = self.fleet.others.get(name)
+        if peer is not None:
+            notice = peer_pb2.Notice(spread=addressed_copy(message, []))
+            self.links.to(peer.member).notify(notice)
 
     # Down the tree, each step acknowledged.
 
-    async def tell_run(
-        self, news: peer_pb2.Spread, run: Sequence[Member]
+    async def send_to_segment(
+        self, message: peer_pb2.Spread, segment: Sequence[Member]
     ) -> None:
         """Tells a run of entries; those that don't answer are gone round."""
         await asyncio.gather(
-            *(self.tell_part(news, part) for part in split(run))
+            *(
+                self.send_to_part(message, part)
+                for part in split_segment(segment)
+            )
         )
 
-    async def tell_part(
-        self, news: peer_pb2.Spread, part: Sequence[Member]
+    async def send_to_part(
+        self, message: peer_pb2.Spread, part: Sequence[Member]
     ) -> None:
         """Tells the first entry of a part, or else the rest of it."""
         first, rest = part[0], part[1:]
-        call = peer_pb2.Call(spread=addressed(news, rest))
+        call = peer_pb2.Call(spread=addressed_copy(message, rest))
         try:
-            await self.links.to(first).call(call, TAKEN_TIMEOUT_S)
+            await self.links.to(first).call(call, ACK_TIMEOUT_S)
         except (PeerRefusedError, PeerUnavailableError) as error:
             log.debug("Peer is silent.", entry=first.name, error=str(error))
-            await self.tell_run(news, rest)
+            await self.send_to_segment(message, rest)
 
     async def serve(self, call: peer_pb2.Call) -> peer_pb2.Reply:
         """Takes news in, and passes them on."""
-        news = call.spread
-        self.take(news)
-        self.begin(news, self.fleet.run_up_to(news.last))
+        message = call.spread
+        self.handle(message)
+        self.start_sending(message, self.fleet.run_up_to(message.last))
         return peer_pb2.Reply(spread=peer_pb2.SpreadTaken())
 
-    def begin(self, news: peer_pb2.Spread, run: Sequence[Member]) -> None:
+    def start_sending(
+        self, message: peer_pb2.Spread, segment: Sequence[Member]
+    ) -> None:
         """Begins to tell a run of entries, without waiting for them."""
-        if not run:
+        if not segment:
             return
-        task = asyncio.ensure_future(self.tell_run(news, run))
-        self.passing.add(task)
-        task.add_done_callback(self.passing.discard)
+        task = asyncio.ensure_future(self.send_to_segment(message, segment))
+        self.forwarding.add(task)
+        task.add_done_callback(self.forwarding.discard)
 
     # Down the tree, without acknowledgement.
 
-    def hint_run(self, news: peer_pb2.Spread, run: Sequence[Member]) -> None:
+    def notify_segment(
+        self, message: peer_pb2.Spread, segment: Sequence[Member]
+    ) -> None:
         """Tells a run of entries what may be lost."""
-        for part in split(run):
-            notice = peer_pb2.Notice(spread=addressed(news, part[1:]))
+        for part in split_segment(segment):
+            notice = peer_pb2.Notice(spread=addressed_copy(message, part[1:]))
             self.links.to(part[0]).notify(notice)
 
-    def take_hint(self, notice: peer_pb2.Notice) -> None:
+    def handle_notice(self, notice: peer_pb2.Notice) -> None:
         """Takes news in, and passes them on."""
-        news = notice.spread
-        self.hint_run(news, self.fleet.run_up_to(news.last))
-        self.take(news)
+        message = notice.spread
+        self.notify_segment(message, self.fleet.run_up_to(message.last))
+        self.handle(message)
 
-    def take(self, news: peer_pb2.Spread) -> None:
+    def handle(self, message: peer_pb2.Spread) -> None:
         """Takes news in; what can't be read is passed on all the same."""
-        kind = news.WhichOneof("news") or ""
-        taker = self.takers.get(kind)
-        if taker is None:
+        kind = message.WhichOneof("news") or ""
+        handler = self.handlers.get(kind)
+        if handler is None:
             log.warning("News of an unknown kind.", kind=kind)
             return
         try:
-            taker(getattr(news, kind))
+            handler(getattr(message, kind))
         except UnreadableError as error:
             log.warning("News can't be read.", kind=kind, error=error.message)
 
 
-def addressed(news: peer_pb2.Spread, rest: Sequence[Member]) -> peer_pb2.Spread:
+def addressed_copy(
+    message: peer_pb2.Spread, rest: Sequence[Member]
+) -> peer_pb2.Spread:
     """Returns news for an entry that is to pass them on to some others."""
-    made = peer_pb2.Spread()
-    made.CopyFrom(news)
-    made.last = place_of(rest[-1]) if rest else ""
-    return made
+    copy = peer_pb2.Spread()
+    copy.CopyFrom(message)
+    copy.last = place_of(rest[-1]) if rest else ""
+    return copy
--- a/src/rattanpier/_internal/relay/gossip.py
+++ b/src/rattanpier/_internal/relay/gossip.py
@@ -1,7 +1,7 @@
 """Talks to the other entries: who lives, what changed, what was seen.
 
 Each entry asks two others whether they live, however many there are. A change
-is told to all at once by the one that makes or finds it, see `spread`. What
+is told to all at once by the one that makes or finds it, see `broadcast`. What
 gets lost is made good between two entries: each asks a few others in turn for
 a digest of what they know and, where it goes on differing, for what it lacks.
 Evidence on new versions goes to the one entry that drives roll-outs.
@@ -28,11 +28,11 @@
 from rattanpier._internal.peers.links import Links
 from rattanpier._internal.peers.proto import peer_pb2
 from rattanpier._internal.relay.beliefs import Beliefs
+from rattanpier._internal.relay.broadcast import Broadcaster, split_segment
 from rattanpier._internal.relay.evidence import Evidence
 from rattanpier._internal.relay.fleet import Fleet, MemberNews
 from rattanpier._internal.relay.news import Compared, Knowledge, News
 from rattanpier._internal.relay.snapshots import Snapshots
-from rattanpier._internal.relay.spread import Spread, split
 from rattanpier._internal.relay.watch import (
     TableFollower,
     TableNews,
@@ -70,7 +70,7 @@
       fleet: What is known of the others.
       beliefs: What is known beside that.
       links: Connections to the others.
-      spread: Tells all of them.
+      broadcaster: Tells all of them.
       seeds: Addresses to ask while nobody is known.
       snapshots: What peers know stands in for the store.
       refresh_own_state: Brings this entry's own news up to date; says
@@ -87,7 +87,7 @@
     fleet: Fleet
     beliefs: Beliefs
     links: Links
-    spread: Spread
+    broadcaster: Broadcaster
     clock: Clock
     seeds: tuple[Address, ...]
     snapshots: Snapshots
@@ -229,7 +229,9 @@
     def broadcast(self, update: News) -> None:
         """Begins to tell everybody; some may not answer for a while."""
         rumors = peer_pb2.Rumors(text=encode(update).encode())
-        self.spread.begin(peer_pb2.Spread(rumors=rumors), self.fleet.ring())
+        self.broadcaster.start_sending(
+            peer_pb2.Spread(rumors=rumors), self.fleet.ring()
+        )
 
     def schedule_quarantine_broadcast(self) -> None:
         """Begins to tell everybody of workers that ended, in a moment.
@@ -274,7 +276,7 @@
         An entry misses news together with those that stand near it; these
         stand apart, and connections to them are open anyway.
         """
-        firsts = [part[0] for part in split(self.fleet.ring())]
+        firsts = [part[0] for part in split_segment(self.fleet.ring())]
         turn, rest = divmod(self.round_count, ROUNDS_PER_DISTANT_PROBE)
         if rest or not firsts:
             return
@@ -379,7 +381,7 @@
     def broadcast_store_news(self, update: TableNews) -> None:
         """Begins to tell everybody of an answer of a feed."""
         message = peer_pb2.StoreNews(packed=pack_news(update))
-        self.spread.begin(
+        self.broadcaster.start_sending(
             peer_pb2.Spread(store_news=message), self.fleet.ring()
         )
 
--- a/tests/lib/ring.py
+++ b/tests/lib/ring.py
@@ -20,6 +20,7 @@
 from rattanpier._internal.placement.rate_limits import RateLimits
 from rattanpier._internal.placement.shared_rates import SharedRates
 from rattanpier._internal.relay.beliefs import Beliefs
+from rattanpier._internal.relay.broadcast import Broadcaster
 from rattanpier._internal.relay.directory import WorkerDirectory
 from rattanpier._internal.relay.exposure import ExposureBound
 from rattanpier._internal.relay.fleet import Fleet, MemberNews
@@ -27,7 +28,6 @@
 from rattanpier._internal.relay.history import StoreHistory
 from rattanpier._internal.relay.rollouts import Rollouts
 from rattanpier._internal.relay.snapshots import Snapshots
-from rattanpier._internal.relay.spread import Spread
 from rattanpier._internal.retries.quarantine import Quarantine
 from rattanpier._internal.utils.metrics import Metrics
 from tests.lib.virtual import LoopClock
@@ -73,7 +73,7 @@
             return
         heard = peer_pb2.Notice.FromString(notice.SerializeToString())
         loop = asyncio.get_running_loop()
-        loop.call_later(WAY_S, entry.spread.take_hint, heard)
+        loop.call_later(WAY_S, entry.broadcaster.handle_notice, heard)
 
 
 @attrs.define
@@ -92,7 +92,7 @@
     """One entry, as far as it talks to others."""
 
     fleet: Fleet
-    spread: Spread
+    broadcaster: Broadcaster
     gossip: Gossip
     dead: bool = False
     heard: collections.Counter = attrs.Factory(collections.Counter)
@@ -101,7 +101,7 @@
         return {
             "beat": self.gossip.serve_beat,
             "summary": self.gossip.serve_summary,
-            "spread": self.spread.serve,
+            "spread": self.broadcaster.serve,
         }
 
     def note_hint(self, told):
@@ -129,7 +129,7 @@
         member = make_member(number)
         fleet = Fleet(MemberNews(member, 1.0, ready=True), self.clock)
         links = RingLinks(self, member.name)
-        spread = Spread(fleet, links)
+        broadcaster = Broadcaster(fleet, links)
         gossip = Gossip(
             fleet=fleet,
             beliefs=Beliefs(
@@ -141,7 +141,7 @@
                 StoreHistory(self.clock, Metrics()),
             ),
             links=links,
-            spread=spread,
+            broadcaster=broadcaster,
             clock=self.clock,
             seeds=(),
             snapshots=Snapshots(
@@ -157,9 +157,9 @@
         gossip.beliefs.quarantine.tell = gossip.schedule_quarantine_broadcast
         gossip.beliefs.limits.tell = gossip.broadcast_limit
         gossip.beliefs.directory.tell_leaving = gossip.broadcast_leaving
-        entry = Entry(fleet, spread, gossip)
-        spread.takers["rumors"] = gossip.receive_rumors
-        spread.takers["queue_news"] = entry.note_hint
+        entry = Entry(fleet, broadcaster, gossip)
+        broadcaster.handlers["rumors"] = gossip.receive_rumors
+        broadcaster.handlers["queue_news"] = entry.note_hint
         self.entries[member.name] = entry
         return entry
 
--- a/tests/relay/test_spread.py
+++ b/tests/relay/test_spread.py
@@ -7,8 +7,8 @@
 
 from rattanpier._internal.models.member import MemberState
 from rattanpier._internal.peers.proto import peer_pb2
+from rattanpier._internal.relay.broadcast import FANOUT
 from rattanpier._internal.relay.gossip import CALL_TIMEOUT_S, PROBE_ATTEMPTS
-from rattanpier._internal.relay.spread import WIDTH
 from tests.lib.relay_parts import make_worker
 from tests.lib.ring import ORDER, make_ring
 from tests.lib.virtual import run_virtual
@@ -36,7 +36,7 @@
 async def test_each_hears_of_a_thing_once_and_tells_few(size):
     ring = make_ring(size)
     for name, entry in ring.entries.items():
-        entry.spread.hint_all(make_hint(name))
+        entry.broadcaster.notify_all(make_hint(name))
     await ring.clock.sleep(2.0)
     for name, entry in ring.entries.items():
         others = set(ring.entries) - {name}
@@ -44,7 +44,7 @@
         assert set(entry.heard.values()) == {1}
     most, mean = ring.most_and_mean("messages")
     assert most <= 8 * mean
-    assert ring.connections() <= 5 * WIDTH
+    assert ring.connections() <= 5 * FANOUT
 
 
 @pytest.mark.parametrize("size", SIZES)
@@ -52,10 +52,12 @@
 async def test_one_that_tells_all_sends_to_few_itself(size):
     ring = make_ring(size)
     teller = ring.entries["e000"]
-    await teller.spread.tell_run(make_hint("w"), teller.fleet.ring())
+    await teller.broadcaster.send_to_segment(
+        make_hint("w"), teller.fleet.ring()
+    )
     await ring.clock.sleep(2.0)
     assert all(e.heard[b"w"] for e in ring.live() if e is not teller)
-    assert ring.sent["e000"].messages <= WIDTH
+    assert ring.sent["e000"].messages <= FANOUT
     most, mean = ring.most_and_mean("messages")
     assert most <= 8 * mean
 
@@ -69,7 +71,9 @@
     for name in names[2::10]:
         ring.entries[name].dead = True
     teller = ring.entries["e000"]
-    await teller.spread.tell_run(make_hint("w"), teller.fleet.ring())
+    await teller.broadcaster.send_to_segment(
+        make_hint("w"), teller.fleet.ring()
+    )
     await ring.clock.sleep(2.0)
     missed = [
         entry.fleet.me.member.name
@@ -140,7 +144,7 @@
     assert mean <= 1.5 * size + 100
     ring.forget_sent()
     await ring.rounds(4)
-    assert ring.connections() <= 3 * WIDTH
+    assert ring.connections() <= 3 * FANOUT
 
 
 @pytest.mark.parametrize("size", [80, 195])
