--- a/src/rattanpier/_internal/programs/relay_store.py
+++ b/src/rattanpier/_internal/programs/relay_store.py
@@ -26,13 +26,13 @@
 from rattanpier._internal.relay.held_rows import HeldRows
 from rattanpier._internal.relay.history import StoreHistory
 from rattanpier._internal.relay.membership import EntryRows
-from rattanpier._internal.relay.news import News
 from rattanpier._internal.relay.own_table import OwnTable
 from rattanpier._internal.relay.restoring import RowRestorer
 from rattanpier._internal.relay.rollout_driver import RolloutDriver
 from rattanpier._internal.relay.rollouts import Rollouts
 from rattanpier._internal.relay.state import RelayState
 from rattanpier._internal.relay.store import StoreClock, StoreHealth
+from rattanpier._internal.relay.updates import StateUpdate
 from rattanpier._internal.relay.watch import TableFollower, watch_rank
 from rattanpier._internal.utils.clock import Clock
 
@@ -110,7 +110,7 @@
         kernel.find("history"),
         kernel.find("clock"),
         lambda: health.available,
-        lambda era: entry.gossip.broadcast(News(restored=era)),
+        lambda era: entry.gossip.broadcast(StateUpdate(restored=era)),
         (rows.lost, held.lost, driver.lost),
     )
     kernel.spawn(driver.run())
--- a/src/rattanpier/_internal/relay/beliefs.py
+++ b/src/rattanpier/_internal/relay/beliefs.py
@@ -11,8 +11,8 @@
 from rattanpier._internal.relay.directory import WorkerDirectory
 from rattanpier._internal.relay.fleet import MemberNews
 from rattanpier._internal.relay.history import StoreHistory
-from rattanpier._internal.relay.news import News
 from rattanpier._internal.relay.rollouts import Rollouts
+from rattanpier._internal.relay.updates import StateUpdate
 from rattanpier._internal.retries.quarantine import Quarantine
 
 
@@ -49,7 +49,7 @@
         known ^= self.rollouts.known_orders.digest()
         return known ^ self.limits.digest() ^ self.directory.leaving_digest()
 
-    def take(self, news: News) -> None:
+    def take(self, news: StateUpdate) -> None:
         """Takes in what another entry tells, but for entries' states."""
         self.history.note_restored(news.restored)
         self.told_version = max(self.told_version, news.table_version)
@@ -66,9 +66,9 @@
         for worker in self.directory.take_departures(news.departed):
             self.gone(worker)
 
-    def news_with(self, members: list[MemberNews]) -> News:
+    def news_with(self, members: list[MemberNews]) -> StateUpdate:
         """Returns all that is told, with the states of some entries."""
-        return News(
+        return StateUpdate(
             members=members,
             records=list(self.rollouts.records.values()),
             stopped=sorted(self.rollouts.stopped),
--- a/src/rattanpier/_internal/relay/gossip.py
+++ b/src/rattanpier/_internal/relay/gossip.py
@@ -31,8 +31,12 @@
 from rattanpier._internal.relay.broadcast import Broadcaster, split_segment
 from rattanpier._internal.relay.evidence import Evidence
 from rattanpier._internal.relay.fleet import Fleet, MemberNews
-from rattanpier._internal.relay.news import Compared, Knowledge, News
 from rattanpier._internal.relay.snapshots import Snapshots
+from rattanpier._internal.relay.updates import (
+    KnownStates,
+    StateDiff,
+    StateUpdate,
+)
 from rattanpier._internal.relay.watch import (
     TableFollower,
     TableNews,
@@ -93,7 +97,7 @@
     snapshots: Snapshots
     refresh_own_state: Callable[[], bool]
     followers: dict[str, TableFollower] = attrs.Factory(dict)
-    published: News = attrs.Factory(News)
+    published: StateUpdate = attrs.Factory(StateUpdate)
     compared_at: float = float("-inf")
     digest_mismatches: int = 0
     round_count: int = 0
@@ -203,7 +207,7 @@
         state = self.fleet.note_down(name, reason)
         if state is None:
             return False
-        self.broadcast(News(members=[state]))
+        self.broadcast(StateUpdate(members=[state]))
         return True
 
     # What changed.
@@ -213,7 +217,7 @@
         self.refresh_own_state()
         rollouts = self.beliefs.rollouts
         stopped = sorted(rollouts.stopped)
-        current = News(
+        current = StateUpdate(
             members=[self.fleet.me],
             records=list(rollouts.records.values()),
             stopped=stopped,
@@ -226,7 +230,7 @@
         if self.published != previous or current.held:
             self.broadcast(current)
 
-    def broadcast(self, update: News) -> None:
+    def broadcast(self, update: StateUpdate) -> None:
         """Begins to tell everybody; some may not answer for a while."""
         rumors = peer_pb2.Rumors(text=encode(update).encode())
         self.broadcaster.start_sending(
@@ -249,21 +253,21 @@
         """Begins to tell everybody of the workers that ended by now."""
         self.quarantine_timer = None
         untold = self.beliefs.quarantine.take_untold()
-        self.broadcast(News(quarantine=untold))
+        self.broadcast(StateUpdate(quarantine=untold))
 
     def broadcast_limit(self, limit: RateLimit) -> None:
         """Begins to tell everybody how much a worker takes."""
-        self.broadcast(News(limits=[limit]))
+        self.broadcast(StateUpdate(limits=[limit]))
 
     def broadcast_leaving(self, incarnation: str) -> None:
         """Begins to tell everybody that a worker leaves."""
-        self.broadcast(News(leaving=[incarnation]))
+        self.broadcast(StateUpdate(leaving=[incarnation]))
 
     def receive_rumors(self, rumors: peer_pb2.Rumors) -> None:
         """Takes in what another entry tells all."""
-        self.apply_update(decode(News, rumors.text))
+        self.apply_update(decode(StateUpdate, rumors.text))
 
-    def apply_update(self, update: News) -> None:
+    def apply_update(self, update: StateUpdate) -> None:
         """Takes in what another entry tells."""
         self.fleet.take_all(update.members)
         self.beliefs.take(update)
@@ -287,13 +291,13 @@
 
     async def compare(self, peer: Member) -> None:
         """Makes two entries know the same."""
-        known = Knowledge(
+        known = KnownStates(
             {state.member.name: state.order for state in self.fleet.all_news()}
         )
         call = peer_pb2.Call(summary=peer_pb2.Summary(packed=pack(known)))
         try:
             reply = await self.links.to(peer).call(call, COMPARE_TIMEOUT_S)
-            compared = unpack(Compared, reply.summary.packed)
+            compared = unpack(StateDiff, reply.summary.packed)
         except (PeerUnavailableError, UnreadableError) as error:
             log.info("Not compared.", entry=peer.name, error=str(error))
             return
@@ -314,7 +318,7 @@
 
     async def serve_summary(self, call: peer_pb2.Call) -> peer_pb2.Reply:
         """Answers with what the asker lacks, and names what it knows better."""
-        known = unpack(Knowledge, call.summary.packed).orders
+        known = unpack(KnownStates, call.summary.packed).orders
         mine = {state.member.name: state for state in self.fleet.all_news()}
         lacking = [
             state
@@ -326,10 +330,10 @@
             for name, order in known.items()
             if name not in mine or order > mine[name].order
         ]
-        packed = pack(Compared(self.beliefs.news_with(lacking), wanted))
+        packed = pack(StateDiff(self.beliefs.news_with(lacking), wanted))
         return peer_pb2.Reply(summary=peer_pb2.Comparison(packed=packed))
 
-    async def send_update(self, peer: Member, update: News) -> None:
+    async def send_update(self, peer: Member, update: StateUpdate) -> None:
         """Tells one entry, which does not pass it on."""
         rumors = peer_pb2.Rumors(text=encode(update).encode())
         call = peer_pb2.Call(spread=peer_pb2.Spread(rumors=rumors))
--- a/src/rattanpier/_internal/relay/news.py
+++ b/src/rattanpier/_internal/relay/updates.py
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen
-class News:
+class StateUpdate:
     """What changed.
 
     Attributes:
@@ -53,7 +53,7 @@
 
 
 @attrs.frozen
-class Knowledge:
+class KnownStates:
     """Which state of each entry is known.
 
     Attributes:
@@ -64,7 +64,7 @@
 
 
 @attrs.frozen
-class Compared:
+class StateDiff:
     """One entry's knowledge against another's.
 
     Attributes:
@@ -72,5 +72,5 @@
       wanted: Names of entries of which the other knows more.
     """
 
-    news: News
+    news: StateUpdate
     wanted: list[str]
--- a/tests/relay/test_rows.py
+++ b/tests/relay/test_rows.py
@@ -20,12 +20,16 @@
 from rattanpier._internal.relay.evidence import Evidence
 from rattanpier._internal.relay.exposure import ExposureBound
 from rattanpier._internal.relay.fleet import MemberNews
-from rattanpier._internal.relay.news import Compared, Knowledge, News
 from rattanpier._internal.relay.queue_watch import QueueNews
 from rattanpier._internal.relay.rollouts import Rollouts
 from rattanpier._internal.relay.snapshots import Snapshot
 from rattanpier._internal.relay.state import RelayState
 from rattanpier._internal.relay.store import StoreHealth
+from rattanpier._internal.relay.updates import (
+    KnownStates,
+    StateDiff,
+    StateUpdate,
+)
 from rattanpier._internal.relay.watch import TableNews
 from rattanpier._internal.utils.codec import decode, unpack
 from rattanpier._internal.utils.metrics import Metrics
@@ -279,7 +283,7 @@
 @given(MESSAGE_PACK)
 def test_any_packed_document_is_read_or_refused(document):
     packed = zlib.compress(msgpack.packb(document))
-    for kind in (Snapshot, TableNews, Knowledge, Compared, QueueNews):
+    for kind in (Snapshot, TableNews, KnownStates, StateDiff, QueueNews):
         try:
             assert isinstance(unpack(kind, packed), kind)
         except UnreadableError as error:
@@ -289,7 +293,14 @@
 @settings(deadline=None)
 @given(st.binary() | JSON.map(lambda made: json.dumps(made).encode()))
 def test_any_message_is_read_or_refused(value):
-    kinds = (MemberNews, News, Snapshot, Evidence, RolloutRecord, TableNews)
+    kinds = (
+        MemberNews,
+        StateUpdate,
+        Snapshot,
+        Evidence,
+        RolloutRecord,
+        TableNews,
+    )
     for kind in (*kinds, QueueNews):
         for read in (
             lambda kind: decode(kind, value),
