--- a/benchmarks/restored_store.py
+++ b/benchmarks/restored_store.py
@@ -124,7 +124,7 @@
     entry: object, store: Store, clock: object, knowing: dict[str, float]
 ) -> asyncio.Task:
     """Lets an entry follow the table; notes when it knows who leaves."""
-    history = entry.gossip.beliefs.history
+    history = entry.gossip.shared_state.history
     name = entry.fleet.me.member.name
 
     def take(page: Page, _after_outage: bool) -> None:
@@ -158,7 +158,7 @@
                 attrs.evolve(each.fleet.me, store=True, sequence=1)
             )
         entry.fleet.change_me(store=True)
-        entry.gossip.beliefs.history.note(1, "store")
+        entry.gossip.shared_state.history.note(1, "store")
     store = Store(int(size * WORKERS_PER_ENTRY))
     knowing: dict[str, float] = {}
     tasks = [
--- a/src/rattanpier/_internal/programs/relay.py
+++ b/src/rattanpier/_internal/programs/relay.py
@@ -24,9 +24,9 @@
     make_state,
 )
 from rattanpier._internal.programs.relay_workers import add_worker_news
-from rattanpier._internal.relay.beliefs import Beliefs
 from rattanpier._internal.relay.drain import DrainState
 from rattanpier._internal.relay.edge import CallerDialect, RelayEdge
+from rattanpier._internal.relay.shared_state import SharedState
 from rattanpier._internal.utils.clock import SystemClock
 from rattanpier._internal.utils.metrics import Metrics
 
@@ -65,7 +65,7 @@
         clock,
         metrics,
     )
-    beliefs = Beliefs(
+    shared_state = SharedState(
         state.rollouts,
         dispatcher.quarantine,
         state.domains,
@@ -73,12 +73,14 @@
         state.directory,
         kernel.find("history"),
         lambda: state.table_version,
-        gone=state.gone.on_next,
+        on_deregistered=state.gone.on_next,
     )
-    gossip = await add_peers(kernel, settings, fleet, state, beliefs, clock)
-    beliefs.quarantine.tell = gossip.schedule_quarantine_broadcast
-    beliefs.limits.tell = gossip.broadcast_limit
-    beliefs.directory.tell_leaving = gossip.broadcast_leaving
+    gossip = await add_peers(
+        kernel, settings, fleet, state, shared_state, clock
+    )
+    shared_state.quarantine.tell = gossip.schedule_quarantine_broadcast
+    shared_state.limits.tell = gossip.broadcast_limit
+    shared_state.directory.tell_leaving = gossip.broadcast_leaving
     entry = RelayEntry(
         kernel, settings, state, fleet, drain, metrics, edge, gossip
     )
--- a/src/rattanpier/_internal/programs/relay_peers.py
+++ b/src/rattanpier/_internal/programs/relay_peers.py
@@ -11,10 +11,10 @@
 from rattanpier._internal.peers.hints import Hints
 from rattanpier._internal.peers.links import Links
 from rattanpier._internal.peers.server import PeerServer
-from rattanpier._internal.relay.beliefs import Beliefs
 from rattanpier._internal.relay.broadcast import Broadcaster
 from rattanpier._internal.relay.fleet import Fleet, MemberNews
 from rattanpier._internal.relay.gossip import Gossip
+from rattanpier._internal.relay.shared_state import SharedState
 from rattanpier._internal.relay.snapshots import Snapshots
 from rattanpier._internal.relay.state import RelayState
 from rattanpier._internal.utils.clock import SystemClock
@@ -41,7 +41,7 @@
     settings: RelaySettings,
     fleet: Fleet,
     state: RelayState,
-    beliefs: Beliefs,
+    shared_state: SharedState,
     clock: SystemClock,
 ) -> Gossip:
     """Listens for peers and returns what talks to them."""
@@ -57,14 +57,14 @@
         needed=lambda: (
             not state.health.available
             or state.table is None
-            or beliefs.lacks_table()
+            or shared_state.has_older_table()
         ),
         make=state.snapshot,
         restore=state.restore,
     )
     gossip = Gossip(
         fleet=fleet,
-        beliefs=beliefs,
+        shared_state=shared_state,
         links=links,
         broadcaster=broadcaster,
         clock=clock,
--- a/src/rattanpier/_internal/relay/gossip.py
+++ b/src/rattanpier/_internal/relay/gossip.py
@@ -27,10 +27,10 @@
 from rattanpier._internal.models.relay_settings import Address
 from rattanpier._internal.peers.links import Links
 from rattanpier._internal.peers.proto import peer_pb2
-from rattanpier._internal.relay.beliefs import Beliefs
 from rattanpier._internal.relay.broadcast import Broadcaster, split_segment
 from rattanpier._internal.relay.evidence import Evidence
 from rattanpier._internal.relay.fleet import Fleet, MemberNews
+from rattanpier._internal.relay.shared_state import SharedState
 from rattanpier._internal.relay.snapshots import Snapshots
 from rattanpier._internal.relay.updates import (
     KnownStates,
@@ -72,7 +72,7 @@
 
     Attributes:
       fleet: What is known of the others.
-      beliefs: What is known beside that.
+      shared_state: What is known beside that.
       links: Connections to the others.
       broadcaster: Tells all of them.
       seeds: Addresses to ask while nobody is known.
@@ -89,7 +89,7 @@
     """
 
     fleet: Fleet
-    beliefs: Beliefs
+    shared_state: SharedState
     links: Links
     broadcaster: Broadcaster
     clock: Clock
@@ -129,7 +129,7 @@
         if len(self.fleet.live()) == 1:
             await self.join()
         covered = all(each.covered() for each in self.followers.values())
-        if not covered or self.beliefs.lacks_table():
+        if not covered or self.shared_state.has_older_table():
             await self.snapshots.ask_if_needed()
         return any(lost)
 
@@ -159,7 +159,7 @@
         """
         call = peer_pb2.Call(beat=self.build_beat(state.down))
         reply = await self.links.to(state.member).call(call, CALL_TIMEOUT_S)
-        self.beliefs.history.note(reply.beat.store_era, "peer")
+        self.shared_state.history.note(reply.beat.store_era, "peer")
         if reply.beat.digest == self.digest():
             self.digest_mismatches = 0
             return
@@ -187,16 +187,16 @@
             sequence=me.sequence,
             believed_down=believed_down,
             digest=self.digest(),
-            store_era=self.beliefs.history.era,
+            store_era=self.shared_state.history.era,
         )
 
     def digest(self) -> int:
         """Returns what two entries that know the same have in common."""
-        return self.fleet.digest() ^ self.beliefs.digest()
+        return self.fleet.digest() ^ self.shared_state.digest()
 
     async def serve_beat(self, call: peer_pb2.Call) -> peer_pb2.Reply:
         """Answers an entry that asks."""
-        self.beliefs.history.note(call.beat.store_era, "peer")
+        self.shared_state.history.note(call.beat.store_era, "peer")
         if call.beat.believed_down:
             me = self.fleet.me
             self.fleet.refute(attrs.evolve(me, down=True))
@@ -215,7 +215,7 @@
     def broadcast_changes(self) -> None:
         """Tells everybody what changed here since the last round."""
         self.refresh_own_state()
-        rollouts = self.beliefs.rollouts
+        rollouts = self.shared_state.rollouts
         stopped = sorted(rollouts.stopped)
         current = StateUpdate(
             members=[self.fleet.me],
@@ -252,7 +252,7 @@
     def broadcast_quarantine(self) -> None:
         """Begins to tell everybody of the workers that ended by now."""
         self.quarantine_timer = None
-        untold = self.beliefs.quarantine.take_untold()
+        untold = self.shared_state.quarantine.take_untold()
         self.broadcast(StateUpdate(quarantine=untold))
 
     def broadcast_limit(self, limit: RateLimit) -> None:
@@ -270,7 +270,7 @@
     def apply_update(self, update: StateUpdate) -> None:
         """Takes in what another entry tells."""
         self.fleet.take_all(update.members)
-        self.beliefs.take(update)
+        self.shared_state.apply_update(update)
 
     # What was missed.
 
@@ -313,8 +313,8 @@
             learned=len(compared.news.members),
             told=len(members),
         )
-        if members or self.beliefs.has_more_to_tell():
-            await self.send_update(peer, self.beliefs.news_with(members))
+        if members or self.shared_state.has_unsummarized_state():
+            await self.send_update(peer, self.shared_state.full_update(members))
 
     async def serve_summary(self, call: peer_pb2.Call) -> peer_pb2.Reply:
         """Answers with what the asker lacks, and names what it knows better."""
@@ -330,7 +330,7 @@
             for name, order in known.items()
             if name not in mine or order > mine[name].order
         ]
-        packed = pack(StateDiff(self.beliefs.news_with(lacking), wanted))
+        packed = pack(StateDiff(self.shared_state.full_update(lacking), wanted))
         return peer_pb2.Reply(summary=peer_pb2.Comparison(packed=packed))
 
     async def send_update(self, peer: Member, update: StateUpdate) -> None:
@@ -358,7 +358,7 @@
 
     async def report_evidence(self) -> None:
         """Reports evidence on new versions to the entry that drives."""
-        evidence = self.beliefs.rollouts.evidence(
+        evidence = self.shared_state.rollouts.evidence(
             self.fleet.me.member.incarnation
         )
         driver = self.fleet.others.get(self.fleet.driver())
@@ -377,7 +377,7 @@
     async def serve_report(self, call: peer_pb2.Call) -> peer_pb2.Reply:
         """Takes in an entry's evidence."""
         evidence = decode(Evidence, call.report.text)
-        self.beliefs.rollouts.seen.take(evidence)
+        self.shared_state.rollouts.seen.take(evidence)
         return peer_pb2.Reply(report=peer_pb2.EvidenceReport())
 
     # What watchers read.
--- a/src/rattanpier/_internal/relay/beliefs.py
+++ b/src/rattanpier/_internal/relay/shared_state.py
@@ -17,7 +17,7 @@
 
 
 @attrs.define(eq=False, repr=False)
-class Beliefs:
+class SharedState:
     """What is told to others, and heard from them.
 
     Attributes:
@@ -28,8 +28,9 @@
       directory: Workers that said that they leave, or are gone.
       history: Which era of the store is the newest one.
       table_version: Returns the version of the route table in force.
-      told_version: The newest one that others told of.
-      gone: Called with the id of each worker that others know to be gone.
+      peer_table_version: The newest one that others told of.
+      on_deregistered: Called with the id of each worker that others know to
+        be gone.
     """
 
     rollouts: Rollouts
@@ -39,8 +40,8 @@
     directory: WorkerDirectory
     history: StoreHistory
     table_version: Callable[[], int] = lambda: -1
-    told_version: int = -1
-    gone: Callable[[str], None] = lambda _worker: None
+    peer_table_version: int = -1
+    on_deregistered: Callable[[str], None] = lambda _worker: None
 
     def digest(self) -> int:
         """Returns what two entries that know the same have in common."""
@@ -49,24 +50,26 @@
         known ^= self.rollouts.known_orders.digest()
         return known ^ self.limits.digest() ^ self.directory.leaving_digest()
 
-    def take(self, news: StateUpdate) -> None:
+    def apply_update(self, update: StateUpdate) -> None:
         """Takes in what another entry tells, but for entries' states."""
-        self.history.note_restored(news.restored)
-        self.told_version = max(self.told_version, news.table_version)
-        self.rollouts.take_unconfirmed(news.orders)
-        for record in news.records:
+        self.history.note_restored(update.restored)
+        self.peer_table_version = max(
+            self.peer_table_version, update.table_version
+        )
+        self.rollouts.take_unconfirmed(update.orders)
+        for record in update.records:
             self.rollouts.take_record(record)
-        for order in news.stopped:
+        for order in update.stopped:
             self.rollouts.stop(order, "told by a peer")
-        self.rollouts.sessions.take(news.held)
-        self.quarantine.take(news.quarantine)
-        self.domains.take_standing(news.drained)
-        self.limits.take(news.limits)
-        self.directory.take_leaving(news.leaving)
-        for worker in self.directory.take_departures(news.departed):
-            self.gone(worker)
+        self.rollouts.sessions.take(update.held)
+        self.quarantine.take(update.quarantine)
+        self.domains.take_standing(update.drained)
+        self.limits.take(update.limits)
+        self.directory.take_leaving(update.leaving)
+        for worker in self.directory.take_departures(update.departed):
+            self.on_deregistered(worker)
 
-    def news_with(self, members: list[MemberNews]) -> StateUpdate:
+    def full_update(self, members: list[MemberNews]) -> StateUpdate:
         """Returns all that is told, with the states of some entries."""
         return StateUpdate(
             members=members,
@@ -82,11 +85,11 @@
             table_version=self.table_version() if self.history.young() else -1,
         )
 
-    def lacks_table(self) -> bool:
+    def has_older_table(self) -> bool:
         """Says whether others have a newer route table in force."""
-        return self.table_version() < self.told_version
+        return self.table_version() < self.peer_table_version
 
-    def has_more_to_tell(self) -> bool:
+    def has_unsummarized_state(self) -> bool:
         """Says whether a peer may lack something that summaries don't name."""
         held = self.quarantine.ends or self.quarantine.cleared
         said = self.limits.words or self.directory.known_to_leave()
--- a/tests/lib/ring.py
+++ b/tests/lib/ring.py
@@ -19,7 +19,6 @@
 from rattanpier._internal.placement.drained_domains import DrainedDomains
 from rattanpier._internal.placement.rate_limits import RateLimits
 from rattanpier._internal.placement.shared_rates import SharedRates
-from rattanpier._internal.relay.beliefs import Beliefs
 from rattanpier._internal.relay.broadcast import Broadcaster
 from rattanpier._internal.relay.directory import WorkerDirectory
 from rattanpier._internal.relay.exposure import ExposureBound
@@ -27,6 +26,7 @@
 from rattanpier._internal.relay.gossip import HEARTBEAT_INTERVAL_S, Gossip
 from rattanpier._internal.relay.history import StoreHistory
 from rattanpier._internal.relay.rollouts import Rollouts
+from rattanpier._internal.relay.shared_state import SharedState
 from rattanpier._internal.relay.snapshots import Snapshots
 from rattanpier._internal.retries.quarantine import Quarantine
 from rattanpier._internal.utils.metrics import Metrics
@@ -132,7 +132,7 @@
         broadcaster = Broadcaster(fleet, links)
         gossip = Gossip(
             fleet=fleet,
-            beliefs=Beliefs(
+            shared_state=SharedState(
                 Rollouts(ExposureBound(0.1, 30.0), 5.0, self.clock),
                 Quarantine(self.clock),
                 DrainedDomains(),
@@ -154,9 +154,11 @@
             ),
             refresh_own_state=lambda: False,
         )
-        gossip.beliefs.quarantine.tell = gossip.schedule_quarantine_broadcast
-        gossip.beliefs.limits.tell = gossip.broadcast_limit
-        gossip.beliefs.directory.tell_leaving = gossip.broadcast_leaving
+        gossip.shared_state.quarantine.tell = (
+            gossip.schedule_quarantine_broadcast
+        )
+        gossip.shared_state.limits.tell = gossip.broadcast_limit
+        gossip.shared_state.directory.tell_leaving = gossip.broadcast_leaving
         entry = Entry(fleet, broadcaster, gossip)
         broadcaster.handlers["rumors"] = gossip.receive_rumors
         broadcaster.handlers["queue_news"] = entry.note_hint
@@ -240,7 +242,7 @@
                 each for each in news if each is not entry.fleet.me
             )
             entry.gossip.compared_at = 0.0
-            entry.gossip.published = entry.gossip.beliefs.news_with(
+            entry.gossip.published = entry.gossip.shared_state.full_update(
                 [entry.fleet.me]
             )
     return ring
--- a/tests/relay/test_spread.py
+++ b/tests/relay/test_spread.py
@@ -89,11 +89,11 @@
 async def test_a_stopped_version_is_known_within_seconds_on_lossy_links(size):
     ring = make_ring(size)
     ring.loss = 0.1
-    ring.entries["e007"].gossip.beliefs.rollouts.take_order(ORDER)
-    ring.entries["e007"].gossip.beliefs.rollouts.stop(ORDER.id, "test")
+    ring.entries["e007"].gossip.shared_state.rollouts.take_order(ORDER)
+    ring.entries["e007"].gossip.shared_state.rollouts.stop(ORDER.id, "test")
     await ring.rounds(6)
     knowing = sum(
-        ORDER.id in entry.gossip.beliefs.rollouts.stopped
+        ORDER.id in entry.gossip.shared_state.rollouts.stopped
         for entry in ring.live()
     )
     assert knowing >= 0.99 * size
@@ -231,7 +231,7 @@
 
 def count_holding(ring, content):
     return sum(
-        entry.gossip.beliefs.quarantine.held_s(content) > 0.0
+        entry.gossip.shared_state.quarantine.held_s(content) > 0.0
         for entry in ring.live()
     )
 
@@ -244,7 +244,7 @@
         entry = ring.entries[f"e{number:03}"]
         worker = f"w{number}"
         for content in ("deadly", f"beside {number}"):
-            entry.gossip.beliefs.quarantine.note_end(content, worker)
+            entry.gossip.shared_state.quarantine.note_end(content, worker)
     # A request that ends workers goes on to the next within 0.2 s.
     await ring.clock.sleep(0.05)
     assert count_holding(ring, "deadly") == size
@@ -258,7 +258,7 @@
     cut = {f"e{number:03}" for number in range(1, 80, 8)}
     ring.silent = cut
     for number in range(3):
-        ring.entries["e000"].gossip.beliefs.quarantine.note_end(
+        ring.entries["e000"].gossip.shared_state.quarantine.note_end(
             "deadly", f"w{number}"
         )
     await ring.clock.sleep(1.0)
@@ -271,11 +271,13 @@
 
 
 def count_limited(ring):
-    return sum(bool(e.gossip.beliefs.limits.limited) for e in ring.live())
+    return sum(bool(e.gossip.shared_state.limits.limited) for e in ring.live())
 
 
 def count_leaving(ring):
-    return sum(bool(e.gossip.beliefs.directory.leaving) for e in ring.live())
+    return sum(
+        bool(e.gossip.shared_state.directory.leaving) for e in ring.live()
+    )
 
 
 @pytest.mark.parametrize("size", SIZES)
@@ -283,14 +285,14 @@
 async def test_what_a_worker_said_to_one_entry_is_soon_known_to_all(size):
     ring = make_ring(size)
     worker = make_worker("w1")
-    told = ring.entries["e001"].gossip.beliefs
+    told = ring.entries["e001"].gossip.shared_state
     told.limits.hear(worker, 2.5, 0.0)
     told.directory.hear_leaving(worker)
     await ring.clock.sleep(0.05)
     assert count_limited(ring) == count_leaving(ring) == size
     # Its end is heard by another one.
     now = ring.clock.monotonic()
-    ring.entries["e002"].gossip.beliefs.limits.hear(worker, None, now)
+    ring.entries["e002"].gossip.shared_state.limits.hear(worker, None, now)
     await ring.clock.sleep(0.05)
     assert count_limited(ring) == 0
     most, mean = ring.most_and_mean("messages")
@@ -304,15 +306,15 @@
     ring.silent = cut
     worker = make_worker("w1")
     for entry in ring.entries.values():
-        entry.gossip.beliefs.directory.put(worker)
-    told = ring.entries["e000"].gossip.beliefs
+        entry.gossip.shared_state.directory.put(worker)
+    told = ring.entries["e000"].gossip.shared_state
     told.limits.hear(worker, 2.5, 0.0)
     told.directory.hear_leaving(worker)
     await ring.clock.sleep(1.0)
     assert count_limited(ring) == count_leaving(ring) == 80 - len(cut)
     ring.silent = set()
     newcomer = ring.add(80)
-    newcomer.gossip.beliefs.directory.put(worker)
+    newcomer.gossip.shared_state.directory.put(worker)
     newcomer.fleet.take_all([ring.entries["e005"].fleet.me])
     await ring.rounds(12)
     assert count_limited(ring) == count_leaving(ring) == 81
@@ -324,12 +326,12 @@
     """Without a word of those that watch, and with no message more."""
     ring = make_ring(size)
     for entry in ring.live():
-        entry.gossip.beliefs.history.note(1, "store")
+        entry.gossip.shared_state.history.note(1, "store")
     await ring.rounds(4)
     ring.forget_sent()
-    ring.entries["e003"].gossip.beliefs.history.note(2, "store")
+    ring.entries["e003"].gossip.shared_state.history.note(2, "store")
     await ring.rounds(8)
-    eras = {entry.gossip.beliefs.history.era for entry in ring.live()}
+    eras = {entry.gossip.shared_state.history.era for entry in ring.live()}
     assert eras == {2}
     _, mean = ring.most_and_mean("messages")
     assert mean <= 8 * 6
