--- a/src/rattanpier/_internal/programs/relay_peers.py
+++ b/src/rattanpier/_internal/programs/relay_peers.py
@@ -59,7 +59,7 @@
             or state.table is None
             or shared_state.has_older_table()
         ),
-        make=state.snapshot,
+        build=state.snapshot,
         restore=state.restore,
     )
     gossip = Gossip(
--- a/src/rattanpier/_internal/relay/gossip.py
+++ b/src/rattanpier/_internal/relay/gossip.py
@@ -130,7 +130,7 @@
             await self.join()
         covered = all(each.covered() for each in self.followers.values())
         if not covered or self.shared_state.has_older_table():
-            await self.snapshots.ask_if_needed()
+            await self.snapshots.request_if_needed()
         return any(lost)
 
     # Who lives.
--- a/src/rattanpier/_internal/relay/snapshots.py
+++ b/src/rattanpier/_internal/relay/snapshots.py
@@ -33,8 +33,8 @@
 log = structlog.get_logger(part="fleet")
 
 SNAPSHOT_TIMEOUT_S = 2.0  # Tables of many routes over a slow link.
-SNAPSHOT_EVERY_S = 1.0
-ASKED = 2  # Peers, one after the other, until one answers.
+MIN_REQUEST_INTERVAL_S = 1.0
+MAX_PEERS_ASKED = 2  # Peers, one after the other, until one answers.
 
 
 @attrs.frozen
@@ -80,58 +80,60 @@
 
     Attributes:
       needed: Whether this entry lacks what the store would tell.
-      make: Returns this entry's beliefs.
+      build: Returns this entry's beliefs.
       restore: Takes a peer's beliefs.
-      asked_at: When peers were asked last, in monotonic seconds.
+      requested_at: When peers were asked last, in monotonic seconds.
     """
 
     fleet: Fleet
     links: Links
     clock: Clock
     needed: Callable[[], bool]
-    make: Callable[[], Snapshot]
+    build: Callable[[], Snapshot]
     restore: Callable[[Snapshot], None]
-    asked_at: float = float("-inf")
+    requested_at: float = float("-inf")
 
     async def serve(self, call: peer_pb2.Call) -> peer_pb2.Reply:
         """Answers with this entry's state."""
-        packed = pack(self.make())
+        packed = pack(self.build())
         return peer_pb2.Reply(snapshot=peer_pb2.SnapshotReply(packed=packed))
 
-    async def ask_if_needed(self) -> None:
+    async def request_if_needed(self) -> None:
         """Takes the beliefs of a peer that has what this entry lacks."""
-        since_s = self.clock.monotonic() - self.asked_at
-        if not self.needed() or since_s < SNAPSHOT_EVERY_S:
+        since_s = self.clock.monotonic() - self.requested_at
+        if not self.needed() or since_s < MIN_REQUEST_INTERVAL_S:
             return
-        asked = self.worth_asking()
-        if not asked:
+        candidates = self.candidate_peers()
+        if not candidates:
             return
-        self.asked_at = self.clock.monotonic()
-        for news in asked:
+        self.requested_at = self.clock.monotonic()
+        for state in candidates:
             call = peer_pb2.Call(snapshot=peer_pb2.SnapshotRequest())
             try:
-                reply = await self.links.to(news.member).call(
+                reply = await self.links.to(state.member).call(
                     call, SNAPSHOT_TIMEOUT_S
                 )
                 self.restore(unpack(Snapshot, reply.snapshot.packed))
             except (PeerUnavailableError, UnreadableError) as error:
                 log.info(
                     "No snapshot from a peer.",
-                    entry=news.member.name,
+                    entry=state.member.name,
                     error=str(error),
                 )
                 continue
             return
 
-    def worth_asking(self) -> list[MemberNews]:
+    def candidate_peers(self) -> list[MemberNews]:
         """Returns the peers to ask, those that serve callers first.
 
         Entries that start together ask different ones. While all start, and
         the store answers, none can tell more than the store.
         """
-        others = [news for news in self.fleet.live() if news != self.fleet.me]
-        random.shuffle(others)
-        others.sort(key=lambda news: (not news.ready, not news.store))
+        candidates = [
+            state for state in self.fleet.live() if state != self.fleet.me
+        ]
+        random.shuffle(candidates)
+        candidates.sort(key=lambda state: (not state.ready, not state.store))
         if self.fleet.me.store:
-            others = [news for news in others if news.ready]
-        return others[:ASKED]
+            candidates = [state for state in candidates if state.ready]
+        return candidates[:MAX_PEERS_ASKED]
--- a/tests/lib/ring.py
+++ b/tests/lib/ring.py
@@ -149,7 +149,7 @@
                 links=links,
                 clock=self.clock,
                 needed=lambda: False,
-                make=lambda: None,
+                build=lambda: None,
                 restore=lambda _snapshot: None,
             ),
             refresh_own_state=lambda: False,
--- a/tests/relay/test_early_callers.py
+++ b/tests/relay/test_early_callers.py
@@ -17,7 +17,11 @@
 from rattanpier._internal.programs.relay_listen import START_WAIT_S
 from rattanpier._internal.relay.fleet import Fleet
 from rattanpier._internal.relay.gossip import Gossip
-from rattanpier._internal.relay.snapshots import ASKED, Snapshot, Snapshots
+from rattanpier._internal.relay.snapshots import (
+    MAX_PEERS_ASKED,
+    Snapshot,
+    Snapshots,
+)
 from rattanpier._internal.standin.platform_store import Door, StoreFault
 from rattanpier._internal.utils.codec import unpack
 from tests.lib.clock import ManualClock
@@ -166,9 +170,9 @@
         make_news(name, ready=name in ready) for name in ("e2", "e3", "e4")
     )
     snapshots = Snapshots(fleet, None, clock, None, None, None)
-    names = [news.member.name for news in snapshots.worth_asking()]
+    names = [news.member.name for news in snapshots.candidate_peers()]
     assert set(names[: len(asked)]) == asked
-    assert len(names) == (len(asked) if reaches_store else ASKED)
+    assert len(names) == (len(asked) if reaches_store else MAX_PEERS_ASKED)
 
 
 async def test_a_long_table_is_told_in_few_bytes(site):
