--- a/benchmarks/restored_store.py
+++ b/benchmarks/restored_store.py
@@ -154,10 +154,10 @@
     ring = make_ring(size)
     for entry in ring.live():
         for each in ring.live():
-            entry.fleet.take(
+            entry.fleet.apply_state(
                 attrs.evolve(each.fleet.me, store=True, sequence=1)
             )
-        entry.fleet.change_me(store=True)
+        entry.fleet.update_own_state(store=True)
         entry.gossip.shared_state.history.note(1, "store")
     store = Store(int(size * WORKERS_PER_ENTRY))
     knowing: dict[str, float] = {}
--- a/src/rattanpier/_internal/placement/shared_rates.py
+++ b/src/rattanpier/_internal/placement/shared_rates.py
@@ -131,7 +131,7 @@
         few = self.draw(worker.id)[: parts.senders]
         if me not in few:
             return False
-        live = [name for name in few if name == me or self.fleet.lives(name)]
+        live = [name for name in few if name == me or self.fleet.is_live(name)]
         return me in live[: parts.live_senders]
 
     def draw(self, worker: str) -> list[str]:
@@ -141,10 +141,10 @@
         that differ in whom they take to live find the same few.
         """
         roster, few = self.drawn.get(worker, (-1, []))
-        if roster != self.fleet.roster:
-            known = [news.member.name for news in self.fleet.all_news()]
+        if roster != self.fleet.roster_version:
+            known = [news.member.name for news in self.fleet.all_states()]
             few = heapq.nlargest(MOST_SENDERS, known, key=weight_for(worker))
-            self.drawn[worker] = self.fleet.roster, few
+            self.drawn[worker] = self.fleet.roster_version, few
         return few
 
     def begin(self, worker: str, incarnation: str, bound: RateBound) -> None:
--- a/src/rattanpier/_internal/programs/relay.py
+++ b/src/rattanpier/_internal/programs/relay.py
@@ -101,7 +101,7 @@
         leaving = entry.drain.leaving
         state = MemberState.LEAVING if leaving else MemberState.LIVE
         me = entry.fleet.me
-        return entry.fleet.change_me(
+        return entry.fleet.update_own_state(
             member=attrs.evolve(me.member, state=state),
             ready=entry.ready(),
             store=entry.state.health.available,
--- a/src/rattanpier/_internal/programs/relay_peers.py
+++ b/src/rattanpier/_internal/programs/relay_peers.py
@@ -12,7 +12,7 @@
 from rattanpier._internal.peers.links import Links
 from rattanpier._internal.peers.server import PeerServer
 from rattanpier._internal.relay.broadcast import Broadcaster
-from rattanpier._internal.relay.fleet import Fleet, MemberNews
+from rattanpier._internal.relay.fleet import EntryState, Fleet
 from rattanpier._internal.relay.gossip import Gossip
 from rattanpier._internal.relay.shared_state import SharedState
 from rattanpier._internal.relay.snapshots import Snapshots
@@ -33,7 +33,7 @@
         peer_port=settings.peers.port,
         hint_port=settings.hints.port,
     )
-    return Fleet(MemberNews(member, time.time()), clock)
+    return Fleet(EntryState(member, time.time()), clock)
 
 
 async def add_peers(
--- a/src/rattanpier/_internal/relay/broadcast.py
+++ b/src/rattanpier/_internal/relay/broadcast.py
@@ -27,7 +27,7 @@
 from rattanpier._internal.models.member import Member
 from rattanpier._internal.peers.links import Links
 from rattanpier._internal.peers.proto import peer_pb2
-from rattanpier._internal.relay.fleet import Fleet, place_of
+from rattanpier._internal.relay.fleet import Fleet, ring_position
 
 log = structlog.get_logger(part="fleet")
 
@@ -74,7 +74,7 @@
 
     def notify_one(self, message: peer_pb2.Spread, name: str) -> None:
         """Tells one entry what may be lost, if it is known."""
-        peer = self.fleet.others.get(name)
+        peer = self.fleet.peers.get(name)
         if peer is not None:
             notice = peer_pb2.Notice(spread=addressed_copy(message, []))
             self.links.to(peer.member).notify(notice)
@@ -108,7 +108,7 @@
         """Takes news in, and passes them on."""
         message = call.spread
         self.handle(message)
-        self.start_sending(message, self.fleet.run_up_to(message.last))
+        self.start_sending(message, self.fleet.segment_up_to(message.last))
         return peer_pb2.Reply(spread=peer_pb2.SpreadTaken())
 
     def start_sending(
@@ -134,7 +134,7 @@
     def handle_notice(self, notice: peer_pb2.Notice) -> None:
         """Takes news in, and passes them on."""
         message = notice.spread
-        self.notify_segment(message, self.fleet.run_up_to(message.last))
+        self.notify_segment(message, self.fleet.segment_up_to(message.last))
         self.handle(message)
 
     def handle(self, message: peer_pb2.Spread) -> None:
@@ -156,5 +156,5 @@
     """Returns news for an entry that is to pass them on to some others."""
     copy = peer_pb2.Spread()
     copy.CopyFrom(message)
-    copy.last = place_of(rest[-1]) if rest else ""
+    copy.last = ring_position(rest[-1]) if rest else ""
     return copy
--- a/src/rattanpier/_internal/relay/fleet.py
+++ b/src/rattanpier/_internal/relay/fleet.py
@@ -23,18 +23,20 @@
 
 T = TypeVar("T")
 
-PROBED = 2  # Entries that each one asks: two losses in a row are noticed.
-LATELY_S = 3.0  # Two timeouts, and the time until all are told.
-MOST_MORE_PROBED = 8  # What an entry asks in a round has a bound.
+LIVE_PROBE_TARGETS = (
+    2  # Entries that each one asks: two losses in a row are noticed.
+)
+RECENT_LOSS_S = 3.0  # Two timeouts, and the time until all are told.
+MAX_EXTRA_PROBE_TARGETS = 8  # What an entry asks in a round has a bound.
 CLOCK_STEP_S = 0.001  # Any step will do to count as the newer start.
-FORGET_S = 60.0  # An entry that was down so long is dropped.
+FORGET_DOWN_AFTER_S = 60.0  # An entry that was down so long is dropped.
 
 
 # Of a line that tells of several entries; a whole fleet may start at once.
-MOST_NAMED = 8
+MAX_LOGGED_ENTRIES = 8
 
 
-def place_of(member: Member) -> str:
+def ring_position(member: Member) -> str:
     """Returns where an entry stands in the ring of all.
 
     Entries of one failure domain stand together, so that what is passed on
@@ -44,7 +46,7 @@
 
 
 @attrs.frozen
-class MemberNews:
+class EntryState:
     """The state of one entry.
 
     Attributes:
@@ -81,62 +83,62 @@
 
     Attributes:
       me: This entry.
-      others: The newest state of each other, by name.
-      down_at: When each was found to be down, in monotonic seconds.
-      derived: What follows from the states, by name, until one changes: it is
+      peers: The newest state of each other, by name.
+      down_since: When each was found to be down, in monotonic seconds.
+      cache: What follows from the states, by name, until one changes: it is
         asked for many times a second.
-      roster: Raised when an entry becomes known, or is forgotten.
-      changed: Names of others that changed since that was last logged.
-      places: Of the others that live, in order.
-      standing: Names of the others that live, by place.
+      roster_version: Raised when an entry becomes known, or is forgotten.
+      unlogged_changes: Names of others that changed since that was last logged.
+      positions: Of the others that live, in order.
+      names_by_position: Names of the others that live, by place.
     """
 
-    me: MemberNews
+    me: EntryState
     clock: Clock
-    others: dict[str, MemberNews] = attrs.Factory(dict)
-    down_at: dict[str, float] = attrs.Factory(dict)
-    derived: dict[str, Any] = attrs.Factory(dict)
-    roster: int = 0
-    changed: set[str] = attrs.Factory(set)
-    places: list[str] = attrs.Factory(list)
-    standing: dict[str, str] = attrs.Factory(dict)
-
-    def derive(self, name: str, make: Callable[[], T]) -> T:
+    peers: dict[str, EntryState] = attrs.Factory(dict)
+    down_since: dict[str, float] = attrs.Factory(dict)
+    cache: dict[str, Any] = attrs.Factory(dict)
+    roster_version: int = 0
+    unlogged_changes: set[str] = attrs.Factory(set)
+    positions: list[str] = attrs.Factory(list)
+    names_by_position: dict[str, str] = attrs.Factory(dict)
+
+    def cached(self, name: str, make: Callable[[], T]) -> T:
         """Returns what follows from the states, made anew once one changed."""
-        if name not in self.derived:
-            self.derived[name] = make()
-        return self.derived[name]
+        if name not in self.cache:
+            self.cache[name] = make()
+        return self.cache[name]
 
-    def set_me(self, news: MemberNews) -> None:
+    def set_own_state(self, state: EntryState) -> None:
         """Sets this entry's state."""
-        self.me = news
-        self.derived.clear()
+        self.me = state
+        self.cache.clear()
 
-    def change_me(self, **fields: object) -> bool:
+    def update_own_state(self, **fields: object) -> bool:
         """Sets this entry's state; says whether it changed."""
-        changed = attrs.evolve(self.me, **fields)
-        if changed == self.me:
+        updated = attrs.evolve(self.me, **fields)
+        if updated == self.me:
             return False
-        self.set_me(attrs.evolve(changed, sequence=self.me.sequence + 1))
+        self.set_own_state(attrs.evolve(updated, sequence=self.me.sequence + 1))
         return True
 
-    def take(self, news: MemberNews) -> bool:
+    def apply_state(self, state: EntryState) -> bool:
         """Takes in a state; says whether it was new here."""
-        name = news.member.name
+        name = state.member.name
         if name == self.me.member.name:
-            return self.refute(news)
-        before = self.others.get(name)
-        if before is not None and news.order <= before.order:
+            return self.refute(state)
+        known = self.peers.get(name)
+        if known is not None and state.order <= known.order:
             return False
-        self.roster += before is None
-        self.others[name] = news
-        self.stand(news)
-        self.derived.clear()
-        if news.down:
-            self.down_at.setdefault(name, self.clock.monotonic())
+        self.roster_version += known is None
+        self.peers[name] = state
+        self.update_ring(state)
+        self.cache.clear()
+        if state.down:
+            self.down_since.setdefault(name, self.clock.monotonic())
         else:
-            self.down_at.pop(name, None)
-        self.changed.add(name)
+            self.down_since.pop(name, None)
+        self.unlogged_changes.add(name)
         return True
 
     def log_changes(self) -> None:
@@ -145,67 +147,67 @@
         All entries may start, or lose the store, within a second: a line for
         each change of each was 72,737 lines in two seconds of 195 entries.
         """
-        changed, self.changed = self.changed, set()
+        changed, self.unlogged_changes = self.unlogged_changes, set()
         if not changed:
             return
-        named = sorted(changed & self.others.keys())[:MOST_NAMED]
+        named = sorted(changed & self.peers.keys())[:MAX_LOGGED_ENTRIES]
         log.info(
             "Entries changed.",
             changed=len(changed),
             listed=len(self.entries()),
             live=len(self.live()),
             known=self.size(),
-            entries=[describe(self.others[name]) for name in named],
+            entries=[describe(self.peers[name]) for name in named],
         )
 
-    def refute(self, news: MemberNews) -> bool:
+    def refute(self, state: EntryState) -> bool:
         """Answers a claim that this entry is down; says whether it had to."""
-        same = news.member.incarnation == self.me.member.incarnation
-        if not same and news.started >= self.me.started:
+        same = state.member.incarnation == self.me.member.incarnation
+        if not same and state.started >= self.me.started:
             # The wall clock went back between two starts of this entry.
-            newer = news.started + CLOCK_STEP_S
-            self.set_me(attrs.evolve(self.me, started=newer))
+            newer = state.started + CLOCK_STEP_S
+            self.set_own_state(attrs.evolve(self.me, started=newer))
             return True
-        if not (same and news.down and news.sequence >= self.me.sequence):
+        if not (same and state.down and state.sequence >= self.me.sequence):
             return False
-        self.set_me(attrs.evolve(self.me, sequence=news.sequence + 1))
+        self.set_own_state(attrs.evolve(self.me, sequence=state.sequence + 1))
         log.info("Called down, and is not.", sequence=self.me.sequence)
         return True
 
-    def note_down(self, name: str, reason: str) -> MemberNews | None:
+    def record_down(self, name: str, reason: str) -> EntryState | None:
         """Takes in that an entry does not answer; returns what is new."""
-        before = self.others.get(name)
-        if before is None or before.down:
+        known = self.peers.get(name)
+        if known is None or known.down:
             return None
         log.info("Entry does not answer.", entry=name, reason=reason)
-        news = attrs.evolve(before, down=True)
-        self.take(news)
-        return news
+        state = attrs.evolve(known, down=True)
+        self.apply_state(state)
+        return state
 
     def forget_down(self) -> None:
         """Drops entries that were down for long."""
         now = self.clock.monotonic()
-        for name, since in list(self.down_at.items()):
-            if now - since > FORGET_S:
-                del self.down_at[name]
-                del self.others[name]
-                self.roster += 1
-                self.derived.clear()
+        for name, since in list(self.down_since.items()):
+            if now - since > FORGET_DOWN_AFTER_S:
+                del self.down_since[name]
+                del self.peers[name]
+                self.roster_version += 1
+                self.cache.clear()
                 log.info("Entry forgotten.", entry=name)
 
-    def live(self) -> list[MemberNews]:
+    def live(self) -> list[EntryState]:
         """Returns the entries that are not down, this one too."""
-        return self.derive("live", self.find_live)
+        return self.cached("live", self.find_live)
 
-    def lives(self, name: str) -> bool:
+    def is_live(self, name: str) -> bool:
         """Says whether another entry is known and not down."""
-        news = self.others.get(name)
-        return news is not None and not news.down
+        state = self.peers.get(name)
+        return state is not None and not state.down
 
-    def find_live(self) -> list[MemberNews]:
+    def find_live(self) -> list[EntryState]:
         """Finds the entries that are not down."""
-        others = (news for news in self.others.values() if not news.down)
-        return [self.me, *others]
+        peers = (state for state in self.peers.values() if not state.down)
+        return [self.me, *peers]
 
     def preferred(self, duty: str, count: int) -> list[str]:
         """Returns the names of the entries that have a duty.
@@ -216,18 +218,18 @@
 
         def rank() -> list[str]:
             live = self.live()
-            able = [news.member.name for news in live if news.store]
-            able = able or [news.member.name for news in live]
+            able = [state.member.name for state in live if state.store]
+            able = able or [state.member.name for state in live]
             return rendezvous(duty, able)
 
-        return self.derive(f"preferred for {duty}", rank)[:count]
+        return self.cached(f"preferred for {duty}", rank)[:count]
 
     def ring(self) -> list[Member]:
         """Returns the others that live, by place, those behind this first."""
-        start = self.places_before(place_of(self.me.member))
-        return self.at_places(self.places[start:] + self.places[:start])
+        start = self.count_up_to(ring_position(self.me.member))
+        return self.members_at(self.positions[start:] + self.positions[:start])
 
-    def run_up_to(self, last: str) -> list[Member]:
+    def segment_up_to(self, last: str) -> list[Member]:
         """Returns the others that live behind this entry, up to a place.
 
         Args:
@@ -235,53 +237,56 @@
         """
         if not last:
             return []
-        mine = place_of(self.me.member)
-        start, end = self.places_before(mine), self.places_before(last)
+        mine = ring_position(self.me.member)
+        start, end = self.count_up_to(mine), self.count_up_to(last)
         if last > mine:
-            return self.at_places(self.places[start:end])
-        return self.at_places(self.places[start:] + self.places[:end])
+            return self.members_at(self.positions[start:end])
+        return self.members_at(self.positions[start:] + self.positions[:end])
 
-    def places_before(self, place: str) -> int:
+    def count_up_to(self, position: str) -> int:
         """Returns how many others that live stand up to a place."""
-        return bisect.bisect_right(self.places, place)
+        return bisect.bisect_right(self.positions, position)
 
-    def at_places(self, places: Iterable[str]) -> list[Member]:
+    def members_at(self, positions: Iterable[str]) -> list[Member]:
         """Returns the entries at some places."""
-        return [self.others[self.standing[place]].member for place in places]
+        return [
+            self.peers[self.names_by_position[position]].member
+            for position in positions
+        ]
 
-    def stand(self, news: MemberNews) -> None:
+    def update_ring(self, state: EntryState) -> None:
         """Puts an entry into the ring, or takes one out that is down."""
-        name, place = news.member.name, place_of(news.member)
-        if news.down == (place not in self.standing):
+        name, position = state.member.name, ring_position(state.member)
+        if state.down == (position not in self.names_by_position):
             return
-        if news.down:
-            self.places.remove(place)
-            del self.standing[place]
+        if state.down:
+            self.positions.remove(position)
+            del self.names_by_position[position]
         else:
-            bisect.insort(self.places, place)
-            self.standing[place] = name
+            bisect.insort(self.positions, position)
+            self.names_by_position[position] = name
 
     def entries(self) -> list[Member]:
         """Returns the entries that callers may use."""
-        return [news.member for news in self.live() if news.listed]
+        return [state.member for state in self.live() if state.listed]
 
     def size(self) -> int:
         """Returns how many entries there are, also those that are down."""
-        return len(self.others) + 1
+        return len(self.peers) + 1
 
     def drivers(self) -> list[str]:
         """Returns the entries that may drive roll-outs, the first one first.
 
         By name, those that reach the store; none if none does.
         """
-        return self.derive("drivers", self.find_drivers)
+        return self.cached("drivers", self.find_drivers)
 
     def find_drivers(self) -> list[str]:
         """Sorts the entries that may drive."""
         return sorted(
-            news.member.name
-            for news in self.live()
-            if news.store and news.member.state is MemberState.LIVE
+            state.member.name
+            for state in self.live()
+            if state.store and state.member.state is MemberState.LIVE
         )
 
     def driver(self) -> str:
@@ -296,7 +301,7 @@
         """
         return self.me.member.name in self.drivers()[: 1 + stand_ins]
 
-    def probed(self) -> list[MemberNews]:
+    def probe_targets(self) -> list[EntryState]:
         """Returns the entries that this one asks.
 
         The next live ones in the order of names, and those before them that
@@ -305,53 +310,53 @@
         side by side. Of 33 such that fall silent among 195 entries all others
         know within 6 s; asking two at a time they knew half after 25 s.
         """
-        names = sorted(self.others)
+        names = sorted(self.peers)
         me = self.me.member.name
-        ring = [name for name in names if name > me]
-        ring += [name for name in names if name < me]
-        found: list[MemberNews] = []
-        live = lately_lost = 0
+        candidates = [name for name in names if name > me]
+        candidates += [name for name in names if name < me]
+        targets: list[EntryState] = []
+        live = recently_lost = 0
         now = self.clock.monotonic()
-        for name in ring:
-            news = self.others[name]
-            found.append(news)
-            live += not news.down
-            lost_at = self.down_at.get(name, float("-inf"))
-            lately_lost += now - lost_at < LATELY_S
-            more = lately_lost if lately_lost >= PROBED else 0
-            if live >= PROBED + min(more, MOST_MORE_PROBED):
+        for name in candidates:
+            state = self.peers[name]
+            targets.append(state)
+            live += not state.down
+            lost_at = self.down_since.get(name, float("-inf"))
+            recently_lost += now - lost_at < RECENT_LOSS_S
+            more = recently_lost if recently_lost >= LIVE_PROBE_TARGETS else 0
+            if live >= LIVE_PROBE_TARGETS + min(more, MAX_EXTRA_PROBE_TARGETS):
                 break
-        return found
+        return targets
 
     def digest(self) -> int:
         """Returns a number that tells this knowledge from another."""
-        return self.derive("digest", self.find_digest)
+        return self.cached("digest", self.find_digest)
 
     def find_digest(self) -> int:
         """Adds up all states, in any order."""
         total = 0
-        for news in (self.me, *self.others.values()):
-            text = f"{news.member.name}/{news.order}"
+        for state in (self.me, *self.peers.values()):
+            text = f"{state.member.name}/{state.order}"
             total ^= stable_hash(text)
         return total
 
-    def all_news(self) -> list[MemberNews]:
+    def all_states(self) -> list[EntryState]:
         """Returns all that is known."""
-        return [self.me, *self.others.values()]
+        return [self.me, *self.peers.values()]
 
-    def take_all(self, news: Iterable[MemberNews]) -> list[MemberNews]:
+    def apply_states(self, states: Iterable[EntryState]) -> list[EntryState]:
         """Takes in several states; returns those that were new here."""
-        return [each for each in news if self.take(each)]
+        return [each for each in states if self.apply_state(each)]
 
 
-def describe(news: MemberNews) -> str:
+def describe(state: EntryState) -> str:
     """Returns an entry's state as a log line tells it."""
-    told = {
-        "ready": news.ready,
-        "store": news.store,
-        "down": news.down,
-        "leaving": news.member.state is MemberState.LEAVING,
+    flags_set = {
+        "ready": state.ready,
+        "store": state.store,
+        "down": state.down,
+        "leaving": state.member.state is MemberState.LEAVING,
     }
-    flags = " ".join(name for name, holds in told.items() if holds)
-    start = f"{news.member.name}/{news.member.incarnation}"
-    return f"{start}#{news.sequence} {flags}".rstrip()
+    flags = " ".join(name for name, holds in flags_set.items() if holds)
+    incarnation = f"{state.member.name}/{state.member.incarnation}"
+    return f"{incarnation}#{state.sequence} {flags}".rstrip()
--- a/src/rattanpier/_internal/relay/gossip.py
+++ b/src/rattanpier/_internal/relay/gossip.py
@@ -29,7 +29,7 @@
 from rattanpier._internal.peers.proto import peer_pb2
 from rattanpier._internal.relay.broadcast import Broadcaster, split_segment
 from rattanpier._internal.relay.evidence import Evidence
-from rattanpier._internal.relay.fleet import Fleet, MemberNews
+from rattanpier._internal.relay.fleet import EntryState, Fleet
 from rattanpier._internal.relay.shared_state import SharedState
 from rattanpier._internal.relay.snapshots import Snapshots
 from rattanpier._internal.relay.updates import (
@@ -122,7 +122,7 @@
         self.broadcast_changes()
         self.round_count += 1
         lost = await asyncio.gather(
-            *(self.probe(news) for news in self.fleet.probed()),
+            *(self.probe(news) for news in self.fleet.probe_targets()),
             self.report_evidence(),
             self.probe_distant_entry(),
         )
@@ -135,7 +135,7 @@
 
     # Who lives.
 
-    async def probe(self, state: MemberNews) -> bool:
+    async def probe(self, state: EntryState) -> bool:
         """Asks one entry whether it lives; says whether it was found lost."""
         name = state.member.name
         reason = "calls time out"
@@ -150,7 +150,7 @@
             return False
         return self.report_down(name, reason)
 
-    async def exchange_heartbeat(self, state: MemberNews) -> None:
+    async def exchange_heartbeat(self, state: EntryState) -> None:
         """Tells an entry that this one lives, and compares their knowledge.
 
         Raises:
@@ -204,7 +204,7 @@
 
     def report_down(self, name: str, reason: str) -> bool:
         """Tells everybody that an entry does not answer, if that is new."""
-        state = self.fleet.note_down(name, reason)
+        state = self.fleet.record_down(name, reason)
         if state is None:
             return False
         self.broadcast(StateUpdate(members=[state]))
@@ -269,7 +269,7 @@
 
     def apply_update(self, update: StateUpdate) -> None:
         """Takes in what another entry tells."""
-        self.fleet.take_all(update.members)
+        self.fleet.apply_states(update.members)
         self.shared_state.apply_update(update)
 
     # What was missed.
@@ -284,7 +284,7 @@
         turn, rest = divmod(self.round_count, ROUNDS_PER_DISTANT_PROBE)
         if rest or not firsts:
             return
-        state = self.fleet.others[firsts[turn % len(firsts)].name]
+        state = self.fleet.peers[firsts[turn % len(firsts)].name]
         # One that does not answer is for those to find that stand before it.
         with contextlib.suppress(PeerRefusedError, PeerUnavailableError):
             await self.exchange_heartbeat(state)
@@ -292,7 +292,10 @@
     async def compare(self, peer: Member) -> None:
         """Makes two entries know the same."""
         known = KnownStates(
-            {state.member.name: state.order for state in self.fleet.all_news()}
+            {
+                state.member.name: state.order
+                for state in self.fleet.all_states()
+            }
         )
         call = peer_pb2.Call(summary=peer_pb2.Summary(packed=pack(known)))
         try:
@@ -304,7 +307,7 @@
         self.apply_update(compared.news)
         members = [
             state
-            for state in self.fleet.all_news()
+            for state in self.fleet.all_states()
             if state.member.name in compared.wanted
         ]
         log.info(
@@ -319,7 +322,7 @@
     async def serve_summary(self, call: peer_pb2.Call) -> peer_pb2.Reply:
         """Answers with what the asker lacks, and names what it knows better."""
         known = unpack(KnownStates, call.summary.packed).orders
-        mine = {state.member.name: state for state in self.fleet.all_news()}
+        mine = {state.member.name: state for state in self.fleet.all_states()}
         lacking = [
             state
             for name, state in mine.items()
@@ -361,7 +364,7 @@
         evidence = self.shared_state.rollouts.evidence(
             self.fleet.me.member.incarnation
         )
-        driver = self.fleet.others.get(self.fleet.driver())
+        driver = self.fleet.peers.get(self.fleet.driver())
         if evidence is None or evidence == self.reported or driver is None:
             return
         call = peer_pb2.Call(
--- a/src/rattanpier/_internal/relay/membership.py
+++ b/src/rattanpier/_internal/relay/membership.py
@@ -25,7 +25,7 @@
 )
 from rattanpier._internal.models.member import Member
 from rattanpier._internal.relay import own_table
-from rattanpier._internal.relay.fleet import Fleet, MemberNews
+from rattanpier._internal.relay.fleet import EntryState, Fleet
 from rattanpier._internal.relay.own_table import OwnTable, rows_of
 from rattanpier._internal.relay.restoring import LostRow
 from rattanpier._internal.relay.store import RelayStore
@@ -136,7 +136,7 @@
     async def take(self, row: FeedRow) -> None:
         """Takes in the row of an entry; one that can't be read is removed."""
         try:
-            news = decode(MemberNews, row.value)
+            news = decode(EntryState, row.value)
         except UnreadableError as error:
             log.warning(
                 "Entry's row can't be read.", row=row.key, error=str(error)
@@ -146,7 +146,7 @@
             return
         if news.member.name == self.fleet.me.member.name:
             self.stands = self.leads_here(news.member)
-        self.fleet.take(news)
+        self.fleet.apply_state(news)
 
     def leads_here(self, member: Member) -> bool:
         """Says whether an earlier row of this entry's name leads here.
--- a/src/rattanpier/_internal/relay/shared_state.py
+++ b/src/rattanpier/_internal/relay/shared_state.py
@@ -9,7 +9,7 @@
 from rattanpier._internal.placement.drained_domains import DrainedDomains
 from rattanpier._internal.placement.rate_limits import RateLimits
 from rattanpier._internal.relay.directory import WorkerDirectory
-from rattanpier._internal.relay.fleet import MemberNews
+from rattanpier._internal.relay.fleet import EntryState
 from rattanpier._internal.relay.history import StoreHistory
 from rattanpier._internal.relay.rollouts import Rollouts
 from rattanpier._internal.relay.updates import StateUpdate
@@ -69,7 +69,7 @@
         for worker in self.directory.take_departures(update.departed):
             self.on_deregistered(worker)
 
-    def full_update(self, members: list[MemberNews]) -> StateUpdate:
+    def full_update(self, members: list[EntryState]) -> StateUpdate:
         """Returns all that is told, with the states of some entries."""
         return StateUpdate(
             members=members,
--- a/src/rattanpier/_internal/relay/snapshots.py
+++ b/src/rattanpier/_internal/relay/snapshots.py
@@ -26,7 +26,7 @@
 from rattanpier._internal.models.worker import RegisteredWorker
 from rattanpier._internal.peers.links import Links
 from rattanpier._internal.peers.proto import peer_pb2
-from rattanpier._internal.relay.fleet import Fleet, MemberNews
+from rattanpier._internal.relay.fleet import EntryState, Fleet
 from rattanpier._internal.utils.clock import Clock
 from rattanpier._internal.utils.codec import pack, unpack
 
@@ -123,7 +123,7 @@
                 continue
             return
 
-    def candidate_peers(self) -> list[MemberNews]:
+    def candidate_peers(self) -> list[EntryState]:
         """Returns the peers to ask, those that serve callers first.
 
         Entries that start together ask different ones. While all start, and
--- a/src/rattanpier/_internal/relay/updates.py
+++ b/src/rattanpier/_internal/relay/updates.py
@@ -12,7 +12,7 @@
     RolloutRecord,
 )
 from rattanpier._internal.models.worker_end import QuarantineNews
-from rattanpier._internal.relay.fleet import MemberNews
+from rattanpier._internal.relay.fleet import EntryState
 from rattanpier._internal.relay.held_sessions import HeldSession
 
 
@@ -38,7 +38,7 @@
       restored: Era in which the system's own rows stand again, 0: none.
     """
 
-    members: list[MemberNews] = attrs.Factory(list)
+    members: list[EntryState] = attrs.Factory(list)
     records: list[RolloutRecord] = attrs.Factory(list)
     stopped: list[int] = attrs.Factory(list)
     held: list[HeldSession] = attrs.Factory(list)
--- a/tests/lib/ring.py
+++ b/tests/lib/ring.py
@@ -22,7 +22,7 @@
 from rattanpier._internal.relay.broadcast import Broadcaster
 from rattanpier._internal.relay.directory import WorkerDirectory
 from rattanpier._internal.relay.exposure import ExposureBound
-from rattanpier._internal.relay.fleet import Fleet, MemberNews
+from rattanpier._internal.relay.fleet import EntryState, Fleet
 from rattanpier._internal.relay.gossip import HEARTBEAT_INTERVAL_S, Gossip
 from rattanpier._internal.relay.history import StoreHistory
 from rattanpier._internal.relay.rollouts import Rollouts
@@ -127,7 +127,7 @@
     def add(self, number):
         """Adds an entry that knows nobody."""
         member = make_member(number)
-        fleet = Fleet(MemberNews(member, 1.0, ready=True), self.clock)
+        fleet = Fleet(EntryState(member, 1.0, ready=True), self.clock)
         links = RingLinks(self, member.name)
         broadcaster = Broadcaster(fleet, links)
         gossip = Gossip(
@@ -205,9 +205,9 @@
             if each.fleet.me.member.name not in {name, *self.silent}
         ]
         known = sum(
-            state(each.fleet.others[name])
+            state(each.fleet.peers[name])
             for each in others
-            if name in each.fleet.others
+            if name in each.fleet.peers
         )
         return known / len(others)
 
@@ -238,7 +238,7 @@
     if knowing:
         news = [entry.fleet.me for entry in ring.entries.values()]
         for entry in ring.entries.values():
-            entry.fleet.take_all(
+            entry.fleet.apply_states(
                 each for each in news if each is not entry.fleet.me
             )
             entry.gossip.compared_at = 0.0
--- a/tests/lib/warm_fleet.py
+++ b/tests/lib/warm_fleet.py
@@ -11,7 +11,7 @@
 from rattanpier._internal.placement.rate_limits import RateLimits
 from rattanpier._internal.placement.shared_rates import SharedRates
 from rattanpier._internal.placement.warm_up import WarmUps
-from rattanpier._internal.relay.fleet import Fleet, MemberNews
+from rattanpier._internal.relay.fleet import EntryState, Fleet
 from tests.lib.clock import ManualClock
 
 WARM_UP = WarmUp(start_s=3.0, rate_per_s=9.0)
@@ -27,13 +27,13 @@
     """An entry's state."""
     name = f"entry-{number:03}"
     member = Member(name, "i", Role.ENTRY, f"zone-{number % 4}", "r", "", "", 0)
-    return MemberNews(member, 1.0, **{"ready": True, "store": True, **more})
+    return EntryState(member, 1.0, **{"ready": True, "store": True, **more})
 
 
 def make_fleet(number, known, clock, down=()):
     """What an entry knows of some others."""
     fleet = Fleet(make_news(number), clock)
-    fleet.take_all(
+    fleet.apply_states(
         make_news(other, down=other in down)
         for other in known
         if other != number
--- a/tests/relay/test_early_callers.py
+++ b/tests/relay/test_early_callers.py
@@ -166,7 +166,7 @@
 def test_peers_are_asked_that_know_more(ready, reaches_store, asked):
     clock = ManualClock()
     fleet = Fleet(make_news("e1", store=reaches_store), clock)
-    fleet.take_all(
+    fleet.apply_states(
         make_news(name, ready=name in ready) for name in ("e2", "e3", "e4")
     )
     snapshots = Snapshots(fleet, None, clock, None, None, None)
--- a/tests/relay/test_fleet.py
+++ b/tests/relay/test_fleet.py
@@ -5,7 +5,11 @@
 
 from rattanpier._internal.models.member import Member, MemberState, Role
 from rattanpier._internal.programs.relay import close
-from rattanpier._internal.relay.fleet import FORGET_S, Fleet, MemberNews
+from rattanpier._internal.relay.fleet import (
+    FORGET_DOWN_AFTER_S,
+    EntryState,
+    Fleet,
+)
 from rattanpier._internal.standin.platform_store import Door, StoreFault
 from tests.lib.clock import ManualClock
 from tests.lib.platform_site import manifest, platform_site, until
@@ -13,7 +17,7 @@
 
 def make_news(name, started=1.0, incarnation="i", **more):
     member = Member(name, incarnation, Role.ENTRY, "a", "r", name, "h", 1)
-    return MemberNews(member, started, **{"ready": True, **more})
+    return EntryState(member, started, **{"ready": True, **more})
 
 
 @pytest.fixture
@@ -24,35 +28,35 @@
 def test_the_newest_state_counts_in_any_order(fleet):
     old = make_news("e2", sequence=1)
     new = make_news("e2", sequence=2, ready=False)
-    assert fleet.take(new)
-    assert not fleet.take(old)
-    assert not fleet.others["e2"].ready
+    assert fleet.apply_state(new)
+    assert not fleet.apply_state(old)
+    assert not fleet.peers["e2"].ready
 
 
 def test_down_counts_over_the_same_number_and_not_over_a_later_one(fleet):
-    fleet.take(make_news("e2", sequence=1))
-    fleet.note_down("e2", "test")
+    fleet.apply_state(make_news("e2", sequence=1))
+    fleet.record_down("e2", "test")
     assert [member.name for member in fleet.entries()] == ["e1"]
-    assert not fleet.take(make_news("e2", sequence=1))
-    assert fleet.take(make_news("e2", sequence=2))
+    assert not fleet.apply_state(make_news("e2", sequence=1))
+    assert fleet.apply_state(make_news("e2", sequence=2))
     assert len(fleet.entries()) == 2
 
 
 def test_an_entry_called_down_says_that_it_is_not(fleet):
-    assert fleet.take(make_news("e1", sequence=0, down=True))
+    assert fleet.apply_state(make_news("e1", sequence=0, down=True))
     assert fleet.me.sequence == 1
     assert not fleet.me.down
 
 
 def test_a_new_start_counts_though_the_wall_clock_went_back(fleet):
-    fleet.take(make_news("e1", started=9.0, incarnation="before"))
+    fleet.apply_state(make_news("e1", started=9.0, incarnation="before"))
     assert fleet.me.started > 9.0
 
 
 def test_a_leaving_entry_is_not_listed(fleet):
     news = make_news("e2")
     member = attrs.evolve(news.member, state=MemberState.LEAVING)
-    fleet.take(attrs.evolve(news, member=member))
+    fleet.apply_state(attrs.evolve(news, member=member))
     assert [member.name for member in fleet.entries()] == ["e1"]
 
 
@@ -61,8 +65,8 @@
     asked = dict.fromkeys(names, 0)
     for name in names:
         fleet = Fleet(make_news(name), ManualClock())
-        fleet.take_all(make_news(other) for other in names if other != name)
-        probed = fleet.probed()
+        fleet.apply_states(make_news(other) for other in names if other != name)
+        probed = fleet.probe_targets()
         assert len(probed) == 2
         for news in probed:
             asked[news.member.name] += 1
@@ -70,27 +74,27 @@
 
 
 def test_one_that_is_down_is_asked_beside_two_live_ones(fleet):
-    fleet.take_all(make_news(f"e{number}") for number in range(2, 6))
-    fleet.note_down("e2", "test")
-    names = [news.member.name for news in fleet.probed()]
+    fleet.apply_states(make_news(f"e{number}") for number in range(2, 6))
+    fleet.record_down("e2", "test")
+    names = [news.member.name for news in fleet.probe_targets()]
     assert names == ["e2", "e3", "e4"]
 
 
 def test_the_first_that_reaches_the_store_drives(fleet):
-    fleet.take(make_news("e0", store=False))
-    fleet.take(make_news("e2", store=True))
+    fleet.apply_state(make_news("e0", store=False))
+    fleet.apply_state(make_news("e2", store=True))
     assert fleet.driver() == "e2"
-    fleet.change_me(store=True)
+    fleet.update_own_state(store=True)
     assert fleet.drives()
 
 
 def test_as_many_more_as_told_may_drive(fleet):
-    fleet.change_me(store=True)
-    fleet.take(make_news("e0", store=True))
-    fleet.take(make_news("e2", store=True))
+    fleet.update_own_state(store=True)
+    fleet.apply_state(make_news("e0", store=True))
+    fleet.apply_state(make_news("e2", store=True))
     assert not fleet.drives()
     assert fleet.drives(stand_ins=1)
-    fleet.take(make_news("e00", store=True))
+    fleet.apply_state(make_news("e00", store=True))
     assert not fleet.drives(stand_ins=1)
     assert fleet.drives(stand_ins=2)
 
@@ -162,13 +166,13 @@
         seen.append((fleet.digest(), tuple(names), fleet.me.sequence))
 
     look()
-    fleet.take(make_news("e2", sequence=1))
+    fleet.apply_state(make_news("e2", sequence=1))
     look()
-    fleet.note_down("e2", "test")
+    fleet.record_down("e2", "test")
     look()
-    fleet.change_me(store=True)
+    fleet.update_own_state(store=True)
     look()
-    fleet.take(make_news("e1", sequence=9, down=True))
+    fleet.apply_state(make_news("e1", sequence=9, down=True))
     look()
     assert len({digest for digest, *_ in seen}) == len(seen)
     assert [names for _, names, _ in seen] == [
@@ -178,21 +182,21 @@
         ("e1",),
         ("e1",),
     ]
-    await fleet.clock.advance(FORGET_S + 1)
+    await fleet.clock.advance(FORGET_DOWN_AFTER_S + 1)
     fleet.forget_down()
     assert fleet.digest() not in {digest for digest, *_ in seen}
 
 
 def test_the_duty_moves_on_when_its_holder_loses_the_store(fleet):
-    fleet.change_me(store=True)
+    fleet.update_own_state(store=True)
     for name in ("e2", "e3"):
-        fleet.take(make_news(name, sequence=1, store=True))
+        fleet.apply_state(make_news(name, sequence=1, store=True))
     first, second = fleet.preferred("watch", 2)
     holders = {"e1", "e2", "e3"} - {first}
-    news = fleet.others.get(first)
+    news = fleet.peers.get(first)
     if news is None:
-        fleet.change_me(store=False)
+        fleet.update_own_state(store=False)
     else:
-        fleet.take(attrs.evolve(news, sequence=2, store=False))
+        fleet.apply_state(attrs.evolve(news, sequence=2, store=False))
     assert fleet.preferred("watch", 2)[0] == second
     assert set(fleet.preferred("watch", 2)) == holders
--- a/tests/relay/test_held_rows.py
+++ b/tests/relay/test_held_rows.py
@@ -5,7 +5,7 @@
 
 from rattanpier._internal.models.feed import FeedRow, WrittenAt
 from rattanpier._internal.models.outcomes import NotRun
-from rattanpier._internal.relay.fleet import Fleet, MemberNews
+from rattanpier._internal.relay.fleet import EntryState, Fleet
 from rattanpier._internal.relay.held_rows import HeldRow, HeldRows
 from rattanpier._internal.relay.own_table import HELD
 from rattanpier._internal.relay.store import StoreClock
@@ -41,9 +41,9 @@
 
 def make_rows(store, number=0, of=1):
     clock = ManualClock()
-    fleet = Fleet(MemberNews(make_member(number), 1.0, store=True), clock)
-    fleet.take_all(
-        MemberNews(make_member(other), 1.0, store=True)
+    fleet = Fleet(EntryState(make_member(number), 1.0, store=True), clock)
+    fleet.apply_states(
+        EntryState(make_member(other), 1.0, store=True)
         for other in range(of)
         if other != number
     )
--- a/tests/relay/test_prompt_news.py
+++ b/tests/relay/test_prompt_news.py
@@ -38,7 +38,7 @@
     """What one entry of several tells, and takes in."""
     fleet = Fleet(make_news(name, store=True), clock)
     for other in others:
-        fleet.take(make_news(other, sequence=1))
+        fleet.apply_state(make_news(other, sequence=1))
     directory = WorkerDirectory(clock)
     for worker in make_workers(3):
         directory.put(worker)
--- a/tests/relay/test_queue_watch.py
+++ b/tests/relay/test_queue_watch.py
@@ -27,7 +27,7 @@
     sent = [] if sent is None else sent
     fleet = Fleet(make_news(name, store=True), clock)
     for other in others:
-        fleet.take(make_news(other, sequence=1, store=len(others) > 2))
+        fleet.apply_state(make_news(other, sequence=1, store=len(others) > 2))
     directory = WorkerDirectory(clock)
     for id in reports:
         directory.put(make_worker(id, service="engine"))
--- a/tests/relay/test_rows.py
+++ b/tests/relay/test_rows.py
@@ -19,7 +19,7 @@
 from rattanpier._internal.relay.directory import WorkerDirectory
 from rattanpier._internal.relay.evidence import Evidence
 from rattanpier._internal.relay.exposure import ExposureBound
-from rattanpier._internal.relay.fleet import MemberNews
+from rattanpier._internal.relay.fleet import EntryState
 from rattanpier._internal.relay.queue_watch import QueueNews
 from rattanpier._internal.relay.rollouts import Rollouts
 from rattanpier._internal.relay.snapshots import Snapshot
@@ -294,7 +294,7 @@
 @given(st.binary() | JSON.map(lambda made: json.dumps(made).encode()))
 def test_any_message_is_read_or_refused(value):
     kinds = (
-        MemberNews,
+        EntryState,
         StateUpdate,
         Snapshot,
         Evidence,
--- a/tests/relay/test_spread.py
+++ b/tests/relay/test_spread.py
@@ -122,7 +122,7 @@
     await ring.rounds(2)
     ring.forget_sent()
     entry = ring.entries["e003"]
-    entry.fleet.change_me(ready=False)
+    entry.fleet.update_own_state(ready=False)
     await ring.rounds(2)
     assert ring.knowing("e003", lambda news: not news.ready) == 1.0
     _, mean_bytes = ring.most_and_mean("bytes")
@@ -137,9 +137,9 @@
     written = []
     for entry in ring.entries.values():
         written.append(entry.fleet.me)
-        entry.fleet.take_all(news for news in written[:-1])
+        entry.fleet.apply_states(news for news in written[:-1])
     await ring.rounds(6)
-    assert all(len(e.fleet.others) == size - 1 for e in ring.live())
+    assert all(len(e.fleet.peers) == size - 1 for e in ring.live())
     _, mean = ring.most_and_mean("messages")
     assert mean <= 1.5 * size + 100
     ring.forget_sent()
@@ -152,16 +152,16 @@
 async def test_one_that_starts_learns_the_present_states(size):
     ring = make_ring(size)
     for name in ("e005", "e006"):
-        ring.entries[name].fleet.change_me(ready=False)
+        ring.entries[name].fleet.update_own_state(ready=False)
     await ring.rounds(2)
     late = ring.add(size)
     # Its rows are of the others' starts.
-    late.fleet.take_all(
+    late.fleet.apply_states(
         entry.fleet.me for entry in make_ring(size).entries.values()
     )
     await ring.rounds(3)
-    assert not late.fleet.others["e005"].ready
-    assert not late.fleet.others["e006"].ready
+    assert not late.fleet.peers["e005"].ready
+    assert not late.fleet.peers["e006"].ready
     assert ring.knowing(late.fleet.me.member.name, lambda n: n.ready) == 1.0
 
 
@@ -172,7 +172,7 @@
     for number in range(0, size, 10):
         entry = ring.entries[f"e{number:03}"]
         member = entry.fleet.me.member
-        entry.fleet.change_me(member=leaving(member))
+        entry.fleet.update_own_state(member=leaving(member))
     await ring.rounds(2)
     for number in range(0, size, 10):
         assert (
@@ -202,7 +202,7 @@
     ring = make_ring(80)
     ring.silent = {f"e{number:03}" for number in range(0, 80, 3)}
     teller = ring.entries["e001"]
-    teller.fleet.change_me(ready=False)
+    teller.fleet.update_own_state(ready=False)
     began = ring.clock.monotonic()
     await teller.gossip.round()
     # What a neighbour that does not answer takes, and no more behind it.
@@ -221,7 +221,7 @@
     assert all(
         not news.down
         for entry in ring.live()
-        for news in entry.fleet.others.values()
+        for news in entry.fleet.peers.values()
     )
 
 
@@ -265,7 +265,7 @@
     assert count_holding(ring, "deadly") == 80 - len(cut)
     ring.silent = set()
     newcomer = ring.add(80)
-    newcomer.fleet.take_all([ring.entries["e005"].fleet.me])
+    newcomer.fleet.apply_states([ring.entries["e005"].fleet.me])
     await ring.rounds(12)
     assert count_holding(ring, "deadly") == 81
 
@@ -315,7 +315,7 @@
     ring.silent = set()
     newcomer = ring.add(80)
     newcomer.gossip.shared_state.directory.put(worker)
-    newcomer.fleet.take_all([ring.entries["e005"].fleet.me])
+    newcomer.fleet.apply_states([ring.entries["e005"].fleet.me])
     await ring.rounds(12)
     assert count_limited(ring) == count_leaving(ring) == 81
 
