--- a/src/rattanpier/_internal/programs/relay_workers.py
+++ b/src/rattanpier/_internal/programs/relay_workers.py
@@ -82,18 +82,20 @@
         fleet=entry.fleet,
         directory=state.directory,
         loads=entry.edge.dispatcher.loads,
-        hint_all=entry.gossip.broadcaster.notify_all,
-        hint_one=entry.gossip.broadcaster.notify_one,
+        notify_all=entry.gossip.broadcaster.notify_all,
+        notify_one=entry.gossip.broadcaster.notify_one,
         clock=entry.edge.dispatcher.clock,
         engines=state.engines,
         read=read_report,
-        restarted=lambda worker: state.forget([worker]),
-        open=state.domains.open,
-        rests=lambda worker: rests.opens_in_s(worker.incarnation) > 0.0,
+        on_restart=lambda worker: state.forget([worker]),
+        open_workers=state.domains.open,
+        in_backoff=lambda worker: rests.opens_in_s(worker.incarnation) > 0.0,
     )
-    state.gone.subscribe(lambda worker: queues.born.pop(worker, None))
-    entry.gossip.broadcaster.handlers["queue_news"] = queues.take_told
-    entry.gossip.broadcaster.handlers["queue_part"] = queues.hear_part
+    state.gone.subscribe(
+        lambda worker: queues.reported_starts.pop(worker, None)
+    )
+    entry.gossip.broadcaster.handlers["queue_news"] = queues.receive_update
+    entry.gossip.broadcaster.handlers["queue_part"] = queues.receive_part
     if entry.settings.policy.queue_reading:
         entry.kernel.spawn(queues.run())
 
--- a/src/rattanpier/_internal/relay/queue_watch.py
+++ b/src/rattanpier/_internal/relay/queue_watch.py
@@ -30,18 +30,18 @@
 log = structlog.get_logger(part="queues")
 
 # A prompt for a large model is read in about that time.
-ASK_EVERY_S = 0.5
-ASK_TIMEOUT_S = 0.4  # Engines answer within some ms.
-FRESH_S = 0.5  # What an answer told so lately need not be asked for.
+POLL_INTERVAL_S = 0.5
+POLL_TIMEOUT_S = 0.4  # Engines answer within some ms.
+FRESH_REPORT_S = 0.5  # What an answer told so lately need not be asked for.
 REPORT_LAG_S = 0.1  # Reports are as of about that long ago.
 # Of one entry's part: asking so many takes it about a hundredth of a core.
-MOST_ASKED = 16
+MAX_ENGINES_PER_READER = 16
 # A part that was not heard again by then tells nothing any more.
-PART_KEPT_S = 1.5
+PART_TTL_S = 1.5
 
 
 @attrs.frozen
-class QueueNews:
+class QueueUpdate:
     """Which workers have requests waiting.
 
     Attributes:
@@ -60,38 +60,38 @@
     """Asks engines, tells the others, and takes in what is told.
 
     Attributes:
-      hint_all: Tells all others what may be lost on the way.
-      hint_one: Tells one entry, by its name.
+      notify_all: Tells all others what may be lost on the way.
+      notify_one: Tells one entry, by its name.
       engines: Returns the services whose workers are model engines.
       read: Asks one worker within some seconds; None if it does not answer.
-      restarted: Told of a worker that says it started anew, before its new
+      on_restart: Told of a worker that says it started anew, before its new
         registration came.
-      open: Returns the workers that may be asked.
-      rests: Says whether a worker wants no questions from this entry now.
-      born: What workers said of their start, by id.
+      open_workers: Returns the workers that may be asked.
+      in_backoff: Says whether a worker wants no questions from this entry now.
+      reported_starts: What workers said of their start, by id.
       parts: What was found of each part, and when, in monotonic seconds.
     """
 
     fleet: Fleet
     directory: WorkerDirectory
     loads: Loads
-    hint_all: Callable[[peer_pb2.Spread], None]
-    hint_one: Callable[[peer_pb2.Spread, str], None]
+    notify_all: Callable[[peer_pb2.Spread], None]
+    notify_one: Callable[[peer_pb2.Spread, str], None]
     clock: Clock
     engines: Callable[[], Collection[str]]
     read: Callable[[RegisteredWorker, float], Awaitable[ReportedLoad | None]]
-    restarted: Callable[[str], None]
-    open: Callable[[Sequence[RegisteredWorker]], Sequence[RegisteredWorker]] = (
-        lambda workers: workers
-    )
-    rests: Callable[[RegisteredWorker], bool] = lambda _worker: False
-    born: dict[str, int] = attrs.Factory(dict)
-    parts: dict[int, tuple[float, QueueNews]] = attrs.Factory(dict)
+    on_restart: Callable[[str], None]
+    open_workers: Callable[
+        [Sequence[RegisteredWorker]], Sequence[RegisteredWorker]
+    ] = lambda workers: workers
+    in_backoff: Callable[[RegisteredWorker], bool] = lambda _worker: False
+    reported_starts: dict[str, int] = attrs.Factory(dict)
+    parts: dict[int, tuple[float, QueueUpdate]] = attrs.Factory(dict)
 
     async def run(self) -> None:
         """Asks again and again while a part falls to this entry."""
         while True:
-            await self.clock.sleep(ASK_EVERY_S)
+            await self.clock.sleep(POLL_INTERVAL_S)
             await self.round()
 
     async def round(self) -> None:
@@ -107,79 +107,81 @@
             self.parts.clear()
             return
         part = readers.index(me)
-        news = await self.ask(engines[part :: len(readers)], part)
+        update = await self.poll(engines[part :: len(readers)], part)
         if part == 0:
-            self.take_part(news)
-            self.tell_all()
+            self.record_part(update)
+            self.publish()
             return
-        told = peer_pb2.QueueNews(packed=pack(news))
-        self.hint_one(peer_pb2.Spread(queue_part=told), readers[0])
+        message = peer_pb2.QueueNews(packed=pack(update))
+        self.notify_one(peer_pb2.Spread(queue_part=message), readers[0])
 
     def open_engines(self) -> list[RegisteredWorker]:
         """Returns the engines that may be asked, in the order of their ids."""
         engines = (
             worker
             for service in self.engines()
-            for worker in self.open(self.directory.of_service(service))
+            for worker in self.open_workers(self.directory.of_service(service))
         )
         return sorted(engines, key=lambda worker: worker.id)
 
     def readers(self, engines: int) -> list[str]:
         """Returns the names of the entries that ask; the first one tells."""
-        count = max(1, math.ceil(engines / MOST_ASKED))
+        count = max(1, math.ceil(engines / MAX_ENGINES_PER_READER))
         return self.fleet.preferred("queues", count)
 
-    async def ask(
+    async def poll(
         self, workers: Sequence[RegisteredWorker], part: int
-    ) -> QueueNews:
+    ) -> QueueUpdate:
         """Asks some engines and returns which have requests waiting."""
-        reports = await asyncio.gather(*map(self.learn, workers))
+        reports = await asyncio.gather(*map(self.fetch_report, workers))
         waiting = {
             worker.id: report.waiting
             for worker, report in zip(workers, reports, strict=True)
             if report is not None and report.waiting
         }
         answered = sum(report is not None for report in reports)
-        return QueueNews(answered, waiting, part)
+        return QueueUpdate(answered, waiting, part)
 
-    def take_part(self, news: QueueNews) -> None:
+    def record_part(self, update: QueueUpdate) -> None:
         """Keeps what was found of a part."""
-        self.parts[news.part] = (self.clock.monotonic(), news)
+        self.parts[update.part] = (self.clock.monotonic(), update)
 
-    def hear_part(self, told: peer_pb2.QueueNews) -> None:
+    def receive_part(self, message: peer_pb2.QueueNews) -> None:
         """Keeps what another entry found of its part."""
-        self.take_part(unpack(QueueNews, told.packed))
+        self.record_part(unpack(QueueUpdate, message.packed))
 
-    def tell_all(self) -> None:
+    def publish(self) -> None:
         """Tells everybody what was found of all parts."""
-        oldest = self.clock.monotonic() - PART_KEPT_S
+        oldest = self.clock.monotonic() - PART_TTL_S
         asked = 0
         waiting: dict[str, int] = {}
-        for at, news in self.parts.values():
+        for at, update in self.parts.values():
             if at >= oldest:
-                asked += news.asked
-                waiting |= news.waiting
-        merged = QueueNews(asked, waiting)
-        self.take(merged)
-        told = peer_pb2.QueueNews(packed=pack(merged))
-        self.hint_all(peer_pb2.Spread(queue_news=told))
-
-    async def learn(self, worker: RegisteredWorker) -> ReportedLoad | None:
+                asked += update.asked
+                waiting |= update.waiting
+        merged = QueueUpdate(asked, waiting)
+        self.apply_update(merged)
+        message = peer_pb2.QueueNews(packed=pack(merged))
+        self.notify_all(peer_pb2.Spread(queue_news=message))
+
+    async def fetch_report(
+        self, worker: RegisteredWorker
+    ) -> ReportedLoad | None:
         """Returns a worker's load, from its last answer if that is new."""
         load = self.loads.workers[worker.id]
-        if self.clock.monotonic() - load.report_at < FRESH_S:
+        if self.clock.monotonic() - load.report_at < FRESH_REPORT_S:
             return load.report
-        if self.rests(worker):
+        if self.in_backoff(worker):
             return None
-        report = await self.read(worker, ASK_TIMEOUT_S)
+        report = await self.read(worker, POLL_TIMEOUT_S)
         if report is not None and report.born is not None:
-            self.note_born(worker, report.born)
+            self.record_start(worker, report.born)
         return report
 
-    def note_born(self, worker: RegisteredWorker, born: int) -> None:
+    def record_start(self, worker: RegisteredWorker, born: int) -> None:
         """Takes in when a worker says that it started."""
-        known = self.born.get(worker.id, worker.born)
-        self.born[worker.id] = born
+        known = self.reported_starts.get(worker.id, worker.born)
+        self.reported_starts[worker.id] = born
         if known is not None and known != born:
             log.info(
                 "Worker says it started again.",
@@ -187,18 +189,18 @@
                 born=born,
                 before=known,
             )
-            self.restarted(worker.id)
+            self.on_restart(worker.id)
 
-    def take_told(self, told: peer_pb2.QueueNews) -> None:
+    def receive_update(self, message: peer_pb2.QueueNews) -> None:
         """Takes in what another entry tells."""
-        self.take(unpack(QueueNews, told.packed))
+        self.apply_update(unpack(QueueUpdate, message.packed))
 
-    def take(self, news: QueueNews) -> None:
+    def apply_update(self, update: QueueUpdate) -> None:
         """Takes in which workers have requests waiting."""
-        if not news.asked:
+        if not update.asked:
             return
         at = self.clock.monotonic() - REPORT_LAG_S
         for service in self.engines():
             for worker in self.directory.of_service(service):
-                waiting = news.waiting.get(worker.id, 0)
+                waiting = update.waiting.get(worker.id, 0)
                 self.loads.workers[worker.id].note_waiting(waiting, at)
--- a/tests/relay/test_queue_watch.py
+++ b/tests/relay/test_queue_watch.py
@@ -9,10 +9,10 @@
 from rattanpier._internal.relay.fleet import Fleet
 from rattanpier._internal.relay.load import Loads
 from rattanpier._internal.relay.queue_watch import (
-    FRESH_S,
-    MOST_ASKED,
-    PART_KEPT_S,
-    QueueNews,
+    FRESH_REPORT_S,
+    MAX_ENGINES_PER_READER,
+    PART_TTL_S,
+    QueueUpdate,
     QueueWatch,
 )
 from rattanpier._internal.utils.codec import unpack
@@ -43,12 +43,12 @@
         fleet=fleet,
         directory=directory,
         loads=Loads(clock),
-        hint_all=told.append,
-        hint_one=lambda news, name: sent.append((name, news)),
+        notify_all=told.append,
+        notify_one=lambda news, name: sent.append((name, news)),
         clock=clock,
         engines=lambda: ["engine"],
         read=read,
-        restarted=lambda _worker: None,
+        on_restart=lambda _worker: None,
     )
     return watch, asked, told
 
@@ -64,7 +64,7 @@
     await watch.round()
     assert len(told) == 1
     other, *_ = make_watch(clock, {"w1": 0, "w2": 0, "w3": 0})
-    other.take_told(told[0].queue_news)
+    other.receive_update(told[0].queue_news)
     now = clock.monotonic()
     for each in (watch, other):
         assert each.loads.workers["w1"].others(now)[1] == pytest.approx(3, 0.1)
@@ -74,7 +74,7 @@
 async def test_what_is_told_fades(clock):
     watch, *_ = make_watch(clock, {"w1": 4})
     clock.now = 10.0
-    watch.take(QueueNews(1, {"w1": 4}))
+    watch.apply_update(QueueUpdate(1, {"w1": 4}))
     assert watch.loads.workers["w1"].others(clock.now + 8.0)[1] < 0.1
 
 
@@ -83,7 +83,7 @@
     clock.now = 10.0
     for _ in range(2):
         watch.loads.begin("w1", 0.1)
-    watch.take(QueueNews(1, {"w1": 3}))
+    watch.apply_update(QueueUpdate(1, {"w1": 3}))
     waiting = watch.loads.workers["w1"].others(clock.now)[1]
     assert waiting == pytest.approx(1, 0.1)
 
@@ -94,14 +94,14 @@
     watch.loads.note_report("w1", ReportedLoad(2, 1, 8))
     await watch.round()
     assert asked == ["w2"]
-    clock.now += FRESH_S + 0.1
+    clock.now += FRESH_REPORT_S + 0.1
     await watch.round()
     assert asked == ["w2", "w1", "w2"]
 
 
 async def test_where_none_answers_nothing_is_taken_in(clock):
     watch, *_ = make_watch(clock, {"w1": None})
-    watch.take(QueueNews(1, {"w1": 5}))
+    watch.apply_update(QueueUpdate(1, {"w1": 5}))
     await watch.round()
     assert watch.loads.workers["w1"].others(clock.now)[1] > 1.0
 
@@ -115,8 +115,10 @@
     for name in names:
         others = [other for other in names if other != name]
         watch, asked[name], _ = make_watch(clock, reports, others, name)
-        watch.hint_all = lambda news, name=name: told.append((name, news))
-        watch.hint_one = lambda news, to: watches[to].hear_part(news.queue_part)
+        watch.notify_all = lambda news, name=name: told.append((name, news))
+        watch.notify_one = lambda news, to: watches[to].receive_part(
+            news.queue_part
+        )
         watches[name] = watch
     return watches, asked, told
 
@@ -133,16 +135,16 @@
     for _ in range(2):
         for watch in watches.values():
             await watch.round()
-        clock.now += FRESH_S + 0.1
+        clock.now += FRESH_REPORT_S + 0.1
     counts = collections.Counter(id for ids in asked.values() for id in ids)
     assert set(counts) == set(reports)
     # Each is asked once a round, and nobody asks more than its part.
     assert set(counts.values()) == {2}
-    assert max(map(len, asked.values())) <= 2 * MOST_ASKED
+    assert max(map(len, asked.values())) <= 2 * MAX_ENGINES_PER_READER
     assert len(told) == 2
     assert len({name for name, _ in told}) == 1
     hearing = next(iter(watches.values()))
-    hearing.take_told(told[-1][1].queue_news)
+    hearing.receive_update(told[-1][1].queue_news)
     for id, waiting in reports.items():
         found = hearing.loads.workers[id].others(clock.now)[1]
         assert (found > 0.0) == (waiting > 0)
@@ -156,11 +158,11 @@
         await watch.round()
     first, second = next(iter(watches.values())).readers(len(reports))
     await watches[first].round()
-    whole = unpack(QueueNews, told[-1][1].queue_news.packed)
+    whole = unpack(QueueUpdate, told[-1][1].queue_news.packed)
     assert (whole.asked, set(whole.waiting)) == (20, set(reports))
-    clock.now += PART_KEPT_S + 0.1
+    clock.now += PART_TTL_S + 0.1
     await watches[first].round()
-    left = unpack(QueueNews, told[-1][1].queue_news.packed)
+    left = unpack(QueueUpdate, told[-1][1].queue_news.packed)
     assert left.asked == 10
     assert second != first
 
@@ -183,7 +185,7 @@
 async def test_a_start_that_a_report_tells_of_counts_before_its_row(clock):
     watch, *_ = make_watch(clock, {"w1": 0})
     again = []
-    watch.restarted = again.append
+    watch.on_restart = again.append
     born = {"now": 5}
 
     async def read(_worker, _limit_s):
@@ -202,6 +204,6 @@
 async def test_an_engine_that_wants_rest_is_not_asked(clock):
     watch, asked, _ = make_watch(clock, {"w1": 0, "w2": 0})
     clock.now = 10.0
-    watch.rests = lambda worker: worker.id == "w1"
+    watch.in_backoff = lambda worker: worker.id == "w1"
     await watch.round()
     assert asked == ["w2"]
--- a/tests/relay/test_rows.py
+++ b/tests/relay/test_rows.py
@@ -20,7 +20,7 @@
 from rattanpier._internal.relay.evidence import Evidence
 from rattanpier._internal.relay.exposure import ExposureBound
 from rattanpier._internal.relay.fleet import EntryState
-from rattanpier._internal.relay.queue_watch import QueueNews
+from rattanpier._internal.relay.queue_watch import QueueUpdate
 from rattanpier._internal.relay.rollouts import Rollouts
 from rattanpier._internal.relay.snapshots import Snapshot
 from rattanpier._internal.relay.state import RelayState
@@ -283,7 +283,7 @@
 @given(MESSAGE_PACK)
 def test_any_packed_document_is_read_or_refused(document):
     packed = zlib.compress(msgpack.packb(document))
-    for kind in (Snapshot, TableNews, KnownStates, StateDiff, QueueNews):
+    for kind in (Snapshot, TableNews, KnownStates, StateDiff, QueueUpdate):
         try:
             assert isinstance(unpack(kind, packed), kind)
         except UnreadableError as error:
@@ -301,7 +301,7 @@
         RolloutRecord,
         TableNews,
     )
-    for kind in (*kinds, QueueNews):
+    for kind in (*kinds, QueueUpdate):
         for read in (
             lambda kind: decode(kind, value),
             lambda kind: unpack(kind, value),
