--- a/src/rattanpier/_internal/programs/relay_workers.py
+++ b/src/rattanpier/_internal/programs/relay_workers.py
@@ -13,7 +13,7 @@
 from rattanpier._internal.platform.identity import identifier
 from rattanpier._internal.platform.reports import HearWords, ReadReport
 from rattanpier._internal.programs.relay_listen import RelayEntry
-from rattanpier._internal.relay.prompt_news import PromptNews
+from rattanpier._internal.relay.prompt_updates import PromptUpdates
 from rattanpier._internal.relay.queue_watch import QueueWatch
 from rattanpier._internal.retries.second_looks import SecondLooks
 
@@ -103,7 +103,7 @@
 def add_prompt_news(entry: RelayEntry) -> None:
     """Adds what tells of long prompts, and hears of them."""
     dispatcher = entry.edge.dispatcher
-    prompts = PromptNews(
+    prompts = PromptUpdates(
         fleet=entry.fleet,
         directory=entry.state.directory,
         loads=dispatcher.loads,
@@ -112,6 +112,6 @@
         rng=random.Random(entry.settings.name),
     )
     server = entry.kernel.find("peer_server")
-    server.on_notice("prompt_sent", prompts.take_notice)
+    server.on_notice("prompt_sent", prompts.apply_notice)
     if entry.settings.policy.prompt_news:
-        dispatcher.tell_prompt = prompts.tell
+        dispatcher.tell_prompt = prompts.publish
--- a/src/rattanpier/_internal/relay/placement.py
+++ b/src/rattanpier/_internal/relay/placement.py
@@ -19,7 +19,7 @@
 from rattanpier._internal.relay.load import Loads, weighed_parts
 from rattanpier._internal.relay.model_groups import ModelGroups
 from rattanpier._internal.relay.pace import Pace
-from rattanpier._internal.relay.prompt_news import LEAST_TOLD_S
+from rattanpier._internal.relay.prompt_updates import MIN_PUBLISHED_READ_S
 from rattanpier._internal.utils.hashing import most_preferred
 
 # A request that another entry has running slows each step a little.
@@ -221,7 +221,7 @@
         Args:
           read_s: Seconds in which they are read.
         """
-        told = self.policy.prompt_news and read_s >= LEAST_TOLD_S
+        told = self.policy.prompt_news and read_s >= MIN_PUBLISHED_READ_S
         return 0.0 if told else HOME_TRUST
 
     def make(
--- a/src/rattanpier/_internal/relay/prompt_news.py
+++ b/src/rattanpier/_internal/relay/prompt_updates.py
@@ -28,28 +28,28 @@
 
 # Shorter reading holds up nobody by what callers notice, and is most of all
 # prompts: those for the smallest model and those that are kept in memory.
-LEAST_TOLD_S = 0.1
+MIN_PUBLISHED_READ_S = 0.1
 # What an entry hears in a second at most, on average; where the fleet sends
 # more long prompts, some are not told of, whatever its size.
-MOST_HEARD_PER_S = 200.0
+MAX_RECEIVED_PER_S = 200.0
 RATE_HALF_LIFE_S = 5.0  # Of the count of own prompts.
 # Taken where fewer were sent: after a start the count says little, and all
 # entries of a large fleet may start at once.
-LEAST_RATE_PER_S = 0.5
+MIN_ASSUMED_RATE_PER_S = 0.5
 # Nobody waits for longer than that behind one prompt: a wrong estimate of
 # another entry must not close a worker for all.
-MOST_TOLD_S = 5.0
+MAX_READ_S = 5.0
 
 
 @attrs.define(eq=False, repr=False)
-class PromptNews:
+class PromptUpdates:
     """Tells the others of prompts, and takes in what they tell.
 
     Attributes:
       send: Sends some entries a hint.
       rng: Draws which prompts are told of where not all are.
       sent: Own long prompts lately.
-      hashed: Ids of workers by their hashes.
+      ids_by_hash: Ids of workers by their hashes.
     """
 
     fleet: Fleet
@@ -59,9 +59,9 @@
     clock: Clock
     rng: random.Random
     sent: FadingSum = attrs.Factory(lambda: FadingSum(RATE_HALF_LIFE_S))
-    hashed: dict[int, str] = attrs.Factory(dict)
+    ids_by_hash: dict[int, str] = attrs.Factory(dict)
 
-    def tell(
+    def publish(
         self, worker: str, model: str, prompt: Prompt, read_s: float
     ) -> None:
         """Tells the others of a prompt that is sent to a worker.
@@ -72,19 +72,19 @@
           prompt: Its parts are kept there from then on.
           read_s: Seconds in which the worker likely reads it.
         """
-        if read_s < LEAST_TOLD_S:
+        if read_s < MIN_PUBLISHED_READ_S:
             return
         self.sent.add(1.0, self.clock.monotonic())
-        if self.rng.random() >= self.told_share():
+        if self.rng.random() >= self.published_share():
             return
-        told = peer_pb2.PromptSent(
+        message = peer_pb2.PromptSent(
             worker=short_hash(worker),
             read_s=read_s,
             parts=part_keys(model, prompt),
         )
-        self.send(self.fleet.ring(), peer_pb2.Notice(prompt_sent=told))
+        self.send(self.fleet.ring(), peer_pb2.Notice(prompt_sent=message))
 
-    def told_share(self) -> float:
+    def published_share(self) -> float:
         """Returns the share of own long prompts that the others are told of.
 
         All entries send at about the same rate, so that each hears of this
@@ -92,24 +92,24 @@
         """
         # A sum that halves every half-life holds rate times half-life / ln 2.
         per_s = self.sent.total * math.log(2.0) / RATE_HALF_LIFE_S
-        heard_per_s = max(LEAST_RATE_PER_S, per_s) * self.fleet.size()
-        return MOST_HEARD_PER_S / heard_per_s
+        received_per_s = max(MIN_ASSUMED_RATE_PER_S, per_s) * self.fleet.size()
+        return MAX_RECEIVED_PER_S / received_per_s
 
-    def take_notice(self, notice: peer_pb2.Notice) -> None:
+    def apply_notice(self, notice: peer_pb2.Notice) -> None:
         """Takes in what another entry tells."""
-        told = notice.prompt_sent
+        message = notice.prompt_sent
         # Not a number compares as false.
-        is_time = LEAST_TOLD_S <= told.read_s < float("inf")
-        worker = self.worker_of(told.worker)
+        is_time = MIN_PUBLISHED_READ_S <= message.read_s < float("inf")
+        worker = self.worker_for_hash(message.worker)
         if is_time and worker is not None:
-            read_s = min(MOST_TOLD_S, told.read_s)
+            read_s = min(MAX_READ_S, message.read_s)
             self.loads.note_others_prompt(worker, read_s)
-            self.loads.note_parts(worker, told.parts)
+            self.loads.note_parts(worker, message.parts)
 
-    def worker_of(self, hashed: int) -> str | None:
+    def worker_for_hash(self, worker_hash: int) -> str | None:
         """Returns the id of a worker that is told as a hash; None if gone."""
-        known = self.hashed.get(hashed)
+        known = self.ids_by_hash.get(worker_hash)
         if known in self.directory.workers:
             return known
-        self.hashed = {short_hash(id): id for id in self.directory.workers}
-        return self.hashed.get(hashed)
+        self.ids_by_hash = {short_hash(id): id for id in self.directory.workers}
+        return self.ids_by_hash.get(worker_hash)
--- a/tests/lib/engines.py
+++ b/tests/lib/engines.py
@@ -15,7 +15,7 @@
 from rattanpier._internal.relay.model_groups import ModelGroups
 from rattanpier._internal.relay.pace import Pace
 from rattanpier._internal.relay.placement import Chooser
-from rattanpier._internal.relay.prompt_news import LEAST_TOLD_S
+from rattanpier._internal.relay.prompt_updates import MIN_PUBLISHED_READ_S
 from tests.lib.clock import ManualClock
 from tests.lib.relay_parts import MODELS, make_chat, make_workers
 
@@ -80,7 +80,7 @@
         flight = chooser.loads.begin(id, choice.read_s)
         is_told = told > 0.0 and rng.random() < told
         for other in choosers if is_told else ():
-            if other is not chooser and choice.read_s >= LEAST_TOLD_S:
+            if other is not chooser and choice.read_s >= MIN_PUBLISHED_READ_S:
                 other.loads.note_others_prompt(id, choice.read_s)
         first_at = max(sent, free_at[id]) + READ_S[model] * tokens
         free_at[id] = first_at
--- a/tests/relay/test_prompt_news.py
+++ b/tests/relay/test_prompt_news.py
@@ -9,11 +9,11 @@
 from rattanpier._internal.relay.fleet import Fleet
 from rattanpier._internal.relay.load import Loads
 from rattanpier._internal.relay.placement import HOME_TRUST
-from rattanpier._internal.relay.prompt_news import (
-    LEAST_TOLD_S,
-    MOST_HEARD_PER_S,
-    MOST_TOLD_S,
-    PromptNews,
+from rattanpier._internal.relay.prompt_updates import (
+    MAX_READ_S,
+    MAX_RECEIVED_PER_S,
+    MIN_PUBLISHED_READ_S,
+    PromptUpdates,
 )
 from rattanpier._internal.utils.hashing import short_hash
 from tests.lib.clock import ManualClock
@@ -43,7 +43,7 @@
     for worker in make_workers(3):
         directory.put(worker)
     told = []
-    news = PromptNews(
+    news = PromptUpdates(
         fleet=fleet,
         directory=directory,
         loads=Loads(clock),
@@ -56,11 +56,11 @@
 
 def test_all_others_know_what_a_worker_reads_and_keeps(clock):
     one, told = make_prompt_news(clock, "e1", ("e2", "e3"))
-    one.tell("w1", "large", PROMPT, 0.8)
+    one.publish("w1", "large", PROMPT, 0.8)
     ((members, notice),) = told
     assert [member.name for member in members] == ["e2", "e3"]
     other, _ = make_prompt_news(clock, "e2", ("e1", "e3"))
-    other.take_notice(notice)
+    other.apply_notice(notice)
     load = other.loads.workers["w1"]
     assert load.others_until == pytest.approx(clock.now + 0.8)
     assert kept_tokens(other.loads, "w1", "large", PROMPT) == PROMPT.tokens
@@ -96,19 +96,19 @@
     for _ in range(int(40 * per_s)):
         clock.now += 1 / per_s
         for news, told in senders:
-            news.tell("w1", "large", PROMPT, 0.8)
+            news.publish("w1", "large", PROMPT, 0.8)
             settled += clock.now > 20.0 and len(told)
             assert len(told) <= 1
             assert bool(told) or not all_told
             told.clear()
     # Each hears of what all others tell.
-    assert settled / 20.0 <= 1.1 * MOST_HEARD_PER_S
-    assert all_told or settled / 20.0 >= 0.7 * MOST_HEARD_PER_S
+    assert settled / 20.0 <= 1.1 * MAX_RECEIVED_PER_S
+    assert all_told or settled / 20.0 >= 0.7 * MAX_RECEIVED_PER_S
 
 
 def test_short_prompts_are_not_told(clock):
     news, told = make_prompt_news(clock, "e1", ("e2",))
-    news.tell("w1", "small", PROMPT, 0.9 * LEAST_TOLD_S)
+    news.publish("w1", "small", PROMPT, 0.9 * MIN_PUBLISHED_READ_S)
     assert told == []
 
 
@@ -125,16 +125,16 @@
 def test_what_names_no_worker_or_time_is_left_out(clock, worker, read_s):
     news, _ = make_prompt_news(clock, "e2", ("e1",))
     told = peer_pb2.PromptSent(worker=short_hash(worker), read_s=read_s)
-    news.take_notice(peer_pb2.Notice(prompt_sent=told))
+    news.apply_notice(peer_pb2.Notice(prompt_sent=told))
     assert not news.loads.workers
 
 
 def test_no_estimate_closes_a_worker_for_long(clock):
     news, _ = make_prompt_news(clock, "e2", ("e1",))
     told = peer_pb2.PromptSent(worker=short_hash("w1"), read_s=1e6)
-    news.take_notice(peer_pb2.Notice(prompt_sent=told))
+    news.apply_notice(peer_pb2.Notice(prompt_sent=told))
     load = news.loads.workers["w1"]
-    assert load.others_until <= clock.now + MOST_TOLD_S
+    assert load.others_until <= clock.now + MAX_READ_S
 
 
 def test_a_worker_that_reads_for_others_is_passed_by(clock):
@@ -148,7 +148,7 @@
 def test_a_home_nobody_told_of_is_not_taken_to_hold_a_long_prompt(clock):
     entry = make_entry(clock, 1)
     long_s = entry.pace.read_s("large", 40000)
-    assert long_s > LEAST_TOLD_S
+    assert long_s > MIN_PUBLISHED_READ_S
     assert entry.home_trust(long_s) == 0.0
     assert entry.home_trust(entry.pace.read_s("small", 10)) == HOME_TRUST
 
