--- a/benchmarks/restored_store.py
+++ b/benchmarks/restored_store.py
@@ -164,9 +164,9 @@
     tasks = [
         add_follower(entry, store, ring.clock, knowing) for entry in ring.live()
     ]
-    await ring.rounds(6)
+    await ring.run_rounds(6)
     store.away = True
-    talking = asyncio.ensure_future(ring.rounds(12))
+    talking = asyncio.ensure_future(ring.run_rounds(12))
     await asyncio.sleep(AWAY_S)
     store.calls.clear()
     store.away, store.revision = False, Revision(2, 900)
--- a/tests/lib/ring.py
+++ b/tests/lib/ring.py
@@ -33,7 +33,7 @@
 from tests.lib.virtual import LoopClock
 
 DOMAINS = 6
-WAY_S = 0.001  # Of a message from one entry to another.
+LATENCY_S = 0.001  # Of a message from one entry to another.
 
 
 @attrs.define
@@ -60,20 +60,20 @@
             raise PeerUnavailableError("silent")
         if entry.dead:
             raise PeerRefusedError("refused")
-        await asyncio.sleep(WAY_S)
-        heard = peer_pb2.Call.FromString(call.SerializeToString())
-        reply = await entry.calls()[heard.WhichOneof("body")](heard)
+        await asyncio.sleep(LATENCY_S)
+        received = peer_pb2.Call.FromString(call.SerializeToString())
+        reply = await entry.calls()[received.WhichOneof("body")](received)
         self.ring.count(self.target, self.sender, reply)
-        await asyncio.sleep(WAY_S)
+        await asyncio.sleep(LATENCY_S)
         return peer_pb2.Reply.FromString(reply.SerializeToString())
 
     def notify(self, notice):
         entry = self.ring.deliver(self.sender, self.target, notice)
         if entry is None or entry.dead:
             return
-        heard = peer_pb2.Notice.FromString(notice.SerializeToString())
+        received = peer_pb2.Notice.FromString(notice.SerializeToString())
         loop = asyncio.get_running_loop()
-        loop.call_later(WAY_S, entry.broadcaster.handle_notice, heard)
+        loop.call_later(LATENCY_S, entry.broadcaster.handle_notice, received)
 
 
 @attrs.define
@@ -95,7 +95,7 @@
     broadcaster: Broadcaster
     gossip: Gossip
     dead: bool = False
-    heard: collections.Counter = attrs.Factory(collections.Counter)
+    received: collections.Counter = attrs.Factory(collections.Counter)
 
     def calls(self):
         return {
@@ -104,8 +104,8 @@
             "spread": self.broadcaster.serve,
         }
 
-    def note_hint(self, told):
-        self.heard[told.packed] += 1
+    def record_notice(self, told):
+        self.received[told.packed] += 1
 
 
 @attrs.define
@@ -113,16 +113,16 @@
     """All entries, and the network between them.
 
     Attributes:
-      loss: Share of messages that get lost.
-      silent: Names of entries that nothing reaches or leaves.
+      loss_ratio: Share of messages that get lost.
+      partitioned: Names of entries that nothing reaches or leaves.
     """
 
     clock: LoopClock = attrs.Factory(LoopClock)
     rng: random.Random = attrs.Factory(lambda: random.Random(1))
     entries: dict = attrs.Factory(dict)
     sent: dict = attrs.Factory(lambda: collections.defaultdict(Sent))
-    loss: float = 0.0
-    silent: set = attrs.Factory(set)
+    loss_ratio: float = 0.0
+    partitioned: set = attrs.Factory(set)
 
     def add(self, number):
         """Adds an entry that knows nobody."""
@@ -161,14 +161,17 @@
         gossip.shared_state.directory.tell_leaving = gossip.broadcast_leaving
         entry = Entry(fleet, broadcaster, gossip)
         broadcaster.handlers["rumors"] = gossip.receive_rumors
-        broadcaster.handlers["queue_news"] = entry.note_hint
+        broadcaster.handlers["queue_news"] = entry.record_notice
         self.entries[member.name] = entry
         return entry
 
     def deliver(self, sender, target, message):
         """Counts a message; returns whom it reaches, or None."""
         self.count(sender, target, message)
-        if {sender, target} & self.silent or self.rng.random() < self.loss:
+        if {
+            sender,
+            target,
+        } & self.partitioned or self.rng.random() < self.loss_ratio:
             return None
         return self.entries[target]
 
@@ -181,28 +184,28 @@
     def live(self):
         return [each for each in self.entries.values() if not each.dead]
 
-    async def rounds(self, count):
+    async def run_rounds(self, count):
         """Lets all that live talk for some rounds, each at its own moment."""
-        talking = [
-            asyncio.ensure_future(self.talk(entry))
+        running = [
+            asyncio.ensure_future(self.run_entry(entry))
             for entry in self.live()
-            if entry.fleet.me.member.name not in self.silent
+            if entry.fleet.me.member.name not in self.partitioned
         ]
         await asyncio.sleep(count * HEARTBEAT_INTERVAL_S)
-        for task in talking:
+        for task in running:
             task.cancel()
-        await asyncio.gather(*talking, return_exceptions=True)
+        await asyncio.gather(*running, return_exceptions=True)
 
-    async def talk(self, entry):
+    async def run_entry(self, entry):
         await asyncio.sleep(self.rng.uniform(0.0, 0.8 * HEARTBEAT_INTERVAL_S))
         await entry.gossip.run()
 
-    def knowing(self, name, state):
+    def share_knowing(self, name, state):
         """Share of the living others that know a state of an entry."""
         others = [
             each
             for each in self.live()
-            if each.fleet.me.member.name not in {name, *self.silent}
+            if each.fleet.me.member.name not in {name, *self.partitioned}
         ]
         known = sum(
             state(each.fleet.peers[name])
@@ -211,14 +214,14 @@
         )
         return known / len(others)
 
-    def forget_sent(self):
+    def reset_sent(self):
         self.sent.clear()
 
     def connections(self):
         """The most entries that one entry sent something to."""
         return max(len(sent.peers) for sent in self.sent.values())
 
-    def most_and_mean(self, field):
+    def max_and_mean(self, field):
         """The most that one entry sent, and the mean of all."""
         values = [getattr(sent, field) for sent in self.sent.values()]
         return max(values), sum(values) / len(self.entries)
@@ -236,10 +239,10 @@
     for number in range(count):
         ring.add(number)
     if knowing:
-        news = [entry.fleet.me for entry in ring.entries.values()]
+        states = [entry.fleet.me for entry in ring.entries.values()]
         for entry in ring.entries.values():
             entry.fleet.apply_states(
-                each for each in news if each is not entry.fleet.me
+                each for each in states if each is not entry.fleet.me
             )
             entry.gossip.compared_at = 0.0
             entry.gossip.published = entry.gossip.shared_state.full_update(
--- a/tests/relay/test_spread.py
+++ b/tests/relay/test_spread.py
@@ -40,9 +40,9 @@
     await ring.clock.sleep(2.0)
     for name, entry in ring.entries.items():
         others = set(ring.entries) - {name}
-        assert set(entry.heard) == {other.encode() for other in others}
-        assert set(entry.heard.values()) == {1}
-    most, mean = ring.most_and_mean("messages")
+        assert set(entry.received) == {other.encode() for other in others}
+        assert set(entry.received.values()) == {1}
+    most, mean = ring.max_and_mean("messages")
     assert most <= 8 * mean
     assert ring.connections() <= 5 * FANOUT
 
@@ -56,9 +56,9 @@
         make_hint("w"), teller.fleet.ring()
     )
     await ring.clock.sleep(2.0)
-    assert all(e.heard[b"w"] for e in ring.live() if e is not teller)
+    assert all(e.received[b"w"] for e in ring.live() if e is not teller)
     assert ring.sent["e000"].messages <= FANOUT
-    most, mean = ring.most_and_mean("messages")
+    most, mean = ring.max_and_mean("messages")
     assert most <= 8 * mean
 
 
@@ -67,7 +67,7 @@
 async def test_those_that_do_not_answer_are_gone_round(size):
     ring = make_ring(size)
     names = list(ring.entries)
-    ring.silent = set(names[1::10])
+    ring.partitioned = set(names[1::10])
     for name in names[2::10]:
         ring.entries[name].dead = True
     teller = ring.entries["e000"]
@@ -78,8 +78,8 @@
     missed = [
         entry.fleet.me.member.name
         for entry in ring.live()
-        if entry.fleet.me.member.name not in {"e000", *ring.silent}
-        and not entry.heard[b"w"]
+        if entry.fleet.me.member.name not in {"e000", *ring.partitioned}
+        and not entry.received[b"w"]
     ]
     assert missed == []
 
@@ -88,10 +88,10 @@
 @virtual
 async def test_a_stopped_version_is_known_within_seconds_on_lossy_links(size):
     ring = make_ring(size)
-    ring.loss = 0.1
+    ring.loss_ratio = 0.1
     ring.entries["e007"].gossip.shared_state.rollouts.take_order(ORDER)
     ring.entries["e007"].gossip.shared_state.rollouts.stop(ORDER.id, "test")
-    await ring.rounds(6)
+    await ring.run_rounds(6)
     knowing = sum(
         ORDER.id in entry.gossip.shared_state.rollouts.stopped
         for entry in ring.live()
@@ -103,14 +103,14 @@
 @virtual
 async def test_a_quiet_fleet_sends_the_same_at_any_size(size):
     ring = make_ring(size)
-    await ring.rounds(4)
-    ring.forget_sent()
-    await ring.rounds(4)
-    most, mean = ring.most_and_mean("messages")
+    await ring.run_rounds(4)
+    ring.reset_sent()
+    await ring.run_rounds(4)
+    most, mean = ring.max_and_mean("messages")
     # Two questions and one in turn, and as many answers, in each round.
     assert mean <= 4 * 6
     assert most <= 8 * mean
-    most_bytes, mean_bytes = ring.most_and_mean("bytes")
+    most_bytes, mean_bytes = ring.max_and_mean("bytes")
     assert mean_bytes <= 4 * 6 * 100
     assert most_bytes <= 8 * mean_bytes
 
@@ -119,13 +119,13 @@
 @virtual
 async def test_a_change_reaches_all_with_few_bytes(size):
     ring = make_ring(size)
-    await ring.rounds(2)
-    ring.forget_sent()
+    await ring.run_rounds(2)
+    ring.reset_sent()
     entry = ring.entries["e003"]
     entry.fleet.update_own_state(ready=False)
-    await ring.rounds(2)
-    assert ring.knowing("e003", lambda news: not news.ready) == 1.0
-    _, mean_bytes = ring.most_and_mean("bytes")
+    await ring.run_rounds(2)
+    assert ring.share_knowing("e003", lambda news: not news.ready) == 1.0
+    _, mean_bytes = ring.max_and_mean("bytes")
     assert mean_bytes <= 2 * 6 * 100 + 1000
 
 
@@ -138,12 +138,12 @@
     for entry in ring.entries.values():
         written.append(entry.fleet.me)
         entry.fleet.apply_states(news for news in written[:-1])
-    await ring.rounds(6)
+    await ring.run_rounds(6)
     assert all(len(e.fleet.peers) == size - 1 for e in ring.live())
-    _, mean = ring.most_and_mean("messages")
+    _, mean = ring.max_and_mean("messages")
     assert mean <= 1.5 * size + 100
-    ring.forget_sent()
-    await ring.rounds(4)
+    ring.reset_sent()
+    await ring.run_rounds(4)
     assert ring.connections() <= 3 * FANOUT
 
 
@@ -153,16 +153,18 @@
     ring = make_ring(size)
     for name in ("e005", "e006"):
         ring.entries[name].fleet.update_own_state(ready=False)
-    await ring.rounds(2)
+    await ring.run_rounds(2)
     late = ring.add(size)
     # Its rows are of the others' starts.
     late.fleet.apply_states(
         entry.fleet.me for entry in make_ring(size).entries.values()
     )
-    await ring.rounds(3)
+    await ring.run_rounds(3)
     assert not late.fleet.peers["e005"].ready
     assert not late.fleet.peers["e006"].ready
-    assert ring.knowing(late.fleet.me.member.name, lambda n: n.ready) == 1.0
+    assert (
+        ring.share_knowing(late.fleet.me.member.name, lambda n: n.ready) == 1.0
+    )
 
 
 @pytest.mark.parametrize("size", [80, 195])
@@ -173,10 +175,11 @@
         entry = ring.entries[f"e{number:03}"]
         member = entry.fleet.me.member
         entry.fleet.update_own_state(member=leaving(member))
-    await ring.rounds(2)
+    await ring.run_rounds(2)
     for number in range(0, size, 10):
         assert (
-            ring.knowing(f"e{number:03}", lambda news: not news.listed) == 1.0
+            ring.share_knowing(f"e{number:03}", lambda news: not news.listed)
+            == 1.0
         )
 
 
@@ -184,23 +187,23 @@
 @virtual
 async def test_neighbours_that_are_lost_at_once_are_soon_known_to_be(dead):
     ring = make_ring(195)
-    await ring.rounds(2)
+    await ring.run_rounds(2)
     # A failure domain: they stand side by side.
     lost = [f"e{number:03}" for number in range(60, 93)]
     if dead:
         for name in lost:
             ring.entries[name].dead = True
     else:
-        ring.silent = set(lost)
-    await ring.rounds(14)
-    known = [ring.knowing(name, lambda news: news.down) for name in lost]
+        ring.partitioned = set(lost)
+    await ring.run_rounds(14)
+    known = [ring.share_knowing(name, lambda news: news.down) for name in lost]
     assert min(known) == 1.0
 
 
 @virtual
 async def test_news_that_some_do_not_take_hold_up_no_heartbeat():
     ring = make_ring(80)
-    ring.silent = {f"e{number:03}" for number in range(0, 80, 3)}
+    ring.partitioned = {f"e{number:03}" for number in range(0, 80, 3)}
     teller = ring.entries["e001"]
     teller.fleet.update_own_state(ready=False)
     began = ring.clock.monotonic()
@@ -214,10 +217,10 @@
 @virtual
 async def test_no_entry_is_called_down_for_long_that_lives(loss):
     ring = make_ring(80)
-    ring.loss = loss
-    await ring.rounds(20)
-    ring.loss = 0.0
-    await ring.rounds(4)
+    ring.loss_ratio = loss
+    await ring.run_rounds(20)
+    ring.loss_ratio = 0.0
+    await ring.run_rounds(4)
     assert all(
         not news.down
         for entry in ring.live()
@@ -248,7 +251,7 @@
     # A request that ends workers goes on to the next within 0.2 s.
     await ring.clock.sleep(0.05)
     assert count_holding(ring, "deadly") == size
-    most, mean = ring.most_and_mean("messages")
+    most, mean = ring.max_and_mean("messages")
     assert most <= 8 * mean
 
 
@@ -256,17 +259,17 @@
 async def test_those_that_missed_it_and_newcomers_hear_of_a_held_request():
     ring = make_ring(80)
     cut = {f"e{number:03}" for number in range(1, 80, 8)}
-    ring.silent = cut
+    ring.partitioned = cut
     for number in range(3):
         ring.entries["e000"].gossip.shared_state.quarantine.note_end(
             "deadly", f"w{number}"
         )
     await ring.clock.sleep(1.0)
     assert count_holding(ring, "deadly") == 80 - len(cut)
-    ring.silent = set()
+    ring.partitioned = set()
     newcomer = ring.add(80)
     newcomer.fleet.apply_states([ring.entries["e005"].fleet.me])
-    await ring.rounds(12)
+    await ring.run_rounds(12)
     assert count_holding(ring, "deadly") == 81
 
 
@@ -295,7 +298,7 @@
     ring.entries["e002"].gossip.shared_state.limits.hear(worker, None, now)
     await ring.clock.sleep(0.05)
     assert count_limited(ring) == 0
-    most, mean = ring.most_and_mean("messages")
+    most, mean = ring.max_and_mean("messages")
     assert most <= 8 * mean
 
 
@@ -303,7 +306,7 @@
 async def test_those_that_missed_it_and_newcomers_hear_what_a_worker_said():
     ring = make_ring(80)
     cut = {f"e{number:03}" for number in range(1, 80, 8)}
-    ring.silent = cut
+    ring.partitioned = cut
     worker = make_worker("w1")
     for entry in ring.entries.values():
         entry.gossip.shared_state.directory.put(worker)
@@ -312,11 +315,11 @@
     told.directory.hear_leaving(worker)
     await ring.clock.sleep(1.0)
     assert count_limited(ring) == count_leaving(ring) == 80 - len(cut)
-    ring.silent = set()
+    ring.partitioned = set()
     newcomer = ring.add(80)
     newcomer.gossip.shared_state.directory.put(worker)
     newcomer.fleet.apply_states([ring.entries["e005"].fleet.me])
-    await ring.rounds(12)
+    await ring.run_rounds(12)
     assert count_limited(ring) == count_leaving(ring) == 81
 
 
@@ -327,11 +330,11 @@
     ring = make_ring(size)
     for entry in ring.live():
         entry.gossip.shared_state.history.note(1, "store")
-    await ring.rounds(4)
-    ring.forget_sent()
+    await ring.run_rounds(4)
+    ring.reset_sent()
     ring.entries["e003"].gossip.shared_state.history.note(2, "store")
-    await ring.rounds(8)
+    await ring.run_rounds(8)
     eras = {entry.gossip.shared_state.history.era for entry in ring.live()}
     assert eras == {2}
-    _, mean = ring.most_and_mean("messages")
+    _, mean = ring.max_and_mean("messages")
     assert mean <= 8 * 6
