--- a/src/rattanpier/_internal/relay/gossip.py
+++ b/src/rattanpier/_internal/relay/gossip.py
@@ -1,10 +1,11 @@
-"""Talks to the other entries: who lives, what changed, what was seen.
-
-Each entry asks two others whether they live, however many there are. A change
-is told to all at once by the one that makes or finds it, see `broadcast`. What
-gets lost is made good between two entries: each asks a few others in turn for
-a digest of what they know and, where it goes on differing, for what it lacks.
-Evidence on new versions goes to the one entry that drives roll-outs.
+"""Gossip between entries: failure detection, updates and anti-entropy.
+
+Each entry probes two others, whatever the size of the fleet. The entry that
+makes or detects a change broadcasts it at once, see `broadcast`. Updates that
+get lost are repaired pairwise: each entry compares its digest with that of a
+few peers in turn and, if the digests keep differing, exchanges the states that
+either side lacks. Evidence on new versions is sent only to the entry that
+drives roll-outs.
 """
 
 from __future__ import annotations
@@ -48,44 +49,50 @@
 log = structlog.get_logger(part="fleet")
 
 HEARTBEAT_INTERVAL_S = 0.5
-CALL_TIMEOUT_S = 0.45  # Peers answer within some ms; less than a round.
-# One call may be lost or its entry be busy for a moment.
+# Peers answer within a few ms. Shorter than the interval between rounds.
+CALL_TIMEOUT_S = 0.45
+# A single call may be lost, or the peer may be busy for a moment.
 PROBE_ATTEMPTS = 2
-COMPARE_TIMEOUT_S = 1.0  # States of hundreds of entries over a slow link.
-# While something changes anywhere, digests differ for as long as news take to
-# get round, some ten ms: only a difference that lasts is worth its bytes.
+# Allows for the states of hundreds of entries over a slow link.
+COMPARE_TIMEOUT_S = 1.0
+# After any change, digests differ until the broadcast has reached all entries,
+# some ten ms. Only a lasting difference justifies the bytes of a comparison.
 MISMATCHES_TO_COMPARE = 2
-# In every second round one entry that stands apart is asked for its digest, so
-# that what an entry missed it has within some two seconds.
+# Every second round, one distant entry is asked for its digest, so that an
+# entry receives an update that it missed within about two seconds.
 ROUNDS_PER_DISTANT_PROBE = 2
-# Where all start or change at once digests differ for seconds, and a comparison
-# in which one lacks the states of all takes both ends some ten ms.
+# If all entries start or change at once, digests differ for seconds, and a
+# comparison in which one side lacks all states takes both sides some ten ms.
 MIN_COMPARE_INTERVAL_S = 1.0
-# News of workers that ended wait so long for each other: much less than a
-# request takes that goes on from one worker to the next.
+# Worker crashes within this time are broadcast together. Much shorter than the
+# time in which a request moves on from one worker to the next.
 QUARANTINE_BATCH_DELAY_S = 0.01
 
 
 @attrs.define(eq=False, repr=False)
 class Gossip:
-    """Sends and takes news.
+    """Exchanges heartbeats and state updates with the other entries.
 
     Attributes:
-      fleet: What is known of the others.
-      shared_state: What is known beside that.
-      links: Connections to the others.
-      broadcaster: Tells all of them.
-      seeds: Addresses to ask while nobody is known.
-      snapshots: What peers know stands in for the store.
-      refresh_own_state: Brings this entry's own news up to date; says
-        whether they changed.
-      followers: Of the store's tables, by name; hear what watchers tell.
-      published: What was told last, so that only changes are.
-      compared_at: When this entry asked for what it lacks last, in monotonic
-        seconds.
-      digest_mismatches: Digests in a row that differed from this entry's.
-      round_count: Counts the rounds.
-      quarantine_timer: When what was gathered of the quarantine is told.
+      fleet: Known states of all entries.
+      shared_state: State, other than that of entries, that all entries share.
+      links: Connections to the peers.
+      broadcaster: Sends messages to all peers.
+      clock: Source of monotonic time.
+      seeds: Addresses to contact while no other entry is known.
+      snapshots: Fetches state from peers while the store is unreachable.
+      refresh_own_state: Updates this entry's own state; returns whether it
+        changed.
+      followers: Followers of the store's tables, by table name; they receive
+        the pages that watchers read.
+      published: The last broadcast update, used to broadcast only changes.
+      compared_at: Monotonic time of the last comparison that this entry
+        started, in seconds.
+      digest_mismatches: Consecutive peer digests that differed from this
+        entry's digest.
+      round_count: Rounds that were started.
+      reported: Evidence that was last sent to the driver of roll-outs.
+      quarantine_timer: Pending broadcast of batched quarantine updates.
     """
 
     fleet: Fleet
@@ -105,17 +112,17 @@
     quarantine_timer: asyncio.TimerHandle | None = None
 
     async def run(self) -> None:
-        """Asks and tells the others, round after round."""
+        """Runs rounds until cancelled."""
         while True:
             if not await self.round():
                 await self.clock.sleep(HEARTBEAT_INTERVAL_S)
 
     async def round(self) -> bool:
-        """Asks the neighbours, and tells everybody what changed.
+        """Probes the neighbours and broadcasts local changes.
 
         Returns:
-          Whether one was found lost: those behind it may be lost too, and are
-          to be asked at once.
+          Whether an entry was found down. The entries next to it may be down
+          too, so the next round should start at once.
         """
         self.fleet.forget_down()
         self.fleet.log_changes()
@@ -133,10 +140,10 @@
             await self.snapshots.request_if_needed()
         return any(lost)
 
-    # Who lives.
+    # Failure detection.
 
     async def probe(self, state: EntryState) -> bool:
-        """Asks one entry whether it lives; says whether it was found lost."""
+        """Probes one entry; returns whether it was newly found down."""
         name = state.member.name
         reason = "calls time out"
         for _ in range(PROBE_ATTEMPTS):
@@ -151,11 +158,14 @@
         return self.report_down(name, reason)
 
     async def exchange_heartbeat(self, state: EntryState) -> None:
-        """Tells an entry that this one lives, and compares their knowledge.
+        """Exchanges heartbeats with an entry; compares states if needed.
+
+        Args:
+          state: Last known state of the entry.
 
         Raises:
-          PeerRefusedError: No process listens there.
-          PeerUnavailableError: No answer in time.
+          PeerRefusedError: No process listens at the entry's address.
+          PeerUnavailableError: The entry did not answer in time.
         """
         call = peer_pb2.Call(beat=self.build_beat(state.down))
         reply = await self.links.to(state.member).call(call, CALL_TIMEOUT_S)
@@ -170,16 +180,16 @@
             await self.compare(state.member)
 
     def should_compare(self) -> bool:
-        """Says whether a digest that differs is a reason to compare now."""
+        """Returns whether the digest mismatch warrants a comparison now."""
         since_s = self.clock.monotonic() - self.compared_at
         if math.isinf(since_s):
-            # It has just started, and knows the others by old rows.
+            # Just started: peers are known only from rows that may be stale.
             return True
         lasts = self.digest_mismatches >= MISMATCHES_TO_COMPARE
         return lasts and since_s >= MIN_COMPARE_INTERVAL_S
 
     def build_beat(self, believed_down: bool) -> peer_pb2.Beat:
-        """Returns what is told with each question."""
+        """Returns the heartbeat message that is sent with each probe."""
         me = self.fleet.me
         return peer_pb2.Beat(
             sender=me.member.name,
@@ -191,11 +201,11 @@
         )
 
     def digest(self) -> int:
-        """Returns what two entries that know the same have in common."""
+        """Returns a digest that is equal on entries with the same state."""
         return self.fleet.digest() ^ self.shared_state.digest()
 
     async def serve_beat(self, call: peer_pb2.Call) -> peer_pb2.Reply:
-        """Answers an entry that asks."""
+        """Answers a heartbeat."""
         self.shared_state.history.note(call.beat.store_era, "peer")
         if call.beat.believed_down:
             me = self.fleet.me
@@ -203,17 +213,17 @@
         return peer_pb2.Reply(beat=self.build_beat(believed_down=False))
 
     def report_down(self, name: str, reason: str) -> bool:
-        """Tells everybody that an entry does not answer, if that is new."""
+        """Broadcasts that an entry is down; returns whether that was new."""
         state = self.fleet.record_down(name, reason)
         if state is None:
             return False
         self.broadcast(StateUpdate(members=[state]))
         return True
 
-    # What changed.
+    # Broadcast of updates.
 
     def broadcast_changes(self) -> None:
-        """Tells everybody what changed here since the last round."""
+        """Broadcasts local changes since the last round."""
         self.refresh_own_state()
         rollouts = self.shared_state.rollouts
         stopped = sorted(rollouts.stopped)
@@ -231,17 +241,17 @@
             self.broadcast(current)
 
     def broadcast(self, update: StateUpdate) -> None:
-        """Begins to tell everybody; some may not answer for a while."""
+        """Starts a broadcast without waiting for slow peers."""
         rumors = peer_pb2.Rumors(text=encode(update).encode())
         self.broadcaster.start_sending(
             peer_pb2.Spread(rumors=rumors), self.fleet.ring()
         )
 
     def schedule_quarantine_broadcast(self) -> None:
-        """Begins to tell everybody of workers that ended, in a moment.
+        """Schedules a broadcast of worker crashes.
 
-        All answers of a worker that ends break off within some ms: they are
-        told of together.
+        When a worker crashes, all its answers break off within a few ms, so
+        they are batched into one broadcast.
         """
         if self.quarantine_timer is None:
             loop = asyncio.get_running_loop()
@@ -250,47 +260,52 @@
             )
 
     def broadcast_quarantine(self) -> None:
-        """Begins to tell everybody of the workers that ended by now."""
+        """Starts a broadcast of the worker crashes recorded so far."""
         self.quarantine_timer = None
         untold = self.shared_state.quarantine.take_untold()
         self.broadcast(StateUpdate(quarantine=untold))
 
     def broadcast_limit(self, limit: RateLimit) -> None:
-        """Begins to tell everybody how much a worker takes."""
+        """Starts a broadcast of a rate limit that a worker announced."""
         self.broadcast(StateUpdate(limits=[limit]))
 
     def broadcast_leaving(self, incarnation: str) -> None:
-        """Begins to tell everybody that a worker leaves."""
+        """Starts a broadcast that a worker incarnation is leaving."""
         self.broadcast(StateUpdate(leaving=[incarnation]))
 
     def receive_rumors(self, rumors: peer_pb2.Rumors) -> None:
-        """Takes in what another entry tells all."""
+        """Applies an update that another entry sent.
+
+        Raises:
+          UnreadableError: The update can't be decoded.
+        """
         self.apply_update(decode(StateUpdate, rumors.text))
 
     def apply_update(self, update: StateUpdate) -> None:
-        """Takes in what another entry tells."""
+        """Applies an update from another entry."""
         self.fleet.apply_states(update.members)
         self.shared_state.apply_update(update)
 
-    # What was missed.
+    # Anti-entropy.
 
     async def probe_distant_entry(self) -> None:
-        """Asks one of a few entries all over the ring for its digest.
+        """Compares digests with one of a few entries spread over the ring.
 
-        An entry misses news together with those that stand near it; these
-        stand apart, and connections to them are open anyway.
+        Neighbours on the ring tend to miss the same updates. The heads of the
+        broadcast segments are far apart, and connections to them are open
+        anyway.
         """
         firsts = [part[0] for part in split_segment(self.fleet.ring())]
         turn, rest = divmod(self.round_count, ROUNDS_PER_DISTANT_PROBE)
         if rest or not firsts:
             return
         state = self.fleet.peers[firsts[turn % len(firsts)].name]
-        # One that does not answer is for those to find that stand before it.
+        # Entries that do not answer are detected by their predecessors.
         with contextlib.suppress(PeerRefusedError, PeerUnavailableError):
             await self.exchange_heartbeat(state)
 
     async def compare(self, peer: Member) -> None:
-        """Makes two entries know the same."""
+        """Exchanges the states that either this entry or a peer lacks."""
         known = KnownStates(
             {
                 state.member.name: state.order
@@ -302,7 +317,11 @@
             reply = await self.links.to(peer).call(call, COMPARE_TIMEOUT_S)
             compared = unpack(StateDiff, reply.summary.packed)
         except (PeerUnavailableError, UnreadableError) as error:
-            log.info("Not compared.", entry=peer.name, error=str(error))
+            log.info(
+                "Comparison with peer failed.",
+                entry=peer.name,
+                error=str(error),
+            )
             return
         self.apply_update(compared.news)
         members = [
@@ -320,7 +339,11 @@
             await self.send_update(peer, self.shared_state.full_update(members))
 
     async def serve_summary(self, call: peer_pb2.Call) -> peer_pb2.Reply:
-        """Answers with what the asker lacks, and names what it knows better."""
+        """Returns the states that the caller lacks and those it should send.
+
+        Raises:
+          UnreadableError: The summary can't be unpacked.
+        """
         known = unpack(KnownStates, call.summary.packed).orders
         mine = {state.member.name: state for state in self.fleet.all_states()}
         lacking = [
@@ -337,18 +360,19 @@
         return peer_pb2.Reply(summary=peer_pb2.Comparison(packed=packed))
 
     async def send_update(self, peer: Member, update: StateUpdate) -> None:
-        """Tells one entry, which does not pass it on."""
+        """Sends an update to one entry, which does not forward it."""
         rumors = peer_pb2.Rumors(text=encode(update).encode())
         call = peer_pb2.Call(spread=peer_pb2.Spread(rumors=rumors))
         try:
             await self.links.to(peer).call(call, COMPARE_TIMEOUT_S)
         except PeerUnavailableError as error:
-            log.info("Peer is silent.", entry=peer.name, error=str(error))
+            log.info("Peer did not answer.", entry=peer.name, error=str(error))
 
     async def join(self) -> None:
-        """Asks the seeds until another entry is known to live.
+        """Contacts the seeds until another live entry is known.
 
-        One answer names all others; further ones would only delay a start.
+        One answer names all other entries; further calls would only delay the
+        start.
         """
         me = self.fleet.me.member
         for seed in self.seeds:
@@ -357,10 +381,10 @@
             if (seed.host, seed.port) != (me.peer_host, me.peer_port):
                 await self.compare(seed_member(seed))
 
-    # What was seen.
+    # Evidence for roll-outs.
 
     async def report_evidence(self) -> None:
-        """Reports evidence on new versions to the entry that drives."""
+        """Sends evidence on new versions to the driver of roll-outs."""
         evidence = self.shared_state.rollouts.evidence(
             self.fleet.me.member.incarnation
         )
@@ -378,22 +402,30 @@
         self.reported = evidence
 
     async def serve_report(self, call: peer_pb2.Call) -> peer_pb2.Reply:
-        """Takes in an entry's evidence."""
+        """Records the evidence that an entry sent.
+
+        Raises:
+          UnreadableError: The evidence can't be decoded.
+        """
         evidence = decode(Evidence, call.report.text)
         self.shared_state.rollouts.seen.take(evidence)
         return peer_pb2.Reply(report=peer_pb2.EvidenceReport())
 
-    # What watchers read.
+    # Pages that watchers read from the store.
 
     def broadcast_store_news(self, update: TableNews) -> None:
-        """Begins to tell everybody of an answer of a feed."""
+        """Starts a broadcast of a page that this watcher read."""
         message = peer_pb2.StoreNews(packed=pack_news(update))
         self.broadcaster.start_sending(
             peer_pb2.Spread(store_news=message), self.fleet.ring()
         )
 
     def receive_store_news(self, message: peer_pb2.StoreNews) -> None:
-        """Takes in what a watcher read."""
+        """Passes a page that a watcher read to the table's follower.
+
+        Raises:
+          UnreadableError: The page can't be unpacked.
+        """
         update = unpack(TableNews, message.packed)
         follower = self.followers.get(update.table)
         if follower is not None:
@@ -401,7 +433,7 @@
 
 
 def seed_member(seed: Address) -> Member:
-    """Returns a stand-in for a peer of which only the address is known."""
+    """Returns a placeholder for a peer known only by its address."""
     return Member(
         name=str(seed),
         incarnation="",
