--- a/src/rattanpier/_internal/relay/updates.py
+++ b/src/rattanpier/_internal/relay/updates.py
@@ -1,4 +1,7 @@
-"""What entries tell each other of themselves and of what they saw."""
+"""Messages by which entries exchange state.
+
+Field names are on the wire and can't be changed.
+"""
 
 from __future__ import annotations
 
@@ -18,24 +21,26 @@
 
 @attrs.frozen
 class StateUpdate:
-    """What changed.
+    """State that changed, or that a peer may lack.
 
     Attributes:
       members: States of entries.
-      records: How far roll-outs went.
-      stopped: Orders whose version was found to be worse.
+      records: Progress of roll-outs.
+      stopped: Ids of roll-out orders whose version was found to be worse.
       held: Sessions that stay with the old version.
-      quarantine: Requests under which workers ended.
-      drained: Orders that keep failure domains empty.
-      limits: How much workers say that they take.
-      leaving: Incarnations of workers that said that they leave.
-      departed: Starts of workers that are gone, though the store's table
-        shows them since it came back from an older copy.
-      orders: Roll-out orders that the store lacks since it came back from an
-        older copy.
-      table_version: Of the route table in force, told for a while after the
-        store came back from an older copy, which may hold an older one.
-      restored: Era in which the system's own rows stand again, 0: none.
+      quarantine: Requests under which workers crashed.
+      drained: Orders that keep failure domains drained.
+      limits: Rate limits that workers announced.
+      leaving: Incarnations of workers that announced that they leave.
+      departed: Incarnations of deregistered workers that the store's table
+        still lists because the store was restored from a backup.
+      orders: Roll-out orders that the store lacks because it was restored
+        from a backup.
+      table_version: Version of the route table in force, or -1. Sent for a
+        while after the store was restored from a backup, which may hold an
+        older table.
+      restored: Era of the store in which the system's own rows were written
+        again, or 0 if there is none.
     """
 
     members: list[EntryState] = attrs.Factory(list)
@@ -54,10 +59,10 @@
 
 @attrs.frozen
 class KnownStates:
-    """Which state of each entry is known.
+    """Versions of the entry states that an entry knows.
 
     Attributes:
-      orders: What tells an entry's newer state from an older one, by name.
+      orders: Sort key of each entry's state, by name; the larger is the newer.
     """
 
     orders: dict[str, tuple[float, int, bool]]
@@ -65,11 +70,11 @@
 
 @attrs.frozen
 class StateDiff:
-    """One entry's knowledge against another's.
+    """Result of comparing the state of two entries.
 
     Attributes:
-      news: What the other lacks.
-      wanted: Names of entries of which the other knows more.
+      news: State that the other entry lacks.
+      wanted: Names of entries whose newer state the other entry has.
     """
 
     news: StateUpdate
