--- a/src/rattanpier/_internal/relay/shared_state.py
+++ b/src/rattanpier/_internal/relay/shared_state.py
@@ -1,4 +1,4 @@
-"""What entries know in common beside each other's states."""
+"""State that entries share, other than the states of entries."""
 
 from __future__ import annotations
 
@@ -18,19 +18,19 @@
 
 @attrs.define(eq=False, repr=False)
 class SharedState:
-    """What is told to others, and heard from them.
+    """The parts of an entry's state that are exchanged with peers.
 
     Attributes:
-      rollouts: How far roll-outs went.
-      quarantine: Requests under which workers ended.
-      domains: Failure domains that get nothing new.
-      limits: How much workers say that they take.
-      directory: Workers that said that they leave, or are gone.
-      history: Which era of the store is the newest one.
+      rollouts: Progress of roll-outs.
+      quarantine: Requests under which workers crashed.
+      domains: Failure domains that are drained.
+      limits: Rate limits that workers announced.
+      directory: Registered workers, and those that leave or deregistered.
+      history: Tracks the newest era of the store.
       table_version: Returns the version of the route table in force.
-      peer_table_version: The newest one that others told of.
-      on_deregistered: Called with the id of each worker that others know to
-        be gone.
+      peer_table_version: Newest table version that a peer announced, or -1.
+      on_deregistered: Called with the id of each worker that peers know to be
+        deregistered.
     """
 
     rollouts: Rollouts
@@ -44,14 +44,14 @@
     on_deregistered: Callable[[str], None] = lambda _worker: None
 
     def digest(self) -> int:
-        """Returns what two entries that know the same have in common."""
+        """Returns a digest that is equal on entries with the same state."""
         known = self.quarantine.digest() ^ self.domains.digest()
         known ^= self.directory.departures.digest()
         known ^= self.rollouts.known_orders.digest()
         return known ^ self.limits.digest() ^ self.directory.leaving_digest()
 
     def apply_update(self, update: StateUpdate) -> None:
-        """Takes in what another entry tells, but for entries' states."""
+        """Applies an update from a peer, except for the states of entries."""
         self.history.note_restored(update.restored)
         self.peer_table_version = max(
             self.peer_table_version, update.table_version
@@ -70,7 +70,11 @@
             self.on_deregistered(worker)
 
     def full_update(self, members: list[EntryState]) -> StateUpdate:
-        """Returns all that is told, with the states of some entries."""
+        """Returns an update with all shared state.
+
+        Args:
+          members: States of entries to include.
+        """
         return StateUpdate(
             members=members,
             records=list(self.rollouts.records.values()),
@@ -86,11 +90,11 @@
         )
 
     def has_older_table(self) -> bool:
-        """Says whether others have a newer route table in force."""
+        """Returns whether a peer announced a newer route table."""
         return self.table_version() < self.peer_table_version
 
     def has_unsummarized_state(self) -> bool:
-        """Says whether a peer may lack something that summaries don't name."""
+        """Returns whether there is state that summaries do not cover."""
         held = self.quarantine.ends or self.quarantine.cleared
         said = self.limits.words or self.directory.known_to_leave()
         disputed = self.directory.departures.held_back
