--- a/src/rattanpier/_internal/relay/snapshots.py
+++ b/src/rattanpier/_internal/relay/snapshots.py
@@ -1,7 +1,7 @@
-"""What peers know stands in for the store.
+"""Snapshots of a peer's state, used while the store is unreachable.
 
-An entry that does not reach the store, after a start in an outage or since the
-store turns its VM away, takes the beliefs of a peer.
+An entry that can't reach the store, because it started during an outage or
+because the store refuses its VM, loads the state of a peer.
 """
 
 from __future__ import annotations
@@ -32,26 +32,28 @@
 
 log = structlog.get_logger(part="fleet")
 
-SNAPSHOT_TIMEOUT_S = 2.0  # Tables of many routes over a slow link.
+# Allows for tables of many routes over a slow link.
+SNAPSHOT_TIMEOUT_S = 2.0
 MIN_REQUEST_INTERVAL_S = 1.0
-MAX_PEERS_ASKED = 2  # Peers, one after the other, until one answers.
+MAX_PEERS_ASKED = 2  # Asked one after the other, until one answers.
 
 
 @attrs.frozen
 class Snapshot:
-    """All that an entry needs to serve.
+    """All state that an entry needs to serve requests.
+
+    Field names are on the wire and can't be changed.
 
     Attributes:
-      packed_table: The route table, packed, since it may be long; empty if the
+      packed_table: Route table, packed because it may be long; empty if the
         sender has none.
-      table_version: Its version.
+      table_version: Version of the route table.
       workers: Registered workers.
       orders: Roll-out orders.
-      records: How far they went.
-      domain_orders: Failure domains that get nothing new, and those that do
-        again.
-      from_store: The sender reaches the store now.
-      as_of: Revision of the store as of which the workers are.
+      records: Progress of the roll-outs.
+      domain_orders: Orders that drain failure domains or end a drain.
+      from_store: Whether the sender can reach the store now.
+      as_of: Revision of the store at which the workers were read.
     """
 
     packed_table: bytes
@@ -64,10 +66,10 @@
     as_of: Revision = Revision()
 
     def table(self) -> RouteTable | None:
-        """Returns the route table.
+        """Returns the route table, or None if the sender had none.
 
         Raises:
-          UnreadableError: The bytes do not fit.
+          UnreadableError: The table can't be unpacked.
         """
         if not self.packed_table:
             return None
@@ -76,13 +78,16 @@
 
 @attrs.define(eq=False, repr=False)
 class Snapshots:
-    """Gives this entry's beliefs to peers, and takes theirs.
+    """Serves snapshots to peers and requests them when needed.
 
     Attributes:
-      needed: Whether this entry lacks what the store would tell.
-      build: Returns this entry's beliefs.
-      restore: Takes a peer's beliefs.
-      requested_at: When peers were asked last, in monotonic seconds.
+      fleet: Known states of all entries.
+      links: Connections to the peers.
+      clock: Source of monotonic time.
+      needed: Returns whether this entry lacks state from the store.
+      build: Returns a snapshot of this entry's state.
+      restore: Loads a peer's snapshot.
+      requested_at: Monotonic time of the last request, in seconds.
     """
 
     fleet: Fleet
@@ -94,12 +99,12 @@
     requested_at: float = float("-inf")
 
     async def serve(self, call: peer_pb2.Call) -> peer_pb2.Reply:
-        """Answers with this entry's state."""
+        """Answers with a snapshot of this entry's state."""
         packed = pack(self.build())
         return peer_pb2.Reply(snapshot=peer_pb2.SnapshotReply(packed=packed))
 
     async def request_if_needed(self) -> None:
-        """Takes the beliefs of a peer that has what this entry lacks."""
+        """Loads a peer's snapshot if this entry lacks state from the store."""
         since_s = self.clock.monotonic() - self.requested_at
         if not self.needed() or since_s < MIN_REQUEST_INTERVAL_S:
             return
@@ -116,7 +121,7 @@
                 self.restore(unpack(Snapshot, reply.snapshot.packed))
             except (PeerUnavailableError, UnreadableError) as error:
                 log.info(
-                    "No snapshot from a peer.",
+                    "Snapshot request to peer failed.",
                     entry=state.member.name,
                     error=str(error),
                 )
@@ -124,10 +129,11 @@
             return
 
     def candidate_peers(self) -> list[EntryState]:
-        """Returns the peers to ask, those that serve callers first.
+        """Returns the peers to ask; those that serve callers come first.
 
-        Entries that start together ask different ones. While all start, and
-        the store answers, none can tell more than the store.
+        The order is random, so that entries that start together ask different
+        peers. If the store is reachable, only peers that serve callers are
+        asked: while all entries start, none knows more than the store.
         """
         candidates = [
             state for state in self.fleet.live() if state != self.fleet.me
