--- a/src/rattanpier/_internal/relay/fleet.py
+++ b/src/rattanpier/_internal/relay/fleet.py
@@ -1,9 +1,9 @@
-"""The entries that belong to the system, as one of them knows them.
+"""One entry's view of the fleet of entries.
 
-Each entry has a state with a number that it raises when the state changes. The
-newest number counts, and "down" counts over the same number: an entry that
-hears itself called down raises its number. Nothing here is agreed on: what
-must be is in the store.
+Each entry raises the sequence number of its state with every change. The
+highest number wins, and at the same number "down" wins; an entry that learns
+that it is considered down refutes this by raising its number. The view is
+eventually consistent; whatever needs agreement is kept in the store.
 """
 
 from __future__ import annotations
@@ -23,24 +23,23 @@
 
 T = TypeVar("T")
 
-LIVE_PROBE_TARGETS = (
-    2  # Entries that each one asks: two losses in a row are noticed.
-)
-RECENT_LOSS_S = 3.0  # Two timeouts, and the time until all are told.
-MAX_EXTRA_PROBE_TARGETS = 8  # What an entry asks in a round has a bound.
-CLOCK_STEP_S = 0.001  # Any step will do to count as the newer start.
-FORGET_DOWN_AFTER_S = 60.0  # An entry that was down so long is dropped.
+# With two targets, the loss of two adjacent entries is still detected.
+LIVE_PROBE_TARGETS = 2
+RECENT_LOSS_S = 3.0  # Two timeouts plus the time of a broadcast.
+MAX_EXTRA_PROBE_TARGETS = 8  # Bounds the probes of an entry in a round.
+CLOCK_STEP_S = 0.001  # Any positive step makes the start the newer one.
+FORGET_DOWN_AFTER_S = 60.0  # Entries that were down for this long are dropped.
 
 
-# Of a line that tells of several entries; a whole fleet may start at once.
+# Per log line; a whole fleet may start at once.
 MAX_LOGGED_ENTRIES = 8
 
 
 def ring_position(member: Member) -> str:
-    """Returns where an entry stands in the ring of all.
+    """Returns the sort key of an entry on the ring.
 
-    Entries of one failure domain stand together, so that what is passed on
-    along the ring seldom crosses domains, which is paid for.
+    Entries of a failure domain are adjacent, so that messages forwarded along
+    the ring seldom cross domains; traffic between domains is billed.
     """
     return f"{member.domain}/{member.name}"
 
@@ -49,13 +48,15 @@
 class EntryState:
     """The state of one entry.
 
+    Field names are on the wire and in the store, and can't be changed.
+
     Attributes:
-      member: Its addresses and incarnation.
-      started: Wall time of its start; the newest incarnation counts.
+      member: Addresses and incarnation of the entry.
+      started: Wall time of the start in seconds; the newest incarnation wins.
       sequence: Raised with each change of the state.
-      ready: It serves callers.
-      store: It reaches the store.
-      down: It does not answer.
+      ready: Whether the entry serves callers.
+      store: Whether the entry can reach the store.
+      down: Whether the entry does not answer.
     """
 
     member: Member
@@ -67,30 +68,31 @@
 
     @property
     def order(self) -> tuple[float, int, bool]:
-        """The larger of two is the newer."""
+        """Sort key of the state; the larger of two is the newer."""
         return self.started, self.sequence, self.down
 
     @property
     def listed(self) -> bool:
-        """Whether callers may be sent there."""
+        """Whether the entry may be offered to callers."""
         live = self.member.state is MemberState.LIVE
         return self.ready and live and not self.down
 
 
 @attrs.define(eq=False, repr=False)
 class Fleet:
-    """The entries as this one knows them.
+    """The states of all entries, as known to this entry.
 
     Attributes:
-      me: This entry.
-      peers: The newest state of each other, by name.
-      down_since: When each was found to be down, in monotonic seconds.
-      cache: What follows from the states, by name, until one changes: it is
-        asked for many times a second.
-      roster_version: Raised when an entry becomes known, or is forgotten.
-      unlogged_changes: Names of others that changed since that was last logged.
-      positions: Of the others that live, in order.
-      names_by_position: Names of the others that live, by place.
+      me: State of this entry.
+      clock: Source of monotonic time.
+      peers: Newest known state of each other entry, by name.
+      down_since: Monotonic time at which each peer was found down, in seconds.
+      cache: Values derived from the states, by name; cleared when a state
+        changes. They are read many times a second.
+      roster_version: Raised when an entry becomes known or is forgotten.
+      unlogged_changes: Names of peers that changed since the last log line.
+      positions: Sorted ring positions of the live peers.
+      names_by_position: Names of the live peers, by ring position.
     """
 
     me: EntryState
@@ -104,18 +106,18 @@
     names_by_position: dict[str, str] = attrs.Factory(dict)
 
     def cached(self, name: str, make: Callable[[], T]) -> T:
-        """Returns what follows from the states, made anew once one changed."""
+        """Returns a derived value, recomputed after a state changed."""
         if name not in self.cache:
             self.cache[name] = make()
         return self.cache[name]
 
     def set_own_state(self, state: EntryState) -> None:
-        """Sets this entry's state."""
+        """Replaces this entry's state."""
         self.me = state
         self.cache.clear()
 
     def update_own_state(self, **fields: object) -> bool:
-        """Sets this entry's state; says whether it changed."""
+        """Updates fields of this entry's state; returns whether it changed."""
         updated = attrs.evolve(self.me, **fields)
         if updated == self.me:
             return False
@@ -123,7 +125,7 @@
         return True
 
     def apply_state(self, state: EntryState) -> bool:
-        """Takes in a state; says whether it was new here."""
+        """Applies a received state; returns whether it was news."""
         name = state.member.name
         if name == self.me.member.name:
             return self.refute(state)
@@ -142,10 +144,10 @@
         return True
 
     def log_changes(self) -> None:
-        """Logs which others changed since the last call, in one line.
+        """Logs in one line which peers changed since the last call.
 
-        All entries may start, or lose the store, within a second: a line for
-        each change of each was 72,737 lines in two seconds of 195 entries.
+        All entries may start, or lose the store, within a second. One line per
+        change amounted to 72,737 lines in two seconds with 195 entries.
         """
         changed, self.unlogged_changes = self.unlogged_changes, set()
         if not changed:
@@ -161,21 +163,21 @@
         )
 
     def refute(self, state: EntryState) -> bool:
-        """Answers a claim that this entry is down; says whether it had to."""
+        """Refutes a report that this entry is down; returns whether needed."""
         same = state.member.incarnation == self.me.member.incarnation
         if not same and state.started >= self.me.started:
-            # The wall clock went back between two starts of this entry.
+            # The wall clock was set back between two starts of this entry.
             newer = state.started + CLOCK_STEP_S
             self.set_own_state(attrs.evolve(self.me, started=newer))
             return True
         if not (same and state.down and state.sequence >= self.me.sequence):
             return False
         self.set_own_state(attrs.evolve(self.me, sequence=state.sequence + 1))
-        log.info("Called down, and is not.", sequence=self.me.sequence)
+        log.info("Refuted a report of being down.", sequence=self.me.sequence)
         return True
 
     def record_down(self, name: str, reason: str) -> EntryState | None:
-        """Takes in that an entry does not answer; returns what is new."""
+        """Records that an entry is down; returns its state if that is new."""
         known = self.peers.get(name)
         if known is None or known.down:
             return None
@@ -185,7 +187,7 @@
         return state
 
     def forget_down(self) -> None:
-        """Drops entries that were down for long."""
+        """Drops entries that were down for `FORGET_DOWN_AFTER_S`."""
         now = self.clock.monotonic()
         for name, since in list(self.down_since.items()):
             if now - since > FORGET_DOWN_AFTER_S:
@@ -196,24 +198,28 @@
                 log.info("Entry forgotten.", entry=name)
 
     def live(self) -> list[EntryState]:
-        """Returns the entries that are not down, this one too."""
+        """Returns the entries that are not down, including this one."""
         return self.cached("live", self.find_live)
 
     def is_live(self, name: str) -> bool:
-        """Says whether another entry is known and not down."""
+        """Returns whether a peer is known and not down."""
         state = self.peers.get(name)
         return state is not None and not state.down
 
     def find_live(self) -> list[EntryState]:
-        """Finds the entries that are not down."""
+        """Computes `live`."""
         peers = (state for state in self.peers.values() if not state.down)
         return [self.me, *peers]
 
     def preferred(self, duty: str, count: int) -> list[str]:
-        """Returns the names of the entries that have a duty.
+        """Returns the names of the entries assigned to a duty.
+
+        Entries with the same view get the same result, by rendezvous hashing
+        over the entries that reach the store or, if none does, all live ones.
 
-        All entries that know the same find the same: those that reach the
-        store or, while none does, any that live.
+        Args:
+          duty: Name of the duty.
+          count: Maximum number of names to return.
         """
 
         def rank() -> list[str]:
@@ -225,15 +231,15 @@
         return self.cached(f"preferred for {duty}", rank)[:count]
 
     def ring(self) -> list[Member]:
-        """Returns the others that live, by place, those behind this first."""
+        """Returns the live peers in ring order, starting after this entry."""
         start = self.count_up_to(ring_position(self.me.member))
         return self.members_at(self.positions[start:] + self.positions[:start])
 
     def segment_up_to(self, last: str) -> list[Member]:
-        """Returns the others that live behind this entry, up to a place.
+        """Returns the live peers after this entry, up to a ring position.
 
         Args:
-          last: The place where the run ends; empty for none.
+          last: Ring position where the segment ends; empty for no peers.
         """
         if not last:
             return []
@@ -244,18 +250,18 @@
         return self.members_at(self.positions[start:] + self.positions[:end])
 
     def count_up_to(self, position: str) -> int:
-        """Returns how many others that live stand up to a place."""
+        """Returns the number of live peers up to a ring position."""
         return bisect.bisect_right(self.positions, position)
 
     def members_at(self, positions: Iterable[str]) -> list[Member]:
-        """Returns the entries at some places."""
+        """Returns the entries at some ring positions."""
         return [
             self.peers[self.names_by_position[position]].member
             for position in positions
         ]
 
     def update_ring(self, state: EntryState) -> None:
-        """Puts an entry into the ring, or takes one out that is down."""
+        """Inserts a live entry into the ring, or removes one that is down."""
         name, position = state.member.name, ring_position(state.member)
         if state.down == (position not in self.names_by_position):
             return
@@ -267,22 +273,23 @@
             self.names_by_position[position] = name
 
     def entries(self) -> list[Member]:
-        """Returns the entries that callers may use."""
+        """Returns the entries that may be offered to callers."""
         return [state.member for state in self.live() if state.listed]
 
     def size(self) -> int:
-        """Returns how many entries there are, also those that are down."""
+        """Returns the number of known entries, including those down."""
         return len(self.peers) + 1
 
     def drivers(self) -> list[str]:
-        """Returns the entries that may drive roll-outs, the first one first.
+        """Returns the entries that may drive roll-outs, preferred one first.
 
-        By name, those that reach the store; none if none does.
+        These are the entries that reach the store, sorted by name; the list is
+        empty if none does.
         """
         return self.cached("drivers", self.find_drivers)
 
     def find_drivers(self) -> list[str]:
-        """Sorts the entries that may drive."""
+        """Computes `drivers`."""
         return sorted(
             state.member.name
             for state in self.live()
@@ -290,25 +297,26 @@
         )
 
     def driver(self) -> str:
-        """Returns the name of the entry that drives roll-outs now."""
+        """Returns the name of the driver of roll-outs, or "" if none."""
         return next(iter(self.drivers()), "")
 
     def drives(self, stand_ins: int = 0) -> bool:
-        """Says whether this entry is to drive roll-outs now.
+        """Returns whether this entry should drive roll-outs now.
 
         Args:
-          stand_ins: Entries behind the first one that may act as well.
+          stand_ins: Number of entries after the first that may drive as well.
         """
         return self.me.member.name in self.drivers()[: 1 + stand_ins]
 
     def probe_targets(self) -> list[EntryState]:
-        """Returns the entries that this one asks.
-
-        The next live ones in the order of names, and those before them that
-        are down: they may be back. Where both were lost lately as many more are
-        asked as were: a failure domain is lost at once, and its entries stand
-        side by side. Of 33 such that fall silent among 195 entries all others
-        know within 6 s; asking two at a time they knew half after 25 s.
+        """Returns the entries that this entry probes in a round.
+
+        These are the next live entries in the order of names, and any entries
+        before them that are down, since they may be back. If as many entries
+        as are usually probed were lost recently, one more is probed for each
+        of the lost: a failure domain fails at once, and its entries are
+        adjacent. If 33 adjacent entries of 195 stop answering, all others know
+        within 6 s; with two probes at a time they knew half after 25 s.
         """
         names = sorted(self.peers)
         me = self.me.member.name
@@ -329,11 +337,11 @@
         return targets
 
     def digest(self) -> int:
-        """Returns a number that tells this knowledge from another."""
+        """Returns a digest that is equal on entries with the same view."""
         return self.cached("digest", self.find_digest)
 
     def find_digest(self) -> int:
-        """Adds up all states, in any order."""
+        """Computes `digest`, independent of the order of the states."""
         total = 0
         for state in (self.me, *self.peers.values()):
             text = f"{state.member.name}/{state.order}"
@@ -341,16 +349,16 @@
         return total
 
     def all_states(self) -> list[EntryState]:
-        """Returns all that is known."""
+        """Returns the states of all known entries, including this one."""
         return [self.me, *self.peers.values()]
 
     def apply_states(self, states: Iterable[EntryState]) -> list[EntryState]:
-        """Takes in several states; returns those that were new here."""
+        """Applies several received states; returns those that were news."""
         return [each for each in states if self.apply_state(each)]
 
 
 def describe(state: EntryState) -> str:
-    """Returns an entry's state as a log line tells it."""
+    """Formats an entry's state for a log line."""
     flags_set = {
         "ready": state.ready,
         "store": state.store,
