--- a/src/rattanpier/_internal/relay/membership.py
+++ b/src/rattanpier/_internal/relay/membership.py
@@ -1,8 +1,8 @@
-"""Rows by which entries find each other.
+"""Discovery of other entries by rows in the store.
 
-An entry writes its row at its start and reads those of the others; from then
-on they talk directly. The row outlives the entry: one that is stale costs the
-others a call now and then.
+At its start an entry writes its row and reads those of the others; after that
+entries talk to each other directly. A row outlives its entry; a stale row
+costs the other entries an occasional call.
 """
 
 from __future__ import annotations
@@ -34,24 +34,28 @@
 
 log = structlog.get_logger(part="fleet")
 
-# Until the row is written; seeds lead to the others as well.
+# Between attempts to write or read rows. Entries are found by seeds as well.
 RETRY_DELAY_S = 1.0
-AVAILABILITY_POLL_S = 0.1  # Between looks at whether the store is back.
-# An entry that knows no other looks for them this often.
+AVAILABILITY_POLL_S = 0.1  # Between checks whether the store is back.
+# Between reads of the rows while no other entry is known.
 REREAD_INTERVAL_S = 5.0
 
 
 @attrs.define(eq=False, repr=False)
 class EntryRows:
-    """Writes this entry's row and reads the others'.
+    """Writes this entry's row and reads those of the others.
 
     Attributes:
-      own_table: Holds the rows.
-      available: Whether this entry reaches the store. Calls in an outage are
-        paid for, and all entries may start in one.
-      apply_held_row: Takes in the row of a held request, and the store's clock in
-        ms.
-      row_is_current: A row that leads others here row_is_current already.
+      store: Store that holds the rows.
+      own_table: Table that holds the rows.
+      fleet: Known states of all entries.
+      clock: Source of time for delays.
+      available: Returns whether this entry can reach the store. Calls during
+        an outage are billed, and all entries may start during one.
+      apply_held_row: Applies the row of a quarantined request; its second
+        argument is the store's clock in ms.
+      row_is_current: Whether the store already has a row with this entry's
+        addresses.
     """
 
     store: RelayStore
@@ -63,10 +67,11 @@
     row_is_current: bool = False
 
     async def run(self) -> None:
-        """Reads all rows and writes this entry's, if none leads here yet.
+        """Reads all rows and writes this entry's row unless it is current.
 
-        Then reads again while no other entry is known: of two that start at
-        once, one sees the other's row so, if neither saw any at first.
+        Then keeps reading while no other entry is known: if two entries start
+        at once and neither saw the other's row at first, one of them sees it
+        this way.
         """
         await self.retry_until_done(self.read_first)
         if not self.row_is_current:
@@ -81,18 +86,18 @@
     async def retry_until_done(
         self, step: Callable[[], Awaitable[bool]]
     ) -> None:
-        """Takes a step again and again until it worked."""
+        """Repeats a step until it succeeds, while the store is available."""
         await self.wait_for_store()
         while not await step():
             await self.clock.sleep(RETRY_DELAY_S)
             await self.wait_for_store()
 
     def is_alone(self) -> bool:
-        """Says whether no other entry is known to live."""
+        """Returns whether no other live entry is known."""
         return len(self.fleet.live()) == 1
 
     async def wait_for_store(self) -> None:
-        """Waits until those who follow the store were answered."""
+        """Waits until the followers of the store got an answer."""
         while not self.available():
             await self.clock.sleep(AVAILABILITY_POLL_S)
 
@@ -107,26 +112,26 @@
         return False
 
     def lost(self, page: Page) -> Iterator[LostRow]:
-        """Yields the rows that the table lacks, of entries that live."""
+        """Yields rows of live entries that are missing from the table."""
         present_keys = {row.key for row in page.rows}
         for state in self.fleet.live():
             if state.member.name not in present_keys:
                 yield LostRow(state.member.name, encode(state).encode())
 
     async def read_first(self) -> bool:
-        """Takes in what the start reads; says whether that worked."""
+        """Applies the page read at the start; returns whether it succeeded."""
         return await self.read_and_apply(self.own_table.first)
 
     async def read_again(self) -> bool:
-        """Reads all rows anew; says whether that worked."""
+        """Reads and applies all rows again; returns whether it succeeded."""
         return await self.read_and_apply(self.own_table.read)
 
     async def read_and_apply(self, read: Callable[[], Awaitable[Page]]) -> bool:
-        """Takes in what a reading shows; says whether it worked."""
+        """Reads and applies a page; returns whether the read succeeded."""
         try:
             page = await read()
         except StoreUnavailableError as error:
-            # The loss of the store is told once, where it is noticed.
+            # The outage itself is logged once, where it is detected.
             log.debug("Entries not read.", error=str(error))
             return False
         for row in rows_of(page, own_table.HELD):
@@ -136,12 +141,14 @@
         return True
 
     async def apply_row(self, row: FeedRow) -> None:
-        """Takes in the row of an entry; one that can't be read is removed."""
+        """Applies the row of an entry; removes it if it can't be decoded."""
         try:
             state = decode(EntryState, row.value)
         except UnreadableError as error:
             log.warning(
-                "Entry's row can't be read.", row=row.key, error=str(error)
+                "Entry row can't be decoded; removing it.",
+                row=row.key,
+                error=str(error),
             )
             check = RowCheck(own_table.TABLE, row.key)
             await self.store.transact([], [], [check])
@@ -151,10 +158,11 @@
         self.fleet.apply_state(state)
 
     def is_current(self, member: Member) -> bool:
-        """Says whether an earlier row of this entry's name leads here.
+        """Returns whether an earlier row of this entry is still valid.
 
-        Who goes by it asks this entry, which tells of its new start: it need
-        not be written anew at each.
+        A row is valid if it differs at most in the incarnation. Peers that use
+        it reach this entry and learn the new incarnation from it, so the row
+        need not be rewritten at each start.
         """
         me = self.fleet.me.member
         return attrs.evolve(member, incarnation=me.incarnation) == me
