--- a/src/rattanpier/_internal/relay/queue_watch.py
+++ b/src/rattanpier/_internal/relay/queue_watch.py
@@ -1,12 +1,12 @@
-"""How many requests wait at each model engine, read by a few entries for all.
-
-Load answered: many entries before many engines. Each hears from a given engine
-once in many seconds, so that prompts pile up at some while others are free. A
-few entries ask a part of the engines each, so that none spends more on it where
-there are more engines. One of them gathers what they find and tells all others
-which engines have requests waiting; one that is not named has none. It is a
-hint: what it tells fades within seconds, and without it entries weigh what they
-know themselves.
+"""Polls the queue lengths of model engines and shares them with all entries.
+
+Meant for many entries in front of many engines: each entry gets an answer from
+a given engine only once in many seconds, so that prompts pile up at some
+engines while others are free. A few entries poll a part of the engines each,
+so that the cost for an entry does not grow with the number of engines. One of
+them merges the results and sends all entries the engines with waiting
+requests; an engine that is not listed has none. The result is a hint: it loses
+its weight within seconds, and without it entries use only their own reports.
 """
 
 from __future__ import annotations
@@ -29,25 +29,27 @@
 
 log = structlog.get_logger(part="queues")
 
-# A prompt for a large model is read in about that time.
+# About the time that an engine takes to read a prompt for a large model.
 POLL_INTERVAL_S = 0.5
-POLL_TIMEOUT_S = 0.4  # Engines answer within some ms.
-FRESH_REPORT_S = 0.5  # What an answer told so lately need not be asked for.
-REPORT_LAG_S = 0.1  # Reports are as of about that long ago.
-# Of one entry's part: asking so many takes it about a hundredth of a core.
+POLL_TIMEOUT_S = 0.4  # Engines answer within a few ms.
+FRESH_REPORT_S = 0.5  # Reports up to this age are used instead of a poll.
+REPORT_LAG_S = 0.1  # Typical age of a report when it is applied.
+# Polling this many engines takes an entry about a hundredth of a core.
 MAX_ENGINES_PER_READER = 16
-# A part that was not heard again by then tells nothing any more.
+# A part that was not updated for this long is ignored.
 PART_TTL_S = 1.5
 
 
 @attrs.frozen
 class QueueUpdate:
-    """Which workers have requests waiting.
+    """Queue lengths of workers.
+
+    Field names are on the wire and can't be changed.
 
     Attributes:
-      asked: How many answered; with none nothing is known.
-      waiting: Requests by worker; workers that are not named have none.
-      part: Number of the part that was asked.
+      asked: Number of workers that answered; if 0, nothing is known.
+      waiting: Waiting requests by worker id; workers not listed have none.
+      part: Index of the part that was polled.
     """
 
     asked: int
@@ -57,19 +59,25 @@
 
 @attrs.define(eq=False, repr=False)
 class QueueWatch:
-    """Asks engines, tells the others, and takes in what is told.
+    """Polls engines, publishes their queue lengths and applies received ones.
 
     Attributes:
-      notify_all: Tells all others what may be lost on the way.
-      notify_one: Tells one entry, by its name.
+      fleet: Known states of all entries.
+      directory: Registered workers.
+      loads: Known loads of workers.
+      notify_all: Sends a message to all peers, without acknowledgement.
+      notify_one: Sends a message to the entry of a name, without
+        acknowledgement.
+      clock: Source of monotonic time.
       engines: Returns the services whose workers are model engines.
-      read: Asks one worker within some seconds; None if it does not answer.
-      on_restart: Told of a worker that says it started anew, before its new
-        registration came.
-      open_workers: Returns the workers that may be asked.
-      in_backoff: Says whether a worker wants no questions from this entry now.
-      reported_starts: What workers said of their start, by id.
-      parts: What was found of each part, and when, in monotonic seconds.
+      read: Fetches the load of a worker within a timeout in seconds; returns
+        None if the worker does not answer.
+      on_restart: Called with the id of a worker that reports a new start
+        before its new registration arrives.
+      open_workers: Returns those workers that may be polled.
+      in_backoff: Returns whether a worker asked this entry not to call it now.
+      reported_starts: Start that each worker last reported, by worker id.
+      parts: Monotonic time in seconds and result of the last poll, by part.
     """
 
     fleet: Fleet
@@ -89,16 +97,16 @@
     parts: dict[int, tuple[float, QueueUpdate]] = attrs.Factory(dict)
 
     async def run(self) -> None:
-        """Asks again and again while a part falls to this entry."""
+        """Runs rounds until cancelled."""
         while True:
             await self.clock.sleep(POLL_INTERVAL_S)
             await self.round()
 
     async def round(self) -> None:
-        """Asks this entry's part of the engines once, and tells what it found.
+        """Polls this entry's part of the engines once and sends the result.
 
-        All entries that know the same find the same parts. Where they differ
-        an engine is asked twice, or its part is not heard of for a moment.
+        Entries with the same view compute the same parts. While views differ,
+        an engine may be polled twice, or its part may be missing for a moment.
         """
         engines = self.open_engines()
         readers = self.readers(len(engines))
@@ -116,7 +124,7 @@
         self.notify_one(peer_pb2.Spread(queue_part=message), readers[0])
 
     def open_engines(self) -> list[RegisteredWorker]:
-        """Returns the engines that may be asked, in the order of their ids."""
+        """Returns the engines that may be polled, sorted by id."""
         engines = (
             worker
             for service in self.engines()
@@ -125,14 +133,18 @@
         return sorted(engines, key=lambda worker: worker.id)
 
     def readers(self, engines: int) -> list[str]:
-        """Returns the names of the entries that ask; the first one tells."""
+        """Returns the names of the polling entries; the first one publishes.
+
+        Args:
+          engines: Number of engines to poll.
+        """
         count = max(1, math.ceil(engines / MAX_ENGINES_PER_READER))
         return self.fleet.preferred("queues", count)
 
     async def poll(
         self, workers: Sequence[RegisteredWorker], part: int
     ) -> QueueUpdate:
-        """Asks some engines and returns which have requests waiting."""
+        """Polls some engines and returns their queue lengths."""
         reports = await asyncio.gather(*map(self.fetch_report, workers))
         waiting = {
             worker.id: report.waiting
@@ -143,15 +155,19 @@
         return QueueUpdate(answered, waiting, part)
 
     def record_part(self, update: QueueUpdate) -> None:
-        """Keeps what was found of a part."""
+        """Stores the result of polling a part."""
         self.parts[update.part] = (self.clock.monotonic(), update)
 
     def receive_part(self, message: peer_pb2.QueueNews) -> None:
-        """Keeps what another entry found of its part."""
+        """Stores the result of a part that another entry polled.
+
+        Raises:
+          UnreadableError: The message can't be unpacked.
+        """
         self.record_part(unpack(QueueUpdate, message.packed))
 
     def publish(self) -> None:
-        """Tells everybody what was found of all parts."""
+        """Merges the recent results of all parts and sends them to all peers."""
         oldest = self.clock.monotonic() - PART_TTL_S
         asked = 0
         waiting: dict[str, int] = {}
@@ -167,7 +183,7 @@
     async def fetch_report(
         self, worker: RegisteredWorker
     ) -> ReportedLoad | None:
-        """Returns a worker's load, from its last answer if that is new."""
+        """Returns a worker's load, from its last report if that is fresh."""
         load = self.loads.workers[worker.id]
         if self.clock.monotonic() - load.report_at < FRESH_REPORT_S:
             return load.report
@@ -179,12 +195,12 @@
         return report
 
     def record_start(self, worker: RegisteredWorker, born: int) -> None:
-        """Takes in when a worker says that it started."""
+        """Records the start that a worker reported, and detects restarts."""
         known = self.reported_starts.get(worker.id, worker.born)
         self.reported_starts[worker.id] = born
         if known is not None and known != born:
             log.info(
-                "Worker says it started again.",
+                "Worker reported a restart.",
                 worker=worker.id,
                 born=born,
                 before=known,
@@ -192,11 +208,15 @@
             self.on_restart(worker.id)
 
     def receive_update(self, message: peer_pb2.QueueNews) -> None:
-        """Takes in what another entry tells."""
+        """Applies the queue lengths that another entry published.
+
+        Raises:
+          UnreadableError: The message can't be unpacked.
+        """
         self.apply_update(unpack(QueueUpdate, message.packed))
 
     def apply_update(self, update: QueueUpdate) -> None:
-        """Takes in which workers have requests waiting."""
+        """Applies queue lengths to the known loads of all engines."""
         if not update.asked:
             return
         at = self.clock.monotonic() - REPORT_LAG_S
