--- a/src/rattanpier/_internal/relay/prompt_updates.py
+++ b/src/rattanpier/_internal/relay/prompt_updates.py
@@ -1,11 +1,11 @@
-"""Which long prompts are on their way to model engines, told between entries.
-
-Load answered: many entries before few engines. A worker reads prompts one
-after another, and a prompt that another entry sent there a moment ago is in no
-report yet. Each entry tells the others of the long prompts that it sends. It
-is a hint: what is told counts for as long as the reading likely takes, and may
-be lost. Without it sends for a larger model often take much longer than was
-foreseen.
+"""Shares between entries which long prompts were sent to model engines.
+
+Meant for many entries in front of few engines. A worker reads prompts one
+after another, and its reports do not yet include a prompt that another entry
+sent a moment ago, so each entry notifies its peers of the long prompts that it
+sends. The notice is a hint: it counts for the estimated reading time and may be
+lost. Without it, requests for a larger model often take much longer than
+predicted.
 """
 
 from __future__ import annotations
@@ -26,30 +26,34 @@
 from rattanpier._internal.utils.hashing import short_hash
 from rattanpier._internal.utils.samples import FadingSum
 
-# Shorter reading holds up nobody by what callers notice, and is most of all
-# prompts: those for the smallest model and those that are kept in memory.
+# Prompts that are read faster cause no delay that callers notice. They are the
+# majority: prompts for the smallest model and prompts that are cached.
 MIN_PUBLISHED_READ_S = 0.1
-# What an entry hears in a second at most, on average; where the fleet sends
-# more long prompts, some are not told of, whatever its size.
+# Maximum average rate of notices that an entry receives, at any fleet size. If
+# the fleet sends more long prompts, only a sample of them is published.
 MAX_RECEIVED_PER_S = 200.0
-RATE_HALF_LIFE_S = 5.0  # Of the count of own prompts.
-# Taken where fewer were sent: after a start the count says little, and all
-# entries of a large fleet may start at once.
+RATE_HALF_LIFE_S = 5.0  # Of the count of long prompts sent by this entry.
+# Lower bound of the assumed rate: after a start the count is not yet reliable,
+# and all entries of a large fleet may start at once.
 MIN_ASSUMED_RATE_PER_S = 0.5
-# Nobody waits for longer than that behind one prompt: a wrong estimate of
-# another entry must not close a worker for all.
+# Upper bound of the reading time of one prompt: a wrong estimate by one entry
+# must not close a worker for all entries.
 MAX_READ_S = 5.0
 
 
 @attrs.define(eq=False, repr=False)
 class PromptUpdates:
-    """Tells the others of prompts, and takes in what they tell.
+    """Publishes the long prompts of this entry and applies those of peers.
 
     Attributes:
-      send: Sends some entries a hint.
-      rng: Draws which prompts are told of where not all are.
-      sent: Own long prompts lately.
-      ids_by_hash: Ids of workers by their hashes.
+      fleet: Known states of all entries.
+      directory: Registered workers.
+      loads: Known loads of workers.
+      send: Sends a notice to some entries; it may be lost.
+      clock: Source of monotonic time.
+      rng: Selects the prompts to publish if not all of them are.
+      sent: Decaying count of long prompts that this entry sent.
+      ids_by_hash: Worker ids by their hashes.
     """
 
     fleet: Fleet
@@ -64,13 +68,13 @@
     def publish(
         self, worker: str, model: str, prompt: Prompt, read_s: float
     ) -> None:
-        """Tells the others of a prompt that is sent to a worker.
+        """Notifies the peers of a long prompt that is sent to a worker.
 
         Args:
-          worker: Its id.
-          model: That reads the prompt.
-          prompt: Its parts are kept there from then on.
-          read_s: Seconds in which the worker likely reads it.
+          worker: Id of the worker.
+          model: Model that reads the prompt.
+          prompt: The prompt, whose parts the worker caches from then on.
+          read_s: Estimated seconds that the worker takes to read the prompt.
         """
         if read_s < MIN_PUBLISHED_READ_S:
             return
@@ -85,20 +89,21 @@
         self.send(self.fleet.ring(), peer_pb2.Notice(prompt_sent=message))
 
     def published_share(self) -> float:
-        """Returns the share of own long prompts that the others are told of.
+        """Returns the share of this entry's long prompts to publish.
 
-        All entries send at about the same rate, so that each hears of this
-        entry's rate times the number of entries.
+        All entries send at about the same rate, so without a limit each would
+        receive this entry's rate times the number of entries.
         """
-        # A sum that halves every half-life holds rate times half-life / ln 2.
+        # A sum that halves every half-life converges to
+        # rate * half-life / ln 2.
         per_s = self.sent.total * math.log(2.0) / RATE_HALF_LIFE_S
         received_per_s = max(MIN_ASSUMED_RATE_PER_S, per_s) * self.fleet.size()
         return MAX_RECEIVED_PER_S / received_per_s
 
     def apply_notice(self, notice: peer_pb2.Notice) -> None:
-        """Takes in what another entry tells."""
+        """Applies a notice from a peer; ignores one that is not valid."""
         message = notice.prompt_sent
-        # Not a number compares as false.
+        # NaN compares as false.
         is_time = MIN_PUBLISHED_READ_S <= message.read_s < float("inf")
         worker = self.worker_for_hash(message.worker)
         if is_time and worker is not None:
@@ -107,7 +112,7 @@
             self.loads.note_parts(worker, message.parts)
 
     def worker_for_hash(self, worker_hash: int) -> str | None:
-        """Returns the id of a worker that is told as a hash; None if gone."""
+        """Returns the id of the worker with a hash, or None if unknown."""
         known = self.ids_by_hash.get(worker_hash)
         if known in self.directory.workers:
             return known
