--- a/src/rattanpier/_internal/relay/gossip.py
+++ b/src/rattanpier/_internal/relay/gossip.py
@@ -129,7 +129,7 @@
         self.broadcast_changes()
         self.round_count += 1
         lost = await asyncio.gather(
-            *(self.probe(news) for news in self.fleet.probe_targets()),
+            *(self.probe(state) for state in self.fleet.probe_targets()),
             self.report_evidence(),
             self.probe_distant_entry(),
         )
