--- a/src/rattanpier/_internal/relay/fleet.py
+++ b/src/rattanpier/_internal/relay/fleet.py
@@ -125,7 +125,7 @@
         return True
 
     def apply_state(self, state: EntryState) -> bool:
-        """Applies a received state; returns whether it was news."""
+        """Applies a received state; returns whether it was newer."""
         name = state.member.name
         if name == self.me.member.name:
             return self.refute(state)
@@ -353,7 +353,7 @@
         return [self.me, *self.peers.values()]
 
     def apply_states(self, states: Iterable[EntryState]) -> list[EntryState]:
-        """Applies several received states; returns those that were news."""
+        """Applies several received states; returns those that were newer."""
         return [each for each in states if self.apply_state(each)]
 
 
--- a/src/rattanpier/_internal/relay/membership.py
+++ b/src/rattanpier/_internal/relay/membership.py
@@ -102,7 +102,7 @@
             await self.clock.sleep(AVAILABILITY_POLL_S)
 
     async def write(self) -> bool:
-        """Writes this entry's row; says whether it surely row_is_current."""
+        """Writes this entry's row; returns whether the write is confirmed."""
         me = self.fleet.me
         put = RowPut(own_table.TABLE, me.member.name, encode(me).encode())
         outcome = await self.store.transact([], [put])
--- a/src/rattanpier/_internal/relay/queue_watch.py
+++ b/src/rattanpier/_internal/relay/queue_watch.py
@@ -167,7 +167,7 @@
         self.record_part(unpack(QueueUpdate, message.packed))
 
     def publish(self) -> None:
-        """Merges the recent results of all parts and sends them to all peers."""
+        """Merges the recent results of all parts and sends them to peers."""
         oldest = self.clock.monotonic() - PART_TTL_S
         asked = 0
         waiting: dict[str, int] = {}
