--- a/tests/relay/test_spread.py
+++ b/tests/relay/test_spread.py
@@ -1,4 +1,4 @@
-"""News reach all entries, at a bounded cost for each, at any size."""
+"""Broadcasts reach all entries at a bounded cost per entry, at any size."""
 
 import functools
 
@@ -26,17 +26,17 @@
     return run
 
 
-def make_hint(name):
-    told = peer_pb2.QueueNews(packed=name.encode())
-    return peer_pb2.Spread(queue_news=told)
+def make_message(name):
+    update = peer_pb2.QueueNews(packed=name.encode())
+    return peer_pb2.Spread(queue_news=update)
 
 
 @pytest.mark.parametrize("size", SIZES)
 @virtual
-async def test_each_hears_of_a_thing_once_and_tells_few(size):
+async def test_broadcast_reaches_each_entry_once_at_bounded_cost(size):
     ring = make_ring(size)
     for name, entry in ring.entries.items():
-        entry.broadcaster.notify_all(make_hint(name))
+        entry.broadcaster.notify_all(make_message(name))
     await ring.clock.sleep(2.0)
     for name, entry in ring.entries.items():
         others = set(ring.entries) - {name}
@@ -49,14 +49,14 @@
 
 @pytest.mark.parametrize("size", SIZES)
 @virtual
-async def test_one_that_tells_all_sends_to_few_itself(size):
+async def test_broadcaster_sends_to_at_most_fanout_entries(size):
     ring = make_ring(size)
-    teller = ring.entries["e000"]
-    await teller.broadcaster.send_to_segment(
-        make_hint("w"), teller.fleet.ring()
+    sender = ring.entries["e000"]
+    await sender.broadcaster.send_to_segment(
+        make_message("w"), sender.fleet.ring()
     )
     await ring.clock.sleep(2.0)
-    assert all(e.received[b"w"] for e in ring.live() if e is not teller)
+    assert all(e.received[b"w"] for e in ring.live() if e is not sender)
     assert ring.sent["e000"].messages <= FANOUT
     most, mean = ring.max_and_mean("messages")
     assert most <= 8 * mean
@@ -64,15 +64,15 @@
 
 @pytest.mark.parametrize("size", [80, 195])
 @virtual
-async def test_those_that_do_not_answer_are_gone_round(size):
+async def test_broadcast_bypasses_unresponsive_entries(size):
     ring = make_ring(size)
     names = list(ring.entries)
     ring.partitioned = set(names[1::10])
     for name in names[2::10]:
         ring.entries[name].dead = True
-    teller = ring.entries["e000"]
-    await teller.broadcaster.send_to_segment(
-        make_hint("w"), teller.fleet.ring()
+    sender = ring.entries["e000"]
+    await sender.broadcaster.send_to_segment(
+        make_message("w"), sender.fleet.ring()
     )
     await ring.clock.sleep(2.0)
     missed = [
@@ -86,7 +86,7 @@
 
 @pytest.mark.parametrize("size", [80, 195])
 @virtual
-async def test_a_stopped_version_is_known_within_seconds_on_lossy_links(size):
+async def test_stopped_version_spreads_in_seconds_on_lossy_links(size):
     ring = make_ring(size)
     ring.loss_ratio = 0.1
     ring.entries["e007"].gossip.shared_state.rollouts.take_order(ORDER)
@@ -101,13 +101,13 @@
 
 @pytest.mark.parametrize("size", SIZES)
 @virtual
-async def test_a_quiet_fleet_sends_the_same_at_any_size(size):
+async def test_idle_traffic_does_not_grow_with_fleet_size(size):
     ring = make_ring(size)
     await ring.run_rounds(4)
     ring.reset_sent()
     await ring.run_rounds(4)
     most, mean = ring.max_and_mean("messages")
-    # Two questions and one in turn, and as many answers, in each round.
+    # Two probes and one distant probe per round, and as many answers.
     assert mean <= 4 * 6
     assert most <= 8 * mean
     most_bytes, mean_bytes = ring.max_and_mean("bytes")
@@ -117,7 +117,7 @@
 
 @pytest.mark.parametrize("size", SIZES)
 @virtual
-async def test_a_change_reaches_all_with_few_bytes(size):
+async def test_state_change_reaches_all_entries_with_few_bytes(size):
     ring = make_ring(size)
     await ring.run_rounds(2)
     ring.reset_sent()
@@ -131,9 +131,9 @@
 
 @pytest.mark.parametrize("size", [8, 80, 195])
 @virtual
-async def test_all_know_all_after_all_start_at_once(size):
+async def test_simultaneous_start_converges_with_bounded_messages(size):
     ring = make_ring(size, knowing=False)
-    # Each reads the rows of those that wrote theirs before it looked.
+    # Each entry reads the rows that were written before its own.
     written = []
     for entry in ring.entries.values():
         written.append(entry.fleet.me)
@@ -149,13 +149,13 @@
 
 @pytest.mark.parametrize("size", [80, 195])
 @virtual
-async def test_one_that_starts_learns_the_present_states(size):
+async def test_new_entry_replaces_stale_rows_by_current_states(size):
     ring = make_ring(size)
     for name in ("e005", "e006"):
         ring.entries[name].fleet.update_own_state(ready=False)
     await ring.run_rounds(2)
     late = ring.add(size)
-    # Its rows are of the others' starts.
+    # The rows that it reads date from the starts of the other entries.
     late.fleet.apply_states(
         entry.fleet.me for entry in make_ring(size).entries.values()
     )
@@ -169,7 +169,7 @@
 
 @pytest.mark.parametrize("size", [80, 195])
 @virtual
-async def test_entries_that_leave_are_known_to_all_in_a_rolling_stop(size):
+async def test_rolling_stop_unlists_leaving_entries_everywhere(size):
     ring = make_ring(size)
     for number in range(0, size, 10):
         entry = ring.entries[f"e{number:03}"]
@@ -185,10 +185,10 @@
 
 @pytest.mark.parametrize("dead", [False, True])
 @virtual
-async def test_neighbours_that_are_lost_at_once_are_soon_known_to_be(dead):
+async def test_simultaneous_loss_of_adjacent_entries_is_detected(dead):
     ring = make_ring(195)
     await ring.run_rounds(2)
-    # A failure domain: they stand side by side.
+    # A failure domain: its entries are adjacent on the ring.
     lost = [f"e{number:03}" for number in range(60, 93)]
     if dead:
         for name in lost:
@@ -201,21 +201,21 @@
 
 
 @virtual
-async def test_news_that_some_do_not_take_hold_up_no_heartbeat():
+async def test_unacknowledged_broadcast_does_not_delay_heartbeats():
     ring = make_ring(80)
     ring.partitioned = {f"e{number:03}" for number in range(0, 80, 3)}
-    teller = ring.entries["e001"]
-    teller.fleet.update_own_state(ready=False)
+    sender = ring.entries["e001"]
+    sender.fleet.update_own_state(ready=False)
     began = ring.clock.monotonic()
-    await teller.gossip.round()
-    # What a neighbour that does not answer takes, and no more behind it.
+    await sender.gossip.round()
+    # Only the probe of a neighbour that does not answer may take time.
     limit_s = 1.1 * PROBE_ATTEMPTS * CALL_TIMEOUT_S
     assert ring.clock.monotonic() - began < limit_s
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.02])
 @virtual
-async def test_no_entry_is_called_down_for_long_that_lives(loss):
+async def test_live_entries_are_not_reported_down_permanently(loss):
     ring = make_ring(80)
     ring.loss_ratio = loss
     await ring.run_rounds(20)
@@ -232,7 +232,7 @@
     return attrs.evolve(member, state=MemberState.LEAVING)
 
 
-def count_holding(ring, content):
+def count_quarantined(ring, content):
     return sum(
         entry.gossip.shared_state.quarantine.held_s(content) > 0.0
         for entry in ring.live()
@@ -241,36 +241,36 @@
 
 @pytest.mark.parametrize("size", SIZES)
 @virtual
-async def test_all_hold_a_request_that_ended_workers_under_three(size):
+async def test_request_that_crashed_workers_is_quarantined_everywhere(size):
     ring = make_ring(size)
     for number in range(3):
         entry = ring.entries[f"e{number:03}"]
         worker = f"w{number}"
         for content in ("deadly", f"beside {number}"):
             entry.gossip.shared_state.quarantine.note_end(content, worker)
-    # A request that ends workers goes on to the next within 0.2 s.
+    # A request under which workers crash moves to the next within 0.2 s.
     await ring.clock.sleep(0.05)
-    assert count_holding(ring, "deadly") == size
+    assert count_quarantined(ring, "deadly") == size
     most, mean = ring.max_and_mean("messages")
     assert most <= 8 * mean
 
 
 @virtual
-async def test_those_that_missed_it_and_newcomers_hear_of_a_held_request():
+async def test_late_entries_learn_of_quarantined_request():
     ring = make_ring(80)
-    cut = {f"e{number:03}" for number in range(1, 80, 8)}
-    ring.partitioned = cut
+    partitioned = {f"e{number:03}" for number in range(1, 80, 8)}
+    ring.partitioned = partitioned
     for number in range(3):
         ring.entries["e000"].gossip.shared_state.quarantine.note_end(
             "deadly", f"w{number}"
         )
     await ring.clock.sleep(1.0)
-    assert count_holding(ring, "deadly") == 80 - len(cut)
+    assert count_quarantined(ring, "deadly") == 80 - len(partitioned)
     ring.partitioned = set()
     newcomer = ring.add(80)
     newcomer.fleet.apply_states([ring.entries["e005"].fleet.me])
     await ring.run_rounds(12)
-    assert count_holding(ring, "deadly") == 81
+    assert count_quarantined(ring, "deadly") == 81
 
 
 def count_limited(ring):
@@ -285,15 +285,15 @@
 
 @pytest.mark.parametrize("size", SIZES)
 @virtual
-async def test_what_a_worker_said_to_one_entry_is_soon_known_to_all(size):
+async def test_worker_announcement_to_one_entry_reaches_all(size):
     ring = make_ring(size)
     worker = make_worker("w1")
-    told = ring.entries["e001"].gossip.shared_state
-    told.limits.hear(worker, 2.5, 0.0)
-    told.directory.hear_leaving(worker)
+    informed = ring.entries["e001"].gossip.shared_state
+    informed.limits.hear(worker, 2.5, 0.0)
+    informed.directory.hear_leaving(worker)
     await ring.clock.sleep(0.05)
     assert count_limited(ring) == count_leaving(ring) == size
-    # Its end is heard by another one.
+    # Another entry learns that the limit ended.
     now = ring.clock.monotonic()
     ring.entries["e002"].gossip.shared_state.limits.hear(worker, None, now)
     await ring.clock.sleep(0.05)
@@ -303,18 +303,18 @@
 
 
 @virtual
-async def test_those_that_missed_it_and_newcomers_hear_what_a_worker_said():
+async def test_late_entries_learn_of_worker_announcements():
     ring = make_ring(80)
-    cut = {f"e{number:03}" for number in range(1, 80, 8)}
-    ring.partitioned = cut
+    partitioned = {f"e{number:03}" for number in range(1, 80, 8)}
+    ring.partitioned = partitioned
     worker = make_worker("w1")
     for entry in ring.entries.values():
         entry.gossip.shared_state.directory.put(worker)
-    told = ring.entries["e000"].gossip.shared_state
-    told.limits.hear(worker, 2.5, 0.0)
-    told.directory.hear_leaving(worker)
+    informed = ring.entries["e000"].gossip.shared_state
+    informed.limits.hear(worker, 2.5, 0.0)
+    informed.directory.hear_leaving(worker)
     await ring.clock.sleep(1.0)
-    assert count_limited(ring) == count_leaving(ring) == 80 - len(cut)
+    assert count_limited(ring) == count_leaving(ring) == 80 - len(partitioned)
     ring.partitioned = set()
     newcomer = ring.add(80)
     newcomer.gossip.shared_state.directory.put(worker)
@@ -325,8 +325,8 @@
 
 @pytest.mark.parametrize("size", SIZES)
 @virtual
-async def test_an_era_that_one_entry_saw_is_known_to_all(size):
-    """Without a word of those that watch, and with no message more."""
+async def test_store_era_seen_by_one_entry_reaches_all(size):
+    """Heartbeats alone carry the era, without watchers or more messages."""
     ring = make_ring(size)
     for entry in ring.live():
         entry.gossip.shared_state.history.note(1, "store")
