--- a/tests/lib/ring.py
+++ b/tests/lib/ring.py
@@ -1,6 +1,6 @@
-"""Entries in one process that tell each other news, in virtual time.
+"""Simulated ring of entries in one process, in virtual time.
 
-Messages are encoded and decoded as on the wire, and counted for each entry.
+Messages are encoded and decoded as on the wire, and counted per sender.
 """
 
 import asyncio
@@ -33,12 +33,12 @@
 from tests.lib.virtual import LoopClock
 
 DOMAINS = 6
-LATENCY_S = 0.001  # Of a message from one entry to another.
+LATENCY_S = 0.001  # Of a message between two entries.
 
 
 @attrs.define
 class Sent:
-    """What one entry sent."""
+    """Traffic that one entry sent."""
 
     messages: int = 0
     bytes: int = 0
@@ -46,7 +46,7 @@
 
 
 class RingLink:
-    """A connection from one entry to another."""
+    """A simulated connection from one entry to another."""
 
     def __init__(self, ring, sender, target):
         self.ring = ring
@@ -78,7 +78,7 @@
 
 @attrs.define
 class RingLinks:
-    """The connections of one entry."""
+    """The simulated connections of one entry."""
 
     ring: object
     sender: str
@@ -89,7 +89,7 @@
 
 @attrs.define(eq=False)
 class Entry:
-    """One entry, as far as it talks to others."""
+    """The parts of an entry that communicate with its peers."""
 
     fleet: Fleet
     broadcaster: Broadcaster
@@ -110,11 +110,11 @@
 
 @attrs.define
 class Ring:
-    """All entries, and the network between them.
+    """All entries and the simulated network between them.
 
     Attributes:
-      loss_ratio: Share of messages that get lost.
-      partitioned: Names of entries that nothing reaches or leaves.
+      loss_ratio: Probability that a message is lost.
+      partitioned: Names of entries without network.
     """
 
     clock: LoopClock = attrs.Factory(LoopClock)
@@ -125,7 +125,7 @@
     partitioned: set = attrs.Factory(set)
 
     def add(self, number):
-        """Adds an entry that knows nobody."""
+        """Adds an entry that knows no other entry."""
         member = make_member(number)
         fleet = Fleet(EntryState(member, 1.0, ready=True), self.clock)
         links = RingLinks(self, member.name)
@@ -166,7 +166,7 @@
         return entry
 
     def deliver(self, sender, target, message):
-        """Counts a message; returns whom it reaches, or None."""
+        """Counts a message; returns its recipient, or None if it is lost."""
         self.count(sender, target, message)
         if {
             sender,
@@ -185,7 +185,7 @@
         return [each for each in self.entries.values() if not each.dead]
 
     async def run_rounds(self, count):
-        """Lets all that live talk for some rounds, each at its own moment."""
+        """Runs all live entries for some rounds, each with its own offset."""
         running = [
             asyncio.ensure_future(self.run_entry(entry))
             for entry in self.live()
@@ -201,7 +201,7 @@
         await entry.gossip.run()
 
     def share_knowing(self, name, state):
-        """Share of the living others that know a state of an entry."""
+        """Returns the share of live peers whose view of an entry matches."""
         others = [
             each
             for each in self.live()
@@ -218,11 +218,11 @@
         self.sent.clear()
 
     def connections(self):
-        """The most entries that one entry sent something to."""
+        """Returns the largest number of peers that one entry sent to."""
         return max(len(sent.peers) for sent in self.sent.values())
 
     def max_and_mean(self, field):
-        """The most that one entry sent, and the mean of all."""
+        """Returns the maximum and the mean over the entries."""
         values = [getattr(sent, field) for sent in self.sent.values()]
         return max(values), sum(values) / len(self.entries)
 
@@ -234,7 +234,7 @@
 
 
 def make_ring(count, knowing=True):
-    """Entries that know each other, or nobody."""
+    """Makes a ring of entries that know each other, or none."""
     ring = Ring()
     for number in range(count):
         ring.add(number)
