--- a/tests/relay/test_fleet.py
+++ b/tests/relay/test_fleet.py
@@ -1,4 +1,4 @@
-"""What entries know of each other, and how a change gets around."""
+"""The view that entries have of each other, and how changes propagate."""
 
 import attrs
 import pytest
@@ -25,7 +25,7 @@
     return Fleet(make_news("e1"), ManualClock())
 
 
-def test_the_newest_state_counts_in_any_order(fleet):
+def test_newest_state_wins_in_any_order(fleet):
     old = make_news("e2", sequence=1)
     new = make_news("e2", sequence=2, ready=False)
     assert fleet.apply_state(new)
@@ -33,7 +33,7 @@
     assert not fleet.peers["e2"].ready
 
 
-def test_down_counts_over_the_same_number_and_not_over_a_later_one(fleet):
+def test_down_wins_over_same_sequence_but_not_a_later_one(fleet):
     fleet.apply_state(make_news("e2", sequence=1))
     fleet.record_down("e2", "test")
     assert [member.name for member in fleet.entries()] == ["e1"]
@@ -42,25 +42,25 @@
     assert len(fleet.entries()) == 2
 
 
-def test_an_entry_called_down_says_that_it_is_not(fleet):
+def test_live_entry_refutes_report_of_being_down(fleet):
     assert fleet.apply_state(make_news("e1", sequence=0, down=True))
     assert fleet.me.sequence == 1
     assert not fleet.me.down
 
 
-def test_a_new_start_counts_though_the_wall_clock_went_back(fleet):
+def test_new_incarnation_wins_after_wall_clock_set_back(fleet):
     fleet.apply_state(make_news("e1", started=9.0, incarnation="before"))
     assert fleet.me.started > 9.0
 
 
-def test_a_leaving_entry_is_not_listed(fleet):
+def test_leaving_entry_is_not_listed(fleet):
     news = make_news("e2")
     member = attrs.evolve(news.member, state=MemberState.LEAVING)
     fleet.apply_state(attrs.evolve(news, member=member))
     assert [member.name for member in fleet.entries()] == ["e1"]
 
 
-def test_each_entry_is_asked_by_two_others_however_many_there_are():
+def test_each_entry_is_probed_by_exactly_two_peers():
     names = [f"e{number:02}" for number in range(40)]
     asked = dict.fromkeys(names, 0)
     for name in names:
@@ -73,14 +73,14 @@
     assert set(asked.values()) == {2}
 
 
-def test_one_that_is_down_is_asked_beside_two_live_ones(fleet):
+def test_down_entry_is_probed_in_addition_to_two_live_ones(fleet):
     fleet.apply_states(make_news(f"e{number}") for number in range(2, 6))
     fleet.record_down("e2", "test")
     names = [news.member.name for news in fleet.probe_targets()]
     assert names == ["e2", "e3", "e4"]
 
 
-def test_the_first_that_reaches_the_store_drives(fleet):
+def test_first_entry_that_reaches_the_store_drives(fleet):
     fleet.apply_state(make_news("e0", store=False))
     fleet.apply_state(make_news("e2", store=True))
     assert fleet.driver() == "e2"
@@ -88,7 +88,7 @@
     assert fleet.drives()
 
 
-def test_as_many_more_as_told_may_drive(fleet):
+def test_only_given_number_of_stand_ins_may_drive(fleet):
     fleet.update_own_state(store=True)
     fleet.apply_state(make_news("e0", store=True))
     fleet.apply_state(make_news("e2", store=True))
@@ -110,7 +110,7 @@
     return sorted(member.name for member in entry.fleet.entries())
 
 
-async def test_entries_find_each_other_by_the_store(site):
+async def test_entries_discover_each_other_through_the_store(site):
     for number in range(4):
         await site.add_entry(f"entry-{number}")
     names = sorted(site.entries)
@@ -118,7 +118,7 @@
         await until(lambda entry=entry: listed(entry) == names)
 
 
-async def test_a_dead_entry_is_listed_by_none(site):
+async def test_dead_entry_is_removed_from_all_lists(site):
     for number in range(4):
         await site.add_entry(f"entry-{number}")
     names = sorted(site.entries)
@@ -129,7 +129,7 @@
         await until(lambda entry=entry: "entry-2" not in listed(entry))
 
 
-async def test_an_entry_that_starts_in_an_outage_learns_from_a_seed(site):
+async def test_entry_started_during_store_outage_learns_from_seed(site):
     first = await site.add_entry("entry-1")
     site.store.set_fault(StoreFault.BUSY)
     second = await site.add_entry(
@@ -139,7 +139,7 @@
     assert (await site.ask(entry="entry-2")).status == 200
 
 
-async def test_a_change_reaches_an_entry_that_the_store_turns_away(site):
+async def test_change_reaches_entry_that_the_store_refuses(site):
     door = Door()
     first = await site.add_entry("entry-1")
     address = await site.add_door(door)
@@ -158,7 +158,7 @@
     assert not second.state.health.available
 
 
-async def test_what_follows_from_the_states_changes_with_them(fleet):
+async def test_cached_values_change_with_the_states(fleet):
     seen = []
 
     def look():
@@ -187,7 +187,7 @@
     assert fleet.digest() not in {digest for digest, *_ in seen}
 
 
-def test_the_duty_moves_on_when_its_holder_loses_the_store(fleet):
+def test_duty_moves_to_next_entry_when_holder_loses_store(fleet):
     fleet.update_own_state(store=True)
     for name in ("e2", "e3"):
         fleet.apply_state(make_news(name, sequence=1, store=True))
