--- a/tests/relay/test_queue_watch.py
+++ b/tests/relay/test_queue_watch.py
@@ -1,4 +1,4 @@
-"""A few entries read how many requests wait at each engine, for all."""
+"""A few entries poll the queue lengths of engines on behalf of all."""
 
 import collections
 
@@ -23,7 +23,7 @@
 
 
 def make_watch(clock, reports, others=("e2", "e3"), name="e1", sent=None):
-    """A watch over engines that answer with these numbers, or not at all."""
+    """Makes a watch over engines with these queue lengths; None: no answer."""
     sent = [] if sent is None else sent
     fleet = Fleet(make_news(name, store=True), clock)
     for other in others:
@@ -31,26 +31,26 @@
     directory = WorkerDirectory(clock)
     for id in reports:
         directory.put(make_worker(id, service="engine"))
-    asked = []
+    polled = []
 
     async def read(worker, _limit_s):
-        asked.append(worker.id)
+        polled.append(worker.id)
         waiting = reports[worker.id]
         return None if waiting is None else ReportedLoad(1, waiting, 0)
 
-    told = []
+    published = []
     watch = QueueWatch(
         fleet=fleet,
         directory=directory,
         loads=Loads(clock),
-        notify_all=told.append,
+        notify_all=published.append,
         notify_one=lambda news, name: sent.append((name, news)),
         clock=clock,
         engines=lambda: ["engine"],
         read=read,
         on_restart=lambda _worker: None,
     )
-    return watch, asked, told
+    return watch, polled, published
 
 
 @pytest.fixture
@@ -58,27 +58,27 @@
     return ManualClock()
 
 
-async def test_all_are_told_who_has_requests_waiting(clock):
-    watch, _, told = make_watch(clock, {"w1": 3, "w2": 0, "w3": None})
+async def test_queue_lengths_are_published_to_all_entries(clock):
+    watch, _, published = make_watch(clock, {"w1": 3, "w2": 0, "w3": None})
     clock.now = 10.0
     await watch.round()
-    assert len(told) == 1
+    assert len(published) == 1
     other, *_ = make_watch(clock, {"w1": 0, "w2": 0, "w3": 0})
-    other.receive_update(told[0].queue_news)
+    other.receive_update(published[0].queue_news)
     now = clock.monotonic()
     for each in (watch, other):
         assert each.loads.workers["w1"].others(now)[1] == pytest.approx(3, 0.1)
         assert each.loads.workers["w2"].others(now)[1] == 0.0
 
 
-async def test_what_is_told_fades(clock):
+async def test_published_queue_length_decays(clock):
     watch, *_ = make_watch(clock, {"w1": 4})
     clock.now = 10.0
     watch.apply_update(QueueUpdate(1, {"w1": 4}))
     assert watch.loads.workers["w1"].others(clock.now + 8.0)[1] < 0.1
 
 
-async def test_own_requests_that_wait_are_not_counted_twice(clock):
+async def test_own_waiting_requests_are_not_counted_twice(clock):
     watch, *_ = make_watch(clock, {"w1": 0})
     clock.now = 10.0
     for _ in range(2):
@@ -88,18 +88,18 @@
     assert waiting == pytest.approx(1, 0.1)
 
 
-async def test_an_engine_that_answered_just_now_is_not_asked(clock):
-    watch, asked, _ = make_watch(clock, {"w1": 0, "w2": 0})
+async def test_engine_with_fresh_report_is_not_polled(clock):
+    watch, polled, _ = make_watch(clock, {"w1": 0, "w2": 0})
     clock.now = 10.0
     watch.loads.note_report("w1", ReportedLoad(2, 1, 8))
     await watch.round()
-    assert asked == ["w2"]
+    assert polled == ["w2"]
     clock.now += FRESH_REPORT_S + 0.1
     await watch.round()
-    assert asked == ["w2", "w1", "w2"]
+    assert polled == ["w2", "w1", "w2"]
 
 
-async def test_where_none_answers_nothing_is_taken_in(clock):
+async def test_unanswered_poll_does_not_reset_queue_lengths(clock):
     watch, *_ = make_watch(clock, {"w1": None})
     watch.apply_update(QueueUpdate(1, {"w1": 5}))
     await watch.round()
@@ -107,67 +107,69 @@
 
 
 def make_fleet_of_watches(clock, entries, reports):
-    """Watches of entries that know each other; who asked what, and told."""
+    """Makes connected watches; returns them, their polls and messages."""
     names = [f"e{number}" for number in range(entries)]
-    asked = collections.defaultdict(list)
-    told = []
+    polled = collections.defaultdict(list)
+    published = []
     watches = {}
     for name in names:
         others = [other for other in names if other != name]
-        watch, asked[name], _ = make_watch(clock, reports, others, name)
-        watch.notify_all = lambda news, name=name: told.append((name, news))
+        watch, polled[name], _ = make_watch(clock, reports, others, name)
+        watch.notify_all = lambda news, name=name: published.append(
+            (name, news)
+        )
         watch.notify_one = lambda news, to: watches[to].receive_part(
             news.queue_part
         )
         watches[name] = watch
-    return watches, asked, told
+    return watches, polled, published
 
 
 @pytest.mark.parametrize(
     ("entries", "engines"), [(8, 9), (77, 60), (195, 156), (420, 600)]
 )
-async def test_engines_are_divided_however_many_there_are(
+async def test_each_engine_is_polled_once_at_any_fleet_size(
     clock, entries, engines
 ):
     reports = {f"w{number:03}": number % 3 for number in range(engines)}
-    watches, asked, told = make_fleet_of_watches(clock, entries, reports)
+    watches, polled, published = make_fleet_of_watches(clock, entries, reports)
     clock.now = 10.0
     for _ in range(2):
         for watch in watches.values():
             await watch.round()
         clock.now += FRESH_REPORT_S + 0.1
-    counts = collections.Counter(id for ids in asked.values() for id in ids)
+    counts = collections.Counter(id for ids in polled.values() for id in ids)
     assert set(counts) == set(reports)
-    # Each is asked once a round, and nobody asks more than its part.
+    # Each engine is polled once a round, and no entry polls beyond its part.
     assert set(counts.values()) == {2}
-    assert max(map(len, asked.values())) <= 2 * MAX_ENGINES_PER_READER
-    assert len(told) == 2
-    assert len({name for name, _ in told}) == 1
-    hearing = next(iter(watches.values()))
-    hearing.receive_update(told[-1][1].queue_news)
+    assert max(map(len, polled.values())) <= 2 * MAX_ENGINES_PER_READER
+    assert len(published) == 2
+    assert len({name for name, _ in published}) == 1
+    receiver = next(iter(watches.values()))
+    receiver.receive_update(published[-1][1].queue_news)
     for id, waiting in reports.items():
-        found = hearing.loads.workers[id].others(clock.now)[1]
+        found = receiver.loads.workers[id].others(clock.now)[1]
         assert (found > 0.0) == (waiting > 0)
 
 
-async def test_a_part_that_is_no_longer_heard_of_tells_nothing(clock):
+async def test_expired_part_is_not_published(clock):
     reports = dict.fromkeys((f"w{number:03}" for number in range(20)), 4)
-    watches, _, told = make_fleet_of_watches(clock, 8, reports)
+    watches, _, published = make_fleet_of_watches(clock, 8, reports)
     clock.now = 10.0
     for watch in watches.values():
         await watch.round()
     first, second = next(iter(watches.values())).readers(len(reports))
     await watches[first].round()
-    whole = unpack(QueueUpdate, told[-1][1].queue_news.packed)
+    whole = unpack(QueueUpdate, published[-1][1].queue_news.packed)
     assert (whole.asked, set(whole.waiting)) == (20, set(reports))
     clock.now += PART_TTL_S + 0.1
     await watches[first].round()
-    left = unpack(QueueUpdate, told[-1][1].queue_news.packed)
+    left = unpack(QueueUpdate, published[-1][1].queue_news.packed)
     assert left.asked == 10
     assert second != first
 
 
-async def test_one_entry_asks_and_another_hears():
+async def test_entry_receives_queue_lengths_polled_by_a_peer():
     async with platform_site() as site:
         await site.add_worker("engine", "engine")
         for name in ("entry-1", "entry-2"):
@@ -182,10 +184,10 @@
             await until(lambda load=load: load.waiting_at > 0.0)
 
 
-async def test_a_start_that_a_report_tells_of_counts_before_its_row(clock):
+async def test_reported_restart_counts_before_new_registration(clock):
     watch, *_ = make_watch(clock, {"w1": 0})
-    again = []
-    watch.on_restart = again.append
+    restarted = []
+    watch.on_restart = restarted.append
     born = {"now": 5}
 
     async def read(_worker, _limit_s):
@@ -194,16 +196,16 @@
     watch.read = read
     clock.now = 10.0
     await watch.round()
-    assert again == []
+    assert restarted == []
     born["now"] = 9
     await watch.round()
     await watch.round()
-    assert again == ["w1"]
+    assert restarted == ["w1"]
 
 
-async def test_an_engine_that_wants_rest_is_not_asked(clock):
-    watch, asked, _ = make_watch(clock, {"w1": 0, "w2": 0})
+async def test_engine_in_backoff_is_not_polled(clock):
+    watch, polled, _ = make_watch(clock, {"w1": 0, "w2": 0})
     clock.now = 10.0
     watch.in_backoff = lambda worker: worker.id == "w1"
     await watch.round()
-    assert asked == ["w2"]
+    assert polled == ["w2"]
