--- a/tests/relay/test_prompt_news.py
+++ b/tests/relay/test_prompt_news.py
@@ -1,4 +1,4 @@
-"""Entries that tell each other of the long prompts that they send."""
+"""Entries notify each other of the long prompts that they send."""
 
 import random
 
@@ -34,8 +34,8 @@
     return ManualClock()
 
 
-def make_prompt_news(clock, name, others):
-    """What one entry of several tells, and takes in."""
+def make_prompt_updates(clock, name, others):
+    """Makes the prompt updates of one entry; returns them and its notices."""
     fleet = Fleet(make_news(name, store=True), clock)
     for other in others:
         fleet.apply_state(make_news(other, sequence=1))
@@ -54,12 +54,12 @@
     return news, told
 
 
-def test_all_others_know_what_a_worker_reads_and_keeps(clock):
-    one, told = make_prompt_news(clock, "e1", ("e2", "e3"))
+def test_peers_learn_reading_time_and_cached_prompt_parts(clock):
+    one, told = make_prompt_updates(clock, "e1", ("e2", "e3"))
     one.publish("w1", "large", PROMPT, 0.8)
     ((members, notice),) = told
     assert [member.name for member in members] == ["e2", "e3"]
-    other, _ = make_prompt_news(clock, "e2", ("e1", "e3"))
+    other, _ = make_prompt_updates(clock, "e2", ("e1", "e3"))
     other.apply_notice(notice)
     load = other.loads.workers["w1"]
     assert load.others_until == pytest.approx(clock.now + 0.8)
@@ -67,8 +67,8 @@
     assert kept_tokens(other.loads, "w1", "small", PROMPT) == 0
 
 
-def test_one_prompt_is_read_after_another(clock):
-    news, _ = make_prompt_news(clock, "e2", ("e1",))
+def test_reading_times_of_prompts_add_up(clock):
+    news, _ = make_prompt_updates(clock, "e2", ("e1",))
     for _ in range(2):
         news.loads.note_others_prompt("w1", 0.5)
     clock.now += 0.75
@@ -87,11 +87,13 @@
         (420, 2.4, False),
     ],
 )
-def test_what_each_hears_is_bounded_at_any_size(
+def test_rate_of_received_notices_is_bounded_at_any_size(
     clock, entries, per_s, all_told
 ):
     everybody = [f"e{number}" for number in range(entries)]
-    senders = [make_prompt_news(clock, name, everybody) for name in everybody]
+    senders = [
+        make_prompt_updates(clock, name, everybody) for name in everybody
+    ]
     settled = 0
     for _ in range(int(40 * per_s)):
         clock.now += 1 / per_s
@@ -101,13 +103,13 @@
             assert len(told) <= 1
             assert bool(told) or not all_told
             told.clear()
-    # Each hears of what all others tell.
+    # Each entry receives what all others publish.
     assert settled / 20.0 <= 1.1 * MAX_RECEIVED_PER_S
     assert all_told or settled / 20.0 >= 0.7 * MAX_RECEIVED_PER_S
 
 
-def test_short_prompts_are_not_told(clock):
-    news, told = make_prompt_news(clock, "e1", ("e2",))
+def test_short_prompts_are_not_published(clock):
+    news, told = make_prompt_updates(clock, "e1", ("e2",))
     news.publish("w1", "small", PROMPT, 0.9 * MIN_PUBLISHED_READ_S)
     assert told == []
 
@@ -122,22 +124,22 @@
         ("w1", -1.0),
     ],
 )
-def test_what_names_no_worker_or_time_is_left_out(clock, worker, read_s):
-    news, _ = make_prompt_news(clock, "e2", ("e1",))
+def test_notice_with_invalid_worker_or_time_is_ignored(clock, worker, read_s):
+    news, _ = make_prompt_updates(clock, "e2", ("e1",))
     told = peer_pb2.PromptSent(worker=short_hash(worker), read_s=read_s)
     news.apply_notice(peer_pb2.Notice(prompt_sent=told))
     assert not news.loads.workers
 
 
-def test_no_estimate_closes_a_worker_for_long(clock):
-    news, _ = make_prompt_news(clock, "e2", ("e1",))
+def test_large_estimate_does_not_close_worker_for_long(clock):
+    news, _ = make_prompt_updates(clock, "e2", ("e1",))
     told = peer_pb2.PromptSent(worker=short_hash("w1"), read_s=1e6)
     news.apply_notice(peer_pb2.Notice(prompt_sent=told))
     load = news.loads.workers["w1"]
     assert load.others_until <= clock.now + MAX_READ_S
 
 
-def test_a_worker_that_reads_for_others_is_passed_by(clock):
+def test_worker_that_reads_prompts_of_peers_is_avoided(clock):
     entry = make_entry(clock, 1)
     workers = make_workers(9)
     chosen = entry.choose(make_chat(), workers, "large").worker
@@ -145,7 +147,7 @@
     assert entry.choose(make_chat(), workers, "large").worker != chosen
 
 
-def test_a_home_nobody_told_of_is_not_taken_to_hold_a_long_prompt(clock):
+def test_unpublished_home_is_not_assumed_to_cache_long_prompt(clock):
     entry = make_entry(clock, 1)
     long_s = entry.pace.read_s("large", 40000)
     assert long_s > MIN_PUBLISHED_READ_S
@@ -153,7 +155,7 @@
     assert entry.home_trust(entry.pace.read_s("small", 10)) == HOME_TRUST
 
 
-def test_large_answers_begin_sooner_where_entries_tell_each_other():
+def test_published_prompts_shorten_first_token_of_large_model():
     alone = play_engines(entries=8, per_s=30.0)
     told = play_engines(entries=8, per_s=30.0, told=1.0)
     assert told.quantile("large", 0.9) < 0.7 * alone.quantile("large", 0.9)
@@ -161,11 +163,11 @@
     assert told.quantile("small", 0.9) < 1.1 * alone.quantile("small", 0.9)
 
 
-def test_a_large_fleet_needs_to_hear_of_all_long_prompts():
+def test_large_fleet_needs_notices_of_all_long_prompts():
     load = {"workers": 78, "entries": 195, "per_s": 300.0, "seconds": 10.0}
     some = play_engines(**load, told=0.55)
     every = play_engines(**load, told=1.0)
-    # Within 1.16 s and 0.76 s.
+    # The seconds were 1.16 and 0.76.
     assert every.quantile("large", 0.9) < 0.8 * some.quantile("large", 0.9)
     assert every.quantile("large", 0.95) < 0.8 * some.quantile("large", 0.95)
     assert every.quantile("small", 0.9) < some.quantile("small", 0.9)
