--- a/tests/lib/ring.py
+++ b/tests/lib/ring.py
@@ -104,8 +104,8 @@
             "spread": self.broadcaster.serve,
         }
 
-    def record_notice(self, told):
-        self.received[told.packed] += 1
+    def record_notice(self, message):
+        self.received[message.packed] += 1
 
 
 @attrs.define
--- a/tests/relay/test_early_callers.py
+++ b/tests/relay/test_early_callers.py
@@ -35,7 +35,7 @@
     until,
 )
 from tests.lib.relay_process import start_entry
-from tests.relay.test_fleet import make_news
+from tests.relay.test_fleet import make_entry_state
 
 
 @pytest.fixture
@@ -165,9 +165,10 @@
 )
 def test_peers_are_asked_that_know_more(ready, reaches_store, asked):
     clock = ManualClock()
-    fleet = Fleet(make_news("e1", store=reaches_store), clock)
+    fleet = Fleet(make_entry_state("e1", store=reaches_store), clock)
     fleet.apply_states(
-        make_news(name, ready=name in ready) for name in ("e2", "e3", "e4")
+        make_entry_state(name, ready=name in ready)
+        for name in ("e2", "e3", "e4")
     )
     snapshots = Snapshots(fleet, None, clock, None, None, None)
     names = [news.member.name for news in snapshots.candidate_peers()]
--- a/tests/relay/test_fleet.py
+++ b/tests/relay/test_fleet.py
@@ -15,74 +15,76 @@
 from tests.lib.platform_site import manifest, platform_site, until
 
 
-def make_news(name, started=1.0, incarnation="i", **more):
+def make_entry_state(name, started=1.0, incarnation="i", **more):
     member = Member(name, incarnation, Role.ENTRY, "a", "r", name, "h", 1)
     return EntryState(member, started, **{"ready": True, **more})
 
 
 @pytest.fixture
 def fleet():
-    return Fleet(make_news("e1"), ManualClock())
+    return Fleet(make_entry_state("e1"), ManualClock())
 
 
 def test_newest_state_wins_in_any_order(fleet):
-    old = make_news("e2", sequence=1)
-    new = make_news("e2", sequence=2, ready=False)
+    old = make_entry_state("e2", sequence=1)
+    new = make_entry_state("e2", sequence=2, ready=False)
     assert fleet.apply_state(new)
     assert not fleet.apply_state(old)
     assert not fleet.peers["e2"].ready
 
 
 def test_down_wins_over_same_sequence_but_not_a_later_one(fleet):
-    fleet.apply_state(make_news("e2", sequence=1))
+    fleet.apply_state(make_entry_state("e2", sequence=1))
     fleet.record_down("e2", "test")
     assert [member.name for member in fleet.entries()] == ["e1"]
-    assert not fleet.apply_state(make_news("e2", sequence=1))
-    assert fleet.apply_state(make_news("e2", sequence=2))
+    assert not fleet.apply_state(make_entry_state("e2", sequence=1))
+    assert fleet.apply_state(make_entry_state("e2", sequence=2))
     assert len(fleet.entries()) == 2
 
 
 def test_live_entry_refutes_report_of_being_down(fleet):
-    assert fleet.apply_state(make_news("e1", sequence=0, down=True))
+    assert fleet.apply_state(make_entry_state("e1", sequence=0, down=True))
     assert fleet.me.sequence == 1
     assert not fleet.me.down
 
 
 def test_new_incarnation_wins_after_wall_clock_set_back(fleet):
-    fleet.apply_state(make_news("e1", started=9.0, incarnation="before"))
+    fleet.apply_state(make_entry_state("e1", started=9.0, incarnation="before"))
     assert fleet.me.started > 9.0
 
 
 def test_leaving_entry_is_not_listed(fleet):
-    news = make_news("e2")
-    member = attrs.evolve(news.member, state=MemberState.LEAVING)
-    fleet.apply_state(attrs.evolve(news, member=member))
+    state = make_entry_state("e2")
+    member = attrs.evolve(state.member, state=MemberState.LEAVING)
+    fleet.apply_state(attrs.evolve(state, member=member))
     assert [member.name for member in fleet.entries()] == ["e1"]
 
 
 def test_each_entry_is_probed_by_exactly_two_peers():
     names = [f"e{number:02}" for number in range(40)]
-    asked = dict.fromkeys(names, 0)
+    probes = dict.fromkeys(names, 0)
     for name in names:
-        fleet = Fleet(make_news(name), ManualClock())
-        fleet.apply_states(make_news(other) for other in names if other != name)
+        fleet = Fleet(make_entry_state(name), ManualClock())
+        fleet.apply_states(
+            make_entry_state(other) for other in names if other != name
+        )
         probed = fleet.probe_targets()
         assert len(probed) == 2
-        for news in probed:
-            asked[news.member.name] += 1
-    assert set(asked.values()) == {2}
+        for state in probed:
+            probes[state.member.name] += 1
+    assert set(probes.values()) == {2}
 
 
 def test_down_entry_is_probed_in_addition_to_two_live_ones(fleet):
-    fleet.apply_states(make_news(f"e{number}") for number in range(2, 6))
+    fleet.apply_states(make_entry_state(f"e{number}") for number in range(2, 6))
     fleet.record_down("e2", "test")
-    names = [news.member.name for news in fleet.probe_targets()]
+    names = [state.member.name for state in fleet.probe_targets()]
     assert names == ["e2", "e3", "e4"]
 
 
 def test_first_entry_that_reaches_the_store_drives(fleet):
-    fleet.apply_state(make_news("e0", store=False))
-    fleet.apply_state(make_news("e2", store=True))
+    fleet.apply_state(make_entry_state("e0", store=False))
+    fleet.apply_state(make_entry_state("e2", store=True))
     assert fleet.driver() == "e2"
     fleet.update_own_state(store=True)
     assert fleet.drives()
@@ -90,11 +92,11 @@
 
 def test_only_given_number_of_stand_ins_may_drive(fleet):
     fleet.update_own_state(store=True)
-    fleet.apply_state(make_news("e0", store=True))
-    fleet.apply_state(make_news("e2", store=True))
+    fleet.apply_state(make_entry_state("e0", store=True))
+    fleet.apply_state(make_entry_state("e2", store=True))
     assert not fleet.drives()
     assert fleet.drives(stand_ins=1)
-    fleet.apply_state(make_news("e00", store=True))
+    fleet.apply_state(make_entry_state("e00", store=True))
     assert not fleet.drives(stand_ins=1)
     assert fleet.drives(stand_ins=2)
 
@@ -162,17 +164,17 @@
     seen = []
 
     def look():
-        names = [news.member.name for news in fleet.live()]
+        names = [state.member.name for state in fleet.live()]
         seen.append((fleet.digest(), tuple(names), fleet.me.sequence))
 
     look()
-    fleet.apply_state(make_news("e2", sequence=1))
+    fleet.apply_state(make_entry_state("e2", sequence=1))
     look()
     fleet.record_down("e2", "test")
     look()
     fleet.update_own_state(store=True)
     look()
-    fleet.apply_state(make_news("e1", sequence=9, down=True))
+    fleet.apply_state(make_entry_state("e1", sequence=9, down=True))
     look()
     assert len({digest for digest, *_ in seen}) == len(seen)
     assert [names for _, names, _ in seen] == [
@@ -190,13 +192,13 @@
 def test_duty_moves_to_next_entry_when_holder_loses_store(fleet):
     fleet.update_own_state(store=True)
     for name in ("e2", "e3"):
-        fleet.apply_state(make_news(name, sequence=1, store=True))
+        fleet.apply_state(make_entry_state(name, sequence=1, store=True))
     first, second = fleet.preferred("watch", 2)
     holders = {"e1", "e2", "e3"} - {first}
-    news = fleet.peers.get(first)
-    if news is None:
+    state = fleet.peers.get(first)
+    if state is None:
         fleet.update_own_state(store=False)
     else:
-        fleet.apply_state(attrs.evolve(news, sequence=2, store=False))
+        fleet.apply_state(attrs.evolve(state, sequence=2, store=False))
     assert fleet.preferred("watch", 2)[0] == second
     assert set(fleet.preferred("watch", 2)) == holders
--- a/tests/relay/test_prompt_news.py
+++ b/tests/relay/test_prompt_news.py
@@ -24,7 +24,7 @@
     make_prompt,
     make_workers,
 )
-from tests.relay.test_fleet import make_news
+from tests.relay.test_fleet import make_entry_state
 
 PROMPT = make_prompt(("a", 4000), ("own", 2000))
 
@@ -36,28 +36,28 @@
 
 def make_prompt_updates(clock, name, others):
     """Makes the prompt updates of one entry; returns them and its notices."""
-    fleet = Fleet(make_news(name, store=True), clock)
+    fleet = Fleet(make_entry_state(name, store=True), clock)
     for other in others:
-        fleet.apply_state(make_news(other, sequence=1))
+        fleet.apply_state(make_entry_state(other, sequence=1))
     directory = WorkerDirectory(clock)
     for worker in make_workers(3):
         directory.put(worker)
-    told = []
-    news = PromptUpdates(
+    notices = []
+    updates = PromptUpdates(
         fleet=fleet,
         directory=directory,
         loads=Loads(clock),
-        send=lambda members, notice: told.append((list(members), notice)),
+        send=lambda members, notice: notices.append((list(members), notice)),
         clock=clock,
         rng=random.Random(name),
     )
-    return news, told
+    return updates, notices
 
 
 def test_peers_learn_reading_time_and_cached_prompt_parts(clock):
-    one, told = make_prompt_updates(clock, "e1", ("e2", "e3"))
+    one, notices = make_prompt_updates(clock, "e1", ("e2", "e3"))
     one.publish("w1", "large", PROMPT, 0.8)
-    ((members, notice),) = told
+    ((members, notice),) = notices
     assert [member.name for member in members] == ["e2", "e3"]
     other, _ = make_prompt_updates(clock, "e2", ("e1", "e3"))
     other.apply_notice(notice)
@@ -68,11 +68,11 @@
 
 
 def test_reading_times_of_prompts_add_up(clock):
-    news, _ = make_prompt_updates(clock, "e2", ("e1",))
+    updates, _ = make_prompt_updates(clock, "e2", ("e1",))
     for _ in range(2):
-        news.loads.note_others_prompt("w1", 0.5)
+        updates.loads.note_others_prompt("w1", 0.5)
     clock.now += 0.75
-    assert news.loads.workers["w1"].others_until == pytest.approx(
+    assert updates.loads.workers["w1"].others_until == pytest.approx(
         clock.now + 0.25
     )
 
@@ -97,21 +97,21 @@
     settled = 0
     for _ in range(int(40 * per_s)):
         clock.now += 1 / per_s
-        for news, told in senders:
-            news.publish("w1", "large", PROMPT, 0.8)
-            settled += clock.now > 20.0 and len(told)
-            assert len(told) <= 1
-            assert bool(told) or not all_told
-            told.clear()
+        for updates, notices in senders:
+            updates.publish("w1", "large", PROMPT, 0.8)
+            settled += clock.now > 20.0 and len(notices)
+            assert len(notices) <= 1
+            assert bool(notices) or not all_told
+            notices.clear()
     # Each entry receives what all others publish.
     assert settled / 20.0 <= 1.1 * MAX_RECEIVED_PER_S
     assert all_told or settled / 20.0 >= 0.7 * MAX_RECEIVED_PER_S
 
 
 def test_short_prompts_are_not_published(clock):
-    news, told = make_prompt_updates(clock, "e1", ("e2",))
-    news.publish("w1", "small", PROMPT, 0.9 * MIN_PUBLISHED_READ_S)
-    assert told == []
+    updates, notices = make_prompt_updates(clock, "e1", ("e2",))
+    updates.publish("w1", "small", PROMPT, 0.9 * MIN_PUBLISHED_READ_S)
+    assert notices == []
 
 
 @pytest.mark.parametrize(
@@ -125,17 +125,17 @@
     ],
 )
 def test_notice_with_invalid_worker_or_time_is_ignored(clock, worker, read_s):
-    news, _ = make_prompt_updates(clock, "e2", ("e1",))
-    told = peer_pb2.PromptSent(worker=short_hash(worker), read_s=read_s)
-    news.apply_notice(peer_pb2.Notice(prompt_sent=told))
-    assert not news.loads.workers
+    updates, _ = make_prompt_updates(clock, "e2", ("e1",))
+    message = peer_pb2.PromptSent(worker=short_hash(worker), read_s=read_s)
+    updates.apply_notice(peer_pb2.Notice(prompt_sent=message))
+    assert not updates.loads.workers
 
 
 def test_large_estimate_does_not_close_worker_for_long(clock):
-    news, _ = make_prompt_updates(clock, "e2", ("e1",))
-    told = peer_pb2.PromptSent(worker=short_hash("w1"), read_s=1e6)
-    news.apply_notice(peer_pb2.Notice(prompt_sent=told))
-    load = news.loads.workers["w1"]
+    updates, _ = make_prompt_updates(clock, "e2", ("e1",))
+    message = peer_pb2.PromptSent(worker=short_hash("w1"), read_s=1e6)
+    updates.apply_notice(peer_pb2.Notice(prompt_sent=message))
+    load = updates.loads.workers["w1"]
     assert load.others_until <= clock.now + MAX_READ_S
 
 
@@ -157,17 +157,17 @@
 
 def test_published_prompts_shorten_first_token_of_large_model():
     alone = play_engines(entries=8, per_s=30.0)
-    told = play_engines(entries=8, per_s=30.0, told=1.0)
-    assert told.quantile("large", 0.9) < 0.7 * alone.quantile("large", 0.9)
-    assert told.quantile("large", 0.97) < 0.7 * alone.quantile("large", 0.97)
-    assert told.quantile("small", 0.9) < 1.1 * alone.quantile("small", 0.9)
+    shared = play_engines(entries=8, per_s=30.0, told=1.0)
+    assert shared.quantile("large", 0.9) < 0.7 * alone.quantile("large", 0.9)
+    assert shared.quantile("large", 0.97) < 0.7 * alone.quantile("large", 0.97)
+    assert shared.quantile("small", 0.9) < 1.1 * alone.quantile("small", 0.9)
 
 
 def test_large_fleet_needs_notices_of_all_long_prompts():
     load = {"workers": 78, "entries": 195, "per_s": 300.0, "seconds": 10.0}
     some = play_engines(**load, told=0.55)
     every = play_engines(**load, told=1.0)
-    # The seconds were 1.16 and 0.76.
+    # Within 1.16 s and 0.76 s.
     assert every.quantile("large", 0.9) < 0.8 * some.quantile("large", 0.9)
     assert every.quantile("large", 0.95) < 0.8 * some.quantile("large", 0.95)
     assert every.quantile("small", 0.9) < some.quantile("small", 0.9)
--- a/tests/relay/test_queue_watch.py
+++ b/tests/relay/test_queue_watch.py
@@ -19,15 +19,17 @@
 from tests.lib.clock import ManualClock
 from tests.lib.platform_site import platform_site, until
 from tests.lib.relay_parts import make_worker
-from tests.relay.test_fleet import make_news
+from tests.relay.test_fleet import make_entry_state
 
 
 def make_watch(clock, reports, others=("e2", "e3"), name="e1", sent=None):
     """Makes a watch over engines with these queue lengths; None: no answer."""
     sent = [] if sent is None else sent
-    fleet = Fleet(make_news(name, store=True), clock)
+    fleet = Fleet(make_entry_state(name, store=True), clock)
     for other in others:
-        fleet.apply_state(make_news(other, sequence=1, store=len(others) > 2))
+        fleet.apply_state(
+            make_entry_state(other, sequence=1, store=len(others) > 2)
+        )
     directory = WorkerDirectory(clock)
     for id in reports:
         directory.put(make_worker(id, service="engine"))
