--- a/benchmarks/restored_store.py
+++ b/benchmarks/restored_store.py
@@ -124,7 +124,7 @@
     entry: object, store: Store, clock: object, knowing: dict[str, float]
 ) -> asyncio.Task:
     """Lets an entry follow the table; notes when it knows who leaves."""
-    history = entry.gossip.beliefs.history
+    history = entry.gossip.shared_state.history
     name = entry.fleet.me.member.name
 
     def take(page: Page, _after_outage: bool) -> None:
@@ -141,11 +141,11 @@
         table=TABLE,
         take=take,
         rank=lambda: watch.watch_rank(entry.fleet),
-        tell=entry.gossip.tell_store_news,
+        tell=entry.gossip.broadcast_store_news,
         history=history,
     )
     entry.gossip.followers[TABLE] = follower
-    entry.spread.takers["store_news"] = entry.gossip.take_store_news
+    entry.broadcaster.handlers["store_news"] = entry.gossip.receive_store_news
     return asyncio.ensure_future(follower.run())
 
 
@@ -154,19 +154,19 @@
     ring = make_ring(size)
     for entry in ring.live():
         for each in ring.live():
-            entry.fleet.take(
+            entry.fleet.apply_state(
                 attrs.evolve(each.fleet.me, store=True, sequence=1)
             )
-        entry.fleet.change_me(store=True)
-        entry.gossip.beliefs.history.note(1, "store")
+        entry.fleet.update_own_state(store=True)
+        entry.gossip.shared_state.history.note(1, "store")
     store = Store(int(size * WORKERS_PER_ENTRY))
     knowing: dict[str, float] = {}
     tasks = [
         add_follower(entry, store, ring.clock, knowing) for entry in ring.live()
     ]
-    await ring.rounds(6)
+    await ring.run_rounds(6)
     store.away = True
-    talking = asyncio.ensure_future(ring.rounds(12))
+    talking = asyncio.ensure_future(ring.run_rounds(12))
     await asyncio.sleep(AWAY_S)
     store.calls.clear()
     store.away, store.revision = False, Revision(2, 900)
--- a/src/rattanpier/_internal/programs/relay.py
+++ b/src/rattanpier/_internal/programs/relay.py
@@ -24,9 +24,9 @@
     make_state,
 )
 from rattanpier._internal.programs.relay_workers import add_worker_news
-from rattanpier._internal.relay.beliefs import Beliefs
 from rattanpier._internal.relay.drain import DrainState
 from rattanpier._internal.relay.edge import CallerDialect, RelayEdge
+from rattanpier._internal.relay.shared_state import SharedState
 from rattanpier._internal.utils.clock import SystemClock
 from rattanpier._internal.utils.metrics import Metrics
 
@@ -65,7 +65,7 @@
         clock,
         metrics,
     )
-    beliefs = Beliefs(
+    shared_state = SharedState(
         state.rollouts,
         dispatcher.quarantine,
         state.domains,
@@ -73,16 +73,18 @@
         state.directory,
         kernel.find("history"),
         lambda: state.table_version,
-        gone=state.gone.on_next,
+        on_deregistered=state.gone.on_next,
     )
-    gossip = await add_peers(kernel, settings, fleet, state, beliefs, clock)
-    beliefs.quarantine.tell = gossip.tell_quarantine
-    beliefs.limits.tell = gossip.tell_limit
-    beliefs.directory.tell_leaving = gossip.tell_leaving
+    gossip = await add_peers(
+        kernel, settings, fleet, state, shared_state, clock
+    )
+    shared_state.quarantine.tell = gossip.schedule_quarantine_broadcast
+    shared_state.limits.tell = gossip.broadcast_limit
+    shared_state.directory.tell_leaving = gossip.broadcast_leaving
     entry = RelayEntry(
         kernel, settings, state, fleet, drain, metrics, edge, gossip
     )
-    gossip.renew = renewal(entry)
+    gossip.refresh_own_state = renewal(entry)
     add_followers(entry)
     add_own_rows(entry)
     add_worker_news(entry)
@@ -99,7 +101,7 @@
         leaving = entry.drain.leaving
         state = MemberState.LEAVING if leaving else MemberState.LIVE
         me = entry.fleet.me
-        return entry.fleet.change_me(
+        return entry.fleet.update_own_state(
             member=attrs.evolve(me.member, state=state),
             ready=entry.ready(),
             store=entry.state.health.available,
--- a/src/rattanpier/_internal/programs/relay_peers.py
+++ b/src/rattanpier/_internal/programs/relay_peers.py
@@ -11,11 +11,11 @@
 from rattanpier._internal.peers.hints import Hints
 from rattanpier._internal.peers.links import Links
 from rattanpier._internal.peers.server import PeerServer
-from rattanpier._internal.relay.beliefs import Beliefs
-from rattanpier._internal.relay.fleet import Fleet, MemberNews
+from rattanpier._internal.relay.broadcast import Broadcaster
+from rattanpier._internal.relay.fleet import EntryState, Fleet
 from rattanpier._internal.relay.gossip import Gossip
+from rattanpier._internal.relay.shared_state import SharedState
 from rattanpier._internal.relay.snapshots import Snapshots
-from rattanpier._internal.relay.spread import Spread
 from rattanpier._internal.relay.state import RelayState
 from rattanpier._internal.utils.clock import SystemClock
 
@@ -33,7 +33,7 @@
         peer_port=settings.peers.port,
         hint_port=settings.hints.port,
     )
-    return Fleet(MemberNews(member, time.time()), clock)
+    return Fleet(EntryState(member, time.time()), clock)
 
 
 async def add_peers(
@@ -41,7 +41,7 @@
     settings: RelaySettings,
     fleet: Fleet,
     state: RelayState,
-    beliefs: Beliefs,
+    shared_state: SharedState,
     clock: SystemClock,
 ) -> Gossip:
     """Listens for peers and returns what talks to them."""
@@ -49,7 +49,7 @@
     kernel.services["peer_server"].stop = server.stop
     links = kernel.add("links", Links(settings.name))
     kernel.services["links"].stop = links.close
-    spread = Spread(fleet, links)
+    broadcaster = Broadcaster(fleet, links)
     snapshots = Snapshots(
         fleet=fleet,
         links=links,
@@ -57,29 +57,29 @@
         needed=lambda: (
             not state.health.available
             or state.table is None
-            or beliefs.lacks_table()
+            or shared_state.has_older_table()
         ),
-        make=state.snapshot,
+        build=state.snapshot,
         restore=state.restore,
     )
     gossip = Gossip(
         fleet=fleet,
-        beliefs=beliefs,
+        shared_state=shared_state,
         links=links,
-        spread=spread,
+        broadcaster=broadcaster,
         clock=clock,
         seeds=settings.seeds,
         snapshots=snapshots,
-        renew=lambda: False,
+        refresh_own_state=lambda: False,
     )
     server.on_call("beat", gossip.serve_beat)
     server.on_call("summary", gossip.serve_summary)
-    server.on_call("spread", spread.serve)
-    server.on_notice("spread", spread.take_hint)
+    server.on_call("spread", broadcaster.serve)
+    server.on_notice("spread", broadcaster.handle_notice)
     server.on_call("report", gossip.serve_report)
     server.on_call("snapshot", snapshots.serve)
-    spread.takers["rumors"] = gossip.take_rumors
-    spread.takers["store_news"] = gossip.take_store_news
+    broadcaster.handlers["rumors"] = gossip.receive_rumors
+    broadcaster.handlers["store_news"] = gossip.receive_store_news
     await server.start(settings.peers.host, settings.peers.port)
     hints = kernel.add(
         "hints", Hints(server.take_notice, kernel.find("metrics"))
--- a/src/rattanpier/_internal/programs/relay_workers.py
+++ b/src/rattanpier/_internal/programs/relay_workers.py
@@ -13,7 +13,7 @@
 from rattanpier._internal.platform.identity import identifier
 from rattanpier._internal.platform.reports import HearWords, ReadReport
 from rattanpier._internal.programs.relay_listen import RelayEntry
-from rattanpier._internal.relay.prompt_news import PromptNews
+from rattanpier._internal.relay.prompt_updates import PromptUpdates
 from rattanpier._internal.relay.queue_watch import QueueWatch
 from rattanpier._internal.retries.second_looks import SecondLooks
 
@@ -82,18 +82,20 @@
         fleet=entry.fleet,
         directory=state.directory,
         loads=entry.edge.dispatcher.loads,
-        hint_all=entry.gossip.spread.hint_all,
-        hint_one=entry.gossip.spread.hint_one,
+        notify_all=entry.gossip.broadcaster.notify_all,
+        notify_one=entry.gossip.broadcaster.notify_one,
         clock=entry.edge.dispatcher.clock,
         engines=state.engines,
         read=read_report,
-        restarted=lambda worker: state.forget([worker]),
-        open=state.domains.open,
-        rests=lambda worker: rests.opens_in_s(worker.incarnation) > 0.0,
+        on_restart=lambda worker: state.forget([worker]),
+        open_workers=state.domains.open,
+        in_backoff=lambda worker: rests.opens_in_s(worker.incarnation) > 0.0,
     )
-    state.gone.subscribe(lambda worker: queues.born.pop(worker, None))
-    entry.gossip.spread.takers["queue_news"] = queues.take_told
-    entry.gossip.spread.takers["queue_part"] = queues.hear_part
+    state.gone.subscribe(
+        lambda worker: queues.reported_starts.pop(worker, None)
+    )
+    entry.gossip.broadcaster.handlers["queue_news"] = queues.receive_update
+    entry.gossip.broadcaster.handlers["queue_part"] = queues.receive_part
     if entry.settings.policy.queue_reading:
         entry.kernel.spawn(queues.run())
 
@@ -101,7 +103,7 @@
 def add_prompt_news(entry: RelayEntry) -> None:
     """Adds what tells of long prompts, and hears of them."""
     dispatcher = entry.edge.dispatcher
-    prompts = PromptNews(
+    prompts = PromptUpdates(
         fleet=entry.fleet,
         directory=entry.state.directory,
         loads=dispatcher.loads,
@@ -110,6 +112,6 @@
         rng=random.Random(entry.settings.name),
     )
     server = entry.kernel.find("peer_server")
-    server.on_notice("prompt_sent", prompts.take_notice)
+    server.on_notice("prompt_sent", prompts.apply_notice)
     if entry.settings.policy.prompt_news:
-        dispatcher.tell_prompt = prompts.tell
+        dispatcher.tell_prompt = prompts.publish
--- a/src/rattanpier/_internal/relay/membership.py
+++ b/src/rattanpier/_internal/relay/membership.py
@@ -1,8 +1,8 @@
-"""Rows by which entries find each other.
+"""Discovery of other entries by rows in the store.
 
-An entry writes its row at its start and reads those of the others; from then
-on they talk directly. The row outlives the entry: one that is stale costs the
-others a call now and then.
+At its start an entry writes its row and reads those of the others; after that
+entries talk to each other directly. A row outlives its entry; a stale row
+costs the other entries an occasional call.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 )
 from rattanpier._internal.models.member import Member
 from rattanpier._internal.relay import own_table
-from rattanpier._internal.relay.fleet import Fleet, MemberNews
+from rattanpier._internal.relay.fleet import EntryState, Fleet
 from rattanpier._internal.relay.own_table import OwnTable, rows_of
 from rattanpier._internal.relay.restoring import LostRow
 from rattanpier._internal.relay.store import RelayStore
@@ -34,24 +34,28 @@
 
 log = structlog.get_logger(part="fleet")
 
-# Until the row is written; seeds lead to the others as well.
-RETRY_S = 1.0
-POLL_S = 0.1  # Between looks at whether the store is back.
-# An entry that knows no other looks for them this often.
-REREAD_S = 5.0
+# Between attempts to write or read rows. Entries are found by seeds as well.
+RETRY_DELAY_S = 1.0
+AVAILABILITY_POLL_S = 0.1  # Between checks whether the store is back.
+# Between reads of the rows while no other entry is known.
+REREAD_INTERVAL_S = 5.0
 
 
 @attrs.define(eq=False, repr=False)
 class EntryRows:
-    """Writes this entry's row and reads the others'.
+    """Writes this entry's row and reads those of the others.
 
     Attributes:
-      own_table: Holds the rows.
-      available: Whether this entry reaches the store. Calls in an outage are
-        paid for, and all entries may start in one.
-      take_held: Takes in the row of a held request, and the store's clock in
-        ms.
-      stands: A row that leads others here stands already.
+      store: Store that holds the rows.
+      own_table: Table that holds the rows.
+      fleet: Known states of all entries.
+      clock: Source of time for delays.
+      available: Returns whether this entry can reach the store. Calls during
+        an outage are billed, and all entries may start during one.
+      apply_held_row: Applies the row of a quarantined request; its second
+        argument is the store's clock in ms.
+      row_is_current: Whether the store already has a row with this entry's
+        addresses.
     """
 
     store: RelayStore
@@ -59,43 +63,46 @@
     fleet: Fleet
     clock: Clock
     available: Callable[[], bool]
-    take_held: Callable[[FeedRow, float], None]
-    stands: bool = False
+    apply_held_row: Callable[[FeedRow, float], None]
+    row_is_current: bool = False
 
     async def run(self) -> None:
-        """Reads all rows and writes this entry's, if none leads here yet.
+        """Reads all rows and writes this entry's row unless it is current.
 
-        Then reads again while no other entry is known: of two that start at
-        once, one sees the other's row so, if neither saw any at first.
+        Then keeps reading while no other entry is known: if two entries start
+        at once and neither saw the other's row at first, one of them sees it
+        this way.
         """
-        await self.until_done(self.read_first)
-        if not self.stands:
-            await self.until_done(self.write)
+        await self.retry_until_done(self.read_first)
+        if not self.row_is_current:
+            await self.retry_until_done(self.write)
             if self.is_alone():
-                await self.until_done(self.read_again)
+                await self.retry_until_done(self.read_again)
         while True:
-            await self.clock.sleep(REREAD_S)
+            await self.clock.sleep(REREAD_INTERVAL_S)
             if self.is_alone():
                 await self.read_again()
 
-    async def until_done(self, step: Callable[[], Awaitable[bool]]) -> None:
-        """Takes a step again and again until it worked."""
-        await self.store_is_there()
+    async def retry_until_done(
+        self, step: Callable[[], Awaitable[bool]]
+    ) -> None:
+        """Repeats a step until it succeeds, while the store is available."""
+        await self.wait_for_store()
         while not await step():
-            await self.clock.sleep(RETRY_S)
-            await self.store_is_there()
+            await self.clock.sleep(RETRY_DELAY_S)
+            await self.wait_for_store()
 
     def is_alone(self) -> bool:
-        """Says whether no other entry is known to live."""
+        """Returns whether no other live entry is known."""
         return len(self.fleet.live()) == 1
 
-    async def store_is_there(self) -> None:
-        """Waits until those who follow the store were answered."""
+    async def wait_for_store(self) -> None:
+        """Waits until the followers of the store got an answer."""
         while not self.available():
-            await self.clock.sleep(POLL_S)
+            await self.clock.sleep(AVAILABILITY_POLL_S)
 
     async def write(self) -> bool:
-        """Writes this entry's row; says whether it surely stands."""
+        """Writes this entry's row; returns whether the write is confirmed."""
         me = self.fleet.me
         put = RowPut(own_table.TABLE, me.member.name, encode(me).encode())
         outcome = await self.store.transact([], [put])
@@ -105,54 +112,57 @@
         return False
 
     def lost(self, page: Page) -> Iterator[LostRow]:
-        """Yields the rows that the table lacks, of entries that live."""
-        standing = {row.key for row in page.rows}
-        for news in self.fleet.live():
-            if news.member.name not in standing:
-                yield LostRow(news.member.name, encode(news).encode())
+        """Yields rows of live entries that are missing from the table."""
+        present_keys = {row.key for row in page.rows}
+        for state in self.fleet.live():
+            if state.member.name not in present_keys:
+                yield LostRow(state.member.name, encode(state).encode())
 
     async def read_first(self) -> bool:
-        """Takes in what the start reads; says whether that worked."""
-        return await self.take_from(self.own_table.first)
+        """Applies the page read at the start; returns whether it succeeded."""
+        return await self.read_and_apply(self.own_table.first)
 
     async def read_again(self) -> bool:
-        """Reads all rows anew; says whether that worked."""
-        return await self.take_from(self.own_table.read)
+        """Reads and applies all rows again; returns whether it succeeded."""
+        return await self.read_and_apply(self.own_table.read)
 
-    async def take_from(self, read: Callable[[], Awaitable[Page]]) -> bool:
-        """Takes in what a reading shows; says whether it worked."""
+    async def read_and_apply(self, read: Callable[[], Awaitable[Page]]) -> bool:
+        """Reads and applies a page; returns whether the read succeeded."""
         try:
             page = await read()
         except StoreUnavailableError as error:
-            # The loss of the store is told once, where it is noticed.
+            # The outage itself is logged once, where it is detected.
             log.debug("Entries not read.", error=str(error))
             return False
         for row in rows_of(page, own_table.HELD):
-            self.take_held(row, page.now_ms)
+            self.apply_held_row(row, page.now_ms)
         for row in filter(own_table.is_entry, page.rows):
-            await self.take(row)
+            await self.apply_row(row)
         return True
 
-    async def take(self, row: FeedRow) -> None:
-        """Takes in the row of an entry; one that can't be read is removed."""
+    async def apply_row(self, row: FeedRow) -> None:
+        """Applies the row of an entry; removes it if it can't be decoded."""
         try:
-            news = decode(MemberNews, row.value)
+            state = decode(EntryState, row.value)
         except UnreadableError as error:
             log.warning(
-                "Entry's row can't be read.", row=row.key, error=str(error)
+                "Entry row can't be decoded; removing it.",
+                row=row.key,
+                error=str(error),
             )
-            gone = RowCheck(own_table.TABLE, row.key)
-            await self.store.transact([], [], [gone])
+            check = RowCheck(own_table.TABLE, row.key)
+            await self.store.transact([], [], [check])
             return
-        if news.member.name == self.fleet.me.member.name:
-            self.stands = self.leads_here(news.member)
-        self.fleet.take(news)
+        if state.member.name == self.fleet.me.member.name:
+            self.row_is_current = self.is_current(state.member)
+        self.fleet.apply_state(state)
 
-    def leads_here(self, member: Member) -> bool:
-        """Says whether an earlier row of this entry's name leads here.
+    def is_current(self, member: Member) -> bool:
+        """Returns whether an earlier row of this entry is still valid.
 
-        Who goes by it asks this entry, which tells of its new start: it need
-        not be written anew at each.
+        A row is valid if it differs at most in the incarnation. Peers that use
+        it reach this entry and learn the new incarnation from it, so the row
+        need not be rewritten at each start.
         """
         me = self.fleet.me.member
         return attrs.evolve(member, incarnation=me.incarnation) == me
--- a/src/rattanpier/_internal/relay/snapshots.py
+++ b/src/rattanpier/_internal/relay/snapshots.py
@@ -1,7 +1,7 @@
-"""What peers know stands in for the store.
+"""Snapshots of a peer's state, used while the store is unreachable.
 
-An entry that does not reach the store, after a start in an outage or since the
-store turns its VM away, takes the beliefs of a peer.
+An entry that can't reach the store, because it started during an outage or
+because the store refuses its VM, loads the state of a peer.
 """
 
 from __future__ import annotations
@@ -26,32 +26,34 @@
 from rattanpier._internal.models.worker import RegisteredWorker
 from rattanpier._internal.peers.links import Links
 from rattanpier._internal.peers.proto import peer_pb2
-from rattanpier._internal.relay.fleet import Fleet, MemberNews
+from rattanpier._internal.relay.fleet import EntryState, Fleet
 from rattanpier._internal.utils.clock import Clock
 from rattanpier._internal.utils.codec import pack, unpack
 
 log = structlog.get_logger(part="fleet")
 
-SNAPSHOT_TIMEOUT_S = 2.0  # Tables of many routes over a slow link.
-SNAPSHOT_EVERY_S = 1.0
-ASKED = 2  # Peers, one after the other, until one answers.
+# Allows for tables of many routes over a slow link.
+SNAPSHOT_TIMEOUT_S = 2.0
+MIN_REQUEST_INTERVAL_S = 1.0
+MAX_PEERS_ASKED = 2  # Asked one after the other, until one answers.
 
 
 @attrs.frozen
 class Snapshot:
-    """All that an entry needs to serve.
+    """All state that an entry needs to serve requests.
+
+    Field names are on the wire and can't be changed.
 
     Attributes:
-      packed_table: The route table, packed, since it may be long; empty if the
+      packed_table: Route table, packed because it may be long; empty if the
         sender has none.
-      table_version: Its version.
+      table_version: Version of the route table.
       workers: Registered workers.
       orders: Roll-out orders.
-      records: How far they went.
-      domain_orders: Failure domains that get nothing new, and those that do
-        again.
-      from_store: The sender reaches the store now.
-      as_of: Revision of the store as of which the workers are.
+      records: Progress of the roll-outs.
+      domain_orders: Orders that drain failure domains or end a drain.
+      from_store: Whether the sender can reach the store now.
+      as_of: Revision of the store at which the workers were read.
     """
 
     packed_table: bytes
@@ -64,10 +66,10 @@
     as_of: Revision = Revision()
 
     def table(self) -> RouteTable | None:
-        """Returns the route table.
+        """Returns the route table, or None if the sender had none.
 
         Raises:
-          UnreadableError: The bytes do not fit.
+          UnreadableError: The table can't be unpacked.
         """
         if not self.packed_table:
             return None
@@ -76,62 +78,68 @@
 
 @attrs.define(eq=False, repr=False)
 class Snapshots:
-    """Gives this entry's beliefs to peers, and takes theirs.
+    """Serves snapshots to peers and requests them when needed.
 
     Attributes:
-      needed: Whether this entry lacks what the store would tell.
-      make: Returns this entry's beliefs.
-      restore: Takes a peer's beliefs.
-      asked_at: When peers were asked last, in monotonic seconds.
+      fleet: Known states of all entries.
+      links: Connections to the peers.
+      clock: Source of monotonic time.
+      needed: Returns whether this entry lacks state from the store.
+      build: Returns a snapshot of this entry's state.
+      restore: Loads a peer's snapshot.
+      requested_at: Monotonic time of the last request, in seconds.
     """
 
     fleet: Fleet
     links: Links
     clock: Clock
     needed: Callable[[], bool]
-    make: Callable[[], Snapshot]
+    build: Callable[[], Snapshot]
     restore: Callable[[Snapshot], None]
-    asked_at: float = float("-inf")
+    requested_at: float = float("-inf")
 
     async def serve(self, call: peer_pb2.Call) -> peer_pb2.Reply:
-        """Answers with this entry's state."""
-        packed = pack(self.make())
+        """Answers with a snapshot of this entry's state."""
+        packed = pack(self.build())
         return peer_pb2.Reply(snapshot=peer_pb2.SnapshotReply(packed=packed))
 
-    async def ask_if_needed(self) -> None:
-        """Takes the beliefs of a peer that has what this entry lacks."""
-        since_s = self.clock.monotonic() - self.asked_at
-        if not self.needed() or since_s < SNAPSHOT_EVERY_S:
+    async def request_if_needed(self) -> None:
+        """Loads a peer's snapshot if this entry lacks state from the store."""
+        since_s = self.clock.monotonic() - self.requested_at
+        if not self.needed() or since_s < MIN_REQUEST_INTERVAL_S:
             return
-        asked = self.worth_asking()
-        if not asked:
+        candidates = self.candidate_peers()
+        if not candidates:
             return
-        self.asked_at = self.clock.monotonic()
-        for news in asked:
+        self.requested_at = self.clock.monotonic()
+        for state in candidates:
             call = peer_pb2.Call(snapshot=peer_pb2.SnapshotRequest())
             try:
-                reply = await self.links.to(news.member).call(
+                reply = await self.links.to(state.member).call(
                     call, SNAPSHOT_TIMEOUT_S
                 )
                 self.restore(unpack(Snapshot, reply.snapshot.packed))
             except (PeerUnavailableError, UnreadableError) as error:
                 log.info(
-                    "No snapshot from a peer.",
-                    entry=news.member.name,
+                    "Snapshot request to peer failed.",
+                    entry=state.member.name,
                     error=str(error),
                 )
                 continue
             return
 
-    def worth_asking(self) -> list[MemberNews]:
-        """Returns the peers to ask, those that serve callers first.
+    def candidate_peers(self) -> list[EntryState]:
+        """Returns the peers to ask; those that serve callers come first.
 
-        Entries that start together ask different ones. While all start, and
-        the store answers, none can tell more than the store.
+        The order is random, so that entries that start together ask different
+        peers. If the store is reachable, only peers that serve callers are
+        asked: while all entries start, none knows more than the store.
         """
-        others = [news for news in self.fleet.live() if news != self.fleet.me]
-        random.shuffle(others)
-        others.sort(key=lambda news: (not news.ready, not news.store))
+        candidates = [
+            state for state in self.fleet.live() if state != self.fleet.me
+        ]
+        random.shuffle(candidates)
+        candidates.sort(key=lambda state: (not state.ready, not state.store))
         if self.fleet.me.store:
-            others = [news for news in others if news.ready]
-        return others[:ASKED]
+            candidates = [state for state in candidates if state.ready]
+        return candidates[:MAX_PEERS_ASKED]
--- a/tests/lib/ring.py
+++ b/tests/lib/ring.py
@@ -1,6 +1,6 @@
-"""Entries in one process that tell each other news, in virtual time.
+"""Simulated ring of entries in one process, in virtual time.
 
-Messages are encoded and decoded as on the wire, and counted for each entry.
+Messages are encoded and decoded as on the wire, and counted per sender.
 """
 
 import asyncio
@@ -19,26 +19,26 @@
 from rattanpier._internal.placement.drained_domains import DrainedDomains
 from rattanpier._internal.placement.rate_limits import RateLimits
 from rattanpier._internal.placement.shared_rates import SharedRates
-from rattanpier._internal.relay.beliefs import Beliefs
+from rattanpier._internal.relay.broadcast import Broadcaster
 from rattanpier._internal.relay.directory import WorkerDirectory
 from rattanpier._internal.relay.exposure import ExposureBound
-from rattanpier._internal.relay.fleet import Fleet, MemberNews
-from rattanpier._internal.relay.gossip import BEAT_EVERY_S, Gossip
+from rattanpier._internal.relay.fleet import EntryState, Fleet
+from rattanpier._internal.relay.gossip import HEARTBEAT_INTERVAL_S, Gossip
 from rattanpier._internal.relay.history import StoreHistory
 from rattanpier._internal.relay.rollouts import Rollouts
+from rattanpier._internal.relay.shared_state import SharedState
 from rattanpier._internal.relay.snapshots import Snapshots
-from rattanpier._internal.relay.spread import Spread
 from rattanpier._internal.retries.quarantine import Quarantine
 from rattanpier._internal.utils.metrics import Metrics
 from tests.lib.virtual import LoopClock
 
 DOMAINS = 6
-WAY_S = 0.001  # Of a message from one entry to another.
+LATENCY_S = 0.001  # Of a message between two entries.
 
 
 @attrs.define
 class Sent:
-    """What one entry sent."""
+    """Traffic that one entry sent."""
 
     messages: int = 0
     bytes: int = 0
@@ -46,7 +46,7 @@
 
 
 class RingLink:
-    """A connection from one entry to another."""
+    """A simulated connection from one entry to another."""
 
     def __init__(self, ring, sender, target):
         self.ring = ring
@@ -60,25 +60,25 @@
             raise PeerUnavailableError("silent")
         if entry.dead:
             raise PeerRefusedError("refused")
-        await asyncio.sleep(WAY_S)
-        heard = peer_pb2.Call.FromString(call.SerializeToString())
-        reply = await entry.calls()[heard.WhichOneof("body")](heard)
+        await asyncio.sleep(LATENCY_S)
+        received = peer_pb2.Call.FromString(call.SerializeToString())
+        reply = await entry.calls()[received.WhichOneof("body")](received)
         self.ring.count(self.target, self.sender, reply)
-        await asyncio.sleep(WAY_S)
+        await asyncio.sleep(LATENCY_S)
         return peer_pb2.Reply.FromString(reply.SerializeToString())
 
     def notify(self, notice):
         entry = self.ring.deliver(self.sender, self.target, notice)
         if entry is None or entry.dead:
             return
-        heard = peer_pb2.Notice.FromString(notice.SerializeToString())
+        received = peer_pb2.Notice.FromString(notice.SerializeToString())
         loop = asyncio.get_running_loop()
-        loop.call_later(WAY_S, entry.spread.take_hint, heard)
+        loop.call_later(LATENCY_S, entry.broadcaster.handle_notice, received)
 
 
 @attrs.define
 class RingLinks:
-    """The connections of one entry."""
+    """The simulated connections of one entry."""
 
     ring: object
     sender: str
@@ -89,50 +89,50 @@
 
 @attrs.define(eq=False)
 class Entry:
-    """One entry, as far as it talks to others."""
+    """The parts of an entry that communicate with its peers."""
 
     fleet: Fleet
-    spread: Spread
+    broadcaster: Broadcaster
     gossip: Gossip
     dead: bool = False
-    heard: collections.Counter = attrs.Factory(collections.Counter)
+    received: collections.Counter = attrs.Factory(collections.Counter)
 
     def calls(self):
         return {
             "beat": self.gossip.serve_beat,
             "summary": self.gossip.serve_summary,
-            "spread": self.spread.serve,
+            "spread": self.broadcaster.serve,
         }
 
-    def note_hint(self, told):
-        self.heard[told.packed] += 1
+    def record_notice(self, message):
+        self.received[message.packed] += 1
 
 
 @attrs.define
 class Ring:
-    """All entries, and the network between them.
+    """All entries and the simulated network between them.
 
     Attributes:
-      loss: Share of messages that get lost.
-      silent: Names of entries that nothing reaches or leaves.
+      loss_ratio: Probability that a message is lost.
+      partitioned: Names of entries without network.
     """
 
     clock: LoopClock = attrs.Factory(LoopClock)
     rng: random.Random = attrs.Factory(lambda: random.Random(1))
     entries: dict = attrs.Factory(dict)
     sent: dict = attrs.Factory(lambda: collections.defaultdict(Sent))
-    loss: float = 0.0
-    silent: set = attrs.Factory(set)
+    loss_ratio: float = 0.0
+    partitioned: set = attrs.Factory(set)
 
     def add(self, number):
-        """Adds an entry that knows nobody."""
+        """Adds an entry that knows no other entry."""
         member = make_member(number)
-        fleet = Fleet(MemberNews(member, 1.0, ready=True), self.clock)
+        fleet = Fleet(EntryState(member, 1.0, ready=True), self.clock)
         links = RingLinks(self, member.name)
-        spread = Spread(fleet, links)
+        broadcaster = Broadcaster(fleet, links)
         gossip = Gossip(
             fleet=fleet,
-            beliefs=Beliefs(
+            shared_state=SharedState(
                 Rollouts(ExposureBound(0.1, 30.0), 5.0, self.clock),
                 Quarantine(self.clock),
                 DrainedDomains(),
@@ -141,7 +141,7 @@
                 StoreHistory(self.clock, Metrics()),
             ),
             links=links,
-            spread=spread,
+            broadcaster=broadcaster,
             clock=self.clock,
             seeds=(),
             snapshots=Snapshots(
@@ -149,24 +149,29 @@
                 links=links,
                 clock=self.clock,
                 needed=lambda: False,
-                make=lambda: None,
+                build=lambda: None,
                 restore=lambda _snapshot: None,
             ),
-            renew=lambda: False,
+            refresh_own_state=lambda: False,
         )
-        gossip.beliefs.quarantine.tell = gossip.tell_quarantine
-        gossip.beliefs.limits.tell = gossip.tell_limit
-        gossip.beliefs.directory.tell_leaving = gossip.tell_leaving
-        entry = Entry(fleet, spread, gossip)
-        spread.takers["rumors"] = gossip.take_rumors
-        spread.takers["queue_news"] = entry.note_hint
+        gossip.shared_state.quarantine.tell = (
+            gossip.schedule_quarantine_broadcast
+        )
+        gossip.shared_state.limits.tell = gossip.broadcast_limit
+        gossip.shared_state.directory.tell_leaving = gossip.broadcast_leaving
+        entry = Entry(fleet, broadcaster, gossip)
+        broadcaster.handlers["rumors"] = gossip.receive_rumors
+        broadcaster.handlers["queue_news"] = entry.record_notice
         self.entries[member.name] = entry
         return entry
 
     def deliver(self, sender, target, message):
-        """Counts a message; returns whom it reaches, or None."""
+        """Counts a message; returns its recipient, or None if it is lost."""
         self.count(sender, target, message)
-        if {sender, target} & self.silent or self.rng.random() < self.loss:
+        if {
+            sender,
+            target,
+        } & self.partitioned or self.rng.random() < self.loss_ratio:
             return None
         return self.entries[target]
 
@@ -179,45 +184,45 @@
     def live(self):
         return [each for each in self.entries.values() if not each.dead]
 
-    async def rounds(self, count):
-        """Lets all that live talk for some rounds, each at its own moment."""
-        talking = [
-            asyncio.ensure_future(self.talk(entry))
+    async def run_rounds(self, count):
+        """Runs all live entries for some rounds, each with its own offset."""
+        running = [
+            asyncio.ensure_future(self.run_entry(entry))
             for entry in self.live()
-            if entry.fleet.me.member.name not in self.silent
+            if entry.fleet.me.member.name not in self.partitioned
         ]
-        await asyncio.sleep(count * BEAT_EVERY_S)
-        for task in talking:
+        await asyncio.sleep(count * HEARTBEAT_INTERVAL_S)
+        for task in running:
             task.cancel()
-        await asyncio.gather(*talking, return_exceptions=True)
+        await asyncio.gather(*running, return_exceptions=True)
 
-    async def talk(self, entry):
-        await asyncio.sleep(self.rng.uniform(0.0, 0.8 * BEAT_EVERY_S))
+    async def run_entry(self, entry):
+        await asyncio.sleep(self.rng.uniform(0.0, 0.8 * HEARTBEAT_INTERVAL_S))
         await entry.gossip.run()
 
-    def knowing(self, name, state):
-        """Share of the living others that know a state of an entry."""
+    def share_knowing(self, name, state):
+        """Returns the share of live peers whose view of an entry matches."""
         others = [
             each
             for each in self.live()
-            if each.fleet.me.member.name not in {name, *self.silent}
+            if each.fleet.me.member.name not in {name, *self.partitioned}
         ]
         known = sum(
-            state(each.fleet.others[name])
+            state(each.fleet.peers[name])
             for each in others
-            if name in each.fleet.others
+            if name in each.fleet.peers
         )
         return known / len(others)
 
-    def forget_sent(self):
+    def reset_sent(self):
         self.sent.clear()
 
     def connections(self):
-        """The most entries that one entry sent something to."""
+        """Returns the largest number of peers that one entry sent to."""
         return max(len(sent.peers) for sent in self.sent.values())
 
-    def most_and_mean(self, field):
-        """The most that one entry sent, and the mean of all."""
+    def max_and_mean(self, field):
+        """Returns the maximum and the mean over the entries."""
         values = [getattr(sent, field) for sent in self.sent.values()]
         return max(values), sum(values) / len(self.entries)
 
@@ -229,18 +234,20 @@
 
 
 def make_ring(count, knowing=True):
-    """Entries that know each other, or nobody."""
+    """Makes a ring of entries that know each other, or none."""
     ring = Ring()
     for number in range(count):
         ring.add(number)
     if knowing:
-        news = [entry.fleet.me for entry in ring.entries.values()]
+        states = [entry.fleet.me for entry in ring.entries.values()]
         for entry in ring.entries.values():
-            entry.fleet.take_all(
-                each for each in news if each is not entry.fleet.me
+            entry.fleet.apply_states(
+                each for each in states if each is not entry.fleet.me
             )
             entry.gossip.compared_at = 0.0
-            entry.gossip.told = entry.gossip.beliefs.news_with([entry.fleet.me])
+            entry.gossip.published = entry.gossip.shared_state.full_update(
+                [entry.fleet.me]
+            )
     return ring
 
 
--- a/tests/relay/test_fleet.py
+++ b/tests/relay/test_fleet.py
@@ -1,96 +1,102 @@
-"""What entries know of each other, and how a change gets around."""
+"""The view that entries have of each other, and how changes propagate."""
 
 import attrs
 import pytest
 
 from rattanpier._internal.models.member import Member, MemberState, Role
 from rattanpier._internal.programs.relay import close
-from rattanpier._internal.relay.fleet import FORGET_S, Fleet, MemberNews
+from rattanpier._internal.relay.fleet import (
+    FORGET_DOWN_AFTER_S,
+    EntryState,
+    Fleet,
+)
 from rattanpier._internal.standin.platform_store import Door, StoreFault
 from tests.lib.clock import ManualClock
 from tests.lib.platform_site import manifest, platform_site, until
 
 
-def make_news(name, started=1.0, incarnation="i", **more):
+def make_entry_state(name, started=1.0, incarnation="i", **more):
     member = Member(name, incarnation, Role.ENTRY, "a", "r", name, "h", 1)
-    return MemberNews(member, started, **{"ready": True, **more})
+    return EntryState(member, started, **{"ready": True, **more})
 
 
 @pytest.fixture
 def fleet():
-    return Fleet(make_news("e1"), ManualClock())
+    return Fleet(make_entry_state("e1"), ManualClock())
 
 
-def test_the_newest_state_counts_in_any_order(fleet):
-    old = make_news("e2", sequence=1)
-    new = make_news("e2", sequence=2, ready=False)
-    assert fleet.take(new)
-    assert not fleet.take(old)
-    assert not fleet.others["e2"].ready
+def test_newest_state_wins_in_any_order(fleet):
+    old = make_entry_state("e2", sequence=1)
+    new = make_entry_state("e2", sequence=2, ready=False)
+    assert fleet.apply_state(new)
+    assert not fleet.apply_state(old)
+    assert not fleet.peers["e2"].ready
 
 
-def test_down_counts_over_the_same_number_and_not_over_a_later_one(fleet):
-    fleet.take(make_news("e2", sequence=1))
-    fleet.note_down("e2", "test")
+def test_down_wins_over_same_sequence_but_not_a_later_one(fleet):
+    fleet.apply_state(make_entry_state("e2", sequence=1))
+    fleet.record_down("e2", "test")
     assert [member.name for member in fleet.entries()] == ["e1"]
-    assert not fleet.take(make_news("e2", sequence=1))
-    assert fleet.take(make_news("e2", sequence=2))
+    assert not fleet.apply_state(make_entry_state("e2", sequence=1))
+    assert fleet.apply_state(make_entry_state("e2", sequence=2))
     assert len(fleet.entries()) == 2
 
 
-def test_an_entry_called_down_says_that_it_is_not(fleet):
-    assert fleet.take(make_news("e1", sequence=0, down=True))
+def test_live_entry_refutes_report_of_being_down(fleet):
+    assert fleet.apply_state(make_entry_state("e1", sequence=0, down=True))
     assert fleet.me.sequence == 1
     assert not fleet.me.down
 
 
-def test_a_new_start_counts_though_the_wall_clock_went_back(fleet):
-    fleet.take(make_news("e1", started=9.0, incarnation="before"))
+def test_new_incarnation_wins_after_wall_clock_set_back(fleet):
+    fleet.apply_state(make_entry_state("e1", started=9.0, incarnation="before"))
     assert fleet.me.started > 9.0
 
 
-def test_a_leaving_entry_is_not_listed(fleet):
-    news = make_news("e2")
-    member = attrs.evolve(news.member, state=MemberState.LEAVING)
-    fleet.take(attrs.evolve(news, member=member))
+def test_leaving_entry_is_not_listed(fleet):
+    state = make_entry_state("e2")
+    member = attrs.evolve(state.member, state=MemberState.LEAVING)
+    fleet.apply_state(attrs.evolve(state, member=member))
     assert [member.name for member in fleet.entries()] == ["e1"]
 
 
-def test_each_entry_is_asked_by_two_others_however_many_there_are():
+def test_each_entry_is_probed_by_exactly_two_peers():
     names = [f"e{number:02}" for number in range(40)]
-    asked = dict.fromkeys(names, 0)
+    probes = dict.fromkeys(names, 0)
     for name in names:
-        fleet = Fleet(make_news(name), ManualClock())
-        fleet.take_all(make_news(other) for other in names if other != name)
-        probed = fleet.probed()
+        fleet = Fleet(make_entry_state(name), ManualClock())
+        fleet.apply_states(
+            make_entry_state(other) for other in names if other != name
+        )
+        probed = fleet.probe_targets()
         assert len(probed) == 2
-        for news in probed:
-            asked[news.member.name] += 1
-    assert set(asked.values()) == {2}
+        for state in probed:
+            probes[state.member.name] += 1
+    assert set(probes.values()) == {2}
 
 
-def test_one_that_is_down_is_asked_beside_two_live_ones(fleet):
-    fleet.take_all(make_news(f"e{number}") for number in range(2, 6))
-    fleet.note_down("e2", "test")
-    names = [news.member.name for news in fleet.probed()]
+def test_down_entry_is_probed_in_addition_to_two_live_ones(fleet):
+    fleet.apply_states(make_entry_state(f"e{number}") for number in range(2, 6))
+    fleet.record_down("e2", "test")
+    names = [state.member.name for state in fleet.probe_targets()]
     assert names == ["e2", "e3", "e4"]
 
 
-def test_the_first_that_reaches_the_store_drives(fleet):
-    fleet.take(make_news("e0", store=False))
-    fleet.take(make_news("e2", store=True))
+def test_first_entry_that_reaches_the_store_drives(fleet):
+    fleet.apply_state(make_entry_state("e0", store=False))
+    fleet.apply_state(make_entry_state("e2", store=True))
     assert fleet.driver() == "e2"
-    fleet.change_me(store=True)
+    fleet.update_own_state(store=True)
     assert fleet.drives()
 
 
-def test_as_many_more_as_told_may_drive(fleet):
-    fleet.change_me(store=True)
-    fleet.take(make_news("e0", store=True))
-    fleet.take(make_news("e2", store=True))
+def test_only_given_number_of_stand_ins_may_drive(fleet):
+    fleet.update_own_state(store=True)
+    fleet.apply_state(make_entry_state("e0", store=True))
+    fleet.apply_state(make_entry_state("e2", store=True))
     assert not fleet.drives()
     assert fleet.drives(stand_ins=1)
-    fleet.take(make_news("e00", store=True))
+    fleet.apply_state(make_entry_state("e00", store=True))
     assert not fleet.drives(stand_ins=1)
     assert fleet.drives(stand_ins=2)
 
@@ -106,7 +112,7 @@
     return sorted(member.name for member in entry.fleet.entries())
 
 
-async def test_entries_find_each_other_by_the_store(site):
+async def test_entries_discover_each_other_through_the_store(site):
     for number in range(4):
         await site.add_entry(f"entry-{number}")
     names = sorted(site.entries)
@@ -114,7 +120,7 @@
         await until(lambda entry=entry: listed(entry) == names)
 
 
-async def test_a_dead_entry_is_listed_by_none(site):
+async def test_dead_entry_is_removed_from_all_lists(site):
     for number in range(4):
         await site.add_entry(f"entry-{number}")
     names = sorted(site.entries)
@@ -125,7 +131,7 @@
         await until(lambda entry=entry: "entry-2" not in listed(entry))
 
 
-async def test_an_entry_that_starts_in_an_outage_learns_from_a_seed(site):
+async def test_entry_started_during_store_outage_learns_from_seed(site):
     first = await site.add_entry("entry-1")
     site.store.set_fault(StoreFault.BUSY)
     second = await site.add_entry(
@@ -135,7 +141,7 @@
     assert (await site.ask(entry="entry-2")).status == 200
 
 
-async def test_a_change_reaches_an_entry_that_the_store_turns_away(site):
+async def test_change_reaches_entry_that_the_store_refuses(site):
     door = Door()
     first = await site.add_entry("entry-1")
     address = await site.add_door(door)
@@ -154,21 +160,21 @@
     assert not second.state.health.available
 
 
-async def test_what_follows_from_the_states_changes_with_them(fleet):
+async def test_cached_values_change_with_the_states(fleet):
     seen = []
 
     def look():
-        names = [news.member.name for news in fleet.live()]
+        names = [state.member.name for state in fleet.live()]
         seen.append((fleet.digest(), tuple(names), fleet.me.sequence))
 
     look()
-    fleet.take(make_news("e2", sequence=1))
+    fleet.apply_state(make_entry_state("e2", sequence=1))
     look()
-    fleet.note_down("e2", "test")
+    fleet.record_down("e2", "test")
     look()
-    fleet.change_me(store=True)
+    fleet.update_own_state(store=True)
     look()
-    fleet.take(make_news("e1", sequence=9, down=True))
+    fleet.apply_state(make_entry_state("e1", sequence=9, down=True))
     look()
     assert len({digest for digest, *_ in seen}) == len(seen)
     assert [names for _, names, _ in seen] == [
@@ -178,21 +184,21 @@
         ("e1",),
         ("e1",),
     ]
-    await fleet.clock.advance(FORGET_S + 1)
+    await fleet.clock.advance(FORGET_DOWN_AFTER_S + 1)
     fleet.forget_down()
     assert fleet.digest() not in {digest for digest, *_ in seen}
 
 
-def test_the_duty_moves_on_when_its_holder_loses_the_store(fleet):
-    fleet.change_me(store=True)
+def test_duty_moves_to_next_entry_when_holder_loses_store(fleet):
+    fleet.update_own_state(store=True)
     for name in ("e2", "e3"):
-        fleet.take(make_news(name, sequence=1, store=True))
+        fleet.apply_state(make_entry_state(name, sequence=1, store=True))
     first, second = fleet.preferred("watch", 2)
     holders = {"e1", "e2", "e3"} - {first}
-    news = fleet.others.get(first)
-    if news is None:
-        fleet.change_me(store=False)
+    state = fleet.peers.get(first)
+    if state is None:
+        fleet.update_own_state(store=False)
     else:
-        fleet.take(attrs.evolve(news, sequence=2, store=False))
+        fleet.apply_state(attrs.evolve(state, sequence=2, store=False))
     assert fleet.preferred("watch", 2)[0] == second
     assert set(fleet.preferred("watch", 2)) == holders
--- a/tests/relay/test_prompt_news.py
+++ b/tests/relay/test_prompt_news.py
@@ -1,4 +1,4 @@
-"""Entries that tell each other of the long prompts that they send."""
+"""Entries notify each other of the long prompts that they send."""
 
 import random
 
@@ -9,11 +9,11 @@
 from rattanpier._internal.relay.fleet import Fleet
 from rattanpier._internal.relay.load import Loads
 from rattanpier._internal.relay.placement import HOME_TRUST
-from rattanpier._internal.relay.prompt_news import (
-    LEAST_TOLD_S,
-    MOST_HEARD_PER_S,
-    MOST_TOLD_S,
-    PromptNews,
+from rattanpier._internal.relay.prompt_updates import (
+    MAX_READ_S,
+    MAX_RECEIVED_PER_S,
+    MIN_PUBLISHED_READ_S,
+    PromptUpdates,
 )
 from rattanpier._internal.utils.hashing import short_hash
 from tests.lib.clock import ManualClock
@@ -24,7 +24,7 @@
     make_prompt,
     make_workers,
 )
-from tests.relay.test_fleet import make_news
+from tests.relay.test_fleet import make_entry_state
 
 PROMPT = make_prompt(("a", 4000), ("own", 2000))
 
@@ -34,45 +34,45 @@
     return ManualClock()
 
 
-def make_prompt_news(clock, name, others):
-    """What one entry of several tells, and takes in."""
-    fleet = Fleet(make_news(name, store=True), clock)
+def make_prompt_updates(clock, name, others):
+    """Makes the prompt updates of one entry; returns them and its notices."""
+    fleet = Fleet(make_entry_state(name, store=True), clock)
     for other in others:
-        fleet.take(make_news(other, sequence=1))
+        fleet.apply_state(make_entry_state(other, sequence=1))
     directory = WorkerDirectory(clock)
     for worker in make_workers(3):
         directory.put(worker)
-    told = []
-    news = PromptNews(
+    notices = []
+    updates = PromptUpdates(
         fleet=fleet,
         directory=directory,
         loads=Loads(clock),
-        send=lambda members, notice: told.append((list(members), notice)),
+        send=lambda members, notice: notices.append((list(members), notice)),
         clock=clock,
         rng=random.Random(name),
     )
-    return news, told
+    return updates, notices
 
 
-def test_all_others_know_what_a_worker_reads_and_keeps(clock):
-    one, told = make_prompt_news(clock, "e1", ("e2", "e3"))
-    one.tell("w1", "large", PROMPT, 0.8)
-    ((members, notice),) = told
+def test_peers_learn_reading_time_and_cached_prompt_parts(clock):
+    one, notices = make_prompt_updates(clock, "e1", ("e2", "e3"))
+    one.publish("w1", "large", PROMPT, 0.8)
+    ((members, notice),) = notices
     assert [member.name for member in members] == ["e2", "e3"]
-    other, _ = make_prompt_news(clock, "e2", ("e1", "e3"))
-    other.take_notice(notice)
+    other, _ = make_prompt_updates(clock, "e2", ("e1", "e3"))
+    other.apply_notice(notice)
     load = other.loads.workers["w1"]
     assert load.others_until == pytest.approx(clock.now + 0.8)
     assert kept_tokens(other.loads, "w1", "large", PROMPT) == PROMPT.tokens
     assert kept_tokens(other.loads, "w1", "small", PROMPT) == 0
 
 
-def test_one_prompt_is_read_after_another(clock):
-    news, _ = make_prompt_news(clock, "e2", ("e1",))
+def test_reading_times_of_prompts_add_up(clock):
+    updates, _ = make_prompt_updates(clock, "e2", ("e1",))
     for _ in range(2):
-        news.loads.note_others_prompt("w1", 0.5)
+        updates.loads.note_others_prompt("w1", 0.5)
     clock.now += 0.75
-    assert news.loads.workers["w1"].others_until == pytest.approx(
+    assert updates.loads.workers["w1"].others_until == pytest.approx(
         clock.now + 0.25
     )
 
@@ -87,29 +87,31 @@
         (420, 2.4, False),
     ],
 )
-def test_what_each_hears_is_bounded_at_any_size(
+def test_rate_of_received_notices_is_bounded_at_any_size(
     clock, entries, per_s, all_told
 ):
     everybody = [f"e{number}" for number in range(entries)]
-    senders = [make_prompt_news(clock, name, everybody) for name in everybody]
+    senders = [
+        make_prompt_updates(clock, name, everybody) for name in everybody
+    ]
     settled = 0
     for _ in range(int(40 * per_s)):
         clock.now += 1 / per_s
-        for news, told in senders:
-            news.tell("w1", "large", PROMPT, 0.8)
-            settled += clock.now > 20.0 and len(told)
-            assert len(told) <= 1
-            assert bool(told) or not all_told
-            told.clear()
-    # Each hears of what all others tell.
-    assert settled / 20.0 <= 1.1 * MOST_HEARD_PER_S
-    assert all_told or settled / 20.0 >= 0.7 * MOST_HEARD_PER_S
+        for updates, notices in senders:
+            updates.publish("w1", "large", PROMPT, 0.8)
+            settled += clock.now > 20.0 and len(notices)
+            assert len(notices) <= 1
+            assert bool(notices) or not all_told
+            notices.clear()
+    # Each entry receives what all others publish.
+    assert settled / 20.0 <= 1.1 * MAX_RECEIVED_PER_S
+    assert all_told or settled / 20.0 >= 0.7 * MAX_RECEIVED_PER_S
 
 
-def test_short_prompts_are_not_told(clock):
-    news, told = make_prompt_news(clock, "e1", ("e2",))
-    news.tell("w1", "small", PROMPT, 0.9 * LEAST_TOLD_S)
-    assert told == []
+def test_short_prompts_are_not_published(clock):
+    updates, notices = make_prompt_updates(clock, "e1", ("e2",))
+    updates.publish("w1", "small", PROMPT, 0.9 * MIN_PUBLISHED_READ_S)
+    assert notices == []
 
 
 @pytest.mark.parametrize(
@@ -122,22 +124,22 @@
         ("w1", -1.0),
     ],
 )
-def test_what_names_no_worker_or_time_is_left_out(clock, worker, read_s):
-    news, _ = make_prompt_news(clock, "e2", ("e1",))
-    told = peer_pb2.PromptSent(worker=short_hash(worker), read_s=read_s)
-    news.take_notice(peer_pb2.Notice(prompt_sent=told))
-    assert not news.loads.workers
+def test_notice_with_invalid_worker_or_time_is_ignored(clock, worker, read_s):
+    updates, _ = make_prompt_updates(clock, "e2", ("e1",))
+    message = peer_pb2.PromptSent(worker=short_hash(worker), read_s=read_s)
+    updates.apply_notice(peer_pb2.Notice(prompt_sent=message))
+    assert not updates.loads.workers
 
 
-def test_no_estimate_closes_a_worker_for_long(clock):
-    news, _ = make_prompt_news(clock, "e2", ("e1",))
-    told = peer_pb2.PromptSent(worker=short_hash("w1"), read_s=1e6)
-    news.take_notice(peer_pb2.Notice(prompt_sent=told))
-    load = news.loads.workers["w1"]
-    assert load.others_until <= clock.now + MOST_TOLD_S
+def test_large_estimate_does_not_close_worker_for_long(clock):
+    updates, _ = make_prompt_updates(clock, "e2", ("e1",))
+    message = peer_pb2.PromptSent(worker=short_hash("w1"), read_s=1e6)
+    updates.apply_notice(peer_pb2.Notice(prompt_sent=message))
+    load = updates.loads.workers["w1"]
+    assert load.others_until <= clock.now + MAX_READ_S
 
 
-def test_a_worker_that_reads_for_others_is_passed_by(clock):
+def test_worker_that_reads_prompts_of_peers_is_avoided(clock):
     entry = make_entry(clock, 1)
     workers = make_workers(9)
     chosen = entry.choose(make_chat(), workers, "large").worker
@@ -145,23 +147,23 @@
     assert entry.choose(make_chat(), workers, "large").worker != chosen
 
 
-def test_a_home_nobody_told_of_is_not_taken_to_hold_a_long_prompt(clock):
+def test_unpublished_home_is_not_assumed_to_cache_long_prompt(clock):
     entry = make_entry(clock, 1)
     long_s = entry.pace.read_s("large", 40000)
-    assert long_s > LEAST_TOLD_S
+    assert long_s > MIN_PUBLISHED_READ_S
     assert entry.home_trust(long_s) == 0.0
     assert entry.home_trust(entry.pace.read_s("small", 10)) == HOME_TRUST
 
 
-def test_large_answers_begin_sooner_where_entries_tell_each_other():
+def test_published_prompts_shorten_first_token_of_large_model():
     alone = play_engines(entries=8, per_s=30.0)
-    told = play_engines(entries=8, per_s=30.0, told=1.0)
-    assert told.quantile("large", 0.9) < 0.7 * alone.quantile("large", 0.9)
-    assert told.quantile("large", 0.97) < 0.7 * alone.quantile("large", 0.97)
-    assert told.quantile("small", 0.9) < 1.1 * alone.quantile("small", 0.9)
+    shared = play_engines(entries=8, per_s=30.0, told=1.0)
+    assert shared.quantile("large", 0.9) < 0.7 * alone.quantile("large", 0.9)
+    assert shared.quantile("large", 0.97) < 0.7 * alone.quantile("large", 0.97)
+    assert shared.quantile("small", 0.9) < 1.1 * alone.quantile("small", 0.9)
 
 
-def test_a_large_fleet_needs_to_hear_of_all_long_prompts():
+def test_large_fleet_needs_notices_of_all_long_prompts():
     load = {"workers": 78, "entries": 195, "per_s": 300.0, "seconds": 10.0}
     some = play_engines(**load, told=0.55)
     every = play_engines(**load, told=1.0)
--- a/tests/relay/test_spread.py
+++ b/tests/relay/test_spread.py
@@ -1,4 +1,4 @@
-"""News reach all entries, at a bounded cost for each, at any size."""
+"""Broadcasts reach all entries at a bounded cost per entry, at any size."""
 
 import functools
 
@@ -7,8 +7,8 @@
 
 from rattanpier._internal.models.member import MemberState
 from rattanpier._internal.peers.proto import peer_pb2
-from rattanpier._internal.relay.gossip import CALL_TIMEOUT_S, TIMEOUTS_TO_DOWN
-from rattanpier._internal.relay.spread import WIDTH
+from rattanpier._internal.relay.broadcast import FANOUT
+from rattanpier._internal.relay.gossip import CALL_TIMEOUT_S, PROBE_ATTEMPTS
 from tests.lib.relay_parts import make_worker
 from tests.lib.ring import ORDER, make_ring
 from tests.lib.virtual import run_virtual
@@ -26,70 +26,74 @@
     return run
 
 
-def make_hint(name):
-    told = peer_pb2.QueueNews(packed=name.encode())
-    return peer_pb2.Spread(queue_news=told)
+def make_message(name):
+    update = peer_pb2.QueueNews(packed=name.encode())
+    return peer_pb2.Spread(queue_news=update)
 
 
 @pytest.mark.parametrize("size", SIZES)
 @virtual
-async def test_each_hears_of_a_thing_once_and_tells_few(size):
+async def test_broadcast_reaches_each_entry_once_at_bounded_cost(size):
     ring = make_ring(size)
     for name, entry in ring.entries.items():
-        entry.spread.hint_all(make_hint(name))
+        entry.broadcaster.notify_all(make_message(name))
     await ring.clock.sleep(2.0)
     for name, entry in ring.entries.items():
         others = set(ring.entries) - {name}
-        assert set(entry.heard) == {other.encode() for other in others}
-        assert set(entry.heard.values()) == {1}
-    most, mean = ring.most_and_mean("messages")
+        assert set(entry.received) == {other.encode() for other in others}
+        assert set(entry.received.values()) == {1}
+    most, mean = ring.max_and_mean("messages")
     assert most <= 8 * mean
-    assert ring.connections() <= 5 * WIDTH
+    assert ring.connections() <= 5 * FANOUT
 
 
 @pytest.mark.parametrize("size", SIZES)
 @virtual
-async def test_one_that_tells_all_sends_to_few_itself(size):
+async def test_broadcaster_sends_to_at_most_fanout_entries(size):
     ring = make_ring(size)
-    teller = ring.entries["e000"]
-    await teller.spread.tell_run(make_hint("w"), teller.fleet.ring())
+    sender = ring.entries["e000"]
+    await sender.broadcaster.send_to_segment(
+        make_message("w"), sender.fleet.ring()
+    )
     await ring.clock.sleep(2.0)
-    assert all(e.heard[b"w"] for e in ring.live() if e is not teller)
-    assert ring.sent["e000"].messages <= WIDTH
-    most, mean = ring.most_and_mean("messages")
+    assert all(e.received[b"w"] for e in ring.live() if e is not sender)
+    assert ring.sent["e000"].messages <= FANOUT
+    most, mean = ring.max_and_mean("messages")
     assert most <= 8 * mean
 
 
 @pytest.mark.parametrize("size", [80, 195])
 @virtual
-async def test_those_that_do_not_answer_are_gone_round(size):
+async def test_broadcast_bypasses_unresponsive_entries(size):
     ring = make_ring(size)
     names = list(ring.entries)
-    ring.silent = set(names[1::10])
+    ring.partitioned = set(names[1::10])
     for name in names[2::10]:
         ring.entries[name].dead = True
-    teller = ring.entries["e000"]
-    await teller.spread.tell_run(make_hint("w"), teller.fleet.ring())
+    sender = ring.entries["e000"]
+    await sender.broadcaster.send_to_segment(
+        make_message("w"), sender.fleet.ring()
+    )
     await ring.clock.sleep(2.0)
     missed = [
         entry.fleet.me.member.name
         for entry in ring.live()
-        if entry.fleet.me.member.name not in {"e000", *ring.silent}
-        and not entry.heard[b"w"]
+        if entry.fleet.me.member.name not in {"e000", *ring.partitioned}
+        and not entry.received[b"w"]
     ]
     assert missed == []
 
 
 @pytest.mark.parametrize("size", [80, 195])
 @virtual
-async def test_a_stopped_version_is_known_within_seconds_on_lossy_links(size):
+async def test_stopped_version_spreads_in_seconds_on_lossy_links(size):
     ring = make_ring(size)
-    ring.loss = 0.1
-    ring.entries["e007"].gossip.beliefs.rollouts.take_order(ORDER)
-    ring.entries["e007"].gossip.beliefs.rollouts.stop(ORDER.id, "test")
-    await ring.rounds(6)
+    ring.loss_ratio = 0.1
+    ring.entries["e007"].gossip.shared_state.rollouts.take_order(ORDER)
+    ring.entries["e007"].gossip.shared_state.rollouts.stop(ORDER.id, "test")
+    await ring.run_rounds(6)
     knowing = sum(
-        ORDER.id in entry.gossip.beliefs.rollouts.stopped
+        ORDER.id in entry.gossip.shared_state.rollouts.stopped
         for entry in ring.live()
     )
     assert knowing >= 0.99 * size
@@ -97,127 +101,130 @@
 
 @pytest.mark.parametrize("size", SIZES)
 @virtual
-async def test_a_quiet_fleet_sends_the_same_at_any_size(size):
+async def test_idle_traffic_does_not_grow_with_fleet_size(size):
     ring = make_ring(size)
-    await ring.rounds(4)
-    ring.forget_sent()
-    await ring.rounds(4)
-    most, mean = ring.most_and_mean("messages")
-    # Two questions and one in turn, and as many answers, in each round.
+    await ring.run_rounds(4)
+    ring.reset_sent()
+    await ring.run_rounds(4)
+    most, mean = ring.max_and_mean("messages")
+    # Two probes and one distant probe per round, and as many answers.
     assert mean <= 4 * 6
     assert most <= 8 * mean
-    most_bytes, mean_bytes = ring.most_and_mean("bytes")
+    most_bytes, mean_bytes = ring.max_and_mean("bytes")
     assert mean_bytes <= 4 * 6 * 100
     assert most_bytes <= 8 * mean_bytes
 
 
 @pytest.mark.parametrize("size", SIZES)
 @virtual
-async def test_a_change_reaches_all_with_few_bytes(size):
+async def test_state_change_reaches_all_entries_with_few_bytes(size):
     ring = make_ring(size)
-    await ring.rounds(2)
-    ring.forget_sent()
+    await ring.run_rounds(2)
+    ring.reset_sent()
     entry = ring.entries["e003"]
-    entry.fleet.change_me(ready=False)
-    await ring.rounds(2)
-    assert ring.knowing("e003", lambda news: not news.ready) == 1.0
-    _, mean_bytes = ring.most_and_mean("bytes")
+    entry.fleet.update_own_state(ready=False)
+    await ring.run_rounds(2)
+    assert ring.share_knowing("e003", lambda news: not news.ready) == 1.0
+    _, mean_bytes = ring.max_and_mean("bytes")
     assert mean_bytes <= 2 * 6 * 100 + 1000
 
 
 @pytest.mark.parametrize("size", [8, 80, 195])
 @virtual
-async def test_all_know_all_after_all_start_at_once(size):
+async def test_simultaneous_start_converges_with_bounded_messages(size):
     ring = make_ring(size, knowing=False)
-    # Each reads the rows of those that wrote theirs before it looked.
+    # Each entry reads the rows that were written before its own.
     written = []
     for entry in ring.entries.values():
         written.append(entry.fleet.me)
-        entry.fleet.take_all(news for news in written[:-1])
-    await ring.rounds(6)
-    assert all(len(e.fleet.others) == size - 1 for e in ring.live())
-    _, mean = ring.most_and_mean("messages")
+        entry.fleet.apply_states(news for news in written[:-1])
+    await ring.run_rounds(6)
+    assert all(len(e.fleet.peers) == size - 1 for e in ring.live())
+    _, mean = ring.max_and_mean("messages")
     assert mean <= 1.5 * size + 100
-    ring.forget_sent()
-    await ring.rounds(4)
-    assert ring.connections() <= 3 * WIDTH
+    ring.reset_sent()
+    await ring.run_rounds(4)
+    assert ring.connections() <= 3 * FANOUT
 
 
 @pytest.mark.parametrize("size", [80, 195])
 @virtual
-async def test_one_that_starts_learns_the_present_states(size):
+async def test_new_entry_replaces_stale_rows_by_current_states(size):
     ring = make_ring(size)
     for name in ("e005", "e006"):
-        ring.entries[name].fleet.change_me(ready=False)
-    await ring.rounds(2)
+        ring.entries[name].fleet.update_own_state(ready=False)
+    await ring.run_rounds(2)
     late = ring.add(size)
-    # Its rows are of the others' starts.
-    late.fleet.take_all(
+    # The rows that it reads date from the starts of the other entries.
+    late.fleet.apply_states(
         entry.fleet.me for entry in make_ring(size).entries.values()
     )
-    await ring.rounds(3)
-    assert not late.fleet.others["e005"].ready
-    assert not late.fleet.others["e006"].ready
-    assert ring.knowing(late.fleet.me.member.name, lambda n: n.ready) == 1.0
+    await ring.run_rounds(3)
+    assert not late.fleet.peers["e005"].ready
+    assert not late.fleet.peers["e006"].ready
+    assert (
+        ring.share_knowing(late.fleet.me.member.name, lambda n: n.ready) == 1.0
+    )
 
 
 @pytest.mark.parametrize("size", [80, 195])
 @virtual
-async def test_entries_that_leave_are_known_to_all_in_a_rolling_stop(size):
+async def test_rolling_stop_unlists_leaving_entries_everywhere(size):
     ring = make_ring(size)
     for number in range(0, size, 10):
         entry = ring.entries[f"e{number:03}"]
         member = entry.fleet.me.member
-        entry.fleet.change_me(member=leaving(member))
-    await ring.rounds(2)
+        entry.fleet.update_own_state(member=leaving(member))
+    await ring.run_rounds(2)
     for number in range(0, size, 10):
         assert (
-            ring.knowing(f"e{number:03}", lambda news: not news.listed) == 1.0
+            ring.share_knowing(f"e{number:03}", lambda news: not news.listed)
+            == 1.0
         )
 
 
 @pytest.mark.parametrize("dead", [False, True])
 @virtual
-async def test_neighbours_that_are_lost_at_once_are_soon_known_to_be(dead):
+async def test_simultaneous_loss_of_adjacent_entries_is_detected(dead):
     ring = make_ring(195)
-    await ring.rounds(2)
-    # A failure domain: they stand side by side.
+    await ring.run_rounds(2)
+    # A failure domain: its entries are adjacent on the ring.
     lost = [f"e{number:03}" for number in range(60, 93)]
     if dead:
         for name in lost:
             ring.entries[name].dead = True
     else:
-        ring.silent = set(lost)
-    await ring.rounds(14)
-    known = [ring.knowing(name, lambda news: news.down) for name in lost]
+        ring.partitioned = set(lost)
+    await ring.run_rounds(14)
+    known = [ring.share_knowing(name, lambda news: news.down) for name in lost]
     assert min(known) == 1.0
 
 
 @virtual
-async def test_news_that_some_do_not_take_hold_up_no_heartbeat():
+async def test_unacknowledged_broadcast_does_not_delay_heartbeats():
     ring = make_ring(80)
-    ring.silent = {f"e{number:03}" for number in range(0, 80, 3)}
-    teller = ring.entries["e001"]
-    teller.fleet.change_me(ready=False)
+    ring.partitioned = {f"e{number:03}" for number in range(0, 80, 3)}
+    sender = ring.entries["e001"]
+    sender.fleet.update_own_state(ready=False)
     began = ring.clock.monotonic()
-    await teller.gossip.round()
-    # What a neighbour that does not answer takes, and no more behind it.
-    limit_s = 1.1 * TIMEOUTS_TO_DOWN * CALL_TIMEOUT_S
+    await sender.gossip.round()
+    # Only the probe of a neighbour that does not answer may take time.
+    limit_s = 1.1 * PROBE_ATTEMPTS * CALL_TIMEOUT_S
     assert ring.clock.monotonic() - began < limit_s
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.02])
 @virtual
-async def test_no_entry_is_called_down_for_long_that_lives(loss):
+async def test_live_entries_are_not_reported_down_permanently(loss):
     ring = make_ring(80)
-    ring.loss = loss
-    await ring.rounds(20)
-    ring.loss = 0.0
-    await ring.rounds(4)
+    ring.loss_ratio = loss
+    await ring.run_rounds(20)
+    ring.loss_ratio = 0.0
+    await ring.run_rounds(4)
     assert all(
         not news.down
         for entry in ring.live()
-        for news in entry.fleet.others.values()
+        for news in entry.fleet.peers.values()
     )
 
 
@@ -225,107 +232,109 @@
     return attrs.evolve(member, state=MemberState.LEAVING)
 
 
-def count_holding(ring, content):
+def count_quarantined(ring, content):
     return sum(
-        entry.gossip.beliefs.quarantine.held_s(content) > 0.0
+        entry.gossip.shared_state.quarantine.held_s(content) > 0.0
         for entry in ring.live()
     )
 
 
 @pytest.mark.parametrize("size", SIZES)
 @virtual
-async def test_all_hold_a_request_that_ended_workers_under_three(size):
+async def test_request_that_crashed_workers_is_quarantined_everywhere(size):
     ring = make_ring(size)
     for number in range(3):
         entry = ring.entries[f"e{number:03}"]
         worker = f"w{number}"
         for content in ("deadly", f"beside {number}"):
-            entry.gossip.beliefs.quarantine.note_end(content, worker)
-    # A request that ends workers goes on to the next within 0.2 s.
+            entry.gossip.shared_state.quarantine.note_end(content, worker)
+    # A request under which workers crash moves to the next within 0.2 s.
     await ring.clock.sleep(0.05)
-    assert count_holding(ring, "deadly") == size
-    most, mean = ring.most_and_mean("messages")
+    assert count_quarantined(ring, "deadly") == size
+    most, mean = ring.max_and_mean("messages")
     assert most <= 8 * mean
 
 
 @virtual
-async def test_those_that_missed_it_and_newcomers_hear_of_a_held_request():
+async def test_late_entries_learn_of_quarantined_request():
     ring = make_ring(80)
-    cut = {f"e{number:03}" for number in range(1, 80, 8)}
-    ring.silent = cut
+    partitioned = {f"e{number:03}" for number in range(1, 80, 8)}
+    ring.partitioned = partitioned
     for number in range(3):
-        ring.entries["e000"].gossip.beliefs.quarantine.note_end(
+        ring.entries["e000"].gossip.shared_state.quarantine.note_end(
             "deadly", f"w{number}"
         )
     await ring.clock.sleep(1.0)
-    assert count_holding(ring, "deadly") == 80 - len(cut)
-    ring.silent = set()
+    assert count_quarantined(ring, "deadly") == 80 - len(partitioned)
+    ring.partitioned = set()
     newcomer = ring.add(80)
-    newcomer.fleet.take_all([ring.entries["e005"].fleet.me])
-    await ring.rounds(12)
-    assert count_holding(ring, "deadly") == 81
+    newcomer.fleet.apply_states([ring.entries["e005"].fleet.me])
+    await ring.run_rounds(12)
+    assert count_quarantined(ring, "deadly") == 81
 
 
 def count_limited(ring):
-    return sum(bool(e.gossip.beliefs.limits.limited) for e in ring.live())
+    return sum(bool(e.gossip.shared_state.limits.limited) for e in ring.live())
 
 
 def count_leaving(ring):
-    return sum(bool(e.gossip.beliefs.directory.leaving) for e in ring.live())
+    return sum(
+        bool(e.gossip.shared_state.directory.leaving) for e in ring.live()
+    )
 
 
 @pytest.mark.parametrize("size", SIZES)
 @virtual
-async def test_what_a_worker_said_to_one_entry_is_soon_known_to_all(size):
+async def test_worker_announcement_to_one_entry_reaches_all(size):
     ring = make_ring(size)
     worker = make_worker("w1")
-    told = ring.entries["e001"].gossip.beliefs
-    told.limits.hear(worker, 2.5, 0.0)
-    told.directory.hear_leaving(worker)
+    informed = ring.entries["e001"].gossip.shared_state
+    informed.limits.hear(worker, 2.5, 0.0)
+    informed.directory.hear_leaving(worker)
     await ring.clock.sleep(0.05)
     assert count_limited(ring) == count_leaving(ring) == size
-    # Its end is heard by another one.
+    # Another entry learns that the limit ended.
     now = ring.clock.monotonic()
-    ring.entries["e002"].gossip.beliefs.limits.hear(worker, None, now)
+    ring.entries["e002"].gossip.shared_state.limits.hear(worker, None, now)
     await ring.clock.sleep(0.05)
     assert count_limited(ring) == 0
-    most, mean = ring.most_and_mean("messages")
+    most, mean = ring.max_and_mean("messages")
     assert most <= 8 * mean
 
 
 @virtual
-async def test_those_that_missed_it_and_newcomers_hear_what_a_worker_said():
+async def test_late_entries_learn_of_worker_announcements():
     ring = make_ring(80)
-    cut = {f"e{number:03}" for number in range(1, 80, 8)}
-    ring.silent = cut
+    partitioned = {f"e{number:03}" for number in range(1, 80, 8)}
+    ring.partitioned = partitioned
     worker = make_worker("w1")
     for entry in ring.entries.values():
-        entry.gossip.beliefs.directory.put(worker)
-    told = ring.entries["e000"].gossip.beliefs
-    told.limits.hear(worker, 2.5, 0.0)
-    told.directory.hear_leaving(worker)
+        entry.gossip.shared_state.directory.put(worker)
+    informed = ring.entries["e000"].gossip.shared_state
+    informed.limits.hear(worker, 2.5, 0.0)
+    informed.directory.hear_leaving(worker)
     await ring.clock.sleep(1.0)
-    assert count_limited(ring) == count_leaving(ring) == 80 - len(cut)
-    ring.silent = set()
+    assert count_limited(ring) == count_leaving(ring) == 80 - len(partitioned)
+    ring.partitioned = set()
     newcomer = ring.add(80)
-    newcomer.gossip.beliefs.directory.put(worker)
-    newcomer.fleet.take_all([ring.entries["e005"].fleet.me])
-    await ring.rounds(12)
+    newcomer.gossip.shared_state.directory.put(worker)
+    newcomer.fleet.apply_states([ring.entries["e005"].fleet.me])
+    await ring.run_rounds(12)
     assert count_limited(ring) == count_leaving(ring) == 81
 
 
 @pytest.mark.parametrize("size", SIZES)
 @virtual
-async def test_an_era_that_one_entry_saw_is_known_to_all(size):
-    """Without a word of those that watch, and with no message more."""
+async def test_store_era_seen_by_one_entry_reaches_all(size):
+    """Heartbeats alone carry the era, without watchers or more messages."""
     ring = make_ring(size)
     for entry in ring.live():
-        entry.gossip.beliefs.history.note(1, "store")
-    await ring.rounds(4)
-    ring.forget_sent()
-    ring.entries["e003"].gossip.beliefs.history.note(2, "store")
-    await ring.rounds(8)
-    eras = {entry.gossip.beliefs.history.era for entry in ring.live()}
+        entry.gossip.shared_state.history.note(1, "store")
+    await ring.run_rounds(4)
+    ring.reset_sent()
+    ring.entries["e003"].gossip.shared_state.history.note(2, "store")
+    await ring.run_rounds(8)
+    eras = {entry.gossip.shared_state.history.era for entry in ring.live()}
     assert eras == {2}
-    _, mean = ring.most_and_mean("messages")
+    _, mean = ring.max_and_mean("messages")
     assert mean <= 8 * 6
