--- a/src/rattanpier/_internal/placement/eligibility.py
+++ b/src/rattanpier/_internal/placement/eligibility.py
@@ -12,7 +12,7 @@
 import attrs
 
 from rattanpier._internal.models.worker import RegisteredWorker
-from rattanpier._internal.relay.course import Course
+from rattanpier._internal.relay.request_progress import RequestProgress
 
 Workers = Sequence[RegisteredWorker]
 
@@ -42,7 +42,7 @@
     """
 
     name: str
-    keep: Callable[[Course, Workers], Workers]
+    keep: Callable[[RequestProgress, Workers], Workers]
 
 
 @attrs.frozen
@@ -59,7 +59,7 @@
 
 
 def eligible(
-    conditions: Sequence[Condition], course: Course, workers: Workers
+    conditions: Sequence[Condition], course: RequestProgress, workers: Workers
 ) -> Eligible:
     """Returns the workers for which no condition holds."""
     left_out: dict[str, int] = {}
@@ -88,7 +88,7 @@
 
 
 def in_regions(
-    region_of: Mapping[str, str], course: Course, workers: Workers
+    region_of: Mapping[str, str], course: RequestProgress, workers: Workers
 ) -> Workers:
     """Returns the workers in a region that route and workspace allow.
 
@@ -106,7 +106,7 @@
     return workers
 
 
-def untried(course: Course, workers: Workers) -> Workers:
+def untried(course: RequestProgress, workers: Workers) -> Workers:
     """Returns the workers that the request was not sent to yet."""
     if not course.tried:
         return workers
@@ -116,7 +116,7 @@
 def apart(
     suspects: Callable[[str], bool],
     suspects_at: Callable[[str], int],
-    course: Course,
+    course: RequestProgress,
     workers: Workers,
 ) -> Workers:
     """Returns the workers with fewest requests that may end them.
--- a/src/rattanpier/_internal/relay/answering.py
+++ b/src/rattanpier/_internal/relay/answering.py
@@ -8,10 +8,10 @@
 
 from rattanpier._internal.models.relay_answer import AnswerPart
 from rattanpier._internal.models.relay_request import RelayRequest
-from rattanpier._internal.relay.course import Course
 from rattanpier._internal.relay.dispatch import Dispatcher
 from rattanpier._internal.relay.model_choice import first_model
 from rattanpier._internal.relay.plain_answers import whole
+from rattanpier._internal.relay.request_progress import RequestProgress
 from rattanpier._internal.relay.stream_answers import stream
 
 
@@ -23,7 +23,7 @@
     Closing the generator early means that the caller went away: what the
     workers do for it is stopped.
     """
-    course = Course(
+    course = RequestProgress(
         request,
         asyncio.get_running_loop().time()
         + request.deadline
--- a/src/rattanpier/_internal/relay/dispatch.py
+++ b/src/rattanpier/_internal/relay/dispatch.py
@@ -29,12 +29,6 @@
 from rattanpier._internal.placement.rate_limits import RateLimits
 from rattanpier._internal.placement.rests import Rests
 from rattanpier._internal.relay.budgets import SendBudget
-from rattanpier._internal.relay.course import (
-    LEAST_LEFT_S,
-    Course,
-    give_up,
-    rounded,
-)
 from rattanpier._internal.relay.directory import WorkerDirectory
 from rattanpier._internal.relay.exchange import (
     Sender,
@@ -43,6 +37,12 @@
 from rattanpier._internal.relay.health import Health
 from rattanpier._internal.relay.load import InFlight, Loads
 from rattanpier._internal.relay.placement import Choice, Chooser
+from rattanpier._internal.relay.request_progress import (
+    MIN_TIME_LEFT_S,
+    RequestProgress,
+    final_answer,
+    round_for_log,
+)
 from rattanpier._internal.relay.rollouts import Rollouts
 from rattanpier._internal.relay.worker_ends import WorkerEnds
 from rattanpier._internal.retries.quarantine import Quarantine
@@ -108,29 +108,29 @@
 
     # Choosing.
 
-    def choose(self, course: Course) -> Choice | None:
+    def choose(self, progress: RequestProgress) -> Choice | None:
         """Returns the worker for the next send, which begins now, or None."""
-        choice = self.expect(course, course.model)
+        choice = self.expect(progress, progress.model)
         if choice is not None:
             self.note_begun(choice.worker)
         return choice
 
-    def expect(self, course: Course, model: str) -> Choice | None:
+    def expect(self, progress: RequestProgress, model: str) -> Choice | None:
         """Returns the worker that a model would be asked of now, or None.
 
         The version goes before all else: that its workers are left out is no
         reason for a wider exposure, or to move a session.
         """
-        request = course.request
-        workers = self.directory.of_service(course.service)
-        split = self.rollouts.split(request, course.service, workers)
-        course.left_out = {}
-        leaving = self.directory.leaving_of_service(course.service)
+        request = progress.request
+        workers = self.directory.of_service(progress.service)
+        split = self.rollouts.split(request, progress.service, workers)
+        progress.excluded = {}
+        leaving = self.directory.leaving_of_service(progress.service)
         if leaving:
-            self.count_left_out(course, LEAVING, leaving)
+            self.count_left_out(progress, LEAVING, leaving)
         for group in (split.first, split.otherwise):
-            found = eligible(self.conditions, course, group)
-            self.note_left_out(course, group, found)
+            found = eligible(self.conditions, progress, group)
+            self.note_left_out(progress, group, found)
             choice = self.chooser.choose(request, found.workers, model)
             if choice is not None:
                 return choice
@@ -140,20 +140,25 @@
         return None
 
     def note_left_out(
-        self, course: Course, group: Sequence[RegisteredWorker], found: Eligible
+        self,
+        progress: RequestProgress,
+        group: Sequence[RegisteredWorker],
+        found: Eligible,
     ) -> None:
         """Takes in what kept a request from the workers of a version."""
         for name, count in found.left_out.items():
-            self.count_left_out(course, name, count)
+            self.count_left_out(progress, name, count)
         if not TIMED.isdisjoint(found.left_out):
-            course.opens_in_s = self.retry_in_s(group)
+            progress.available_in_s = self.retry_in_s(group)
         elif DRAINED_DOMAIN in found.left_out:
-            course.opens_in_s = DRAINED_RETRY_S
+            progress.available_in_s = DRAINED_RETRY_S
 
-    def count_left_out(self, course: Course, name: str, count: int) -> None:
+    def count_left_out(
+        self, progress: RequestProgress, name: str, count: int
+    ) -> None:
         """Takes in that a condition kept a request from some workers."""
         self.metrics.count(f"relay.left_out.{name}")
-        course.left_out[name] = course.left_out.get(name, 0) + count
+        progress.excluded[name] = progress.excluded.get(name, 0) + count
 
     def retry_in_s(self, workers: Sequence[RegisteredWorker]) -> float | None:
         """Returns when to come back for one of some closed workers.
@@ -167,44 +172,44 @@
         return wait_s * (1.0 + self.chooser.rng.random())
 
     def begin_flight(
-        self, course: Course, worker: RegisteredWorker, read_s: float
+        self, progress: RequestProgress, worker: RegisteredWorker, read_s: float
     ) -> InFlight:
         """Counts a request in at a worker."""
-        suspect = self.quarantine.suspects(course.request.content)
+        suspect = self.quarantine.suspects(progress.request.content)
         return self.loads.begin(worker.id, read_s, suspect)
 
-    def may_send_again(self, course: Course) -> bool:
+    def may_send_again(self, progress: RequestProgress) -> bool:
         """Says whether a request may be sent to one more worker."""
-        request = course.request
-        course.held_s = self.quarantine.held_s(request.content)
-        if course.held_s:
+        request = progress.request
+        progress.quarantined_s = self.quarantine.held_s(request.content)
+        if progress.quarantined_s:
             self.metrics.count("relay.held")
-            course.reason = "workers ended under this request"
+            progress.reason = "workers ended under this request"
             return False
-        if course.granted:
-            course.granted = False
+        if progress.next_send_allowed:
+            progress.next_send_allowed = False
             return True
-        if course.sent >= request.route.max_workers:
+        if progress.sent >= request.route.max_workers:
             return False
-        if course.may_have_run and not request.route.repeatable:
+        if progress.may_have_run and not request.route.repeatable:
             return False
-        if self.left_s(course) <= LEAST_LEFT_S:
+        if self.left_s(progress) <= MIN_TIME_LEFT_S:
             return False
-        if course.sent and not self.budgets[course.service].take():
+        if progress.sent and not self.budgets[progress.service].take():
             self.metrics.count("relay.budget_spent")
-            course.reason = course.reason or "retry budget spent"
+            progress.reason = progress.reason or "retry budget spent"
             return False
         return True
 
-    def left_s(self, course: Course) -> float:
+    def left_s(self, progress: RequestProgress) -> float:
         """Returns the seconds until the caller or the route gives up."""
-        return course.loop_deadline - asyncio.get_running_loop().time()
+        return progress.loop_deadline - asyncio.get_running_loop().time()
 
-    def note_send(self, course: Course, choice: Choice) -> Sending:
+    def note_send(self, progress: RequestProgress, choice: Choice) -> Sending:
         """Counts a send and returns what the worker is told."""
-        request = course.request
-        course.sent += 1
-        course.tried.add(choice.worker.id)
+        request = progress.request
+        progress.sent += 1
+        progress.tried.add(choice.worker.id)
         self.metrics.count("relay.sent")
         log.info(
             "Sent.",
@@ -213,27 +218,27 @@
             route=request.route.name,
             worker=choice.worker.id,
             version=choice.worker.version,
-            model=course.model,
-            send=course.sent,
+            model=progress.model,
+            send=progress.sent,
             cost=round(choice.cost, 2),
             to_read=round(choice.to_read),
             candidates=choice.candidates,
-            left_out=course.left_out,
+            left_out=progress.excluded,
             session=request.session,
-            report_age_s=rounded(choice.report_age_s),
-            left_s=round(self.left_s(course), 3),
+            report_age_s=round_for_log(choice.report_age_s),
+            left_s=round(self.left_s(progress), 3),
         )
         return Sending(
             worker=choice.worker,
-            left_s=self.left_s(course),
-            model=course.model,
+            left_s=self.left_s(progress),
+            model=progress.model,
             urgency=request.priority if request.route.streaming else None,
-            after_event=course.order.last,
+            after_event=progress.order.last,
         )
 
-    def refuse(self, course: Course) -> WholeAnswer | AnswerRefused:
+    def refuse(self, progress: RequestProgress) -> WholeAnswer | AnswerRefused:
         """Returns the final answer to a request that nobody answered."""
-        found = give_up(course, self.left_s(course))
+        found = final_answer(progress, self.left_s(progress))
         if isinstance(found, AnswerRefused):
             self.metrics.count(f"relay.refused.{found.refusal.code.value}")
         return found
@@ -241,14 +246,17 @@
     # Judging.
 
     def note_failed(
-        self, course: Course, worker: RegisteredWorker, error: SendError
+        self,
+        progress: RequestProgress,
+        worker: RegisteredWorker,
+        error: SendError,
     ) -> None:
         """Takes in that a send failed."""
-        course.reason = str(error)
-        course.retry_after_s = error.retry_after_s
+        progress.reason = str(error)
+        progress.retry_after_s = error.retry_after_s
         if not error.not_run:
-            course.may_have_run = True
-            self.note_result(course, worker, bad=True, relative_s=None)
+            progress.may_have_run = True
+            self.note_result(progress, worker, bad=True, relative_s=None)
         elif error.misdirected or not error.connected:
             # A worker that started anew at the same address has another id:
             # the one that was asked for is gone, though still registered.
@@ -257,22 +265,25 @@
         self.metrics.count(f"relay.send_failed.{reason}")
         log.info(
             "Send failed.",
-            request=course.request.id,
-            content=course.request.content,
+            request=progress.request.id,
+            content=progress.request.content,
             worker=worker.id,
-            reason=course.reason,
+            reason=progress.reason,
             not_run=error.not_run,
             connected=error.connected,
         )
 
     async def note_broken(
-        self, course: Course, worker: RegisteredWorker, error: SendError
+        self,
+        progress: RequestProgress,
+        worker: RegisteredWorker,
+        error: SendError,
     ) -> None:
         """Takes in that a send failed, and looks whether its worker ended."""
         if not error.not_run:
             # A caller that leaves meanwhile does not undo the end.
-            await asyncio.shield(self.look_for_end(course.request, worker))
-        self.note_failed(course, worker, error)
+            await asyncio.shield(self.look_for_end(progress.request, worker))
+        self.note_failed(progress, worker, error)
 
     async def look_for_end(
         self, request: RelayRequest, worker: RegisteredWorker
@@ -291,7 +302,7 @@
 
     def note_result(
         self,
-        course: Course,
+        progress: RequestProgress,
         worker: RegisteredWorker,
         bad: bool,
         relative_s: float | None,
@@ -302,26 +313,31 @@
         if bad and self.quarantine.explains(worker.incarnation):
             # A version is not worse for a request that ends all workers.
             return
-        self.rollouts.note(worker, course.request.route.name, bad, relative_s)
+        self.rollouts.note(worker, progress.request.route.name, bad, relative_s)
 
     def note_worker_failure(
-        self, course: Course, worker: RegisteredWorker, answer: WholeAnswer
+        self,
+        progress: RequestProgress,
+        worker: RegisteredWorker,
+        answer: WholeAnswer,
     ) -> None:
         """Takes in that a worker ran a request and failed."""
-        course.may_have_run = True
-        course.failure = answer
-        course.reason = f"worker failed with {answer.status}"
+        progress.may_have_run = True
+        progress.failure = answer
+        progress.reason = f"worker failed with {answer.status}"
         self.metrics.count("relay.worker_failed")
         log.info(
             "Worker failed.",
-            request=course.request.id,
+            request=progress.request.id,
             worker=worker.id,
             status=answer.status,
         )
 
-    def note_late(self, course: Course, worker: RegisteredWorker) -> None:
+    def note_late(
+        self, progress: RequestProgress, worker: RegisteredWorker
+    ) -> None:
         """Takes in that the time ran out at a worker."""
-        course.may_have_run = True
-        course.reason = "time ran out at the worker"
-        self.note_result(course, worker, bad=True, relative_s=None)
+        progress.may_have_run = True
+        progress.reason = "time ran out at the worker"
+        self.note_result(progress, worker, bad=True, relative_s=None)
         self.metrics.count("relay.late")
--- a/src/rattanpier/_internal/relay/edge.py
+++ b/src/rattanpier/_internal/relay/edge.py
@@ -27,9 +27,9 @@
 )
 from rattanpier._internal.models.route_table import RouteTable
 from rattanpier._internal.relay.answering import answer
-from rattanpier._internal.relay.course import rounded
 from rattanpier._internal.relay.dispatch import Dispatcher
 from rattanpier._internal.relay.drain import DrainState
+from rattanpier._internal.relay.request_progress import round_for_log
 from rattanpier._internal.utils.clock import Clock
 from rattanpier._internal.utils.headers import pass_on
 from rattanpier._internal.utils.metrics import Metrics
@@ -286,7 +286,7 @@
             route=taken.route.name,
             outcome=outcome,
             pieces=times.pieces,
-            first_s=rounded(times.first_s),
+            first_s=round_for_log(times.first_s),
             objective_s=taken.route.objective_s,
             longest_gap_s=round(times.longest_gap_s, 3),
             allowed_gap_s=taken.route.event_gap_s,
--- a/src/rattanpier/_internal/relay/escalation.py
+++ b/src/rattanpier/_internal/relay/escalation.py
@@ -9,7 +9,6 @@
 from rattanpier._internal.models.relay_request import RelayRequest
 from rattanpier._internal.models.sending import AnswerHead
 from rattanpier._internal.models.worker import RegisteredWorker
-from rattanpier._internal.relay.course import Course, rounded
 from rattanpier._internal.relay.dispatch import Dispatcher
 from rattanpier._internal.relay.model_choice import (
     ENOUGH_CONFIDENCE,
@@ -19,27 +18,31 @@
     larger_model,
 )
 from rattanpier._internal.relay.placement import Choice
+from rattanpier._internal.relay.request_progress import (
+    RequestProgress,
+    round_for_log,
+)
 
 log = structlog.get_logger(part="dispatch")
 
 
 def goes_on(
     dispatcher: Dispatcher,
-    course: Course,
+    progress: RequestProgress,
     worker: RegisteredWorker,
     head: AnswerHead,
 ) -> bool:
     """Says whether an answer is dropped for a larger model's."""
-    request = course.request
-    larger = larger_model(request, course.model)
+    request = progress.request
+    larger = larger_model(request, progress.model)
     if not dispatcher.policy.cascade or not larger or head.confidence is None:
         return False
     if head.confidence >= ENOUGH_CONFIDENCE:
         return False
-    tried = course.tried
+    tried = progress.tried
     # The same worker may well be the best: it is not ruled out.
-    course.tried = tried - {worker.id}
-    choice = dispatcher.expect(course, larger)
+    progress.tried = tried - {worker.id}
+    choice = dispatcher.expect(progress, larger)
     outlook = expect_larger(dispatcher, request, larger, choice)
     kept = judge_answer(
         request,
@@ -48,28 +51,28 @@
         outlook,
         dispatcher.policy,
     )
-    if kept is None and not dispatcher.may_send_again(course):
+    if kept is None and not dispatcher.may_send_again(progress):
         kept = Kept.BUDGET
     log.info(
         "Answer judged.",
         request=request.id,
         worker=worker.id,
-        model=course.model,
+        model=progress.model,
         confidence=head.confidence,
         kept=None if kept is None else kept.value,
-        wait_s=rounded(outlook.wait_s),
-        first_s=rounded(outlook.first_s),
-        whole_s=rounded(outlook.whole_s),
+        wait_s=round_for_log(outlook.wait_s),
+        first_s=round_for_log(outlook.first_s),
+        whole_s=round_for_log(outlook.whole_s),
         larger=larger,
     )
     if kept is not None:
-        course.tried = tried
+        progress.tried = tried
         dispatcher.metrics.count(f"relay.kept.{kept.value}")
         return False
-    course.granted = True
+    progress.next_send_allowed = True
     dispatcher.metrics.count("relay.larger_model")
-    course.model = larger
-    course.may_have_run = True
+    progress.model = larger
+    progress.may_have_run = True
     return True
 
 
--- a/src/rattanpier/_internal/relay/plain_answers.py
+++ b/src/rattanpier/_internal/relay/plain_answers.py
@@ -5,7 +5,6 @@
 import asyncio
 
 from rattanpier._internal.models.relay_answer import AnswerRefused, WholeAnswer
-from rattanpier._internal.relay.course import Course
 from rattanpier._internal.relay.dispatch import MAX_WHOLE_BYTES, Dispatcher
 from rattanpier._internal.relay.exchange import (
     FIRST_FAILURE,
@@ -13,6 +12,7 @@
     copied_headers,
 )
 from rattanpier._internal.relay.placement import Choice
+from rattanpier._internal.relay.request_progress import RequestProgress
 
 # Of the objective, after which a repeatable plain request is sent to a second
 # worker beside the first: later the answer would be late in any case.
@@ -20,7 +20,7 @@
 
 
 async def whole(
-    dispatcher: Dispatcher, course: Course
+    dispatcher: Dispatcher, course: RequestProgress
 ) -> WholeAnswer | AnswerRefused:
     """Returns the answer to a request that is no stream."""
     while dispatcher.may_send_again(course):
@@ -34,7 +34,7 @@
 
 
 async def first_of(
-    dispatcher: Dispatcher, course: Course, choice: Choice
+    dispatcher: Dispatcher, course: RequestProgress, choice: Choice
 ) -> WholeAnswer | None:
     """Returns an answer of one worker, or of a second one beside it.
 
@@ -70,7 +70,7 @@
 
 
 async def send_whole(
-    dispatcher: Dispatcher, course: Course, choice: Choice
+    dispatcher: Dispatcher, course: RequestProgress, choice: Choice
 ) -> WholeAnswer | None:
     """Returns a worker's whole answer, None if it failed."""
     request = course.request
--- a/src/rattanpier/_internal/relay/course.py
+++ b/src/rattanpier/_internal/relay/request_progress.py
@@ -15,13 +15,13 @@
 from rattanpier._internal.models.relay_request import RelayRequest
 from rattanpier._internal.relay.events import EventOrder
 
-NO_WORKER_RETRY_S = 0.5  # Workers register again within a second or two.
-FULL_RETRY_S = 0.4  # A plain request lasts a tenth of a second.
-LEAST_LEFT_S = 0.005  # With less no worker can answer.
+NO_WORKER_RETRY_AFTER_S = 0.5  # Workers register again within a second or two.
+QUEUE_FULL_RETRY_AFTER_S = 0.4  # A plain request lasts a tenth of a second.
+MIN_TIME_LEFT_S = 0.005  # With less no worker can answer.
 
 
 @attrs.define(eq=False, repr=False)
-class Course:
+class RequestProgress:
     """How the answering of one request went so far.
 
     Attributes:
@@ -37,12 +37,12 @@
       model: Model that is asked.
       first_model: Model that was asked first.
       order: Events that came.
-      begun: The head of the answer was delivered.
-      granted: The next send was allowed already.
-      held_s: Seconds for which what it asks reaches no worker; 0: it may.
+      head_delivered: The head of the answer was delivered.
+      next_send_allowed: The next send was allowed already.
+      quarantined_s: Seconds for which it may reach no worker; 0: it may.
       service: Its service.
-      left_out: Workers that each condition kept from the last choice.
-      opens_in_s: When one of them may take the request, None if unknown.
+      excluded: Workers that each condition kept from the last choice.
+      available_in_s: When one of them may take the request, None if unknown.
     """
 
     request: RelayRequest
@@ -57,66 +57,72 @@
     model: str = ""
     first_model: str = ""
     order: EventOrder = attrs.Factory(EventOrder)
-    begun: bool = False
-    granted: bool = False
-    held_s: float = 0.0
-    left_out: dict[str, int] = attrs.Factory(dict)
-    opens_in_s: float | None = None
+    head_delivered: bool = False
+    next_send_allowed: bool = False
+    quarantined_s: float = 0.0
+    excluded: dict[str, int] = attrs.Factory(dict)
+    available_in_s: float | None = None
 
 
-def give_up(course: Course, left_s: float) -> WholeAnswer | AnswerRefused:
+def final_answer(
+    progress: RequestProgress, left_s: float
+) -> WholeAnswer | AnswerRefused:
     """Returns the final answer to a request that nobody answered.
 
     Args:
-      course: What was done for it.
+      progress: What was done for it.
       left_s: Seconds until the caller or the route gives up.
     """
-    if course.failure is not None:
-        return course.failure
-    code, status = final_code(course, left_s)
+    if progress.failure is not None:
+        return progress.failure
+    code, status = final_code(progress, left_s)
     retry_after_s = None
-    if not course.may_have_run:
-        retry_after_s = course.retry_after_s or FULL_RETRY_S
-        if not course.sent:
-            retry_after_s = course.opens_in_s or NO_WORKER_RETRY_S
-        if course.held_s:
-            retry_after_s = course.held_s
-    reason = course.reason or no_worker_reason(course)
+    if not progress.may_have_run:
+        retry_after_s = progress.retry_after_s or QUEUE_FULL_RETRY_AFTER_S
+        if not progress.sent:
+            retry_after_s = progress.available_in_s or NO_WORKER_RETRY_AFTER_S
+        if progress.quarantined_s:
+            retry_after_s = progress.quarantined_s
+    reason = progress.reason or no_worker_reason(progress)
     return AnswerRefused(
-        Refusal(code, reason, not course.may_have_run, retry_after_s), status
+        Refusal(code, reason, not progress.may_have_run, retry_after_s), status
     )
 
 
-def no_worker_reason(course: Course) -> str:
+def no_worker_reason(progress: RequestProgress) -> str:
     """Says why no worker was chosen.
 
-    >>> course = Course(None, 0.0, "s", left_out={"drained_domain": 3})
-    >>> no_worker_reason(course)
+    >>> excluded = {"drained_domain": 3}
+    >>> no_worker_reason(RequestProgress(None, 0.0, "s", excluded=excluded))
     'no worker takes work: drained_domain 3'
     """
-    counts = (f"{name} {count}" for name, count in course.left_out.items())
+    counts = (f"{name} {count}" for name, count in progress.excluded.items())
     return ": ".join(filter(None, ("no worker takes work", ", ".join(counts))))
 
 
-def final_code(course: Course, left_s: float) -> tuple[RefusalCode, int]:
+def final_code(
+    progress: RequestProgress, left_s: float
+) -> tuple[RefusalCode, int]:
     """Returns the code and the HTTP status of a final answer.
 
     503 promises that the request has not run and never will.
     """
-    if not course.may_have_run:
-        if course.held_s:
+    if not progress.may_have_run:
+        if progress.quarantined_s:
             return RefusalCode.QUARANTINED, 503
-        code = RefusalCode.QUEUE_FULL if course.sent else RefusalCode.NO_WORKER
+        code = (
+            RefusalCode.QUEUE_FULL if progress.sent else RefusalCode.NO_WORKER
+        )
         return code, 503
-    if left_s <= LEAST_LEFT_S:
+    if left_s <= MIN_TIME_LEFT_S:
         return RefusalCode.DEADLINE, 504
     return RefusalCode.UPSTREAM_FAILED, 502
 
 
-def rounded(value: float | None) -> float | None:
+def round_for_log(value: float | None) -> float | None:
     """Returns a number for a log line.
 
-    >>> rounded(1.23456), rounded(None)
+    >>> round_for_log(1.23456), round_for_log(None)
     (1.235, None)
     """
     return None if value is None or math.isinf(value) else round(value, 3)
--- a/src/rattanpier/_internal/relay/stream_answers.py
+++ b/src/rattanpier/_internal/relay/stream_answers.py
@@ -16,7 +16,6 @@
     WholeAnswer,
 )
 from rattanpier._internal.models.worker import RegisteredWorker
-from rattanpier._internal.relay.course import Course
 from rattanpier._internal.relay.dispatch import MAX_WHOLE_BYTES, Dispatcher
 from rattanpier._internal.relay.escalation import goes_on
 from rattanpier._internal.relay.events import (
@@ -31,6 +30,7 @@
     copied_headers,
 )
 from rattanpier._internal.relay.placement import Choice
+from rattanpier._internal.relay.request_progress import RequestProgress
 
 log = structlog.get_logger(part="dispatch")
 
@@ -45,7 +45,7 @@
 
 
 async def stream(
-    dispatcher: Dispatcher, course: Course
+    dispatcher: Dispatcher, course: RequestProgress
 ) -> AsyncIterator[AnswerPart]:
     """Yields the parts of an answer that is a series of events."""
     while dispatcher.may_send_again(course):
@@ -57,7 +57,7 @@
                 yield part
                 if isinstance(part, AnswerEnded | WholeAnswer):
                     return
-    if course.begun:
+    if course.head_delivered:
         dispatcher.metrics.count("relay.cut")
         yield AnswerCut(course.reason)
     else:
@@ -65,7 +65,7 @@
 
 
 async def stream_one(
-    dispatcher: Dispatcher, course: Course, choice: Choice
+    dispatcher: Dispatcher, course: RequestProgress, choice: Choice
 ) -> AsyncIterator[AnswerPart]:
     """Yields what one worker adds to an answer; nothing if it failed."""
     request = course.request
@@ -96,20 +96,22 @@
                 model, request.priority, choice.to_read, first_at - began
             )
             dispatcher.loads.note_read(worker.id, model, request.prompt)
-            if not course.begun and goes_on(dispatcher, course, worker, head):
+            if not course.head_delivered and goes_on(
+                dispatcher, course, worker, head
+            ):
                 dispatcher.note_result(course, worker, False, took)
                 return
             async with aclosing(
                 read_events(dispatcher, course, answer)
             ) as events:
                 async for event in events:
-                    if not course.begun:
-                        course.begun = True
+                    if not course.head_delivered:
+                        course.head_delivered = True
                         note_first(dispatcher, course, choice, began)
                         yield AnswerBegun(head.status, copied_headers(head))
                     yield AnswerPiece(event.data)
-            if not course.begun:
-                course.begun = True
+            if not course.head_delivered:
+                course.head_delivered = True
                 yield AnswerBegun(head.status, copied_headers(head))
         dispatcher.note_result(course, worker, bad=False, relative_s=took)
         dispatcher.quarantine.note_answered(request.content)
@@ -140,7 +142,7 @@
 
 
 async def read_events(
-    dispatcher: Dispatcher, course: Course, answer: OpenAnswer
+    dispatcher: Dispatcher, course: RequestProgress, answer: OpenAnswer
 ) -> AsyncIterator[Event]:
     """Yields the events of an answer that the caller lacks."""
     splitter = EventSplitter()
@@ -155,7 +157,7 @@
 
 async def pass_failure(
     dispatcher: Dispatcher,
-    course: Course,
+    course: RequestProgress,
     worker: RegisteredWorker,
     answer: OpenAnswer,
 ) -> WholeAnswer:
@@ -175,7 +177,10 @@
 
 
 def note_first(
-    dispatcher: Dispatcher, course: Course, choice: Choice, began: float
+    dispatcher: Dispatcher,
+    course: RequestProgress,
+    choice: Choice,
+    began: float,
 ) -> None:
     """Measures the time to a worker's first event."""
     now = dispatcher.clock.monotonic()
@@ -192,7 +197,7 @@
 
 
 def relative_time(
-    course: Course, choice: Choice, seconds: float
+    course: RequestProgress, choice: Choice, seconds: float
 ) -> float | None:
     """Returns the time to an answer's head against the work for it.
 
--- a/tests/placement/test_eligibility.py
+++ b/tests/placement/test_eligibility.py
@@ -13,8 +13,11 @@
     eligible,
     in_regions,
 )
-from rattanpier._internal.relay.course import Course, give_up
 from rattanpier._internal.relay.exposure import ExposureBound
+from rattanpier._internal.relay.request_progress import (
+    RequestProgress,
+    final_answer,
+)
 from rattanpier._internal.relay.rollouts import HOLD_S, Rollouts
 from tests.lib.clock import ManualClock
 from tests.lib.platform_site import (
@@ -41,7 +44,7 @@
         if workspace is None
         else Workspace("acme", regions=frozenset(workspace)),
     )
-    return Course(request, 0.0, "s")
+    return RequestProgress(request, 0.0, "s")
 
 
 def ids(workers):
@@ -85,9 +88,9 @@
 
 def test_a_refusal_says_which_conditions_left_no_worker():
     course = make_course()
-    course.left_out = {"drained_domain": 2, "warming_up": 1}
-    course.opens_in_s = 0.2
-    refusal = give_up(course, 1.0).refusal
+    course.excluded = {"drained_domain": 2, "warming_up": 1}
+    course.available_in_s = 0.2
+    refusal = final_answer(course, 1.0).refusal
     assert refusal.not_run
     assert refusal.retry_after_s == 0.2
     assert "drained_domain 2, warming_up 1" in refusal.message
--- a/tests/relay/test_resting_workers.py
+++ b/tests/relay/test_resting_workers.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from rattanpier._internal.relay.course import Course
+from rattanpier._internal.relay.request_progress import RequestProgress
 from rattanpier._internal.relay.rollouts import Split
 from rattanpier._internal.standin.platform_worker import WorkerFault
 from tests.lib.platform_site import platform_site, until
@@ -103,8 +103,8 @@
     split = Split([workers["new"]], [workers["old"]])
     dispatcher.rollouts = types.SimpleNamespace(split=lambda *_: split)
     dispatcher.rests.hear(workers["new"].incarnation, REST_S)
-    course = Course(make_request(session=session), 1e9, "plain")
+    course = RequestProgress(make_request(session=session), 1e9, "plain")
     choice = dispatcher.expect(course, "")
     assert (choice and choice.worker.id) == found
-    assert course.left_out == {"resting": 1}
-    assert course.opens_in_s > 0.0
+    assert course.excluded == {"resting": 1}
+    assert course.available_in_s > 0.0
--- a/tests/retries/test_quarantine.py
+++ b/tests/retries/test_quarantine.py
@@ -6,7 +6,10 @@
 from rattanpier._internal.models.refusal import RefusalCode
 from rattanpier._internal.models.relay_answer import AnswerRefused, WholeAnswer
 from rattanpier._internal.models.worker_end import QuarantineNews, WorkerEnd
-from rattanpier._internal.relay.course import Course, give_up
+from rattanpier._internal.relay.request_progress import (
+    RequestProgress,
+    final_answer,
+)
 from rattanpier._internal.retries import quarantine as module
 from rattanpier._internal.retries.quarantine import (
     ENDS_TO_HOLD,
@@ -176,11 +179,13 @@
 
 
 def make_course(**more):
-    return Course(make_request(), 10.0, "s", held_s=500.0, **more)
+    return RequestProgress(
+        make_request(), 10.0, "s", quarantined_s=500.0, **more
+    )
 
 
 def test_a_held_request_is_refused_with_when_to_come_back():
-    found = give_up(make_course(), 5.0)
+    found = final_answer(make_course(), 5.0)
     assert isinstance(found, AnswerRefused)
     assert (found.status, found.refusal.code) == (503, RefusalCode.QUARANTINED)
     assert found.refusal.not_run
@@ -188,7 +193,7 @@
 
 
 def test_a_held_request_that_may_have_run_is_promised_nothing():
-    found = give_up(make_course(sent=3, may_have_run=True), 5.0)
+    found = final_answer(make_course(sent=3, may_have_run=True), 5.0)
     assert isinstance(found, AnswerRefused)
     assert (found.status, found.refusal.not_run) == (502, False)
     assert found.refusal.retry_after_s is None
@@ -197,4 +202,4 @@
 def test_a_worker_s_own_failure_is_still_passed_on():
     failure = WholeAnswer(500, (), b"")
     course = make_course(sent=1, may_have_run=True, failure=failure)
-    assert give_up(course, 5.0) is failure
+    assert final_answer(course, 5.0) is failure
