--- a/src/rattanpier/_internal/programs/relay_workers.py
+++ b/src/rattanpier/_internal/programs/relay_workers.py
@@ -114,4 +114,4 @@
     server = entry.kernel.find("peer_server")
     server.on_notice("prompt_sent", prompts.apply_notice)
     if entry.settings.policy.prompt_news:
-        dispatcher.tell_prompt = prompts.publish
+        dispatcher.publish_prompt = prompts.publish
--- a/src/rattanpier/_internal/relay/dispatch.py
+++ b/src/rattanpier/_internal/relay/dispatch.py
@@ -53,8 +53,8 @@
 
 # Nobody knows when operators take a failure domain back. Those who come again
 # within a second or two are served if it was for a moment.
-DRAINED_RETRY_S = 2.0
-MAX_WHOLE_BYTES = 16 * 2**20  # Of an answer that is not a stream.
+DRAINED_RETRY_AFTER_S = 2.0
+MAX_ANSWER_BYTES = 16 * 2**20  # Of an answer that is not a stream.
 
 
 @attrs.define(eq=False, repr=False)
@@ -66,13 +66,13 @@
 
     Attributes:
       conditions: What keeps requests from workers, one after the other.
-      opens_in_s: Returns the seconds until a worker takes a request; 0: now.
-      note_begun: Told of each worker that a send is begun to.
+      available_in_s: Returns the seconds until a worker takes one; 0: now.
+      on_request_started: Told of each worker that a send is begun to.
       limits: What workers say that they take.
       rests: Which want nothing from this entry for a while.
       budgets: Sends beyond the first of each request, by service.
       policy: Mechanisms that are on.
-      tell_prompt: Told of each prompt that is sent: the worker's id, the
+      publish_prompt: Told of each prompt that is sent: the worker's id, the
         model, the prompt and the seconds in which it is likely read.
     """
 
@@ -85,15 +85,15 @@
     sender: Sender
     ends: WorkerEnds
     conditions: Sequence[Condition]
-    opens_in_s: Callable[[RegisteredWorker], float]
-    note_begun: Callable[[RegisteredWorker], None]
+    available_in_s: Callable[[RegisteredWorker], float]
+    on_request_started: Callable[[RegisteredWorker], None]
     limits: RateLimits
     rests: Rests
     quarantine: Quarantine
     rollouts: Rollouts
     budgets: Mapping[str, SendBudget]
     policy: Policy = USUAL
-    tell_prompt: Callable[[str, str, Prompt, float], None] = attrs.field(
+    publish_prompt: Callable[[str, str, Prompt, float], None] = attrs.field(
         default=lambda _worker, _model, _prompt, _read_s: None
     )
 
@@ -110,12 +110,14 @@
 
     def choose(self, progress: RequestProgress) -> Choice | None:
         """Returns the worker for the next send, which begins now, or None."""
-        choice = self.expect(progress, progress.model)
+        choice = self.find_worker(progress, progress.model)
         if choice is not None:
-            self.note_begun(choice.worker)
+            self.on_request_started(choice.worker)
         return choice
 
-    def expect(self, progress: RequestProgress, model: str) -> Choice | None:
+    def find_worker(
+        self, progress: RequestProgress, model: str
+    ) -> Choice | None:
         """Returns the worker that a model would be asked of now, or None.
 
         The version goes before all else: that its workers are left out is no
@@ -127,10 +129,10 @@
         progress.excluded = {}
         leaving = self.directory.leaving_of_service(progress.service)
         if leaving:
-            self.count_left_out(progress, LEAVING, leaving)
+            self.count_excluded(progress, LEAVING, leaving)
         for group in (split.first, split.otherwise):
             found = eligible(self.conditions, progress, group)
-            self.note_left_out(progress, group, found)
+            self.record_excluded(progress, group, found)
             choice = self.chooser.choose(request, found.workers, model)
             if choice is not None:
                 return choice
@@ -139,7 +141,7 @@
                 return None
         return None
 
-    def note_left_out(
+    def record_excluded(
         self,
         progress: RequestProgress,
         group: Sequence[RegisteredWorker],
@@ -147,38 +149,40 @@
     ) -> None:
         """Takes in what kept a request from the workers of a version."""
         for name, count in found.left_out.items():
-            self.count_left_out(progress, name, count)
+            self.count_excluded(progress, name, count)
         if not TIMED.isdisjoint(found.left_out):
-            progress.available_in_s = self.retry_in_s(group)
+            progress.available_in_s = self.retry_after_s(group)
         elif DRAINED_DOMAIN in found.left_out:
-            progress.available_in_s = DRAINED_RETRY_S
+            progress.available_in_s = DRAINED_RETRY_AFTER_S
 
-    def count_left_out(
+    def count_excluded(
         self, progress: RequestProgress, name: str, count: int
     ) -> None:
         """Takes in that a condition kept a request from some workers."""
         self.metrics.count(f"relay.left_out.{name}")
         progress.excluded[name] = progress.excluded.get(name, 0) + count
 
-    def retry_in_s(self, workers: Sequence[RegisteredWorker]) -> float | None:
+    def retry_after_s(
+        self, workers: Sequence[RegisteredWorker]
+    ) -> float | None:
         """Returns when to come back for one of some closed workers.
 
         Callers that are refused at the same moment are spread over as long
         again as the soonest of them has to wait.
         """
-        wait_s = soonest_s(self.opens_in_s, workers)
+        wait_s = soonest_s(self.available_in_s, workers)
         if wait_s is None:
             return None
         return wait_s * (1.0 + self.chooser.rng.random())
 
-    def begin_flight(
+    def add_in_flight(
         self, progress: RequestProgress, worker: RegisteredWorker, read_s: float
     ) -> InFlight:
         """Counts a request in at a worker."""
         suspect = self.quarantine.suspects(progress.request.content)
         return self.loads.begin(worker.id, read_s, suspect)
 
-    def may_send_again(self, progress: RequestProgress) -> bool:
+    def may_send(self, progress: RequestProgress) -> bool:
         """Says whether a request may be sent to one more worker."""
         request = progress.request
         progress.quarantined_s = self.quarantine.held_s(request.content)
@@ -205,7 +209,9 @@
         """Returns the seconds until the caller or the route gives up."""
         return progress.loop_deadline - asyncio.get_running_loop().time()
 
-    def note_send(self, progress: RequestProgress, choice: Choice) -> Sending:
+    def record_upstream_request(
+        self, progress: RequestProgress, choice: Choice
+    ) -> Sending:
         """Counts a send and returns what the worker is told."""
         request = progress.request
         progress.sent += 1
@@ -245,7 +251,7 @@
 
     # Judging.
 
-    def note_failed(
+    def record_send_error(
         self,
         progress: RequestProgress,
         worker: RegisteredWorker,
@@ -256,7 +262,7 @@
         progress.retry_after_s = error.retry_after_s
         if not error.not_run:
             progress.may_have_run = True
-            self.note_result(progress, worker, bad=True, relative_s=None)
+            self.record_result(progress, worker, bad=True, relative_s=None)
         elif error.misdirected or not error.connected:
             # A worker that started anew at the same address has another id:
             # the one that was asked for is gone, though still registered.
@@ -273,7 +279,7 @@
             connected=error.connected,
         )
 
-    async def note_broken(
+    async def handle_send_error(
         self,
         progress: RequestProgress,
         worker: RegisteredWorker,
@@ -282,10 +288,10 @@
         """Takes in that a send failed, and looks whether its worker ended."""
         if not error.not_run:
             # A caller that leaves meanwhile does not undo the end.
-            await asyncio.shield(self.look_for_end(progress.request, worker))
-        self.note_failed(progress, worker, error)
+            await asyncio.shield(self.check_for_crash(progress.request, worker))
+        self.record_send_error(progress, worker, error)
 
-    async def look_for_end(
+    async def check_for_crash(
         self, request: RelayRequest, worker: RegisteredWorker
     ) -> None:
         """Counts a worker's end against a request, if it ended."""
@@ -300,7 +306,7 @@
         )
         self.quarantine.note_end(request.content, worker.incarnation)
 
-    def note_result(
+    def record_result(
         self,
         progress: RequestProgress,
         worker: RegisteredWorker,
@@ -315,7 +321,7 @@
             return
         self.rollouts.note(worker, progress.request.route.name, bad, relative_s)
 
-    def note_worker_failure(
+    def record_worker_failure(
         self,
         progress: RequestProgress,
         worker: RegisteredWorker,
@@ -333,11 +339,11 @@
             status=answer.status,
         )
 
-    def note_late(
+    def record_timeout(
         self, progress: RequestProgress, worker: RegisteredWorker
     ) -> None:
         """Takes in that the time ran out at a worker."""
         progress.may_have_run = True
         progress.reason = "time ran out at the worker"
-        self.note_result(progress, worker, bad=True, relative_s=None)
+        self.record_result(progress, worker, bad=True, relative_s=None)
         self.metrics.count("relay.late")
--- a/src/rattanpier/_internal/relay/escalation.py
+++ b/src/rattanpier/_internal/relay/escalation.py
@@ -42,7 +42,7 @@
     tried = progress.tried
     # The same worker may well be the best: it is not ruled out.
     progress.tried = tried - {worker.id}
-    choice = dispatcher.expect(progress, larger)
+    choice = dispatcher.find_worker(progress, larger)
     outlook = expect_larger(dispatcher, request, larger, choice)
     kept = judge_answer(
         request,
@@ -51,7 +51,7 @@
         outlook,
         dispatcher.policy,
     )
-    if kept is None and not dispatcher.may_send_again(progress):
+    if kept is None and not dispatcher.may_send(progress):
         kept = Kept.BUDGET
     log.info(
         "Answer judged.",
--- a/src/rattanpier/_internal/relay/plain_answers.py
+++ b/src/rattanpier/_internal/relay/plain_answers.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from rattanpier._internal.models.relay_answer import AnswerRefused, WholeAnswer
-from rattanpier._internal.relay.dispatch import MAX_WHOLE_BYTES, Dispatcher
+from rattanpier._internal.relay.dispatch import MAX_ANSWER_BYTES, Dispatcher
 from rattanpier._internal.relay.exchange import (
     FIRST_FAILURE,
     SendError,
@@ -23,7 +23,7 @@
     dispatcher: Dispatcher, course: RequestProgress
 ) -> WholeAnswer | AnswerRefused:
     """Returns the answer to a request that is no stream."""
-    while dispatcher.may_send_again(course):
+    while dispatcher.may_send(course):
         choice = dispatcher.choose(course)
         if choice is None:
             break
@@ -47,7 +47,7 @@
         if course.request.route.idempotent and dispatcher.policy.hedges:
             hedge_s = HEDGE_SHARE * course.request.route.objective_s
             done, _ = await asyncio.wait(running, timeout=hedge_s)
-            if not done and dispatcher.may_send_again(course):
+            if not done and dispatcher.may_send(course):
                 other = dispatcher.choose(course)
                 if other is not None:
                     dispatcher.metrics.count("relay.hedged")
@@ -75,30 +75,30 @@
     """Returns a worker's whole answer, None if it failed."""
     request = course.request
     worker = choice.worker
-    sending = dispatcher.note_send(course, choice)
-    flight = dispatcher.begin_flight(course, worker, 0.0)
+    sending = dispatcher.record_upstream_request(course, choice)
+    flight = dispatcher.add_in_flight(course, worker, 0.0)
     began = dispatcher.clock.monotonic()
     try:
         async with dispatcher.sender.send(
             request, sending, course.loop_deadline
         ) as answer:
-            body = await answer.read_all(MAX_WHOLE_BYTES)
+            body = await answer.read_all(MAX_ANSWER_BYTES)
             head = answer.head
     except SendError as error:
-        await dispatcher.note_broken(course, worker, error)
+        await dispatcher.handle_send_error(course, worker, error)
         return None
     except TimeoutError:
-        dispatcher.note_late(course, worker)
+        dispatcher.record_timeout(course, worker)
         return None
     finally:
         dispatcher.loads.end(worker.id, flight)
     found = WholeAnswer(head.status, copied_headers(head), body)
     bad = head.status >= FIRST_FAILURE
     seconds = dispatcher.clock.monotonic() - began
-    dispatcher.note_result(course, worker, bad, None if bad else seconds)
+    dispatcher.record_result(course, worker, bad, None if bad else seconds)
     dispatcher.metrics.timing("relay.worker_s", seconds)
     if not bad:
         dispatcher.quarantine.note_answered(request.content)
         return found
-    dispatcher.note_worker_failure(course, worker, found)
+    dispatcher.record_worker_failure(course, worker, found)
     return None
--- a/src/rattanpier/_internal/relay/stream_answers.py
+++ b/src/rattanpier/_internal/relay/stream_answers.py
@@ -16,7 +16,7 @@
     WholeAnswer,
 )
 from rattanpier._internal.models.worker import RegisteredWorker
-from rattanpier._internal.relay.dispatch import MAX_WHOLE_BYTES, Dispatcher
+from rattanpier._internal.relay.dispatch import MAX_ANSWER_BYTES, Dispatcher
 from rattanpier._internal.relay.escalation import goes_on
 from rattanpier._internal.relay.events import (
     Event,
@@ -48,7 +48,7 @@
     dispatcher: Dispatcher, course: RequestProgress
 ) -> AsyncIterator[AnswerPart]:
     """Yields the parts of an answer that is a series of events."""
-    while dispatcher.may_send_again(course):
+    while dispatcher.may_send(course):
         choice = dispatcher.choose(course)
         if choice is None:
             break
@@ -70,10 +70,10 @@
     """Yields what one worker adds to an answer; nothing if it failed."""
     request = course.request
     worker = choice.worker
-    sending = dispatcher.note_send(course, choice)
-    flight = dispatcher.begin_flight(course, worker, choice.read_s)
+    sending = dispatcher.record_upstream_request(course, choice)
+    flight = dispatcher.add_in_flight(course, worker, choice.read_s)
     dispatcher.chooser.note_send(request, course.model, choice)
-    dispatcher.tell_prompt(
+    dispatcher.publish_prompt(
         worker.id, course.model, request.prompt, choice.read_s
     )
     model = course.model
@@ -99,7 +99,7 @@
             if not course.head_delivered and goes_on(
                 dispatcher, course, worker, head
             ):
-                dispatcher.note_result(course, worker, False, took)
+                dispatcher.record_result(course, worker, False, took)
                 return
             async with aclosing(
                 read_events(dispatcher, course, answer)
@@ -113,7 +113,7 @@
             if not course.head_delivered:
                 course.head_delivered = True
                 yield AnswerBegun(head.status, copied_headers(head))
-        dispatcher.note_result(course, worker, bad=False, relative_s=took)
+        dispatcher.record_result(course, worker, bad=False, relative_s=took)
         dispatcher.quarantine.note_answered(request.content)
         dispatcher.chooser.pace.note_stream(
             model,
@@ -124,16 +124,18 @@
     except WorkerFailedError:
         return
     except SendError as error:
-        await dispatcher.note_broken(course, worker, error)
+        await dispatcher.handle_send_error(course, worker, error)
     except EventError as error:
-        await dispatcher.note_broken(course, worker, SendError(str(error)))
+        await dispatcher.handle_send_error(
+            course, worker, SendError(str(error))
+        )
     except TimeoutError:
         waited_s = dispatcher.clock.monotonic() - began
         if not flight.begun:
             dispatcher.chooser.pace.note_wait(
                 model, request.priority, choice.to_read, waited_s
             )
-        dispatcher.note_late(course, worker)
+        dispatcher.record_timeout(course, worker)
     finally:
         dispatcher.loads.end(worker.id, flight)
         dispatcher.rollouts.note_running(worker, -1)
@@ -167,12 +169,12 @@
       WorkerFailedError: Another worker may do better.
     """
     head = answer.head
-    body = await answer.read_all(MAX_WHOLE_BYTES)
+    body = await answer.read_all(MAX_ANSWER_BYTES)
     found = WholeAnswer(head.status, copied_headers(head), body)
     if head.status < FIRST_FAILURE:
         return found
-    dispatcher.note_result(course, worker, bad=True, relative_s=None)
-    dispatcher.note_worker_failure(course, worker, found)
+    dispatcher.record_result(course, worker, bad=True, relative_s=None)
+    dispatcher.record_worker_failure(course, worker, found)
     raise WorkerFailedError
 
 
--- a/tests/relay/test_resting_workers.py
+++ b/tests/relay/test_resting_workers.py
@@ -104,7 +104,7 @@
     dispatcher.rollouts = types.SimpleNamespace(split=lambda *_: split)
     dispatcher.rests.hear(workers["new"].incarnation, REST_S)
     course = RequestProgress(make_request(session=session), 1e9, "plain")
-    choice = dispatcher.expect(course, "")
+    choice = dispatcher.find_worker(course, "")
     assert (choice and choice.worker.id) == found
     assert course.excluded == {"resting": 1}
     assert course.available_in_s > 0.0
