--- a/src/rattanpier/_internal/relay/placement.py
+++ b/src/rattanpier/_internal/relay/placement.py
@@ -23,20 +23,21 @@
 from rattanpier._internal.utils.hashing import most_preferred
 
 # A request that another entry has running slows each step a little.
-RUNNING_S = 0.008
+RUNNING_REQUEST_COST_S = 0.008
 # Entries agree on the worker that a shared part belongs to. That it holds the
 # part is likely but not known, so it counts for less than a part seen there.
-HOME_TRUST = 0.7
+HOME_HIT_PROBABILITY = 0.7
 # Bytes between failure domains are paid for: worth a detour of so many seconds,
 # and for each token of the prompt.
-FAR_S = 0.01
-FAR_TOKEN_S = 1e-5
-FAR_SLOTS = 0.34  # For plain services: a third of a worker's slots.
+CROSS_DOMAIN_COST_S = 0.01
+CROSS_DOMAIN_TOKEN_COST_S = 1e-5
+# For plain services: a third of a worker's slots.
+CROSS_DOMAIN_COST_SLOTS = 0.34
 # What a worker of the other group has to be better by. A large model's prompt
 # among the smallest one's streams holds them all up, the reverse only itself.
-LARGE_AMONG_SMALL_S = 0.8
-SMALL_AMONG_LARGE_S = 0.25
-JITTER = 0.02  # Breaks ties, so that entries do not all choose alike.
+LARGE_IN_SMALL_GROUP_COST_S = 0.8
+SMALL_IN_LARGE_GROUP_COST_S = 0.25
+COST_JITTER = 0.02  # Breaks ties, so that entries do not all choose alike.
 
 
 @attrs.frozen
@@ -96,7 +97,7 @@
             return self.choose_engine(request, workers, model)
         return self.choose_plain(workers)
 
-    def is_far(self, worker: RegisteredWorker) -> bool:
+    def is_cross_domain(self, worker: RegisteredWorker) -> bool:
         """Says whether bytes to a worker cross failure domains, and count."""
         return self.policy.domain_cost and worker.domain != self.domain
 
@@ -104,44 +105,46 @@
         """Returns the worker with most free slots."""
         now = self.loads.clock.monotonic()
 
-        def weigh(worker: RegisteredWorker) -> float:
+        def cost_of(worker: RegisteredWorker) -> float:
             load = self.loads.workers[worker.id]
             running, waiting = load.others(now)
             used = (len(load.running) + running + waiting) / worker.slots
-            far = FAR_SLOTS if self.is_far(worker) else 0.0
-            return used + far + JITTER * self.rng.random()
+            domain_cost = (
+                CROSS_DOMAIN_COST_SLOTS if self.is_cross_domain(worker) else 0.0
+            )
+            return used + domain_cost + COST_JITTER * self.rng.random()
 
-        cost, worker = self.least(workers, weigh)
-        return self.make(worker, cost, 0.0, len(workers), now)
+        cost, worker = self.lowest_cost(workers, cost_of)
+        return self.make_choice(worker, cost, 0.0, len(workers), now)
 
-    def least(
+    def lowest_cost(
         self,
         workers: Sequence[RegisteredWorker],
-        weigh: Callable[[RegisteredWorker], float],
+        cost_of: Callable[[RegisteredWorker], float],
     ) -> tuple[float, RegisteredWorker]:
-        """Returns the least cost and the worker that has it."""
-        costs = [weigh(worker) for worker in workers]
+        """Returns the lowest cost and the worker that has it."""
+        costs = [cost_of(worker) for worker in workers]
         cost = min(costs)
         return cost, workers[costs.index(cost)]
 
-    def waiting_s(
-        self, worker: RegisteredWorker, usual_read_s: float, now: float
+    def queue_wait_s(
+        self, worker: RegisteredWorker, typical_read_s: float, now: float
     ) -> float:
         """Returns the seconds for which others are read before a request.
 
         Args:
           worker: Where it would wait.
-          usual_read_s: What others have waiting there is taken to be such as
+          typical_read_s: What others have waiting there is taken to be such as
             was seen here, unless they told of more.
           now: Monotonic seconds.
         """
         load = self.loads.workers[worker.id]
         running, waiting = load.others(now)
-        told_s = max(0.0, load.others_until - now)
+        published_s = max(0.0, load.others_until - now)
         return (
             load.pending_s()
-            + RUNNING_S * (len(load.running) + running)
-            + max(waiting * usual_read_s, told_s)
+            + RUNNING_REQUEST_COST_S * (len(load.running) + running)
+            + max(waiting * typical_read_s, published_s)
         )
 
     def choose_engine(
@@ -157,48 +160,54 @@
         """
         now = self.loads.clock.monotonic()
         small = is_smallest(request, model)
-        group = workers
+        preferred = workers
         if small is not None and self.policy.groups:
-            group = self.groups.of(workers, small)
-        members = {worker.id for worker in group}
+            preferred = self.groups.of(workers, small)
+        preferred_ids = {worker.id for worker in preferred}
         prompt = request.prompt
-        home = home_of(prompt, group) if self.policy.homes else ""
+        home = home_of(prompt, preferred) if self.policy.homes else ""
         parts = weighed_parts(model, prompt)
         token_s = self.pace.token_read_s(model)
-        usual_read_s = self.pace.usual_read_s(model)
-        far_s = FAR_S + FAR_TOKEN_S * prompt.tokens
-        apart_s = SMALL_AMONG_LARGE_S if small else LARGE_AMONG_SMALL_S
+        typical_read_s = self.pace.usual_read_s(model)
+        domain_cost_s = (
+            CROSS_DOMAIN_COST_S + CROSS_DOMAIN_TOKEN_COST_S * prompt.tokens
+        )
+        group_cost_s = (
+            SMALL_IN_LARGE_GROUP_COST_S
+            if small
+            else LARGE_IN_SMALL_GROUP_COST_S
+        )
 
         def to_read(worker: RegisteredWorker) -> float:
-            kept: float = self.loads.kept_tokens(worker.id, parts, now)
+            cached: float = self.loads.kept_tokens(worker.id, parts, now)
             if worker.id == home:
                 shared = sum(part.tokens for part in prompt.parts[:-1])
-                trust = self.home_trust(token_s * shared)
-                kept = max(kept, trust * shared)
-            return max(0.0, prompt.tokens - kept)
+                probability = self.home_hit_probability(token_s * shared)
+                cached = max(cached, probability * shared)
+            return max(0.0, prompt.tokens - cached)
 
-        def weigh(worker: RegisteredWorker) -> float:
+        def cost_of(worker: RegisteredWorker) -> float:
             cost = token_s * to_read(worker)
-            cost += self.waiting_s(worker, usual_read_s, now)
-            if self.is_far(worker):
-                cost += far_s
-            if worker.id not in members:
-                cost += apart_s
-            return cost * (1.0 + JITTER * self.rng.random())
-
-        cost, worker = self.least(workers, weigh)
+            cost += self.queue_wait_s(worker, typical_read_s, now)
+            if self.is_cross_domain(worker):
+                cost += domain_cost_s
+            if worker.id not in preferred_ids:
+                cost += group_cost_s
+            return cost * (1.0 + COST_JITTER * self.rng.random())
+
+        cost, worker = self.lowest_cost(workers, cost_of)
         tokens = to_read(worker)
-        return self.make(
+        return self.make_choice(
             worker,
             cost,
             tokens,
             len(workers),
             now,
             read_s=token_s * tokens,
-            wait_s=self.waiting_s(worker, usual_read_s, now),
+            wait_s=self.queue_wait_s(worker, typical_read_s, now),
         )
 
-    def note_send(
+    def record_upstream_request(
         self, request: RelayRequest, model: str, choice: Choice
     ) -> None:
         """Takes in the work that a send is."""
@@ -207,7 +216,7 @@
         if small is not None:
             self.groups.note_send(small, choice.read_s)
 
-    def note_run(
+    def record_run(
         self, request: RelayRequest, model: str, seconds: float, slots: int
     ) -> None:
         """Takes in how long a request ran, or waited, at a worker."""
@@ -215,16 +224,16 @@
         if small is not None:
             self.groups.note_run(small, seconds, slots)
 
-    def home_trust(self, read_s: float) -> float:
+    def home_hit_probability(self, read_s: float) -> float:
         """Returns how likely a home holds shared parts nobody told of.
 
         Args:
           read_s: Seconds in which they are read.
         """
-        told = self.policy.prompt_news and read_s >= MIN_PUBLISHED_READ_S
-        return 0.0 if told else HOME_TRUST
+        published = self.policy.prompt_news and read_s >= MIN_PUBLISHED_READ_S
+        return 0.0 if published else HOME_HIT_PROBABILITY
 
-    def make(
+    def make_choice(
         self,
         worker: RegisteredWorker,
         cost: float,
--- a/src/rattanpier/_internal/relay/stream_answers.py
+++ b/src/rattanpier/_internal/relay/stream_answers.py
@@ -72,7 +72,7 @@
     worker = choice.worker
     sending = dispatcher.record_upstream_request(course, choice)
     flight = dispatcher.add_in_flight(course, worker, choice.read_s)
-    dispatcher.chooser.note_send(request, course.model, choice)
+    dispatcher.chooser.record_upstream_request(request, course.model, choice)
     dispatcher.publish_prompt(
         worker.id, course.model, request.prompt, choice.read_s
     )
@@ -140,7 +140,7 @@
         dispatcher.loads.end(worker.id, flight)
         dispatcher.rollouts.note_running(worker, -1)
         ran_s = dispatcher.clock.monotonic() - began
-        dispatcher.chooser.note_run(request, model, ran_s, worker.slots)
+        dispatcher.chooser.record_run(request, model, ran_s, worker.slots)
 
 
 async def read_events(
--- a/tests/lib/engines.py
+++ b/tests/lib/engines.py
@@ -75,7 +75,7 @@
             request = attrs.evolve(request, route=route)
         chooser = rng.choice(choosers)
         choice = chooser.choose(request, pool, model)
-        chooser.note_send(request, model, choice)
+        chooser.record_upstream_request(request, model, choice)
         id, sent = choice.worker.id, clock.now
         flight = chooser.loads.begin(id, choice.read_s)
         is_told = told > 0.0 and rng.random() < told
--- a/tests/relay/test_policy.py
+++ b/tests/relay/test_policy.py
@@ -90,9 +90,9 @@
 def test_another_domain_may_count_as_near():
     entry = make_entry(ManualClock(), 1)
     far = make_worker("w", domain="b")
-    assert entry.is_far(far)
+    assert entry.is_cross_domain(far)
     entry.policy = without(domain_cost=False)
-    assert not entry.is_far(far)
+    assert not entry.is_cross_domain(far)
 
 
 async def test_without_the_cascade_the_first_answer_is_kept():
--- a/tests/relay/test_prompt_news.py
+++ b/tests/relay/test_prompt_news.py
@@ -8,7 +8,7 @@
 from rattanpier._internal.relay.directory import WorkerDirectory
 from rattanpier._internal.relay.fleet import Fleet
 from rattanpier._internal.relay.load import Loads
-from rattanpier._internal.relay.placement import HOME_TRUST
+from rattanpier._internal.relay.placement import HOME_HIT_PROBABILITY
 from rattanpier._internal.relay.prompt_updates import (
     MAX_READ_S,
     MAX_RECEIVED_PER_S,
@@ -151,8 +151,11 @@
     entry = make_entry(clock, 1)
     long_s = entry.pace.read_s("large", 40000)
     assert long_s > MIN_PUBLISHED_READ_S
-    assert entry.home_trust(long_s) == 0.0
-    assert entry.home_trust(entry.pace.read_s("small", 10)) == HOME_TRUST
+    assert entry.home_hit_probability(long_s) == 0.0
+    assert (
+        entry.home_hit_probability(entry.pace.read_s("small", 10))
+        == HOME_HIT_PROBABILITY
+    )
 
 
 def test_published_prompts_shorten_first_token_of_large_model():
