--- a/src/rattanpier/_internal/relay/exchange.py
+++ b/src/rattanpier/_internal/relay/exchange.py
@@ -185,7 +185,7 @@
         worker = sending.worker.id
 
         def heard() -> None:
-            self.loads.note_heard(worker)
+            self.loads.record_received(worker)
 
         def is_mine(head: WireHead) -> bool:
             decoded = self.dialect.decode(head)
@@ -203,7 +203,7 @@
             raise SendError(str(error), not_run=not error.sent) from error
         heard()
         head = self.dialect.decode(wire)
-        self.loads.note_report(worker, head.load)
+        self.loads.record_report(worker, head.load)
         if not head.misdirected:
             self.hear(sending.worker, head, asked_at)
         if head.not_run:
--- a/src/rattanpier/_internal/relay/load.py
+++ b/src/rattanpier/_internal/relay/load.py
@@ -20,8 +20,8 @@
 REPORT_HALF_LIFE_S = 1.0  # A request lasts about that long.
 # A part that was read is kept until newer ones displace it. Workers read
 # their memory full in some ten seconds at the usual load.
-PART_KEPT_S = 15.0
-MAX_PARTS = 512  # Remembered parts a worker.
+PART_RETENTION_S = 15.0
+MAX_PARTS_PER_WORKER = 512  # Remembered parts a worker.
 
 
 @attrs.define(eq=False, repr=False)
@@ -30,12 +30,12 @@
 
     Attributes:
       read_s: Seconds in which the worker reads its prompt.
-      begun: Its first event came: the prompt is read.
+      first_event_received: Its first event came: the prompt is read.
       suspect: A worker ended under the same request before.
     """
 
     read_s: float = 0.0
-    begun: bool = False
+    first_event_received: bool = False
     suspect: bool = False
 
 
@@ -50,9 +50,9 @@
       own_at_report: Own requests there when the report came.
       waiting: Requests of others that waited when it was last told.
       waiting_at: When that was, in monotonic seconds.
-      others_until: Until when it is busy with prompts that other entries told
-        of, in monotonic seconds.
-      heard_at: When its last byte came, in monotonic seconds.
+      peer_prompts_until: Until when it is busy with prompts that other entries
+        told of, in monotonic seconds.
+      last_received_at: When its last byte came, in monotonic seconds.
       parts: When each part of a prompt was last used, by `part_key`.
     """
 
@@ -62,40 +62,44 @@
     own_at_report: int = 0
     waiting: float = 0.0
     waiting_at: float = float("-inf")
-    others_until: float = float("-inf")
-    heard_at: float = 0.0
+    peer_prompts_until: float = float("-inf")
+    last_received_at: float = 0.0
     parts: collections.OrderedDict[int, float] = attrs.Factory(
         collections.OrderedDict
     )
 
-    def pending_s(self) -> float:
+    def pending_read_s(self) -> float:
         """Returns the seconds of reading that own requests wait for."""
-        return sum(each.read_s for each in self.running if not each.begun)
+        return sum(
+            each.read_s
+            for each in self.running
+            if not each.first_event_received
+        )
 
-    def others(self, now: float) -> tuple[float, float]:
+    def peer_requests(self, now: float) -> tuple[float, float]:
         """Returns the running and waiting requests of other entries."""
-        waiting = self.waiting * trust_of(now - self.waiting_at)
+        waiting = self.waiting * report_weight(now - self.waiting_at)
         if self.report is None:
             return 0.0, waiting
         running = max(0, self.report.running - self.own_at_report)
-        return running * trust_of(now - self.report_at), waiting
+        return running * report_weight(now - self.report_at), waiting
 
-    def note_waiting(self, waiting: int, at: float) -> None:
+    def record_waiting(self, waiting: int, at: float) -> None:
         """Takes in how many requests wait, own ones among them.
 
         Args:
           waiting: Requests.
           at: When that was, in monotonic seconds.
         """
-        own = sum(not each.begun for each in self.running)
+        own = sum(not each.first_event_received for each in self.running)
         self.waiting = max(0.0, waiting - own)
         self.waiting_at = at
 
 
-def trust_of(age_s: float) -> float:
+def report_weight(age_s: float) -> float:
     """Returns what a report of some age counts for, 0 to 1.
 
-    >>> trust_of(0.0), trust_of(2 * REPORT_HALF_LIFE_S)
+    >>> report_weight(0.0), report_weight(2 * REPORT_HALF_LIFE_S)
     (1.0, 0.25)
     """
     return 0.5 ** (age_s / REPORT_HALF_LIFE_S)
@@ -111,7 +115,7 @@
     return [part_key(model, part) for part in prompt.parts]
 
 
-def weighed_parts(model: str, prompt: Prompt) -> list[tuple[int, int]]:
+def part_sizes(model: str, prompt: Prompt) -> list[tuple[int, int]]:
     """Returns the key and the tokens of each part of a prompt, in order."""
     return [(part_key(model, part), part.tokens) for part in prompt.parts]
 
@@ -139,11 +143,11 @@
         """Returns the own requests at a worker that may end it."""
         return sum(each.suspect for each in self.workers[id].running)
 
-    def note_heard(self, id: str) -> None:
+    def record_received(self, id: str) -> None:
         """Notes that a worker sent something."""
-        self.workers[id].heard_at = self.clock.monotonic()
+        self.workers[id].last_received_at = self.clock.monotonic()
 
-    def note_report(self, id: str, report: ReportedLoad | None) -> None:
+    def record_report(self, id: str, report: ReportedLoad | None) -> None:
         """Takes a worker's report in."""
         if report is None:
             return
@@ -151,9 +155,9 @@
         load.report = report
         load.report_at = self.clock.monotonic()
         load.own_at_report = len(load.running)
-        load.note_waiting(report.waiting, load.report_at)
+        load.record_waiting(report.waiting, load.report_at)
 
-    def note_others_prompt(self, id: str, read_s: float) -> None:
+    def apply_peer_prompt(self, id: str, read_s: float) -> None:
         """Takes in that another entry sends a prompt to a worker.
 
         Args:
@@ -163,23 +167,23 @@
         """
         load = self.workers[id]
         now = self.clock.monotonic()
-        load.others_until = max(now, load.others_until) + read_s
+        load.peer_prompts_until = max(now, load.peer_prompts_until) + read_s
 
-    def note_read(self, id: str, model: str, prompt: Prompt) -> None:
+    def record_prompt_read(self, id: str, model: str, prompt: Prompt) -> None:
         """Notes that a worker read a prompt and keeps its parts."""
-        self.note_parts(id, part_keys(model, prompt))
+        self.record_cached_parts(id, part_keys(model, prompt))
 
-    def note_parts(self, id: str, read: Iterable[int]) -> None:
+    def record_cached_parts(self, id: str, read: Iterable[int]) -> None:
         """Notes the parts of prompts that a worker keeps, by `part_key`."""
         parts = self.workers[id].parts
         now = self.clock.monotonic()
         for part in read:
             parts[part] = now
             parts.move_to_end(part)
-        while len(parts) > MAX_PARTS:
+        while len(parts) > MAX_PARTS_PER_WORKER:
             parts.popitem(last=False)
 
-    def kept_tokens(
+    def cached_tokens(
         self, id: str, parts: Sequence[tuple[int, int]], now: float
     ) -> int:
         """Returns the tokens of a prompt that a worker has read already.
@@ -188,19 +192,19 @@
 
         Args:
           id: Of the worker.
-          parts: Key and tokens of each part, see `weighed_parts`.
+          parts: Key and tokens of each part, see `part_sizes`.
           now: Monotonic seconds.
         """
         load = self.workers.get(id)
         if load is None:
             return 0
-        oldest = now - PART_KEPT_S
-        kept = 0
+        oldest = now - PART_RETENTION_S
+        cached = 0
         for key, tokens in parts:
             if load.parts.get(key, -math.inf) < oldest:
                 break
-            kept += tokens
-        return kept
+            cached += tokens
+        return cached
 
     def forget(self, id: str) -> None:
         """Drops a worker that is gone."""
--- a/src/rattanpier/_internal/relay/placement.py
+++ b/src/rattanpier/_internal/relay/placement.py
@@ -16,7 +16,7 @@
 from rattanpier._internal.models.policy import USUAL, Policy
 from rattanpier._internal.models.relay_request import Prompt, RelayRequest
 from rattanpier._internal.models.worker import RegisteredWorker
-from rattanpier._internal.relay.load import Loads, weighed_parts
+from rattanpier._internal.relay.load import Loads, part_sizes
 from rattanpier._internal.relay.model_groups import ModelGroups
 from rattanpier._internal.relay.pace import Pace
 from rattanpier._internal.relay.prompt_updates import MIN_PUBLISHED_READ_S
@@ -107,7 +107,7 @@
 
         def cost_of(worker: RegisteredWorker) -> float:
             load = self.loads.workers[worker.id]
-            running, waiting = load.others(now)
+            running, waiting = load.peer_requests(now)
             used = (len(load.running) + running + waiting) / worker.slots
             domain_cost = (
                 CROSS_DOMAIN_COST_SLOTS if self.is_cross_domain(worker) else 0.0
@@ -139,10 +139,10 @@
           now: Monotonic seconds.
         """
         load = self.loads.workers[worker.id]
-        running, waiting = load.others(now)
-        published_s = max(0.0, load.others_until - now)
+        running, waiting = load.peer_requests(now)
+        published_s = max(0.0, load.peer_prompts_until - now)
         return (
-            load.pending_s()
+            load.pending_read_s()
             + RUNNING_REQUEST_COST_S * (len(load.running) + running)
             + max(waiting * typical_read_s, published_s)
         )
@@ -166,7 +166,7 @@
         preferred_ids = {worker.id for worker in preferred}
         prompt = request.prompt
         home = home_of(prompt, preferred) if self.policy.homes else ""
-        parts = weighed_parts(model, prompt)
+        parts = part_sizes(model, prompt)
         token_s = self.pace.token_read_s(model)
         typical_read_s = self.pace.usual_read_s(model)
         domain_cost_s = (
@@ -179,7 +179,7 @@
         )
 
         def to_read(worker: RegisteredWorker) -> float:
-            cached: float = self.loads.kept_tokens(worker.id, parts, now)
+            cached: float = self.loads.cached_tokens(worker.id, parts, now)
             if worker.id == home:
                 shared = sum(part.tokens for part in prompt.parts[:-1])
                 probability = self.home_hit_probability(token_s * shared)
--- a/src/rattanpier/_internal/relay/prompt_updates.py
+++ b/src/rattanpier/_internal/relay/prompt_updates.py
@@ -108,8 +108,8 @@
         worker = self.worker_for_hash(message.worker)
         if is_time and worker is not None:
             read_s = min(MAX_READ_S, message.read_s)
-            self.loads.note_others_prompt(worker, read_s)
-            self.loads.note_parts(worker, message.parts)
+            self.loads.apply_peer_prompt(worker, read_s)
+            self.loads.record_cached_parts(worker, message.parts)
 
     def worker_for_hash(self, worker_hash: int) -> str | None:
         """Returns the id of the worker with a hash, or None if unknown."""
--- a/src/rattanpier/_internal/relay/queue_watch.py
+++ b/src/rattanpier/_internal/relay/queue_watch.py
@@ -223,4 +223,4 @@
         for service in self.engines():
             for worker in self.directory.of_service(service):
                 waiting = update.waiting.get(worker.id, 0)
-                self.loads.workers[worker.id].note_waiting(waiting, at)
+                self.loads.workers[worker.id].record_waiting(waiting, at)
--- a/src/rattanpier/_internal/relay/stream_answers.py
+++ b/src/rattanpier/_internal/relay/stream_answers.py
@@ -87,7 +87,7 @@
             if head.status >= 300:
                 yield await pass_failure(dispatcher, course, worker, answer)
                 return
-            flight.begun = True
+            flight.first_event_received = True
             took = relative_time(
                 course, choice, dispatcher.clock.monotonic() - began
             )
@@ -95,7 +95,9 @@
             dispatcher.chooser.pace.note_first(
                 model, request.priority, choice.to_read, first_at - began
             )
-            dispatcher.loads.note_read(worker.id, model, request.prompt)
+            dispatcher.loads.record_prompt_read(
+                worker.id, model, request.prompt
+            )
             if not course.head_delivered and goes_on(
                 dispatcher, course, worker, head
             ):
@@ -131,7 +133,7 @@
         )
     except TimeoutError:
         waited_s = dispatcher.clock.monotonic() - began
-        if not flight.begun:
+        if not flight.first_event_received:
             dispatcher.chooser.pace.note_wait(
                 model, request.priority, choice.to_read, waited_s
             )
--- a/tests/lib/engines.py
+++ b/tests/lib/engines.py
@@ -81,7 +81,7 @@
         is_told = told > 0.0 and rng.random() < told
         for other in choosers if is_told else ():
             if other is not chooser and choice.read_s >= MIN_PUBLISHED_READ_S:
-                other.loads.note_others_prompt(id, choice.read_s)
+                other.loads.apply_peer_prompt(id, choice.read_s)
         first_at = max(sent, free_at[id]) + READ_S[model] * tokens
         free_at[id] = first_at
         played.first_s[model].append(first_at - sent)
--- a/tests/lib/relay_parts.py
+++ b/tests/lib/relay_parts.py
@@ -8,7 +8,7 @@
 from rattanpier._internal.models.revision import Revision
 from rattanpier._internal.models.route_table import Route, ServiceShare
 from rattanpier._internal.models.worker import RegisteredWorker
-from rattanpier._internal.relay.load import weighed_parts
+from rattanpier._internal.relay.load import part_sizes
 
 MODELS = ("small", "middle", "large")
 
@@ -70,7 +70,7 @@
 def kept_tokens(loads, worker, model, prompt):
     """What a worker keeps of a prompt, as the placement asks for it."""
     now = loads.clock.monotonic()
-    return loads.kept_tokens(worker, weighed_parts(model, prompt), now)
+    return loads.cached_tokens(worker, part_sizes(model, prompt), now)
 
 
 def at(version, era=1):
--- a/tests/relay/test_crashing_requests.py
+++ b/tests/relay/test_crashing_requests.py
@@ -109,7 +109,7 @@
     # Some are much busier than others, so that the same one is best for all.
     loads = entry.edge.dispatcher.loads
     for number in range(1, WORKERS):
-        loads.note_report(f"w{number}", ReportedLoad(20 * number, 0, 128))
+        loads.record_report(f"w{number}", ReportedLoad(20 * number, 0, 128))
     answers = await asyncio.gather(*beside)
     assert (await deadly).status == 502
     assert len(pool.ends) == 3
--- a/tests/relay/test_decisions.py
+++ b/tests/relay/test_decisions.py
@@ -174,9 +174,9 @@
 
 def test_a_report_of_others_work_counts_and_is_forgotten(clock):
     loads = Loads(clock)
-    loads.note_report("w0", ReportedLoad(6, 2, 8))
-    assert loads.workers["w0"].others(clock.monotonic()) == (6.0, 2.0)
-    assert loads.workers["w0"].others(clock.monotonic() + 20)[0] < 0.1
+    loads.record_report("w0", ReportedLoad(6, 2, 8))
+    assert loads.workers["w0"].peer_requests(clock.monotonic()) == (6.0, 2.0)
+    assert loads.workers["w0"].peer_requests(clock.monotonic() + 20)[0] < 0.1
 
 
 def test_the_same_prompt_goes_to_the_worker_that_read_it(clock):
@@ -186,7 +186,7 @@
     for small, model in ((True, "small"), (False, "large")):
         # Not the one that the prompt's shared parts belong to.
         read = chosen.groups.of(workers, small)[-1]
-        chosen.loads.note_read(read.id, model, request.prompt)
+        chosen.loads.record_prompt_read(read.id, model, request.prompt)
         choice = chosen.choose(request, workers, model)
         assert choice.worker.id == read.id
         assert choice.to_read == 0
@@ -196,7 +196,7 @@
     chosen = chooser(clock)
     workers = make_workers(3)
     request = make_chat()
-    chosen.loads.note_read("w1", "small", request.prompt)
+    chosen.loads.record_prompt_read("w1", "small", request.prompt)
     for _ in range(8):
         chosen.loads.begin("w1", 0.2)
     assert chosen.choose(request, workers, "small").worker.id != "w1"
@@ -215,7 +215,7 @@
 
 def test_parts_count_only_behind_parts_that_are_kept(clock):
     loads = Loads(clock)
-    loads.note_read("w", "m", make_prompt(("b", 400)))
+    loads.record_prompt_read("w", "m", make_prompt(("b", 400)))
     both = make_prompt(("a", 400), ("b", 400))
     assert kept_tokens(loads, "w", "m", both) == 0
     assert kept_tokens(loads, "w", "other", make_prompt(("b", 400))) == 0
--- a/tests/relay/test_prompt_news.py
+++ b/tests/relay/test_prompt_news.py
@@ -62,7 +62,7 @@
     other, _ = make_prompt_updates(clock, "e2", ("e1", "e3"))
     other.apply_notice(notice)
     load = other.loads.workers["w1"]
-    assert load.others_until == pytest.approx(clock.now + 0.8)
+    assert load.peer_prompts_until == pytest.approx(clock.now + 0.8)
     assert kept_tokens(other.loads, "w1", "large", PROMPT) == PROMPT.tokens
     assert kept_tokens(other.loads, "w1", "small", PROMPT) == 0
 
@@ -70,9 +70,9 @@
 def test_reading_times_of_prompts_add_up(clock):
     updates, _ = make_prompt_updates(clock, "e2", ("e1",))
     for _ in range(2):
-        updates.loads.note_others_prompt("w1", 0.5)
+        updates.loads.apply_peer_prompt("w1", 0.5)
     clock.now += 0.75
-    assert updates.loads.workers["w1"].others_until == pytest.approx(
+    assert updates.loads.workers["w1"].peer_prompts_until == pytest.approx(
         clock.now + 0.25
     )
 
@@ -136,14 +136,14 @@
     message = peer_pb2.PromptSent(worker=short_hash("w1"), read_s=1e6)
     updates.apply_notice(peer_pb2.Notice(prompt_sent=message))
     load = updates.loads.workers["w1"]
-    assert load.others_until <= clock.now + MAX_READ_S
+    assert load.peer_prompts_until <= clock.now + MAX_READ_S
 
 
 def test_worker_that_reads_prompts_of_peers_is_avoided(clock):
     entry = make_entry(clock, 1)
     workers = make_workers(9)
     chosen = entry.choose(make_chat(), workers, "large").worker
-    entry.loads.note_others_prompt(chosen.id, 0.6)
+    entry.loads.apply_peer_prompt(chosen.id, 0.6)
     assert entry.choose(make_chat(), workers, "large").worker != chosen
 
 
--- a/tests/relay/test_queue_watch.py
+++ b/tests/relay/test_queue_watch.py
@@ -69,15 +69,17 @@
     other.receive_update(published[0].queue_news)
     now = clock.monotonic()
     for each in (watch, other):
-        assert each.loads.workers["w1"].others(now)[1] == pytest.approx(3, 0.1)
-        assert each.loads.workers["w2"].others(now)[1] == 0.0
+        assert each.loads.workers["w1"].peer_requests(now)[1] == pytest.approx(
+            3, 0.1
+        )
+        assert each.loads.workers["w2"].peer_requests(now)[1] == 0.0
 
 
 async def test_published_queue_length_decays(clock):
     watch, *_ = make_watch(clock, {"w1": 4})
     clock.now = 10.0
     watch.apply_update(QueueUpdate(1, {"w1": 4}))
-    assert watch.loads.workers["w1"].others(clock.now + 8.0)[1] < 0.1
+    assert watch.loads.workers["w1"].peer_requests(clock.now + 8.0)[1] < 0.1
 
 
 async def test_own_waiting_requests_are_not_counted_twice(clock):
@@ -86,14 +88,14 @@
     for _ in range(2):
         watch.loads.begin("w1", 0.1)
     watch.apply_update(QueueUpdate(1, {"w1": 3}))
-    waiting = watch.loads.workers["w1"].others(clock.now)[1]
+    waiting = watch.loads.workers["w1"].peer_requests(clock.now)[1]
     assert waiting == pytest.approx(1, 0.1)
 
 
 async def test_engine_with_fresh_report_is_not_polled(clock):
     watch, polled, _ = make_watch(clock, {"w1": 0, "w2": 0})
     clock.now = 10.0
-    watch.loads.note_report("w1", ReportedLoad(2, 1, 8))
+    watch.loads.record_report("w1", ReportedLoad(2, 1, 8))
     await watch.round()
     assert polled == ["w2"]
     clock.now += FRESH_REPORT_S + 0.1
@@ -105,7 +107,7 @@
     watch, *_ = make_watch(clock, {"w1": None})
     watch.apply_update(QueueUpdate(1, {"w1": 5}))
     await watch.round()
-    assert watch.loads.workers["w1"].others(clock.now)[1] > 1.0
+    assert watch.loads.workers["w1"].peer_requests(clock.now)[1] > 1.0
 
 
 def make_fleet_of_watches(clock, entries, reports):
@@ -150,7 +152,7 @@
     receiver = next(iter(watches.values()))
     receiver.receive_update(published[-1][1].queue_news)
     for id, waiting in reports.items():
-        found = receiver.loads.workers[id].others(clock.now)[1]
+        found = receiver.loads.workers[id].peer_requests(clock.now)[1]
         assert (found > 0.0) == (waiting > 0)
 
 
