--- a/src/rattanpier/_internal/relay/exchange.py
+++ b/src/rattanpier/_internal/relay/exchange.py
@@ -161,7 +161,7 @@
         # nobody would know whether it ran.
         fresh = not request.route.repeatable
         try:
-            connection = await self.pool.take(worker, fresh, sending.left_s)
+            connection = await self.pool.acquire(worker, fresh, sending.left_s)
         except ConnectionBrokenError as error:
             raise SendError(str(error), not_run=True, connected=False) from None
         answer: OpenAnswer | None = None
@@ -170,7 +170,9 @@
             yield answer
         finally:
             if answer is not None and answer.whole:
-                self.pool.put(worker.id, connection, answer.head.keep_alive_s)
+                self.pool.release(
+                    worker.id, connection, answer.head.keep_alive_s
+                )
             else:
                 connection.abort()
 
--- a/src/rattanpier/_internal/relay/pool.py
+++ b/src/rattanpier/_internal/relay/pool.py
@@ -16,9 +16,11 @@
 # lost packet comes again after a second, by which time another worker is
 # the better choice.
 CONNECT_TIMEOUT_S = 0.5
-KEPT_PER_WORKER = 8  # Idle connections; more are closed.
-IDLE_SHARE = 0.5  # Of the worker's own idle time after which none is used.
-UNTOLD_IDLE_S = 2.0  # Idle time where the worker tells none.
+MAX_IDLE_PER_WORKER = 8  # Idle connections; more are closed.
+IDLE_TIMEOUT_SHARE = (
+    0.5  # Of the worker's own idle time after which none is used.
+)
+DEFAULT_IDLE_S = 2.0  # Idle time where the worker tells none.
 
 
 @attrs.define(eq=False, repr=False)
@@ -33,7 +35,7 @@
     idle: dict[str, list[WorkerConnection]] = attrs.Factory(dict)
     opened: int = 0
 
-    async def take(
+    async def acquire(
         self, worker: RegisteredWorker, fresh: bool, timeout_s: float
     ) -> WorkerConnection:
         """Returns a connection to a worker.
@@ -47,9 +49,9 @@
         Raises:
           ConnectionBrokenError: None could be opened; nothing was sent.
         """
-        kept = None if fresh else self.take_kept(worker.id)
-        if kept is not None:
-            return kept
+        idle = None if fresh else self.acquire_idle(worker.id)
+        if idle is not None:
+            return idle
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(min(CONNECT_TIMEOUT_S, timeout_s)):
@@ -63,34 +65,34 @@
         self.opened += 1
         return connection
 
-    def take_kept(self, worker: str) -> WorkerConnection | None:
+    def acquire_idle(self, worker: str) -> WorkerConnection | None:
         """Returns a kept connection that is surely open yet, or None."""
-        kept = self.idle.get(worker, [])
+        idle = self.idle.get(worker, [])
         now = asyncio.get_running_loop().time()
-        while kept:
-            connection = kept.pop()
+        while idle:
+            connection = idle.pop()
             age = now - connection.idle_since
             if not connection.closed and age < connection.idle_limit_s:
                 return connection
             connection.abort()
         return None
 
-    def put(
+    def release(
         self,
         worker: str,
         connection: WorkerConnection,
         keep_alive_s: float | None,
     ) -> None:
         """Takes a connection back after a whole answer."""
-        limit = UNTOLD_IDLE_S
+        limit = DEFAULT_IDLE_S
         if keep_alive_s is not None:
-            limit = min(limit, IDLE_SHARE * keep_alive_s)
+            limit = min(limit, IDLE_TIMEOUT_SHARE * keep_alive_s)
         if not connection.finish(limit):
             return
-        kept = self.idle.setdefault(worker, [])
-        kept.append(connection)
-        if len(kept) > KEPT_PER_WORKER:
-            kept.pop(0).abort()
+        idle = self.idle.setdefault(worker, [])
+        idle.append(connection)
+        if len(idle) > MAX_IDLE_PER_WORKER:
+            idle.pop(0).abort()
 
     def forget(self, worker: str) -> None:
         """Closes what is kept to a worker that is gone."""
