--- a/src/rattanpier/_internal/relay/escalation.py
+++ b/src/rattanpier/_internal/relay/escalation.py
@@ -11,9 +11,9 @@
 from rattanpier._internal.models.worker import RegisteredWorker
 from rattanpier._internal.relay.dispatch import Dispatcher
 from rattanpier._internal.relay.model_choice import (
-    ENOUGH_CONFIDENCE,
-    Kept,
-    Outlook,
+    MIN_CONFIDENCE,
+    KeepReason,
+    LargerModelEstimate,
     judge_answer,
     larger_model,
 )
@@ -37,22 +37,22 @@
     larger = larger_model(request, progress.model)
     if not dispatcher.policy.cascade or not larger or head.confidence is None:
         return False
-    if head.confidence >= ENOUGH_CONFIDENCE:
+    if head.confidence >= MIN_CONFIDENCE:
         return False
     tried = progress.tried
     # The same worker may well be the best: it is not ruled out.
     progress.tried = tried - {worker.id}
     choice = dispatcher.find_worker(progress, larger)
-    outlook = expect_larger(dispatcher, request, larger, choice)
+    estimate = expect_larger(dispatcher, request, larger, choice)
     kept = judge_answer(
         request,
         head.confidence,
         dispatcher.clock.monotonic(),
-        outlook,
+        estimate,
         dispatcher.policy,
     )
     if kept is None and not dispatcher.may_send(progress):
-        kept = Kept.BUDGET
+        kept = KeepReason.BUDGET
     log.info(
         "Answer judged.",
         request=request.id,
@@ -60,9 +60,9 @@
         model=progress.model,
         confidence=head.confidence,
         kept=None if kept is None else kept.value,
-        wait_s=round_for_log(outlook.wait_s),
-        first_s=round_for_log(outlook.first_s),
-        whole_s=round_for_log(outlook.whole_s),
+        wait_s=round_for_log(estimate.wait_s),
+        first_s=round_for_log(estimate.first_s),
+        whole_s=round_for_log(estimate.whole_s),
         larger=larger,
     )
     if kept is not None:
@@ -81,12 +81,12 @@
     request: RelayRequest,
     model: str,
     choice: Choice | None,
-) -> Outlook:
+) -> LargerModelEstimate:
     """Returns what is expected of a model at the worker chosen for it."""
     if choice is None:
-        return Outlook(math.inf, math.inf, math.inf)
+        return LargerModelEstimate(math.inf, math.inf, math.inf)
     pace = dispatcher.chooser.pace
     wait_s = max(choice.wait_s, pace.wait_s(model, request.priority))
     stream_s = pace.stream_s(model, request.prompt.expected_output)
     first_s = choice.read_s + wait_s
-    return Outlook(choice.wait_s, first_s, first_s + stream_s)
+    return LargerModelEstimate(choice.wait_s, first_s, first_s + stream_s)
--- a/src/rattanpier/_internal/relay/model_choice.py
+++ b/src/rattanpier/_internal/relay/model_choice.py
@@ -17,16 +17,16 @@
 # An answer is kept from this confidence on while workers are free. With a
 # higher limit calm hours give better answers, but under faults and bursts
 # larger models' answers last too long and take the time of others.
-ENOUGH_CONFIDENCE = 45.0
+MIN_CONFIDENCE = 45.0
 # Under load a doubtful answer now is better than a better one for fewer: the
 # limit falls by this much as the wait at the best worker for the larger model
 # rises to the given time: the 6,000 tokens tried before, at their usual pace.
-LOAD_DISCOUNT = 20.0
-FULL_LOAD_S = 0.2
+MAX_LOAD_DISCOUNT = 20.0
+FULL_LOAD_WAIT_S = 0.2
 
 
 @attrs.frozen
-class Outlook:
+class LargerModelEstimate:
     """What is expected of asking a larger model.
 
     Attributes:
@@ -40,7 +40,7 @@
     whole_s: float = 0.0
 
 
-class Kept(enum.Enum):
+class KeepReason(enum.Enum):
     """Why an answer is kept though a larger model may do better."""
 
     CONFIDENT = "confident"
@@ -68,37 +68,37 @@
     request: RelayRequest,
     confidence: float,
     now: float,
-    outlook: Outlook,
+    estimate: LargerModelEstimate,
     policy: Policy = USUAL,
-) -> Kept | None:
+) -> KeepReason | None:
     """Says why an answer is kept; None if a larger model is to be asked.
 
     Args:
       request: The request.
       confidence: The model's opinion of its answer, 0 to 100.
       now: Monotonic seconds.
-      outlook: What is expected of the larger model.
+      estimate: What is expected of the larger model.
       policy: Which of these reasons count.
     """
-    if confidence >= ENOUGH_CONFIDENCE:
-        return Kept.CONFIDENT
-    if policy.load_line and confidence >= enough_confidence(outlook.wait_s):
-        return Kept.LOAD
+    if confidence >= MIN_CONFIDENCE:
+        return KeepReason.CONFIDENT
+    if policy.load_line and confidence >= min_confidence(estimate.wait_s):
+        return KeepReason.LOAD
     if not policy.outlook:
         return None
     objective_left = request.arrived + request.route.objective_s - now
-    if outlook.first_s > objective_left:
-        return Kept.TIME
-    if outlook.whole_s > request.deadline - now:
-        return Kept.TIME
+    if estimate.first_s > objective_left:
+        return KeepReason.TIME
+    if estimate.whole_s > request.deadline - now:
+        return KeepReason.TIME
     return None
 
 
-def enough_confidence(wait_s: float) -> float:
+def min_confidence(wait_s: float) -> float:
     """Returns the confidence from which an answer is kept.
 
-    >>> enough_confidence(0.0), enough_confidence(9.0)
+    >>> min_confidence(0.0), min_confidence(9.0)
     (45.0, 25.0)
     """
-    load = min(1.0, wait_s / FULL_LOAD_S)
-    return ENOUGH_CONFIDENCE - LOAD_DISCOUNT * load
+    load = min(1.0, wait_s / FULL_LOAD_WAIT_S)
+    return MIN_CONFIDENCE - MAX_LOAD_DISCOUNT * load
--- a/tests/relay/test_decisions.py
+++ b/tests/relay/test_decisions.py
@@ -24,9 +24,9 @@
 from rattanpier._internal.relay.health import Health
 from rattanpier._internal.relay.load import Loads
 from rattanpier._internal.relay.model_choice import (
-    FULL_LOAD_S,
-    Kept,
-    Outlook,
+    FULL_LOAD_WAIT_S,
+    KeepReason,
+    LargerModelEstimate,
     first_model,
     judge_answer,
     larger_model,
@@ -236,22 +236,27 @@
     assert larger_model(request, "") == ""
 
 
-NOW_OR_SOON = Outlook(0.0, 0.5, 1.0)
+NOW_OR_SOON = LargerModelEstimate(0.0, 0.5, 1.0)
 
 
 @pytest.mark.parametrize(
     ("confidence", "now", "outlook", "kept"),
     [
         (40.0, 0.5, NOW_OR_SOON, None),
-        (90.0, 0.5, NOW_OR_SOON, Kept.CONFIDENT),
-        (40.0, 0.5, Outlook(FULL_LOAD_S, 0.5, 1.0), Kept.LOAD),
-        (10.0, 0.5, Outlook(FULL_LOAD_S, 0.5, 1.0), None),
+        (90.0, 0.5, NOW_OR_SOON, KeepReason.CONFIDENT),
+        (
+            40.0,
+            0.5,
+            LargerModelEstimate(FULL_LOAD_WAIT_S, 0.5, 1.0),
+            KeepReason.LOAD,
+        ),
+        (10.0, 0.5, LargerModelEstimate(FULL_LOAD_WAIT_S, 0.5, 1.0), None),
         # Its first event would miss the objective, 4 s.
-        (10.0, 3.6, NOW_OR_SOON, Kept.TIME),
-        (10.0, 0.5, Outlook(0.0, 3.6, 4.0), Kept.TIME),
+        (10.0, 3.6, NOW_OR_SOON, KeepReason.TIME),
+        (10.0, 0.5, LargerModelEstimate(0.0, 3.6, 4.0), KeepReason.TIME),
         # Its end would miss the deadline, 10 s.
-        (10.0, 0.5, Outlook(0.0, 0.5, 9.6), Kept.TIME),
-        (10.0, 0.5, Outlook(0.0, 0.5, 9.4), None),
+        (10.0, 0.5, LargerModelEstimate(0.0, 0.5, 9.6), KeepReason.TIME),
+        (10.0, 0.5, LargerModelEstimate(0.0, 0.5, 9.4), None),
     ],
 )
 def test_doubt_leads_to_a_larger_model_where_it_can_be_in_time(
--- a/tests/relay/test_policy.py
+++ b/tests/relay/test_policy.py
@@ -8,8 +8,8 @@
 from rattanpier._internal.models.policy import USUAL, Policy
 from rattanpier._internal.relay.health import Health
 from rattanpier._internal.relay.model_choice import (
-    Kept,
-    Outlook,
+    KeepReason,
+    LargerModelEstimate,
     first_model,
     judge_answer,
 )
@@ -69,12 +69,15 @@
 
 
 def test_reasons_to_keep_an_answer_can_be_left_out():
-    busy, late = Outlook(9.0, 0.5, 1.0), Outlook(0.0, 99.0, 99.0)
+    busy, late = (
+        LargerModelEstimate(9.0, 0.5, 1.0),
+        LargerModelEstimate(0.0, 99.0, 99.0),
+    )
     request = make_chat()
-    assert judge_answer(request, 40.0, 0.1, busy) is Kept.LOAD
+    assert judge_answer(request, 40.0, 0.1, busy) is KeepReason.LOAD
     off = without(load_line=False)
     assert judge_answer(request, 40.0, 0.1, busy, off) is None
-    assert judge_answer(request, 10.0, 0.1, late) is Kept.TIME
+    assert judge_answer(request, 10.0, 0.1, late) is KeepReason.TIME
     off = without(outlook=False)
     assert judge_answer(request, 10.0, 0.1, late, off) is None
 
