--- a/src/rattanpier/_internal/relay/model_groups.py
+++ b/src/rattanpier/_internal/relay/model_groups.py
@@ -24,19 +24,21 @@
 from rattanpier._internal.utils.samples import FadingSum
 from rattanpier._internal.utils.turns import in_turns
 
-LEAST_WORKERS = 4  # Of fewer each has to serve all models.
+MIN_WORKERS = 4  # Of fewer each has to serve all models.
 # Share of a pool for the smallest model, until requests showed more: worked out
 # from the mixes of two sites (0.15 to 0.35), not tuned by runs.
-USUAL_SHARE = 0.2
-LEAST_SHARE, MOST_SHARE = 0.1, 0.5
-KEPT_ORDERS = 64  # Sets of workers differ by those that are avoided just now.
-USUAL_COUNTS = 20.0  # Requests that the usual share is worth.
+DEFAULT_SHARE = 0.2
+MIN_SHARE, MAX_SHARE = 0.1, 0.5
+MAX_CACHED_ORDERS = (
+    64  # Sets of workers differ by those that are avoided just now.
+)
+DEFAULT_SHARE_WEIGHT = 20.0  # Requests that the usual share is worth.
 # The mix of a fleet's requests changes slowly, and one entry sees little of it.
 HALF_LIFE_S = 15.0
 
 
 @attrs.define(eq=False, repr=False)
-class Work:
+class Demand:
     """What requests for some models take of workers.
 
     Attributes:
@@ -47,7 +49,7 @@
     reading: FadingSum = attrs.Factory(lambda: FadingSum(HALF_LIFE_S))
     running: FadingSum = attrs.Factory(lambda: FadingSum(HALF_LIFE_S))
 
-    def needed(self, now: float) -> float:
+    def current(self, now: float) -> float:
         """Returns what is needed: reading and slots are used side by side."""
         self.reading.fade(now)
         self.running.fade(now)
@@ -59,51 +61,51 @@
     """The work of the smallest models against that of larger ones."""
 
     clock: Clock
-    small: Work = attrs.Factory(Work)
-    large: Work = attrs.Factory(Work)
+    small: Demand = attrs.Factory(Demand)
+    large: Demand = attrs.Factory(Demand)
 
-    def note_send(self, small: bool, read_s: float) -> None:
+    def record_upstream_request(self, small: bool, read_s: float) -> None:
         """Takes in the reading that a send is."""
-        work = self.small if small else self.large
-        work.reading.add(read_s, self.clock.monotonic())
+        demand = self.small if small else self.large
+        demand.reading.add(read_s, self.clock.monotonic())
 
-    def note_run(self, small: bool, seconds: float, slots: int) -> None:
+    def record_run(self, small: bool, seconds: float, slots: int) -> None:
         """Takes in how long a request had a slot."""
-        work = self.small if small else self.large
-        work.running.add(seconds / max(1, slots), self.clock.monotonic())
+        demand = self.small if small else self.large
+        demand.running.add(seconds / max(1, slots), self.clock.monotonic())
 
     def share(self) -> float:
         """Returns the share of a pool that is for the smallest model."""
         now = self.clock.monotonic()
-        small, large = self.small.needed(now), self.large.needed(now)
+        small, large = self.small.current(now), self.large.current(now)
         if small + large <= 0.0:
-            return USUAL_SHARE
-        seen = self.small.reading.weight + self.large.reading.weight
-        trust = seen / (seen + USUAL_COUNTS)
-        found = small / (small + large)
-        share = trust * found + (1.0 - trust) * USUAL_SHARE
-        return min(MOST_SHARE, max(LEAST_SHARE, share))
-
-    def of(
+            return DEFAULT_SHARE
+        samples = self.small.reading.weight + self.large.reading.weight
+        weight = samples / (samples + DEFAULT_SHARE_WEIGHT)
+        measured = small / (small + large)
+        share = weight * measured + (1.0 - weight) * DEFAULT_SHARE
+        return min(MAX_SHARE, max(MIN_SHARE, share))
+
+    def workers_for(
         self, workers: Sequence[RegisteredWorker], small: bool
     ) -> Sequence[RegisteredWorker]:
         """Returns the workers for the smallest model, or those for larger."""
-        if len(workers) < LEAST_WORKERS:
+        if len(workers) < MIN_WORKERS:
             return workers
-        ordered = in_order(workers)
+        ordered = sort_workers(workers)
         count = max(1, round(self.share() * len(ordered)))
         return ordered[:count] if small else ordered[count:]
 
 
-def in_order(workers: Sequence[RegisteredWorker]) -> list[RegisteredWorker]:
+def sort_workers(workers: Sequence[RegisteredWorker]) -> list[RegisteredWorker]:
     """Returns workers in an order of their ids, each domain in turn."""
     by_id = {worker.id: worker for worker in workers}
     places = tuple(sorted((worker.id, worker.domain) for worker in workers))
-    return [by_id[id] for id in order_of(places)]
+    return [by_id[id] for id in sort_ids(places)]
 
 
-@functools.lru_cache(maxsize=KEPT_ORDERS)
-def order_of(places: tuple[tuple[str, str], ...]) -> tuple[str, ...]:
+@functools.lru_cache(maxsize=MAX_CACHED_ORDERS)
+def sort_ids(places: tuple[tuple[str, str], ...]) -> tuple[str, ...]:
     """Returns the order of workers, given as pairs of id and domain."""
     domain_of = dict(places)
     domains: dict[str, list[str]] = collections.defaultdict(list)
--- a/src/rattanpier/_internal/relay/placement.py
+++ b/src/rattanpier/_internal/relay/placement.py
@@ -162,7 +162,7 @@
         small = is_smallest(request, model)
         preferred = workers
         if small is not None and self.policy.groups:
-            preferred = self.groups.of(workers, small)
+            preferred = self.groups.workers_for(workers, small)
         preferred_ids = {worker.id for worker in preferred}
         prompt = request.prompt
         home = home_of(prompt, preferred) if self.policy.homes else ""
@@ -214,7 +214,7 @@
         self.pace.note_send(model, choice.read_s)
         small = is_smallest(request, model)
         if small is not None:
-            self.groups.note_send(small, choice.read_s)
+            self.groups.record_upstream_request(small, choice.read_s)
 
     def record_run(
         self, request: RelayRequest, model: str, seconds: float, slots: int
@@ -222,7 +222,7 @@
         """Takes in how long a request ran, or waited, at a worker."""
         small = is_smallest(request, model)
         if small is not None:
-            self.groups.note_run(small, seconds, slots)
+            self.groups.record_run(small, seconds, slots)
 
     def home_hit_probability(self, read_s: float) -> float:
         """Returns how likely a home holds shared parts nobody told of.
--- a/tests/relay/test_decisions.py
+++ b/tests/relay/test_decisions.py
@@ -185,7 +185,7 @@
     request = make_chat()
     for small, model in ((True, "small"), (False, "large")):
         # Not the one that the prompt's shared parts belong to.
-        read = chosen.groups.of(workers, small)[-1]
+        read = chosen.groups.workers_for(workers, small)[-1]
         chosen.loads.record_prompt_read(read.id, model, request.prompt)
         choice = chosen.choose(request, workers, model)
         assert choice.worker.id == read.id
--- a/tests/relay/test_model_groups.py
+++ b/tests/relay/test_model_groups.py
@@ -6,11 +6,11 @@
 
 from rattanpier._internal.models.route_table import ModelCost
 from rattanpier._internal.relay.model_groups import (
-    LEAST_SHARE,
-    MOST_SHARE,
-    USUAL_SHARE,
+    DEFAULT_SHARE,
+    MAX_SHARE,
+    MIN_SHARE,
     ModelGroups,
-    in_order,
+    sort_workers,
 )
 from rattanpier._internal.relay.pace import LEAST_SAMPLES, Pace
 from tests.lib.clock import ManualClock
@@ -28,8 +28,13 @@
     shuffled = random.Random(2).sample(workers, 20)
     one, other = ModelGroups(clock), ModelGroups(clock)
     for small in (True, False):
-        assert one.of(workers, small) == other.of(shuffled, small)
-    small, large = one.of(workers, True), one.of(workers, False)
+        assert one.workers_for(workers, small) == other.workers_for(
+            shuffled, small
+        )
+    small, large = (
+        one.workers_for(workers, True),
+        one.workers_for(workers, False),
+    )
     assert {w.id for w in small}.isdisjoint(w.id for w in large)
     assert len(small) + len(large) == 20
 
@@ -39,53 +44,57 @@
         make_worker(f"w{number}", domain="abc"[number % 3])
         for number in range(12)
     ]
-    domains = [worker.domain for worker in in_order(workers)]
+    domains = [worker.domain for worker in sort_workers(workers)]
     assert domains == ["a", "b", "c"] * 4
 
 
 def test_a_worker_that_goes_moves_no_other_across_by_more_than_its_place(clock):
     workers = make_workers(20)
     groups = ModelGroups(clock)
-    before = {worker.id for worker in groups.of(workers, True)}
-    after = {worker.id for worker in groups.of(workers[1:], True)}
+    before = {worker.id for worker in groups.workers_for(workers, True)}
+    after = {worker.id for worker in groups.workers_for(workers[1:], True)}
     assert len(before ^ after) <= 2
 
 
 def test_few_workers_serve_all_models(clock):
     workers = make_workers(3)
     groups = ModelGroups(clock)
-    assert groups.of(workers, True) == groups.of(workers, False) == workers
+    assert (
+        groups.workers_for(workers, True)
+        == groups.workers_for(workers, False)
+        == workers
+    )
 
 
 def test_the_share_follows_the_work(clock):
     groups = ModelGroups(clock)
-    assert groups.share() == USUAL_SHARE
+    assert groups.share() == DEFAULT_SHARE
     for _ in range(400):
-        groups.note_send(True, 0.04)
-        groups.note_send(False, 0.06)
+        groups.record_upstream_request(True, 0.04)
+        groups.record_upstream_request(False, 0.06)
     assert groups.share() == pytest.approx(0.4, abs=0.02)
     for _ in range(2000):
-        groups.note_send(False, 1.0)
-    assert groups.share() == LEAST_SHARE
+        groups.record_upstream_request(False, 1.0)
+    assert groups.share() == MIN_SHARE
 
 
 def test_slots_count_where_they_are_scarcer_than_reading(clock):
     groups = ModelGroups(clock)
     for _ in range(400):
-        groups.note_send(True, 0.001)
-        groups.note_send(False, 0.1)
-        groups.note_run(True, 4.0, slots=16)
-        groups.note_run(False, 1.0, slots=16)
-    assert groups.share() == MOST_SHARE
+        groups.record_upstream_request(True, 0.001)
+        groups.record_upstream_request(False, 0.1)
+        groups.record_run(True, 4.0, slots=16)
+        groups.record_run(False, 1.0, slots=16)
+    assert groups.share() == MAX_SHARE
 
 
 def test_a_large_prompt_leaves_the_small_ones_workers_alone(clock):
     entry = make_entry(clock, 1)
     workers = make_workers(9)
-    small = {worker.id for worker in entry.groups.of(workers, True)}
+    small = {worker.id for worker in entry.groups.workers_for(workers, True)}
     assert entry.choose(make_chat(), workers, "small").worker.id in small
     assert entry.choose(make_chat(), workers, "large").worker.id not in small
-    for worker in entry.groups.of(workers, False):
+    for worker in entry.groups.workers_for(workers, False):
         entry.loads.begin(worker.id, 3.0)
     assert entry.choose(make_chat(), workers, "large").worker.id in small
 
