--- a/src/rattanpier/_internal/relay/escalation.py
+++ b/src/rattanpier/_internal/relay/escalation.py
@@ -26,7 +26,7 @@
 log = structlog.get_logger(part="dispatch")
 
 
-def goes_on(
+def should_escalate(
     dispatcher: Dispatcher,
     progress: RequestProgress,
     worker: RegisteredWorker,
@@ -43,31 +43,31 @@
     # The same worker may well be the best: it is not ruled out.
     progress.tried = tried - {worker.id}
     choice = dispatcher.find_worker(progress, larger)
-    estimate = expect_larger(dispatcher, request, larger, choice)
-    kept = judge_answer(
+    estimate = estimate_larger_model(dispatcher, request, larger, choice)
+    keep_reason = judge_answer(
         request,
         head.confidence,
         dispatcher.clock.monotonic(),
         estimate,
         dispatcher.policy,
     )
-    if kept is None and not dispatcher.may_send(progress):
-        kept = KeepReason.BUDGET
+    if keep_reason is None and not dispatcher.may_send(progress):
+        keep_reason = KeepReason.BUDGET
     log.info(
         "Answer judged.",
         request=request.id,
         worker=worker.id,
         model=progress.model,
         confidence=head.confidence,
-        kept=None if kept is None else kept.value,
+        kept=None if keep_reason is None else keep_reason.value,
         wait_s=round_for_log(estimate.wait_s),
         first_s=round_for_log(estimate.first_s),
         whole_s=round_for_log(estimate.whole_s),
         larger=larger,
     )
-    if kept is not None:
+    if keep_reason is not None:
         progress.tried = tried
-        dispatcher.metrics.count(f"relay.kept.{kept.value}")
+        dispatcher.metrics.count(f"relay.kept.{keep_reason.value}")
         return False
     progress.next_send_allowed = True
     dispatcher.metrics.count("relay.larger_model")
@@ -76,7 +76,7 @@
     return True
 
 
-def expect_larger(
+def estimate_larger_model(
     dispatcher: Dispatcher,
     request: RelayRequest,
     model: str,
--- a/src/rattanpier/_internal/relay/stream_answers.py
+++ b/src/rattanpier/_internal/relay/stream_answers.py
@@ -17,7 +17,7 @@
 )
 from rattanpier._internal.models.worker import RegisteredWorker
 from rattanpier._internal.relay.dispatch import MAX_ANSWER_BYTES, Dispatcher
-from rattanpier._internal.relay.escalation import goes_on
+from rattanpier._internal.relay.escalation import should_escalate
 from rattanpier._internal.relay.events import (
     Event,
     EventError,
@@ -98,7 +98,7 @@
             dispatcher.loads.record_prompt_read(
                 worker.id, model, request.prompt
             )
-            if not course.head_delivered and goes_on(
+            if not course.head_delivered and should_escalate(
                 dispatcher, course, worker, head
             ):
                 dispatcher.record_result(course, worker, False, took)
