--- a/src/rattanpier/_internal/programs/relay_dispatch.py
+++ b/src/rattanpier/_internal/programs/relay_dispatch.py
@@ -16,7 +16,7 @@
 from rattanpier._internal.placement.shared_rates import SharedRates
 from rattanpier._internal.placement.warm_up import WarmUps
 from rattanpier._internal.platform import upstream
-from rattanpier._internal.relay.budgets import Budgets
+from rattanpier._internal.relay.budgets import ServiceRetryBudgets
 from rattanpier._internal.relay.dispatch import Dispatcher
 from rattanpier._internal.relay.exchange import Sender, WorkerDialect
 from rattanpier._internal.relay.fleet import Fleet
@@ -131,7 +131,7 @@
         rests=rests,
         quarantine=quarantine,
         rollouts=state.rollouts,
-        budgets=Budgets(settings.bounds, fleet.size, clock),
+        budgets=ServiceRetryBudgets(settings.bounds, fleet.size, clock),
         policy=settings.policy,
     )
 
--- a/src/rattanpier/_internal/relay/answering.py
+++ b/src/rattanpier/_internal/relay/answering.py
@@ -33,7 +33,7 @@
     )
     course.first_model = course.model
     course.order.last = request.after_event
-    dispatcher.budgets[course.service].note_request()
+    dispatcher.budgets[course.service].record_request()
     dispatcher.rollouts.sessions.note(course.service, request.session)
     if request.route.streaming:
         async with aclosing(stream(dispatcher, course)) as parts:
--- a/src/rattanpier/_internal/relay/budgets.py
+++ b/src/rattanpier/_internal/relay/budgets.py
@@ -19,11 +19,11 @@
 
 # Of what operators allow: requests may end in one window and their further
 # sends fall into the next.
-USED_PART = 0.9
+USED_SHARE = 0.9
 
 
 @attrs.define(eq=False, repr=False)
-class SendBudget:
+class ServiceRetryBudget:
     """Further sends for one service, over a sliding window.
 
     Unlike a bucket it loses nothing when requests come in clumps: of 195
@@ -48,21 +48,21 @@
     requests: collections.deque[float] = attrs.Factory(collections.deque)
     sends: collections.deque[float] = attrs.Factory(collections.deque)
 
-    def note_request(self) -> None:
+    def record_request(self) -> None:
         """Counts a request that came in."""
-        self.forget_old()
+        self.drop_expired()
         self.requests.append(self.clock.monotonic())
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Says whether one more further send is allowed, and counts it."""
-        self.forget_old()
-        most = self.share * len(self.requests) + self.slack()
-        if len(self.sends) + 1 > most:
+        self.drop_expired()
+        allowed = self.share * len(self.requests) + self.slack()
+        if len(self.sends) + 1 > allowed:
             return False
         self.sends.append(self.clock.monotonic())
         return True
 
-    def forget_old(self) -> None:
+    def drop_expired(self) -> None:
         """Drops what is older than the window."""
         oldest = self.clock.monotonic() - self.window_s
         for times in (self.requests, self.sends):
@@ -70,7 +70,7 @@
                 times.popleft()
 
 
-class Budgets(collections.UserDict[str, SendBudget]):
+class ServiceRetryBudgets(collections.UserDict[str, ServiceRetryBudget]):
     """The budget of each service, made when it is first asked for."""
 
     def __init__(
@@ -81,11 +81,11 @@
         self.entries = entries
         self.clock = clock
 
-    def __missing__(self, service: str) -> SendBudget:
+    def __missing__(self, service: str) -> ServiceRetryBudget:
         """Returns the budget of a service that was not asked for before."""
-        budget = SendBudget(
+        budget = ServiceRetryBudget(
             self.clock,
-            share=USED_PART * self.bounds.retry_ratio,
+            share=USED_SHARE * self.bounds.retry_ratio,
             window_s=self.bounds.retry_window_s,
             slack=self.slack,
         )
@@ -94,4 +94,4 @@
 
     def slack(self) -> float:
         """Returns one entry's part of the slack: the same for each service."""
-        return USED_PART * self.bounds.retry_slack / max(1, self.entries())
+        return USED_SHARE * self.bounds.retry_slack / max(1, self.entries())
--- a/src/rattanpier/_internal/relay/dispatch.py
+++ b/src/rattanpier/_internal/relay/dispatch.py
@@ -28,7 +28,7 @@
 )
 from rattanpier._internal.placement.rate_limits import RateLimits
 from rattanpier._internal.placement.rests import Rests
-from rattanpier._internal.relay.budgets import SendBudget
+from rattanpier._internal.relay.budgets import ServiceRetryBudget
 from rattanpier._internal.relay.directory import WorkerDirectory
 from rattanpier._internal.relay.exchange import (
     Sender,
@@ -91,7 +91,7 @@
     rests: Rests
     quarantine: Quarantine
     rollouts: Rollouts
-    budgets: Mapping[str, SendBudget]
+    budgets: Mapping[str, ServiceRetryBudget]
     policy: Policy = USUAL
     publish_prompt: Callable[[str, str, Prompt, float], None] = attrs.field(
         default=lambda _worker, _model, _prompt, _read_s: None
@@ -199,7 +199,7 @@
             return False
         if self.left_s(progress) <= MIN_TIME_LEFT_S:
             return False
-        if progress.sent and not self.budgets[progress.service].take():
+        if progress.sent and not self.budgets[progress.service].try_acquire():
             self.metrics.count("relay.budget_spent")
             progress.reason = progress.reason or "retry budget spent"
             return False
--- a/tests/relay/test_budgets.py
+++ b/tests/relay/test_budgets.py
@@ -5,7 +5,7 @@
 import pytest
 
 from rattanpier._internal.models.relay_settings import Bounds
-from rattanpier._internal.relay.budgets import Budgets
+from rattanpier._internal.relay.budgets import ServiceRetryBudgets
 from tests.lib.clock import ManualClock
 
 BOUNDS = Bounds(retry_ratio=0.9, retry_slack=430, retry_window_s=10.0)
@@ -25,16 +25,19 @@
     """Returns when requests came, and which further sends were allowed."""
     rng = random.Random(seed)
     clock = ManualClock()
-    budgets = [Budgets(BOUNDS, lambda: entries, clock) for _ in range(entries)]
+    budgets = [
+        ServiceRetryBudgets(BOUNDS, lambda: entries, clock)
+        for _ in range(entries)
+    ]
     requests, sends, refused = [], [], 0
     for at, entry in arrivals(rng, entries, per_s, seconds, clump):
         clock.now = at
         budget = budgets[entry]["s"]
         for _ in range(clump):
-            budget.note_request()
+            budget.record_request()
             requests.append(at)
         for _ in range(sum(wanted(rng) for _ in range(clump))):
-            if budget.take():
+            if budget.try_acquire():
                 sends.append(at)
             else:
                 refused += 1
@@ -81,11 +84,13 @@
 
 def test_the_sum_keeps_the_bound_when_each_entry_has_had_one_request():
     clock = ManualClock()
-    entries = [Budgets(BOUNDS, lambda: 420, clock) for _ in range(420)]
+    entries = [
+        ServiceRetryBudgets(BOUNDS, lambda: 420, clock) for _ in range(420)
+    ]
     sends = 0
     for entry in entries:
-        entry["s"].note_request()
-        while entry["s"].take():
+        entry["s"].record_request()
+        while entry["s"].try_acquire():
             sends += 1
     assert sends <= BOUNDS.retry_ratio * len(entries) + BOUNDS.retry_slack
     assert sends > 0
@@ -93,33 +98,33 @@
 
 def test_slack_that_is_less_than_one_send_is_saved_up():
     clock = ManualClock()
-    budget = Budgets(BOUNDS, lambda: 4000, clock)["s"]
-    assert not budget.take()
-    budget.note_request()
-    assert not budget.take()
-    budget.note_request()
-    assert budget.take()
+    budget = ServiceRetryBudgets(BOUNDS, lambda: 4000, clock)["s"]
+    assert not budget.try_acquire()
+    budget.record_request()
+    assert not budget.try_acquire()
+    budget.record_request()
+    assert budget.try_acquire()
 
 
 def test_an_entry_that_learns_of_more_entries_takes_a_smaller_part():
     clock = ManualClock()
     known = 1
-    budget = Budgets(BOUNDS, lambda: known, clock)["s"]
-    assert all(budget.take() for _ in range(100))
+    budget = ServiceRetryBudgets(BOUNDS, lambda: known, clock)["s"]
+    assert all(budget.try_acquire() for _ in range(100))
     known = 10
-    assert not budget.take()
+    assert not budget.try_acquire()
 
 
 def test_sends_count_until_the_window_has_passed():
     clock = ManualClock()
-    budget = Budgets(BOUNDS, lambda: 430, clock)["s"]
+    budget = ServiceRetryBudgets(BOUNDS, lambda: 430, clock)["s"]
     for _ in range(10):
-        budget.note_request()
-    while budget.take():
+        budget.record_request()
+    while budget.try_acquire():
         pass
     clock.now = BOUNDS.retry_window_s
-    assert not budget.take()
+    assert not budget.try_acquire()
     clock.now += 0.1
     for _ in range(10):
-        budget.note_request()
-    assert budget.take()
+        budget.record_request()
+    assert budget.try_acquire()
--- a/tests/relay/test_decisions.py
+++ b/tests/relay/test_decisions.py
@@ -12,7 +12,7 @@
     RolloutRecord,
 )
 from rattanpier._internal.models.sending import ReportedLoad
-from rattanpier._internal.relay.budgets import Budgets
+from rattanpier._internal.relay.budgets import ServiceRetryBudgets
 from rattanpier._internal.relay.directory import RETURN_S, WorkerDirectory
 from rattanpier._internal.relay.drain import DrainState
 from rattanpier._internal.relay.events import (
@@ -458,13 +458,13 @@
 
 def test_budgets_of_all_entries_stay_within_what_operators_allow(clock):
     bounds = Bounds(retry_ratio=0.9, retry_slack=52)
-    entries = [Budgets(bounds, lambda: 6, clock) for _ in range(6)]
+    entries = [ServiceRetryBudgets(bounds, lambda: 6, clock) for _ in range(6)]
     requests = 600
     sent = 0
     for number in range(requests):
         budget = entries[number % 6]["s"]
-        budget.note_request()
-        sent += budget.take() + budget.take()
+        budget.record_request()
+        sent += budget.try_acquire() + budget.try_acquire()
     assert sent <= 0.9 * requests + 52
     assert sent > 0.7 * requests
 
