--- a/src/rattanpier/_internal/programs/relay_dispatch.py
+++ b/src/rattanpier/_internal/programs/relay_dispatch.py
@@ -23,7 +23,7 @@
 from rattanpier._internal.relay.health import Health
 from rattanpier._internal.relay.load import Loads
 from rattanpier._internal.relay.model_groups import ModelGroups
-from rattanpier._internal.relay.pace import Pace
+from rattanpier._internal.relay.model_timings import ModelTimings
 from rattanpier._internal.relay.placement import Chooser
 from rattanpier._internal.relay.pool import ConnectionPool
 from rattanpier._internal.relay.state import RelayState
@@ -45,7 +45,7 @@
 ) -> Dispatcher:
     """Returns what answers requests."""
     loads = Loads(clock)
-    pace = Pace(clock)
+    pace = ModelTimings(clock)
     state.tables.subscribe(lambda table: take_prices(pace, table))
     pool = ConnectionPool()
     health = Health(clock, settings.policy)
@@ -168,8 +168,8 @@
     return warm_ups
 
 
-def take_prices(pace: Pace, table: RouteTable) -> None:
+def take_prices(pace: ModelTimings, table: RouteTable) -> None:
     """Takes in what the models of a table cost."""
     for service in table.services.values():
         if service.engine is not None:
-            pace.take_prices(service.engine.models)
+            pace.apply_prices(service.engine.models)
--- a/src/rattanpier/_internal/relay/escalation.py
+++ b/src/rattanpier/_internal/relay/escalation.py
@@ -85,8 +85,8 @@
     """Returns what is expected of a model at the worker chosen for it."""
     if choice is None:
         return LargerModelEstimate(math.inf, math.inf, math.inf)
-    pace = dispatcher.chooser.pace
-    wait_s = max(choice.wait_s, pace.wait_s(model, request.priority))
-    stream_s = pace.stream_s(model, request.prompt.expected_output)
+    timings = dispatcher.chooser.timings
+    wait_s = max(choice.wait_s, timings.wait_s(model, request.priority))
+    stream_s = timings.stream_s(model, request.prompt.expected_output)
     first_s = choice.read_s + wait_s
     return LargerModelEstimate(choice.wait_s, first_s, first_s + stream_s)
--- a/src/rattanpier/_internal/relay/pace.py
+++ b/src/rattanpier/_internal/relay/model_timings.py
@@ -17,45 +17,49 @@
 
 # Of a model of the mean price, until answers show more; only which of two
 # workers is better follows from it.
-USUAL_READ_S = 1 / 30000
-USUAL_TOKEN_S = 0.02  # Between two tokens of a stream, until streams show more.
-USUAL_WAIT_S = 0.05
+DEFAULT_TOKEN_READ_S = 1 / 30000
+DEFAULT_TOKEN_INTERVAL_S = (
+    0.02  # Between two tokens of a stream, until streams show more.
+)
+DEFAULT_WAIT_S = 0.05
 # Of the waits and of the times between tokens lately: an answer that comes too
 # late is worth less than one of a smaller model in time, so most have to fit.
-MOST = 0.8
-USUAL_TOKENS = 3000  # Of a prompt, until requests came.
+UPPER_QUANTILE = 0.8
+DEFAULT_PROMPT_TOKENS = 3000  # Of a prompt, until requests came.
 # Waits only add to the time that reading takes: a low quantile of what was
 # seen is near the time at a worker that was free.
-FREE_SHARE = 0.3
-LEAST_SAMPLES = 4
-LEAST_TOKENS = 1000  # Shorter prompts tell little of the time for a token.
+IDLE_QUANTILE = 0.3
+MIN_SAMPLES = 4
+MIN_PROMPT_TOKENS = 1000  # Shorter prompts tell little of the time for a token.
 HALF_LIFE_S = 5.0  # Bursts and faults last about that long.
 
 
 @attrs.define(eq=False, repr=False)
-class ModelPace:
+class ModelTiming:
     """What one model's answers showed.
 
     Attributes:
       read: Seconds for each token of a prompt at a free worker.
       first: Seconds to the first event of short prompts.
-      usual: Seconds of reading that one request is.
+      request_read: Seconds of reading that one request is.
       waits: Seconds to the first event beyond reading, by priority: workers
         read the prompts of more urgent requests first.
       token: Seconds of a stream for each token that was expected of it.
     """
 
-    read: RecentQuantile = attrs.Factory(lambda: RecentQuantile(FREE_SHARE))
+    read: RecentQuantile = attrs.Factory(lambda: RecentQuantile(IDLE_QUANTILE))
     first: RecentQuantile = attrs.Factory(lambda: RecentQuantile(0.0))
-    usual: FadingSum = attrs.Factory(lambda: FadingSum(HALF_LIFE_S))
+    request_read: FadingSum = attrs.Factory(lambda: FadingSum(HALF_LIFE_S))
     waits: dict[int, RecentQuantile] = attrs.Factory(
-        lambda: collections.defaultdict(lambda: RecentQuantile(MOST))
+        lambda: collections.defaultdict(lambda: RecentQuantile(UPPER_QUANTILE))
+    )
+    token: RecentQuantile = attrs.Factory(
+        lambda: RecentQuantile(UPPER_QUANTILE)
     )
-    token: RecentQuantile = attrs.Factory(lambda: RecentQuantile(MOST))
 
 
 @attrs.define(eq=False, repr=False)
-class Pace:
+class ModelTimings:
     """The pace of each model, by name.
 
     Attributes:
@@ -64,18 +68,18 @@
     """
 
     clock: Clock
-    models: dict[str, ModelPace] = attrs.Factory(
-        lambda: collections.defaultdict(ModelPace)
+    models: dict[str, ModelTiming] = attrs.Factory(
+        lambda: collections.defaultdict(ModelTiming)
     )
     prices: dict[str, float] = attrs.Factory(dict)
 
-    def take_prices(self, models: Sequence[ModelCost]) -> None:
+    def apply_prices(self, models: Sequence[ModelCost]) -> None:
         """Takes in what the operators charge for a service's models."""
         mean = sum(model.cost for model in models) / max(1, len(models))
         if mean > 0:
             self.prices |= {model.name: model.cost / mean for model in models}
 
-    def note_first(
+    def record_first_event(
         self, model: str, priority: int, tokens: float, seconds: float
     ) -> None:
         """Takes in the time to the first event of an answer.
@@ -86,22 +90,22 @@
           tokens: Prompt tokens that it probably had to read.
           seconds: From the send.
         """
-        pace = self.models[model]
-        self.note_wait(model, priority, tokens, seconds)
-        if tokens < LEAST_TOKENS:
-            pace.first.add(seconds)
+        timing = self.models[model]
+        self.record_wait(model, priority, tokens, seconds)
+        if tokens < MIN_PROMPT_TOKENS:
+            timing.first.add(seconds)
             return
-        least = pace.first.value(0.0, LEAST_SAMPLES)
-        pace.read.add(max(0.0, seconds - least) / tokens)
+        base = timing.first.value(0.0, MIN_SAMPLES)
+        timing.read.add(max(0.0, seconds - base) / tokens)
 
-    def note_wait(
+    def record_wait(
         self, model: str, priority: int, tokens: float, seconds: float
     ) -> None:
         """Takes in a time to a first event, or one that passed without it."""
         wait = max(0.0, seconds - self.read_s(model, tokens))
         self.models[model].waits[priority].add(wait)
 
-    def note_stream(self, model: str, tokens: int, seconds: float) -> None:
+    def record_stream(self, model: str, tokens: int, seconds: float) -> None:
         """Takes in how long a stream lasted from its first event on."""
         self.models[model].token.add(seconds / max(1, tokens))
 
@@ -111,25 +115,25 @@
 
     def token_read_s(self, model: str) -> float:
         """Returns the seconds in which a free worker reads one token."""
-        usual = USUAL_READ_S * self.prices.get(model, 1.0)
-        return self.models[model].read.value(usual, LEAST_SAMPLES)
+        default = DEFAULT_TOKEN_READ_S * self.prices.get(model, 1.0)
+        return self.models[model].read.value(default, MIN_SAMPLES)
 
-    def note_send(self, model: str, read_s: float) -> None:
+    def record_upstream_request(self, model: str, read_s: float) -> None:
         """Takes in the reading that a send is."""
-        self.models[model].usual.add(read_s, self.clock.monotonic())
+        self.models[model].request_read.add(read_s, self.clock.monotonic())
 
-    def usual_read_s(self, model: str) -> float:
+    def typical_read_s(self, model: str) -> float:
         """Returns the seconds of reading that a request for a model is."""
-        usual = self.models[model].usual
-        usual.fade(self.clock.monotonic())
-        return usual.mean(self.read_s(model, USUAL_TOKENS))
+        request_read = self.models[model].request_read
+        request_read.fade(self.clock.monotonic())
+        return request_read.mean(self.read_s(model, DEFAULT_PROMPT_TOKENS))
 
     def wait_s(self, model: str, priority: int) -> float:
         """Returns the seconds within which most such requests began."""
         waits = self.models[model].waits[priority]
-        return waits.value(USUAL_WAIT_S, LEAST_SAMPLES)
+        return waits.value(DEFAULT_WAIT_S, MIN_SAMPLES)
 
     def stream_s(self, model: str, tokens: int) -> float:
         """Returns the seconds within which most such streams end."""
         token = self.models[model].token
-        return tokens * token.value(USUAL_TOKEN_S, LEAST_SAMPLES)
+        return tokens * token.value(DEFAULT_TOKEN_INTERVAL_S, MIN_SAMPLES)
--- a/src/rattanpier/_internal/relay/placement.py
+++ b/src/rattanpier/_internal/relay/placement.py
@@ -1,9 +1,10 @@
 """Which worker gets a request: the one where it is likely answered first.
 
-Code without a network: it weighs what `Loads` and `Pace` know. For model
-engines the unit is seconds until this request's first event, most of which go
-into reading prompts, one after another; running requests share each step and
-add little. For plain services it is the share of a worker's slots in use.
+Code without a network: it weighs what `Loads` and `ModelTimings` know. For
+model engines the unit is seconds until this request's first event, most of
+which go into reading prompts, one after another; running requests share each
+step and add little. For plain services it is the share of a worker's slots in
+use.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 from rattanpier._internal.models.worker import RegisteredWorker
 from rattanpier._internal.relay.load import Loads, part_sizes
 from rattanpier._internal.relay.model_groups import ModelGroups
-from rattanpier._internal.relay.pace import Pace
+from rattanpier._internal.relay.model_timings import ModelTimings
 from rattanpier._internal.relay.prompt_updates import MIN_PUBLISHED_READ_S
 from rattanpier._internal.utils.hashing import most_preferred
 
@@ -72,7 +73,7 @@
       loads: What is known of them.
       domain: This entry's failure domain.
       rng: Breaks ties.
-      pace: How long each model takes.
+      timings: How long each model takes.
       groups: Which workers are for which models.
       policy: Mechanisms that are on.
     """
@@ -80,7 +81,7 @@
     loads: Loads
     domain: str
     rng: random.Random
-    pace: Pace
+    timings: ModelTimings
     groups: ModelGroups
     policy: Policy = USUAL
 
@@ -167,8 +168,8 @@
         prompt = request.prompt
         home = home_of(prompt, preferred) if self.policy.homes else ""
         parts = part_sizes(model, prompt)
-        token_s = self.pace.token_read_s(model)
-        typical_read_s = self.pace.usual_read_s(model)
+        token_s = self.timings.token_read_s(model)
+        typical_read_s = self.timings.typical_read_s(model)
         domain_cost_s = (
             CROSS_DOMAIN_COST_S + CROSS_DOMAIN_TOKEN_COST_S * prompt.tokens
         )
@@ -211,7 +212,7 @@
         self, request: RelayRequest, model: str, choice: Choice
     ) -> None:
         """Takes in the work that a send is."""
-        self.pace.note_send(model, choice.read_s)
+        self.timings.record_upstream_request(model, choice.read_s)
         small = is_smallest(request, model)
         if small is not None:
             self.groups.record_upstream_request(small, choice.read_s)
--- a/src/rattanpier/_internal/relay/stream_answers.py
+++ b/src/rattanpier/_internal/relay/stream_answers.py
@@ -92,7 +92,7 @@
                 course, choice, dispatcher.clock.monotonic() - began
             )
             first_at = dispatcher.clock.monotonic()
-            dispatcher.chooser.pace.note_first(
+            dispatcher.chooser.timings.record_first_event(
                 model, request.priority, choice.to_read, first_at - began
             )
             dispatcher.loads.record_prompt_read(
@@ -117,7 +117,7 @@
                 yield AnswerBegun(head.status, copied_headers(head))
         dispatcher.record_result(course, worker, bad=False, relative_s=took)
         dispatcher.quarantine.note_answered(request.content)
-        dispatcher.chooser.pace.note_stream(
+        dispatcher.chooser.timings.record_stream(
             model,
             request.prompt.expected_output,
             dispatcher.clock.monotonic() - first_at,
@@ -134,7 +134,7 @@
     except TimeoutError:
         waited_s = dispatcher.clock.monotonic() - began
         if not flight.first_event_received:
-            dispatcher.chooser.pace.note_wait(
+            dispatcher.chooser.timings.record_wait(
                 model, request.priority, choice.to_read, waited_s
             )
         dispatcher.record_timeout(course, worker)
--- a/tests/lib/engines.py
+++ b/tests/lib/engines.py
@@ -13,7 +13,7 @@
 from rattanpier._internal.models.route_table import ModelCost
 from rattanpier._internal.relay.load import Loads
 from rattanpier._internal.relay.model_groups import ModelGroups
-from rattanpier._internal.relay.pace import Pace
+from rattanpier._internal.relay.model_timings import ModelTimings
 from rattanpier._internal.relay.placement import Chooser
 from rattanpier._internal.relay.prompt_updates import MIN_PUBLISHED_READ_S
 from tests.lib.clock import ManualClock
@@ -36,8 +36,8 @@
 
 def make_entry(clock, seed):
     """What one entry decides by."""
-    pace = Pace(clock)
-    pace.take_prices(COSTS)
+    pace = ModelTimings(clock)
+    pace.apply_prices(COSTS)
     loads = Loads(clock)
     return Chooser(loads, "a", random.Random(seed), pace, ModelGroups(clock))
 
@@ -95,7 +95,9 @@
             tokens=choice.to_read,
         ):
             chooser.loads.end(id, flight)
-            chooser.pace.note_first(model, 0, tokens, clock.now - sent)
+            chooser.timings.record_first_event(
+                model, 0, tokens, clock.now - sent
+            )
 
         heapq.heappush(due, (first_at, next(serial), end))
     return played
--- a/tests/relay/test_decisions.py
+++ b/tests/relay/test_decisions.py
@@ -32,7 +32,7 @@
     larger_model,
 )
 from rattanpier._internal.relay.model_groups import ModelGroups
-from rattanpier._internal.relay.pace import Pace
+from rattanpier._internal.relay.model_timings import ModelTimings
 from rattanpier._internal.relay.placement import Chooser, home_of
 from rattanpier._internal.relay.rollout_driver import (
     GIVE_UP_AT,
@@ -159,7 +159,11 @@
 
 def chooser(clock):
     return Chooser(
-        Loads(clock), "a", random.Random(1), Pace(clock), ModelGroups(clock)
+        Loads(clock),
+        "a",
+        random.Random(1),
+        ModelTimings(clock),
+        ModelGroups(clock),
     )
 
 
--- a/tests/relay/test_model_groups.py
+++ b/tests/relay/test_model_groups.py
@@ -12,7 +12,7 @@
     ModelGroups,
     sort_workers,
 )
-from rattanpier._internal.relay.pace import LEAST_SAMPLES, Pace
+from rattanpier._internal.relay.model_timings import MIN_SAMPLES, ModelTimings
 from tests.lib.clock import ManualClock
 from tests.lib.engines import make_entry, play_engines
 from tests.lib.relay_parts import make_chat, make_worker, make_workers
@@ -112,29 +112,29 @@
 
 
 def test_prices_stand_for_speeds_until_answers_came(clock):
-    pace = Pace(clock)
-    pace.take_prices([ModelCost("small", 0.1), ModelCost("large", 1.0)])
-    assert pace.read_s("large", 3000) > 5 * pace.read_s("small", 3000)
+    timings = ModelTimings(clock)
+    timings.apply_prices([ModelCost("small", 0.1), ModelCost("large", 1.0)])
+    assert timings.read_s("large", 3000) > 5 * timings.read_s("small", 3000)
 
 
 def test_the_time_to_read_is_learned_from_workers_that_were_free(clock):
-    pace = Pace(clock)
+    timings = ModelTimings(clock)
     rng = random.Random(4)
-    for _ in range(LEAST_SAMPLES):
-        pace.note_first("m", 0, 100.0, 0.06)
+    for _ in range(MIN_SAMPLES):
+        timings.record_first_event("m", 0, 100.0, 0.06)
     for number in range(30):
         waited = rng.expovariate(1.0) if number % 2 else 0.0
-        pace.note_first("m", 0, 4000.0, 0.06 + 4000 * 1e-4 + waited)
-    assert pace.read_s("m", 1000) == pytest.approx(0.1, rel=0.1)
+        timings.record_first_event("m", 0, 4000.0, 0.06 + 4000 * 1e-4 + waited)
+    assert timings.read_s("m", 1000) == pytest.approx(0.1, rel=0.1)
 
 
 def test_waits_are_known_by_priority_and_forgotten(clock):
-    pace = Pace(clock)
+    timings = ModelTimings(clock)
     for _ in range(20):
-        pace.note_wait("m", 2, 0.0, 3.0)
-        pace.note_wait("m", 0, 0.0, 0.1)
-    assert pace.wait_s("m", 2) > 2.0
-    assert pace.wait_s("m", 0) < 0.2
+        timings.record_wait("m", 2, 0.0, 3.0)
+        timings.record_wait("m", 0, 0.0, 0.1)
+    assert timings.wait_s("m", 2) > 2.0
+    assert timings.wait_s("m", 0) < 0.2
     for _ in range(20):
-        pace.note_wait("m", 2, 0.0, 0.1)
-    assert pace.wait_s("m", 2) < 0.2
+        timings.record_wait("m", 2, 0.0, 0.1)
+    assert timings.wait_s("m", 2) < 0.2
--- a/tests/relay/test_prompt_news.py
+++ b/tests/relay/test_prompt_news.py
@@ -149,11 +149,11 @@
 
 def test_unpublished_home_is_not_assumed_to_cache_long_prompt(clock):
     entry = make_entry(clock, 1)
-    long_s = entry.pace.read_s("large", 40000)
+    long_s = entry.timings.read_s("large", 40000)
     assert long_s > MIN_PUBLISHED_READ_S
     assert entry.home_hit_probability(long_s) == 0.0
     assert (
-        entry.home_hit_probability(entry.pace.read_s("small", 10))
+        entry.home_hit_probability(entry.timings.read_s("small", 10))
         == HOME_HIT_PROBABILITY
     )
 
