--- a/src/rattanpier/_internal/relay/dispatch.py
+++ b/src/rattanpier/_internal/relay/dispatch.py
@@ -266,7 +266,7 @@
         elif error.misdirected or not error.connected:
             # A worker that started anew at the same address has another id:
             # the one that was asked for is gone, though still registered.
-            self.health.note_unreachable(worker)
+            self.health.record_unreachable(worker)
         reason = "not_run" if error.not_run else "may_have_run"
         self.metrics.count(f"relay.send_failed.{reason}")
         log.info(
@@ -315,7 +315,7 @@
     ) -> None:
         """Lets health and roll-outs learn from an answer."""
         peers = self.directory.of_service(worker.service)
-        self.health.note(worker, bad, peers)
+        self.health.record_result(worker, bad, peers)
         if bad and self.quarantine.explains(worker.incarnation):
             # A version is not worse for a request that ends all workers.
             return
--- a/src/rattanpier/_internal/relay/health.py
+++ b/src/rattanpier/_internal/relay/health.py
@@ -22,16 +22,16 @@
 
 HALF_LIFE_S = 5.0  # Of a result's weight: about as long as faults last.
 MIN_FAILURES = 2.5  # Weighted; fewer may be chance.
-WORSE_BY = 2.5  # Times the failures of the service's other workers.
-MIN_RATE = 0.2  # Below this a worker is worth its work.
-UNREACHABLE_S = 1.0  # First pause after a refused or silent connection.
+OUTLIER_FACTOR = 2.5  # Times the failures of the service's other workers.
+MIN_FAILURE_RATE = 0.2  # Below this a worker is worth its work.
+UNREACHABLE_PAUSE_S = 1.0  # First pause after a refused or silent connection.
 FIRST_PAUSE_S = 2.0  # First pause of a worker that fails too often.
 MAX_PAUSE_S = 8.0
 MAX_AVOIDED_SHARE = 0.5  # Of a service's workers.
 
 
 @attrs.define(eq=False, repr=False)
-class Record:
+class WorkerRecord:
     """What one worker did lately.
 
     Attributes:
@@ -45,17 +45,17 @@
 
     results: float = 0.0
     failures: float = 0.0
-    at: float = 0.0
+    updated_at: float = 0.0
     avoided_until: float = 0.0
     pause_s: float = 0.0
     unreachable: bool = False
 
-    def fade(self, now: float) -> None:
+    def decay(self, now: float) -> None:
         """Brings the weights up to date."""
-        factor = 0.5 ** ((now - self.at) / HALF_LIFE_S)
+        factor = 0.5 ** ((now - self.updated_at) / HALF_LIFE_S)
         self.results *= factor
         self.failures *= factor
-        self.at = now
+        self.updated_at = now
 
 
 @attrs.define(eq=False, repr=False)
@@ -68,9 +68,9 @@
 
     clock: Clock
     policy: Policy = USUAL
-    records: dict[str, Record] = attrs.Factory(dict)
+    records: dict[str, WorkerRecord] = attrs.Factory(dict)
 
-    def note(
+    def record_result(
         self,
         worker: RegisteredWorker,
         failed: bool,
@@ -84,8 +84,10 @@
           peers: All workers of its service.
         """
         now = self.clock.monotonic()
-        record = self.records.setdefault(worker.id, Record(at=now))
-        record.fade(now)
+        record = self.records.setdefault(
+            worker.id, WorkerRecord(updated_at=now)
+        )
+        record.decay(now)
         record.results += 1.0
         if not failed:
             if record.unreachable:
@@ -96,12 +98,14 @@
         if self.is_outlier(worker, peers, now):
             self.avoid(worker, record, FIRST_PAUSE_S, "fails often")
 
-    def note_unreachable(self, worker: RegisteredWorker) -> None:
+    def record_unreachable(self, worker: RegisteredWorker) -> None:
         """Takes in that no connection to a worker could be opened."""
         now = self.clock.monotonic()
-        record = self.records.setdefault(worker.id, Record(at=now))
+        record = self.records.setdefault(
+            worker.id, WorkerRecord(updated_at=now)
+        )
         record.unreachable = True
-        self.avoid(worker, record, UNREACHABLE_S, "unreachable")
+        self.avoid(worker, record, UNREACHABLE_PAUSE_S, "unreachable")
 
     def is_outlier(
         self,
@@ -112,7 +116,7 @@
         """Says whether a worker fails more than the others of its service."""
         record = self.records[worker.id]
         rate = record.failures / record.results
-        if record.failures < MIN_FAILURES or rate < MIN_RATE:
+        if record.failures < MIN_FAILURES or rate < MIN_FAILURE_RATE:
             return False
         others = [
             self.records[peer.id]
@@ -120,17 +124,17 @@
             if peer.id != worker.id and peer.id in self.records
         ]
         for other in others:
-            other.fade(now)
+            other.decay(now)
         results = sum(other.results for other in others)
         failures = sum(other.failures for other in others)
         # One failure is added so that little evidence does not look perfect.
-        usual = (failures + 1.0) / (results + 10.0)
-        return rate > WORSE_BY * usual
+        peer_rate = (failures + 1.0) / (results + 10.0)
+        return rate > OUTLIER_FACTOR * peer_rate
 
     def avoid(
         self,
         worker: RegisteredWorker,
-        record: Record,
+        record: WorkerRecord,
         first_pause_s: float,
         reason: str,
     ) -> None:
@@ -138,9 +142,9 @@
         now = self.clock.monotonic()
         if now < record.avoided_until:
             return
-        again = record.pause_s and now < record.avoided_until + MAX_PAUSE_S
+        repeated = record.pause_s and now < record.avoided_until + MAX_PAUSE_S
         record.pause_s = (
-            min(MAX_PAUSE_S, 2 * record.pause_s) if again else first_pause_s
+            min(MAX_PAUSE_S, 2 * record.pause_s) if repeated else first_pause_s
         )
         record.avoided_until = now + record.pause_s
         log.info(
@@ -172,11 +176,11 @@
                 good.append(worker)
             else:
                 avoided.append((record.avoided_until, worker))
-        least = len(workers) - int(MAX_AVOIDED_SHARE * len(workers))
-        if len(good) < least:
+        min_usable = len(workers) - int(MAX_AVOIDED_SHARE * len(workers))
+        if len(good) < min_usable:
             avoided.sort(key=lambda entry: entry[0])
-            again = avoided[: least - len(good)]
-            good.extend(worker for _, worker in again)
+            restored = avoided[: min_usable - len(good)]
+            good.extend(worker for _, worker in restored)
         return good
 
     def forget(self, id: str) -> None:
--- a/tests/relay/test_decisions.py
+++ b/tests/relay/test_decisions.py
@@ -120,7 +120,7 @@
 def play(health, workers, failing, rounds=20):
     for _ in range(rounds):
         for worker in workers:
-            health.note(worker, worker.id in failing, workers)
+            health.record_result(worker, worker.id in failing, workers)
 
 
 def test_a_worker_that_fails_more_than_the_others_is_avoided(clock):
@@ -141,14 +141,14 @@
     health = Health(clock)
     workers = make_workers(6)
     for worker in workers:
-        health.note_unreachable(worker)
+        health.record_unreachable(worker)
     assert len(health.usable(workers)) == 3
 
 
 async def test_an_avoided_worker_is_tried_again(clock):
     health = Health(clock)
     workers = make_workers(3)
-    health.note_unreachable(workers[0])
+    health.record_unreachable(workers[0])
     assert workers[0] not in health.usable(workers)
     await clock.advance(1.1)
     assert workers[0] in health.usable(workers)
--- a/tests/relay/test_policy.py
+++ b/tests/relay/test_policy.py
@@ -86,7 +86,7 @@
     health = Health(ManualClock(), without(avoidance=False))
     workers = make_workers(4)
     for _ in range(4):
-        health.note_unreachable(workers[0])
+        health.record_unreachable(workers[0])
     assert health.usable(workers) == workers
 
 
