--- a/src/rattanpier/_internal/relay/dispatch.py
+++ b/src/rattanpier/_internal/relay/dispatch.py
@@ -1,4 +1,8 @@
-"""What every answer needs: a worker, leave to send again, what was learned."""
+"""Shared steps of answering a request.
+
+Selects the worker of each upstream request, decides whether another one is
+allowed, and records what the answers showed.
+"""
 
 from __future__ import annotations
 
@@ -51,29 +55,41 @@
 
 log = structlog.get_logger(part="dispatch")
 
-# Nobody knows when operators take a failure domain back. Those who come again
-# within a second or two are served if it was for a moment.
+# It is not known when operators return a drained failure domain to service.
+# Callers that retry within a second or two are served if the drain was brief.
 DRAINED_RETRY_AFTER_S = 2.0
-MAX_ANSWER_BYTES = 16 * 2**20  # Of an answer that is not a stream.
+MAX_ANSWER_BYTES = 16 * 2**20  # Limit of an answer that is not streamed.
 
 
 @attrs.define(eq=False, repr=False)
 class Dispatcher:
-    """What answers need of this entry, and where they leave what they show.
+    """The components of this entry that answering a request depends on.
 
-    `answering.answer` begins one; `plain_answers`, `stream_answers` and
+    `answering.answer` starts an answer; `plain_answers`, `stream_answers` and
     `escalation` carry it out.
 
     Attributes:
-      conditions: What keeps requests from workers, one after the other.
-      available_in_s: Returns the seconds until a worker takes one; 0: now.
-      on_request_started: Told of each worker that a send is begun to.
-      limits: What workers say that they take.
-      rests: Which want nothing from this entry for a while.
-      budgets: Sends beyond the first of each request, by service.
-      policy: Mechanisms that are on.
-      publish_prompt: Told of each prompt that is sent: the worker's id, the
-        model, the prompt and the seconds in which it is likely read.
+      clock: Source of monotonic time.
+      metrics: Counters and timings.
+      directory: Registered workers.
+      health: Recent failures of workers.
+      loads: Load of each worker.
+      chooser: Selects among eligible workers.
+      sender: Sends requests to workers.
+      ends: Which worker processes have ended.
+      conditions: Filters of eligible workers, applied in this order.
+      available_in_s: Returns the seconds until a worker accepts a request; 0
+        if it does now.
+      on_request_started: Called with the worker of each upstream request when
+        it starts.
+      limits: Rate limits that workers have declared.
+      rests: Workers that asked this entry to back off.
+      quarantine: Requests under which workers crashed.
+      rollouts: Roll-outs of versions.
+      budgets: Upstream requests beyond the first of each request, by service.
+      policy: Enabled mechanisms.
+      publish_prompt: Called for each prompt that is sent, with the worker's
+        id, the model, the prompt and the estimated seconds to read it.
     """
 
     clock: Clock
@@ -98,7 +114,7 @@
     )
 
     def pick_service(self, request: RelayRequest) -> str:
-        """Returns the service that a request goes to, by weight."""
+        """Returns a service of the request's route, drawn by weight."""
         shares = request.route.shares
         if len(shares) == 1:
             return shares[0].service
@@ -106,10 +122,13 @@
         names = [share.service for share in shares]
         return self.chooser.rng.choices(names, weights)[0]
 
-    # Choosing.
+    # Selecting a worker.
 
     def choose(self, progress: RequestProgress) -> Choice | None:
-        """Returns the worker for the next send, which begins now, or None."""
+        """Returns the worker of the next upstream request, or None.
+
+        The request counts as started.
+        """
         choice = self.find_worker(progress, progress.model)
         if choice is not None:
             self.on_request_started(choice.worker)
@@ -118,10 +137,11 @@
     def find_worker(
         self, progress: RequestProgress, model: str
     ) -> Choice | None:
-        """Returns the worker that a model would be asked of now, or None.
+        """Returns the worker that would run a model now, or None.
 
-        The version goes before all else: that its workers are left out is no
-        reason for a wider exposure, or to move a session.
+        The version is decided first: if the workers of a version are excluded
+        by a condition, this neither widens the exposure of the other version
+        nor moves a session.
         """
         request = progress.request
         workers = self.directory.of_service(progress.service)
@@ -137,7 +157,7 @@
             if choice is not None:
                 return choice
             if request.session and not OWN_WORDS.isdisjoint(found.left_out):
-                # The session's version is back before long.
+                # The session's version accepts requests again soon.
                 return None
         return None
 
@@ -147,7 +167,7 @@
         group: Sequence[RegisteredWorker],
         found: Eligible,
     ) -> None:
-        """Takes in what kept a request from the workers of a version."""
+        """Records which conditions excluded workers of a version."""
         for name, count in found.left_out.items():
             self.count_excluded(progress, name, count)
         if not TIMED.isdisjoint(found.left_out):
@@ -158,17 +178,21 @@
     def count_excluded(
         self, progress: RequestProgress, name: str, count: int
     ) -> None:
-        """Takes in that a condition kept a request from some workers."""
+        """Counts workers that a condition excluded."""
         self.metrics.count(f"relay.left_out.{name}")
         progress.excluded[name] = progress.excluded.get(name, 0) + count
 
     def retry_after_s(
         self, workers: Sequence[RegisteredWorker]
     ) -> float | None:
-        """Returns when to come back for one of some closed workers.
+        """Returns the seconds until a caller should retry.
 
-        Callers that are refused at the same moment are spread over as long
-        again as the soonest of them has to wait.
+        The result is jittered to up to twice the wait for the first of these
+        workers to accept requests, so that callers refused at the same moment
+        do not return together.
+
+        Returns:
+          None if all workers accept requests now.
         """
         wait_s = soonest_s(self.available_in_s, workers)
         if wait_s is None:
@@ -178,12 +202,21 @@
     def add_in_flight(
         self, progress: RequestProgress, worker: RegisteredWorker, read_s: float
     ) -> InFlight:
-        """Counts a request in at a worker."""
+        """Adds a request to those in flight at a worker.
+
+        Args:
+          progress: The request.
+          worker: Where it is sent.
+          read_s: Estimated seconds in which the worker reads its prompt.
+        """
         suspect = self.quarantine.suspects(progress.request.content)
         return self.loads.begin(worker.id, read_s, suspect)
 
     def may_send(self, progress: RequestProgress) -> bool:
-        """Says whether a request may be sent to one more worker."""
+        """Returns whether a request may be sent to another worker.
+
+        An additional upstream request is taken from the retry budget.
+        """
         request = progress.request
         progress.quarantined_s = self.quarantine.held_s(request.content)
         if progress.quarantined_s:
@@ -206,13 +239,13 @@
         return True
 
     def left_s(self, progress: RequestProgress) -> float:
-        """Returns the seconds until the caller or the route gives up."""
+        """Returns the seconds until the deadline of the caller or the route."""
         return progress.loop_deadline - asyncio.get_running_loop().time()
 
     def record_upstream_request(
         self, progress: RequestProgress, choice: Choice
     ) -> Sending:
-        """Counts a send and returns what the worker is told."""
+        """Records an upstream request and returns its parameters."""
         request = progress.request
         progress.sent += 1
         progress.tried.add(choice.worker.id)
@@ -243,13 +276,13 @@
         )
 
     def refuse(self, progress: RequestProgress) -> WholeAnswer | AnswerRefused:
-        """Returns the final answer to a request that nobody answered."""
+        """Returns the final answer to a request that no worker answered."""
         found = final_answer(progress, self.left_s(progress))
         if isinstance(found, AnswerRefused):
             self.metrics.count(f"relay.refused.{found.refusal.code.value}")
         return found
 
-    # Judging.
+    # Recording results.
 
     def record_send_error(
         self,
@@ -257,15 +290,15 @@
         worker: RegisteredWorker,
         error: SendError,
     ) -> None:
-        """Takes in that a send failed."""
+        """Records that an upstream request failed."""
         progress.reason = str(error)
         progress.retry_after_s = error.retry_after_s
         if not error.not_run:
             progress.may_have_run = True
             self.record_result(progress, worker, bad=True, relative_s=None)
         elif error.misdirected or not error.connected:
-            # A worker that started anew at the same address has another id:
-            # the one that was asked for is gone, though still registered.
+            # A process restarted at the same address has another id: the
+            # requested one no longer exists although it is still registered.
             self.health.record_unreachable(worker)
         reason = "not_run" if error.not_run else "may_have_run"
         self.metrics.count(f"relay.send_failed.{reason}")
@@ -285,21 +318,21 @@
         worker: RegisteredWorker,
         error: SendError,
     ) -> None:
-        """Takes in that a send failed, and looks whether its worker ended."""
+        """Records a failed upstream request, and whether its worker crashed."""
         if not error.not_run:
-            # A caller that leaves meanwhile does not undo the end.
+            # The crash is recorded even if the caller disconnects meanwhile.
             await asyncio.shield(self.check_for_crash(progress.request, worker))
         self.record_send_error(progress, worker, error)
 
     async def check_for_crash(
         self, request: RelayRequest, worker: RegisteredWorker
     ) -> None:
-        """Counts a worker's end against a request, if it ended."""
+        """Attributes a crash of a worker to a request, if it crashed."""
         if not await self.ends.has_ended(worker):
             return
         self.metrics.count("relay.worker_ended")
         log.info(
-            "Worker ended under a request.",
+            "Worker crashed during a request.",
             request=request.id,
             content=request.content,
             worker=worker.id,
@@ -313,11 +346,20 @@
         bad: bool,
         relative_s: float | None,
     ) -> None:
-        """Lets health and roll-outs learn from an answer."""
+        """Records a result in worker health and roll-out evidence.
+
+        Args:
+          progress: The request.
+          worker: Whose result it is.
+          bad: Whether the worker failed.
+          relative_s: Time to the answer relative to the work of the request,
+            for the comparison of versions; None if not measured.
+        """
         peers = self.directory.of_service(worker.service)
         self.health.record_result(worker, bad, peers)
         if bad and self.quarantine.explains(worker.incarnation):
-            # A version is not worse for a request that ends all workers.
+            # A request that crashes any worker is no evidence against a
+            # version.
             return
         self.rollouts.note(worker, progress.request.route.name, bad, relative_s)
 
@@ -327,7 +369,7 @@
         worker: RegisteredWorker,
         answer: WholeAnswer,
     ) -> None:
-        """Takes in that a worker ran a request and failed."""
+        """Records that a worker ran a request and returned a failure."""
         progress.may_have_run = True
         progress.failure = answer
         progress.reason = f"worker failed with {answer.status}"
@@ -342,7 +384,7 @@
     def record_timeout(
         self, progress: RequestProgress, worker: RegisteredWorker
     ) -> None:
-        """Takes in that the time ran out at a worker."""
+        """Records that a request timed out at a worker."""
         progress.may_have_run = True
         progress.reason = "time ran out at the worker"
         self.record_result(progress, worker, bad=True, relative_s=None)
