--- a/src/rattanpier/_internal/relay/placement.py
+++ b/src/rattanpier/_internal/relay/placement.py
@@ -1,10 +1,9 @@
-"""Which worker gets a request: the one where it is likely answered first.
+"""Selects the worker that is expected to answer a request first.
 
-Code without a network: it weighs what `Loads` and `ModelTimings` know. For
-model engines the unit is seconds until this request's first event, most of
-which go into reading prompts, one after another; running requests share each
-step and add little. For plain services it is the share of a worker's slots in
-use.
+Free of I/O: costs are computed from `Loads` and `ModelTimings`. For model
+engines the cost is the expected seconds to the request's first event. Most of
+it is prompt reading, which is sequential; running requests share each step and
+add little. For plain services the cost is the share of a worker's slots in use.
 """
 
 from __future__ import annotations
@@ -23,37 +22,39 @@
 from rattanpier._internal.relay.prompt_updates import MIN_PUBLISHED_READ_S
 from rattanpier._internal.utils.hashing import most_preferred
 
-# A request that another entry has running slows each step a little.
+# Each running request, of any entry, slows each step a little.
 RUNNING_REQUEST_COST_S = 0.008
-# Entries agree on the worker that a shared part belongs to. That it holds the
-# part is likely but not known, so it counts for less than a part seen there.
+# All entries compute the same home worker for a shared part. It probably has
+# the part cached, but this is not known, so the part counts for less than one
+# that this entry has seen there.
 HOME_HIT_PROBABILITY = 0.7
-# Bytes between failure domains are paid for: worth a detour of so many seconds,
-# and for each token of the prompt.
+# Traffic between failure domains is charged for: equivalent seconds for each
+# request, and for each token of its prompt.
 CROSS_DOMAIN_COST_S = 0.01
 CROSS_DOMAIN_TOKEN_COST_S = 1e-5
-# For plain services: a third of a worker's slots.
+# For plain services the equivalent is a third of a worker's slots.
 CROSS_DOMAIN_COST_SLOTS = 0.34
-# What a worker of the other group has to be better by. A large model's prompt
-# among the smallest one's streams holds them all up, the reverse only itself.
+# By how much a worker of the other group has to be better. A large model's
+# prompt delays all streams of the smallest model beside it, while a small
+# model's request among large ones delays only itself.
 LARGE_IN_SMALL_GROUP_COST_S = 0.8
 SMALL_IN_LARGE_GROUP_COST_S = 0.25
-COST_JITTER = 0.02  # Breaks ties, so that entries do not all choose alike.
+COST_JITTER = 0.02  # Breaks ties, so that entries choose differently.
 
 
 @attrs.frozen
 class Choice:
-    """A worker and why.
+    """The selected worker and the figures behind the selection.
 
     Attributes:
       worker: The worker.
-      cost: Seconds to the first event and what stands for prices, or slots in
-        use for plain services.
-      to_read: Prompt tokens that it has to read for the request.
-      read_s: Seconds in which it reads them.
-      wait_s: Seconds that other requests are read before.
-      candidates: Workers that were weighed.
-      report_age_s: Age of its last load report, or None.
+      cost: Expected seconds to the first event plus the equivalents of costs
+        for traffic and groups; for plain services, the share of slots in use.
+      to_read: Tokens of the prompt that it has not cached.
+      candidates: Number of workers that were compared.
+      report_age_s: Age of its last load report in seconds, or None.
+      read_s: Expected seconds to read `to_read` tokens.
+      wait_s: Expected seconds until other prompts there have been read.
     """
 
     worker: RegisteredWorker
@@ -67,15 +68,15 @@
 
 @attrs.define(eq=False, repr=False)
 class Chooser:
-    """Weighs workers.
+    """Compares workers by cost.
 
     Attributes:
-      loads: What is known of them.
+      loads: Load of each worker.
       domain: This entry's failure domain.
-      rng: Breaks ties.
-      timings: How long each model takes.
-      groups: Which workers are for which models.
-      policy: Mechanisms that are on.
+      rng: Random source that breaks ties.
+      timings: Durations of each model.
+      groups: Division of workers between small and large models.
+      policy: Enabled mechanisms.
     """
 
     loads: Loads
@@ -99,11 +100,11 @@
         return self.choose_plain(workers)
 
     def is_cross_domain(self, worker: RegisteredWorker) -> bool:
-        """Says whether bytes to a worker cross failure domains, and count."""
+        """Returns whether a worker is in another domain, if that has a cost."""
         return self.policy.domain_cost and worker.domain != self.domain
 
     def choose_plain(self, workers: Sequence[RegisteredWorker]) -> Choice:
-        """Returns the worker with most free slots."""
+        """Returns the worker with the smallest share of slots in use."""
         now = self.loads.clock.monotonic()
 
         def cost_of(worker: RegisteredWorker) -> float:
@@ -131,13 +132,17 @@
     def queue_wait_s(
         self, worker: RegisteredWorker, typical_read_s: float, now: float
     ) -> float:
-        """Returns the seconds for which others are read before a request.
+        """Returns the expected wait of a request for other prompts.
 
         Args:
           worker: Where it would wait.
-          typical_read_s: What others have waiting there is taken to be such as
-            was seen here, unless they told of more.
+          typical_read_s: Seconds to read a typical prompt seen by this entry.
+            Requests of peers that wait at the worker are assumed to take as
+            long, unless peers have published more work.
           now: Monotonic seconds.
+
+        Returns:
+          Seconds.
         """
         load = self.loads.workers[worker.id]
         running, waiting = load.peer_requests(now)
@@ -154,10 +159,10 @@
         workers: Sequence[RegisteredWorker],
         model: str,
     ) -> Choice:
-        """Returns the worker where the request is likely answered first.
+        """Returns the worker that is expected to answer first.
 
-        What is the same for all workers is found once, so that callers wait
-        less on a slow VM.
+        Values common to all workers are computed once, which shortens the
+        latency of requests on a slow VM.
         """
         now = self.loads.clock.monotonic()
         small = is_smallest(request, model)
@@ -211,7 +216,7 @@
     def record_upstream_request(
         self, request: RelayRequest, model: str, choice: Choice
     ) -> None:
-        """Takes in the work that a send is."""
+        """Records the expected prompt reading of an upstream request."""
         self.timings.record_upstream_request(model, choice.read_s)
         small = is_smallest(request, model)
         if small is not None:
@@ -220,16 +225,24 @@
     def record_run(
         self, request: RelayRequest, model: str, seconds: float, slots: int
     ) -> None:
-        """Takes in how long a request ran, or waited, at a worker."""
+        """Records how long a request occupied a worker.
+
+        Args:
+          request: The request.
+          model: Model that it was sent to.
+          seconds: Time in which it ran or waited.
+          slots: Slots of the worker.
+        """
         small = is_smallest(request, model)
         if small is not None:
             self.groups.record_run(small, seconds, slots)
 
     def home_hit_probability(self, read_s: float) -> float:
-        """Returns how likely a home holds shared parts nobody told of.
+        """Returns the probability that a home has unpublished parts cached.
 
         Args:
-          read_s: Seconds in which they are read.
+          read_s: Seconds to read the parts. Peers publish long prompts, so
+            that a long part that was not published is not cached.
         """
         published = self.policy.prompt_news and read_s >= MIN_PUBLISHED_READ_S
         return 0.0 if published else HOME_HIT_PROBABILITY
@@ -243,14 +256,18 @@
         now: float,
         **times: float,
     ) -> Choice:
-        """Returns a choice with what it was made from."""
+        """Returns a choice with the figures behind it."""
         load = self.loads.workers[worker.id]
         age = None if load.report is None else now - load.report_at
         return Choice(worker, cost, to_read, candidates, age, **times)
 
 
 def is_smallest(request: RelayRequest, model: str) -> bool | None:
-    """Says whether a model is the smallest of its route; None: no choice."""
+    """Returns whether a model is the smallest of its route.
+
+    Returns:
+      None if the route does not offer several models including this one.
+    """
     models = request.route.models
     if len(models) < 2 or model not in models:
         return None
@@ -258,10 +275,13 @@
 
 
 def home_of(prompt: Prompt, workers: Sequence[RegisteredWorker]) -> str:
-    """Returns the worker that a prompt's shared parts belong to, or nothing.
+    """Returns the id of the home worker of a prompt's shared parts.
+
+    All entries compute the same one without communication; a worker that joins
+    or leaves moves few parts.
 
-    All entries find the same one without talk; one that comes or goes moves
-    few parts.
+    Returns:
+      An empty string if the prompt has no shared part.
     """
     if len(prompt.parts) < 2:
         return ""
