--- a/src/rattanpier/_internal/relay/load.py
+++ b/src/rattanpier/_internal/relay/load.py
@@ -1,7 +1,8 @@
-"""What each worker has to do, as far as this entry can tell.
+"""Load of each worker as seen by this entry.
 
-Own sends count at once. A worker's own report counts for what other entries
-sent there; it is as old as the last answer, and is trusted less with age.
+This entry's own requests count at once. For the requests of peers the worker's
+load report is used; it is as old as its last answer, so that its weight decays
+with age.
 """
 
 from __future__ import annotations
@@ -17,21 +18,22 @@
 from rattanpier._internal.utils.clock import Clock
 from rattanpier._internal.utils.hashing import short_hash
 
-REPORT_HALF_LIFE_S = 1.0  # A request lasts about that long.
-# A part that was read is kept until newer ones displace it. Workers read
-# their memory full in some ten seconds at the usual load.
+REPORT_HALF_LIFE_S = 1.0  # About the duration of a request.
+# A worker caches a part until newer ones evict it. At typical load its cache is
+# filled once in about ten seconds.
 PART_RETENTION_S = 15.0
-MAX_PARTS_PER_WORKER = 512  # Remembered parts a worker.
+MAX_PARTS_PER_WORKER = 512
 
 
 @attrs.define(eq=False, repr=False)
 class InFlight:
-    """One request at a worker.
+    """One request in flight at a worker.
 
     Attributes:
-      read_s: Seconds in which the worker reads its prompt.
-      first_event_received: Its first event came: the prompt is read.
-      suspect: A worker ended under the same request before.
+      read_s: Expected seconds in which the worker reads its prompt.
+      first_event_received: Whether its first event has been received, which
+        means that the prompt has been read.
+      suspect: Whether a worker crashed during the same request before.
     """
 
     read_s: float = 0.0
@@ -41,19 +43,20 @@
 
 @attrs.define(eq=False, repr=False)
 class WorkerLoad:
-    """One worker.
+    """Load of one worker.
 
     Attributes:
-      running: Own requests there.
-      report: Its last report, None before the first.
-      report_at: Monotonic seconds.
-      own_at_report: Own requests there when the report came.
-      waiting: Requests of others that waited when it was last told.
+      running: This entry's requests in flight there.
+      report: Its last load report; None before the first.
+      report_at: When the report was received, in monotonic seconds.
+      own_at_report: Number of this entry's requests there at that time.
+      waiting: Requests of peers that waited there when last reported.
       waiting_at: When that was, in monotonic seconds.
-      peer_prompts_until: Until when it is busy with prompts that other entries
-        told of, in monotonic seconds.
-      last_received_at: When its last byte came, in monotonic seconds.
-      parts: When each part of a prompt was last used, by `part_key`.
+      peer_prompts_until: Until when it reads prompts that peers published, in
+        monotonic seconds.
+      last_received_at: When its last byte was received, in monotonic seconds.
+      parts: When each cached part of a prompt was last used, in monotonic
+        seconds, by `part_key`.
     """
 
     running: set[InFlight] = attrs.Factory(set)
@@ -69,7 +72,7 @@
     )
 
     def pending_read_s(self) -> float:
-        """Returns the seconds of reading that own requests wait for."""
+        """Returns the seconds to read the unread prompts of own requests."""
         return sum(
             each.read_s
             for each in self.running
@@ -77,7 +80,7 @@
         )
 
     def peer_requests(self, now: float) -> tuple[float, float]:
-        """Returns the running and waiting requests of other entries."""
+        """Returns the numbers of running and waiting requests of peers."""
         waiting = self.waiting * report_weight(now - self.waiting_at)
         if self.report is None:
             return 0.0, waiting
@@ -85,11 +88,11 @@
         return running * report_weight(now - self.report_at), waiting
 
     def record_waiting(self, waiting: int, at: float) -> None:
-        """Takes in how many requests wait, own ones among them.
+        """Records how many requests wait at the worker.
 
         Args:
-          waiting: Requests.
-          at: When that was, in monotonic seconds.
+          waiting: Number of requests, including those of this entry.
+          at: When they were counted, in monotonic seconds.
         """
         own = sum(not each.first_event_received for each in self.running)
         self.waiting = max(0.0, waiting - own)
@@ -97,7 +100,7 @@
 
 
 def report_weight(age_s: float) -> float:
-    """Returns what a report of some age counts for, 0 to 1.
+    """Returns the weight of a report by its age, from 0 to 1.
 
     >>> report_weight(0.0), report_weight(2 * REPORT_HALF_LIFE_S)
     (1.0, 0.25)
@@ -106,23 +109,28 @@
 
 
 def part_key(model: str, part: PromptPart) -> int:
-    """Returns what a part of a prompt is known by once a model has read it."""
+    """Returns the cache key of a part of a prompt for a model."""
     return short_hash(f"{model}/{part.id}")
 
 
 def part_keys(model: str, prompt: Prompt) -> list[int]:
-    """Returns the keys of all parts of a prompt, in order."""
+    """Returns the cache keys of all parts of a prompt, in order."""
     return [part_key(model, part) for part in prompt.parts]
 
 
 def part_sizes(model: str, prompt: Prompt) -> list[tuple[int, int]]:
-    """Returns the key and the tokens of each part of a prompt, in order."""
+    """Returns the cache key and the tokens of each part, in order."""
     return [(part_key(model, part), part.tokens) for part in prompt.parts]
 
 
 @attrs.define(eq=False, repr=False)
 class Loads:
-    """The load of each worker by id."""
+    """Loads of all workers.
+
+    Attributes:
+      clock: Source of monotonic time.
+      workers: Load by id of the worker.
+    """
 
     clock: Clock
     workers: dict[str, WorkerLoad] = attrs.Factory(
@@ -130,25 +138,31 @@
     )
 
     def begin(self, id: str, read_s: float, suspect: bool = False) -> InFlight:
-        """Counts a request in."""
+        """Adds a request in flight.
+
+        Args:
+          id: Of the worker.
+          read_s: Expected seconds to read its prompt.
+          suspect: Whether a worker crashed during the same request before.
+        """
         flight = InFlight(read_s, suspect=suspect)
         self.workers[id].running.add(flight)
         return flight
 
     def end(self, id: str, flight: InFlight) -> None:
-        """Counts a request out."""
+        """Removes a request in flight."""
         self.workers[id].running.discard(flight)
 
     def suspects(self, id: str) -> int:
-        """Returns the own requests at a worker that may end it."""
+        """Returns how many own requests at a worker may crash it."""
         return sum(each.suspect for each in self.workers[id].running)
 
     def record_received(self, id: str) -> None:
-        """Notes that a worker sent something."""
+        """Records that data was received from a worker."""
         self.workers[id].last_received_at = self.clock.monotonic()
 
     def record_report(self, id: str, report: ReportedLoad | None) -> None:
-        """Takes a worker's report in."""
+        """Records a load report of a worker, if there is one."""
         if report is None:
             return
         load = self.workers[id]
@@ -158,23 +172,23 @@
         load.record_waiting(report.waiting, load.report_at)
 
     def apply_peer_prompt(self, id: str, read_s: float) -> None:
-        """Takes in that another entry sends a prompt to a worker.
+        """Applies the update that a peer sends a prompt to a worker.
 
         Args:
           id: Of the worker.
-          read_s: Seconds in which it likely reads the prompt, one after
-            another.
+          read_s: Expected seconds to read the prompt. They are added up, since
+            a worker reads prompts one after another.
         """
         load = self.workers[id]
         now = self.clock.monotonic()
         load.peer_prompts_until = max(now, load.peer_prompts_until) + read_s
 
     def record_prompt_read(self, id: str, model: str, prompt: Prompt) -> None:
-        """Notes that a worker read a prompt and keeps its parts."""
+        """Records that a worker read a prompt and has cached its parts."""
         self.record_cached_parts(id, part_keys(model, prompt))
 
     def record_cached_parts(self, id: str, read: Iterable[int]) -> None:
-        """Notes the parts of prompts that a worker keeps, by `part_key`."""
+        """Records parts that a worker has cached, by `part_key`."""
         parts = self.workers[id].parts
         now = self.clock.monotonic()
         for part in read:
@@ -186,13 +200,13 @@
     def cached_tokens(
         self, id: str, parts: Sequence[tuple[int, int]], now: float
     ) -> int:
-        """Returns the tokens of a prompt that a worker has read already.
+        """Returns the tokens of a prompt that a worker has cached.
 
-        A part only counts if all parts before it are kept too.
+        A part only counts if all parts before it are cached too.
 
         Args:
           id: Of the worker.
-          parts: Key and tokens of each part, see `part_sizes`.
+          parts: Cache key and tokens of each part, see `part_sizes`.
           now: Monotonic seconds.
         """
         load = self.workers.get(id)
@@ -207,5 +221,5 @@
         return cached
 
     def forget(self, id: str) -> None:
-        """Drops a worker that is gone."""
+        """Removes a worker that was deregistered."""
         self.workers.pop(id, None)
