--- a/src/rattanpier/_internal/relay/pool.py
+++ b/src/rattanpier/_internal/relay/pool.py
@@ -1,4 +1,4 @@
-"""Connections to workers, kept for a while between requests."""
+"""Pool of idle keep-alive connections to workers."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
     WorkerConnection,
 )
 
-# A worker answers a SYN at once or not at all: its VM is down or cut off. A
-# lost packet comes again after a second, by which time another worker is
-# the better choice.
+# A worker answers a SYN at once, or not at all if its VM is down or
+# partitioned. A lost packet is retransmitted after a second, by which time
+# another worker is the better choice.
 CONNECT_TIMEOUT_S = 0.5
-MAX_IDLE_PER_WORKER = 8  # Idle connections; more are closed.
-IDLE_TIMEOUT_SHARE = (
-    0.5  # Of the worker's own idle time after which none is used.
-)
-DEFAULT_IDLE_S = 2.0  # Idle time where the worker tells none.
+MAX_IDLE_PER_WORKER = 8  # The oldest ones beyond this are closed.
+# Share of the worker's keep-alive time-out after which a connection is not
+# reused.
+IDLE_TIMEOUT_SHARE = 0.5
+DEFAULT_IDLE_S = 2.0  # Upper limit, also if the worker states no time-out.
 
 
 @attrs.define(eq=False, repr=False)
 class ConnectionPool:
-    """Keeps idle connections by worker.
+    """Idle connections by worker.
 
     Attributes:
-      idle: By worker id, the newest last.
-      opened: Connections opened so far.
+      idle: Connections by worker id, the newest last.
+      opened: Number of connections opened so far.
     """
 
     idle: dict[str, list[WorkerConnection]] = attrs.Factory(dict)
@@ -38,16 +38,18 @@
     async def acquire(
         self, worker: RegisteredWorker, fresh: bool, timeout_s: float
     ) -> WorkerConnection:
-        """Returns a connection to a worker.
+        """Returns an idle connection to a worker, or opens one.
 
         Args:
-          worker: Where to.
-          fresh: Open a new one: a kept one may be closed just as the request
-            is sent, after which nobody knows whether it ran.
-          timeout_s: The request's time.
+          worker: Worker to connect to.
+          fresh: Whether to open a new connection. The worker may close an idle
+            one just as the request is sent, after which it is unknown whether
+            the request ran.
+          timeout_s: Remaining time of the request, in seconds.
 
         Raises:
-          ConnectionBrokenError: None could be opened; nothing was sent.
+          ConnectionBrokenError: No connection could be opened; nothing was
+            sent.
         """
         idle = None if fresh else self.acquire_idle(worker.id)
         if idle is not None:
@@ -66,7 +68,10 @@
         return connection
 
     def acquire_idle(self, worker: str) -> WorkerConnection | None:
-        """Returns a kept connection that is surely open yet, or None."""
+        """Returns an idle connection that is still usable, or None.
+
+        Closed and outdated connections are dropped.
+        """
         idle = self.idle.get(worker, [])
         now = asyncio.get_running_loop().time()
         while idle:
@@ -83,7 +88,14 @@
         connection: WorkerConnection,
         keep_alive_s: float | None,
     ) -> None:
-        """Takes a connection back after a whole answer."""
+        """Returns a connection to the pool after a complete answer.
+
+        Args:
+          worker: Id of the worker.
+          connection: The connection.
+          keep_alive_s: Keep-alive time-out that the worker stated, in seconds;
+            None if it stated none.
+        """
         limit = DEFAULT_IDLE_S
         if keep_alive_s is not None:
             limit = min(limit, IDLE_TIMEOUT_SHARE * keep_alive_s)
@@ -95,11 +107,11 @@
             idle.pop(0).abort()
 
     def forget(self, worker: str) -> None:
-        """Closes what is kept to a worker that is gone."""
+        """Closes the idle connections to a deregistered worker."""
         for connection in self.idle.pop(worker, []):
             connection.abort()
 
     def close(self) -> None:
-        """Closes all that is kept."""
+        """Closes all idle connections."""
         for worker in list(self.idle):
             self.forget(worker)
