--- a/src/rattanpier/_internal/relay/model_choice.py
+++ b/src/rattanpier/_internal/relay/model_choice.py
@@ -1,8 +1,8 @@
-"""Which model answers: where to start, and when to go on to a larger one.
+"""Selects the model of a cascade: the first one, and when to escalate.
 
-Code without a network. The smallest model answers first; its own opinion of
-the answer, known with the first token, decides whether a larger one is asked
-while nothing was delivered yet.
+Free of I/O. The smallest model answers first. Its confidence in the answer,
+which is known with the first token, decides whether a larger model is asked
+before anything has been delivered.
 """
 
 from __future__ import annotations
@@ -14,25 +14,26 @@
 from rattanpier._internal.models.policy import USUAL, Policy
 from rattanpier._internal.models.relay_request import RelayRequest
 
-# An answer is kept from this confidence on while workers are free. With a
-# higher limit calm hours give better answers, but under faults and bursts
-# larger models' answers last too long and take the time of others.
+# Answers with at least this confidence are kept while workers are idle. A
+# higher limit gives better answers under low load, but under faults and bursts
+# the answers of larger models take too long and delay other requests.
 MIN_CONFIDENCE = 45.0
-# Under load a doubtful answer now is better than a better one for fewer: the
-# limit falls by this much as the wait at the best worker for the larger model
-# rises to the given time: the 6,000 tokens tried before, at their usual pace.
+# Under load a less confident answer in time is better than a more accurate one
+# for fewer callers. The limit falls by up to MAX_LOAD_DISCOUNT as the wait at
+# the best worker for the larger model rises to FULL_LOAD_WAIT_S, which is the
+# typical time to read 6,000 tokens, the measure used before.
 MAX_LOAD_DISCOUNT = 20.0
 FULL_LOAD_WAIT_S = 0.2
 
 
 @attrs.frozen
 class LargerModelEstimate:
-    """What is expected of asking a larger model.
+    """Expected durations of an answer by a larger model.
 
     Attributes:
       wait_s: Seconds until its worker begins to read the prompt.
-      first_s: Seconds within which its first event likely comes.
-      whole_s: Seconds within which its last one likely comes.
+      first_s: Seconds within which its first event is likely received.
+      whole_s: Seconds within which its last event is likely received.
     """
 
     wait_s: float = 0.0
@@ -41,7 +42,14 @@
 
 
 class KeepReason(enum.Enum):
-    """Why an answer is kept though a larger model may do better."""
+    """Why an answer is kept although a larger model may give a better one.
+
+    Attributes:
+      CONFIDENT: The model is confident enough.
+      LOAD: It is confident enough under the current load.
+      TIME: The larger model's answer would be too late.
+      BUDGET: No further upstream request is allowed.
+    """
 
     CONFIDENT = "confident"
     LOAD = "load"
@@ -50,14 +58,18 @@
 
 
 def first_model(request: RelayRequest, policy: Policy = USUAL) -> str:
-    """Returns the model to start with; empty if the caller names it."""
+    """Returns the first model to ask.
+
+    Returns:
+      An empty string if the caller named a model or the route has none.
+    """
     if not request.any_model or not request.route.models:
         return ""
     return request.route.models[0 if policy.start_small else -1]
 
 
 def larger_model(request: RelayRequest, model: str) -> str:
-    """Returns the model to go on with; empty if there is none."""
+    """Returns the model to escalate to; an empty string if there is none."""
     models = request.route.models
     if not model or model not in models[:-1]:
         return ""
@@ -71,14 +83,14 @@
     estimate: LargerModelEstimate,
     policy: Policy = USUAL,
 ) -> KeepReason | None:
-    """Says why an answer is kept; None if a larger model is to be asked.
+    """Returns why an answer is kept; None if a larger model is to be asked.
 
     Args:
       request: The request.
-      confidence: The model's opinion of its answer, 0 to 100.
+      confidence: The model's confidence in its answer, from 0 to 100.
       now: Monotonic seconds.
-      estimate: What is expected of the larger model.
-      policy: Which of these reasons count.
+      estimate: Expected durations of the larger model's answer.
+      policy: Enabled mechanisms.
     """
     if confidence >= MIN_CONFIDENCE:
         return KeepReason.CONFIDENT
@@ -95,7 +107,10 @@
 
 
 def min_confidence(wait_s: float) -> float:
-    """Returns the confidence from which an answer is kept.
+    """Returns the confidence from which an answer is kept under load.
+
+    Args:
+      wait_s: Expected wait at the best worker for the larger model, in seconds.
 
     >>> min_confidence(0.0), min_confidence(9.0)
     (45.0, 25.0)
