--- a/src/rattanpier/_internal/relay/model_groups.py
+++ b/src/rattanpier/_internal/relay/model_groups.py
@@ -1,13 +1,14 @@
-"""Which workers of a pool are for the smallest model, and which for larger.
+"""Divides a pool's workers between the smallest model and larger ones.
 
-Load answered: long prompts for a large model hold up the tokens of all that
-run beside them. On one site's heaviest day the streams of the smallest model
-lasted 4.2 s in the median beside the largest one's prompts and 2.7 s apart;
-what is in flight when VMs fail is lost.
+Long prompts of a large model delay the tokens of all requests that run at the
+same worker. On the day of the highest load at one site the median duration of
+the smallest model's streams was 4.2 s at workers shared with the largest model
+and 2.7 s at separate ones. Longer streams also mean that more requests are in
+flight, and lost, when VMs fail.
 
-All entries find the same groups without talk, by the workers' ids. How many
-workers each gets follows from the work that an entry sees, which is a sample
-of everybody's. Code without a network.
+All entries compute the same groups from the workers' ids, without
+communication. The sizes of the groups follow the demand that an entry sees,
+which is a sample of the demand on all entries. Free of I/O.
 """
 
 from __future__ import annotations
@@ -24,33 +25,39 @@
 from rattanpier._internal.utils.samples import FadingSum
 from rattanpier._internal.utils.turns import in_turns
 
-MIN_WORKERS = 4  # Of fewer each has to serve all models.
-# Share of a pool for the smallest model, until requests showed more: worked out
-# from the mixes of two sites (0.15 to 0.35), not tuned by runs.
+MIN_WORKERS = 4  # In a smaller pool each worker serves all models.
+# Share of a pool for the smallest model before any demand was measured, derived
+# from the request mixes of two sites (0.15 to 0.35).
 DEFAULT_SHARE = 0.2
 MIN_SHARE, MAX_SHARE = 0.1, 0.5
-MAX_CACHED_ORDERS = (
-    64  # Sets of workers differ by those that are avoided just now.
-)
-DEFAULT_SHARE_WEIGHT = 20.0  # Requests that the usual share is worth.
-# The mix of a fleet's requests changes slowly, and one entry sees little of it.
+# The set of workers changes with the workers that are currently avoided.
+MAX_CACHED_ORDERS = 64
+DEFAULT_SHARE_WEIGHT = 20.0  # Weight of DEFAULT_SHARE, in requests.
+# The request mix of a fleet changes slowly, and an entry sees little of it.
 HALF_LIFE_S = 15.0
 
 
 @attrs.define(eq=False, repr=False)
 class Demand:
-    """What requests for some models take of workers.
+    """Demand of requests for some models on workers.
 
     Attributes:
       reading: Seconds in which a worker reads their prompts.
-      running: Seconds of a worker's slots, against the slots that it has.
+      running: Seconds in which they occupy slots, divided by the worker's
+        number of slots.
     """
 
     reading: FadingSum = attrs.Factory(lambda: FadingSum(HALF_LIFE_S))
     running: FadingSum = attrs.Factory(lambda: FadingSum(HALF_LIFE_S))
 
     def current(self, now: float) -> float:
-        """Returns what is needed: reading and slots are used side by side."""
+        """Returns the larger of both demands, in worker seconds.
+
+        Prompts are read while slots are occupied, so the demands don't add up.
+
+        Args:
+          now: Monotonic seconds.
+        """
         self.reading.fade(now)
         self.running.fade(now)
         return max(self.reading.total, self.running.total)
@@ -58,24 +65,30 @@
 
 @attrs.define(eq=False, repr=False)
 class ModelGroups:
-    """The work of the smallest models against that of larger ones."""
+    """Worker groups by the demand of small and of large models.
+
+    Attributes:
+      clock: Source of monotonic time.
+      small: Demand of requests for the smallest model of their route.
+      large: Demand of requests for larger models.
+    """
 
     clock: Clock
     small: Demand = attrs.Factory(Demand)
     large: Demand = attrs.Factory(Demand)
 
     def record_upstream_request(self, small: bool, read_s: float) -> None:
-        """Takes in the reading that a send is."""
+        """Records the prompt reading of an upstream request, in seconds."""
         demand = self.small if small else self.large
         demand.reading.add(read_s, self.clock.monotonic())
 
     def record_run(self, small: bool, seconds: float, slots: int) -> None:
-        """Takes in how long a request had a slot."""
+        """Records for how many seconds a request occupied a slot."""
         demand = self.small if small else self.large
         demand.running.add(seconds / max(1, slots), self.clock.monotonic())
 
     def share(self) -> float:
-        """Returns the share of a pool that is for the smallest model."""
+        """Returns the share of a pool for the smallest model, from 0 to 1."""
         now = self.clock.monotonic()
         small, large = self.small.current(now), self.large.current(now)
         if small + large <= 0.0:
@@ -89,7 +102,7 @@
     def workers_for(
         self, workers: Sequence[RegisteredWorker], small: bool
     ) -> Sequence[RegisteredWorker]:
-        """Returns the workers for the smallest model, or those for larger."""
+        """Returns the workers for the smallest model, or for larger ones."""
         if len(workers) < MIN_WORKERS:
             return workers
         ordered = sort_workers(workers)
@@ -98,7 +111,7 @@
 
 
 def sort_workers(workers: Sequence[RegisteredWorker]) -> list[RegisteredWorker]:
-    """Returns workers in an order of their ids, each domain in turn."""
+    """Returns workers in a stable order that alternates between domains."""
     by_id = {worker.id: worker for worker in workers}
     places = tuple(sorted((worker.id, worker.domain) for worker in workers))
     return [by_id[id] for id in sort_ids(places)]
@@ -106,7 +119,11 @@
 
 @functools.lru_cache(maxsize=MAX_CACHED_ORDERS)
 def sort_ids(places: tuple[tuple[str, str], ...]) -> tuple[str, ...]:
-    """Returns the order of workers, given as pairs of id and domain."""
+    """Returns ids in a stable order that alternates between domains.
+
+    Args:
+      places: Id and domain of each worker.
+    """
     domain_of = dict(places)
     domains: dict[str, list[str]] = collections.defaultdict(list)
     for id in rendezvous("models", domain_of):
