--- a/src/rattanpier/_internal/relay/escalation.py
+++ b/src/rattanpier/_internal/relay/escalation.py
@@ -1,4 +1,4 @@
-"""Whether a doubtful answer is dropped, and a larger model asked."""
+"""Decides whether an answer is dropped in favour of a larger model's."""
 
 from __future__ import annotations
 
@@ -32,7 +32,17 @@
     worker: RegisteredWorker,
     head: AnswerHead,
 ) -> bool:
-    """Says whether an answer is dropped for a larger model's."""
+    """Returns whether an answer is dropped and a larger model is asked.
+
+    If so, the request continues with the larger model and is allowed one more
+    upstream request.
+
+    Args:
+      dispatcher: Components of this entry.
+      progress: The request.
+      worker: Worker that gave the answer.
+      head: Head of the answer.
+    """
     request = progress.request
     larger = larger_model(request, progress.model)
     if not dispatcher.policy.cascade or not larger or head.confidence is None:
@@ -40,7 +50,7 @@
     if head.confidence >= MIN_CONFIDENCE:
         return False
     tried = progress.tried
-    # The same worker may well be the best: it is not ruled out.
+    # The same worker may be the best one for the larger model as well.
     progress.tried = tried - {worker.id}
     choice = dispatcher.find_worker(progress, larger)
     estimate = estimate_larger_model(dispatcher, request, larger, choice)
@@ -82,7 +92,14 @@
     model: str,
     choice: Choice | None,
 ) -> LargerModelEstimate:
-    """Returns what is expected of a model at the worker chosen for it."""
+    """Returns the expected durations of a larger model's answer.
+
+    Args:
+      dispatcher: Components of this entry.
+      request: The request.
+      model: The larger model.
+      choice: Worker selected for it; all durations are infinite if None.
+    """
     if choice is None:
         return LargerModelEstimate(math.inf, math.inf, math.inf)
     timings = dispatcher.chooser.timings
