--- a/src/rattanpier/_internal/relay/budgets.py
+++ b/src/rattanpier/_internal/relay/budgets.py
@@ -1,10 +1,11 @@
-"""Budgets of further sends, one for each service.
-
-Load answered: many entries that each see a few requests a second, of which
-nearly half are asked again of a larger model. In each window an entry may send
-again for a share of the requests that it saw in that window, and its part of
-the operators' slack beyond them, so that the sum over all entries holds
-without talk, however many there are.
+"""Budgets of additional upstream requests, one for each service.
+
+Additional upstream requests are those beyond the first of a request: retries,
+hedges and escalations. Many entries see a few requests a second each, nearly
+half of which escalate to a larger model. In each window an entry may send
+additional requests for a share of the requests that it received in the window,
+plus its part of the slack that operators allow. The sum over all entries thus
+stays within the bound for any number of entries, without communication.
 """
 
 from __future__ import annotations
@@ -17,28 +18,32 @@
 from rattanpier._internal.models.relay_settings import Bounds
 from rattanpier._internal.utils.clock import Clock
 
-# Of what operators allow: requests may end in one window and their further
-# sends fall into the next.
+# Share of the operators' bound that is used. The rest is a margin for requests
+# whose additional upstream requests fall into the next window.
 USED_SHARE = 0.9
 
 
 @attrs.define(eq=False, repr=False)
 class ServiceRetryBudget:
-    """Further sends for one service, over a sliding window.
+    """Additional upstream requests for one service in a sliding window.
 
-    Unlike a bucket it loses nothing when requests come in clumps: of 195
-    entries with three requests a second, four at a time, a bucket kept back 16
-    of 100 further sends for doubtful answers, the window none. A part of less
-    than one send is saved up rather than rounded up: 420 entries that each took
-    two whole sends at their first request would pass the bound of such a fleet
-    by 32 sends (test_budgets).
+    A token bucket loses part of the budget if requests arrive in bursts: with
+    195 entries that receive three requests a second in bursts of four, a bucket
+    refused 16 of 100 escalations and the window none. Fractions of a request
+    are accumulated rather than rounded up: 420 entries that each sent two
+    additional requests after their first request would exceed the bound of such
+    a fleet by 32 (test_budgets).
 
     Attributes:
-      share: Further sends for each request.
-      window_s: Time over which requests and sends are counted, in seconds.
-      slack: Returns this entry's part of the sends beyond that share.
-      requests: When each request of the window came, in monotonic seconds.
-      sends: When each further send of the window was made.
+      clock: Source of monotonic time.
+      share: Additional upstream requests allowed per request.
+      window_s: Length of the window, in seconds.
+      slack: Returns this entry's part of the additional requests beyond the
+        share.
+      requests: When each request of the window was received, in monotonic
+        seconds.
+      sends: When each additional upstream request of the window was sent, in
+        monotonic seconds.
     """
 
     clock: Clock
@@ -49,12 +54,15 @@
     sends: collections.deque[float] = attrs.Factory(collections.deque)
 
     def record_request(self) -> None:
-        """Counts a request that came in."""
+        """Counts a request that was received."""
         self.drop_expired()
         self.requests.append(self.clock.monotonic())
 
     def try_acquire(self) -> bool:
-        """Says whether one more further send is allowed, and counts it."""
+        """Returns whether one more upstream request is allowed.
+
+        An allowed request is counted.
+        """
         self.drop_expired()
         allowed = self.share * len(self.requests) + self.slack()
         if len(self.sends) + 1 > allowed:
@@ -63,7 +71,7 @@
         return True
 
     def drop_expired(self) -> None:
-        """Drops what is older than the window."""
+        """Drops requests that are older than the window."""
         oldest = self.clock.monotonic() - self.window_s
         for times in (self.requests, self.sends):
             while times and times[0] < oldest:
@@ -71,7 +79,13 @@
 
 
 class ServiceRetryBudgets(collections.UserDict[str, ServiceRetryBudget]):
-    """The budget of each service, made when it is first asked for."""
+    """Budgets by service, created at their first use.
+
+    Attributes:
+      bounds: Bounds that operators set.
+      entries: Returns the number of entries.
+      clock: Source of monotonic time.
+    """
 
     def __init__(
         self, bounds: Bounds, entries: Callable[[], int], clock: Clock
@@ -82,7 +96,7 @@
         self.clock = clock
 
     def __missing__(self, service: str) -> ServiceRetryBudget:
-        """Returns the budget of a service that was not asked for before."""
+        """Creates the budget of a service."""
         budget = ServiceRetryBudget(
             self.clock,
             share=USED_SHARE * self.bounds.retry_ratio,
@@ -93,5 +107,5 @@
         return budget
 
     def slack(self) -> float:
-        """Returns one entry's part of the slack: the same for each service."""
+        """Returns this entry's part of the slack, the same for each service."""
         return USED_SHARE * self.bounds.retry_slack / max(1, self.entries())
