--- a/src/rattanpier/_internal/relay/model_timings.py
+++ b/src/rattanpier/_internal/relay/model_timings.py
@@ -1,7 +1,7 @@
-"""How long each model takes, learned from the answers that an entry relays.
+"""Durations of each model, estimated from the answers that an entry relays.
 
-The platform tells a model's price, not its speed. Larger models are dearer and
-slower, so prices serve until answers have shown more.
+The platform states a model's price but not its speed. Larger models cost more
+and are slower, so initial estimates are derived from prices.
 """
 
 from __future__ import annotations
@@ -15,36 +15,35 @@
 from rattanpier._internal.utils.clock import Clock
 from rattanpier._internal.utils.samples import FadingSum, RecentQuantile
 
-# Of a model of the mean price, until answers show more; only which of two
-# workers is better follows from it.
+# Initial estimate for a model of the mean price, in seconds a token. It only
+# affects which of two workers is preferred.
 DEFAULT_TOKEN_READ_S = 1 / 30000
-DEFAULT_TOKEN_INTERVAL_S = (
-    0.02  # Between two tokens of a stream, until streams show more.
-)
+# Initial estimate of the time between two tokens of a stream.
+DEFAULT_TOKEN_INTERVAL_S = 0.02
 DEFAULT_WAIT_S = 0.05
-# Of the waits and of the times between tokens lately: an answer that comes too
-# late is worth less than one of a smaller model in time, so most have to fit.
+# Quantile of recent waits and token intervals. An answer that is too late is
+# worth less than a smaller model's answer in time, so most have to fit.
 UPPER_QUANTILE = 0.8
-DEFAULT_PROMPT_TOKENS = 3000  # Of a prompt, until requests came.
-# Waits only add to the time that reading takes: a low quantile of what was
-# seen is near the time at a worker that was free.
+DEFAULT_PROMPT_TOKENS = 3000  # Assumed length before the first request.
+# Waiting only adds to the reading time, so a low quantile of the measured times
+# approximates the time at an idle worker.
 IDLE_QUANTILE = 0.3
 MIN_SAMPLES = 4
-MIN_PROMPT_TOKENS = 1000  # Shorter prompts tell little of the time for a token.
-HALF_LIFE_S = 5.0  # Bursts and faults last about that long.
+MIN_PROMPT_TOKENS = 1000  # Shorter prompts tell little about reading speed.
+HALF_LIFE_S = 5.0  # About the duration of bursts and faults.
 
 
 @attrs.define(eq=False, repr=False)
 class ModelTiming:
-    """What one model's answers showed.
+    """Measured durations of one model's answers.
 
     Attributes:
-      read: Seconds for each token of a prompt at a free worker.
-      first: Seconds to the first event of short prompts.
-      request_read: Seconds of reading that one request is.
-      waits: Seconds to the first event beyond reading, by priority: workers
-        read the prompts of more urgent requests first.
-      token: Seconds of a stream for each token that was expected of it.
+      read: Seconds to read a token of a prompt at an idle worker.
+      first: Seconds to the first event for short prompts.
+      request_read: Expected seconds to read the prompt of a request.
+      waits: Seconds to the first event in excess of reading, by priority:
+        workers read the prompts of more urgent requests first.
+      token: Duration of a stream per token that was expected of it, in seconds.
     """
 
     read: RecentQuantile = attrs.Factory(lambda: RecentQuantile(IDLE_QUANTILE))
@@ -60,11 +59,13 @@
 
 @attrs.define(eq=False, repr=False)
 class ModelTimings:
-    """The pace of each model, by name.
+    """Durations of all models.
 
     Attributes:
-      models: What answers showed.
-      prices: Against their mean; what is assumed before answers came.
+      clock: Source of monotonic time.
+      models: Measured durations by model name.
+      prices: Price of each model relative to the mean, from which its speed is
+        estimated before answers were measured.
     """
 
     clock: Clock
@@ -74,7 +75,7 @@
     prices: dict[str, float] = attrs.Factory(dict)
 
     def apply_prices(self, models: Sequence[ModelCost]) -> None:
-        """Takes in what the operators charge for a service's models."""
+        """Applies the prices that operators set for a service's models."""
         mean = sum(model.cost for model in models) / max(1, len(models))
         if mean > 0:
             self.prices |= {model.name: model.cost / mean for model in models}
@@ -82,13 +83,13 @@
     def record_first_event(
         self, model: str, priority: int, tokens: float, seconds: float
     ) -> None:
-        """Takes in the time to the first event of an answer.
+        """Records the time to the first event of an answer.
 
         Args:
-          model: What answered.
-          priority: Of the request.
+          model: Model that answered.
+          priority: Priority of the request.
           tokens: Prompt tokens that it probably had to read.
-          seconds: From the send.
+          seconds: Time since the upstream request was sent.
         """
         timing = self.models[model]
         self.record_wait(model, priority, tokens, seconds)
@@ -101,39 +102,52 @@
     def record_wait(
         self, model: str, priority: int, tokens: float, seconds: float
     ) -> None:
-        """Takes in a time to a first event, or one that passed without it."""
+        """Records a time to the first event, or a longer time without one.
+
+        Args:
+          model: Model that was asked.
+          priority: Priority of the request.
+          tokens: Prompt tokens that it probably had to read.
+          seconds: Time since the upstream request was sent.
+        """
         wait = max(0.0, seconds - self.read_s(model, tokens))
         self.models[model].waits[priority].add(wait)
 
     def record_stream(self, model: str, tokens: int, seconds: float) -> None:
-        """Takes in how long a stream lasted from its first event on."""
+        """Records the duration of a stream.
+
+        Args:
+          model: Model that answered.
+          tokens: Tokens that were expected of the stream.
+          seconds: Time since its first event.
+        """
         self.models[model].token.add(seconds / max(1, tokens))
 
     def read_s(self, model: str, tokens: float) -> float:
-        """Returns the seconds in which a free worker reads so many tokens."""
+        """Returns the seconds in which an idle worker reads some tokens."""
         return tokens * self.token_read_s(model)
 
     def token_read_s(self, model: str) -> float:
-        """Returns the seconds in which a free worker reads one token."""
+        """Returns the seconds in which an idle worker reads one token."""
         default = DEFAULT_TOKEN_READ_S * self.prices.get(model, 1.0)
         return self.models[model].read.value(default, MIN_SAMPLES)
 
     def record_upstream_request(self, model: str, read_s: float) -> None:
-        """Takes in the reading that a send is."""
+        """Records the expected prompt reading of an upstream request."""
         self.models[model].request_read.add(read_s, self.clock.monotonic())
 
     def typical_read_s(self, model: str) -> float:
-        """Returns the seconds of reading that a request for a model is."""
+        """Returns the mean seconds to read the prompt of a request."""
         request_read = self.models[model].request_read
         request_read.fade(self.clock.monotonic())
         return request_read.mean(self.read_s(model, DEFAULT_PROMPT_TOKENS))
 
     def wait_s(self, model: str, priority: int) -> float:
-        """Returns the seconds within which most such requests began."""
+        """Returns the wait in seconds that most requests did not exceed."""
         waits = self.models[model].waits[priority]
         return waits.value(DEFAULT_WAIT_S, MIN_SAMPLES)
 
     def stream_s(self, model: str, tokens: int) -> float:
-        """Returns the seconds within which most such streams end."""
+        """Returns the seconds within which most streams of some tokens end."""
         token = self.models[model].token
         return tokens * token.value(DEFAULT_TOKEN_INTERVAL_S, MIN_SAMPLES)
