--- a/src/rattanpier/_internal/relay/health.py
+++ b/src/rattanpier/_internal/relay/health.py
@@ -1,9 +1,9 @@
-"""Which workers are avoided for a while, judged by what they answered.
+"""Outlier detection: temporarily avoids workers that fail requests.
 
-Load answered: workers that fail part of their requests while their health
-check is good, that are dead before their registration runs out, or that hang.
-A worker is judged against the others of its service: where all fail alike the
-cause is not the worker, and a service is never left with less than half of
+This covers workers that fail some requests although their health check
+succeeds, that crashed but whose registration has not expired yet, and that
+hang. A worker is compared with the other workers of its service: if all fail
+equally the cause is not the worker. A service always keeps at least half of
 its workers.
 """
 
@@ -20,11 +20,12 @@
 
 log = structlog.get_logger(part="health")
 
-HALF_LIFE_S = 5.0  # Of a result's weight: about as long as faults last.
-MIN_FAILURES = 2.5  # Weighted; fewer may be chance.
-OUTLIER_FACTOR = 2.5  # Times the failures of the service's other workers.
-MIN_FAILURE_RATE = 0.2  # Below this a worker is worth its work.
-UNREACHABLE_PAUSE_S = 1.0  # First pause after a refused or silent connection.
+HALF_LIFE_S = 5.0  # Of a result's weight; about the duration of faults.
+MIN_FAILURES = 2.5  # Weighted; fewer may be random.
+OUTLIER_FACTOR = 2.5  # Relative to the failure rate of the other workers.
+MIN_FAILURE_RATE = 0.2  # Below this a worker is still worth using.
+# First pause after a refused or timed-out connection.
+UNREACHABLE_PAUSE_S = 1.0
 FIRST_PAUSE_S = 2.0  # First pause of a worker that fails too often.
 MAX_PAUSE_S = 8.0
 MAX_AVOIDED_SHARE = 0.5  # Of a service's workers.
@@ -32,15 +33,15 @@
 
 @attrs.define(eq=False, repr=False)
 class WorkerRecord:
-    """What one worker did lately.
+    """Recent results of one worker.
 
     Attributes:
       results: Weighted number of results.
-      failures: Of these, failures.
-      at: When the weights were last brought up to date.
-      avoided_until: Monotonic seconds.
-      pause_s: Length of the last pause.
-      unreachable: The pause is for want of a connection.
+      failures: Weighted number of failures among them.
+      updated_at: When the weights were last decayed, in monotonic seconds.
+      avoided_until: End of the last pause, in monotonic seconds.
+      pause_s: Length of the last pause, in seconds.
+      unreachable: Whether the last pause is due to a failed connection.
     """
 
     results: float = 0.0
@@ -51,7 +52,7 @@
     unreachable: bool = False
 
     def decay(self, now: float) -> None:
-        """Brings the weights up to date."""
+        """Decays the weights to a time, given in monotonic seconds."""
         factor = 0.5 ** ((now - self.updated_at) / HALF_LIFE_S)
         self.results *= factor
         self.failures *= factor
@@ -60,10 +61,12 @@
 
 @attrs.define(eq=False, repr=False)
 class Health:
-    """Records by worker id.
+    """Recent results of all workers.
 
     Attributes:
-      policy: Mechanisms that are on.
+      clock: Source of monotonic time.
+      policy: Enabled mechanisms.
+      records: Results by worker id.
     """
 
     clock: Clock
@@ -76,11 +79,11 @@
         failed: bool,
         peers: Sequence[RegisteredWorker],
     ) -> None:
-        """Takes in a result, and judges a worker that failed.
+        """Records a result, and avoids the worker if it is an outlier.
 
         Args:
           worker: Whose result it is.
-          failed: It gave no proper answer, or a failure.
+          failed: Whether it failed or gave no valid answer.
           peers: All workers of its service.
         """
         now = self.clock.monotonic()
@@ -99,7 +102,7 @@
             self.avoid(worker, record, FIRST_PAUSE_S, "fails often")
 
     def record_unreachable(self, worker: RegisteredWorker) -> None:
-        """Takes in that no connection to a worker could be opened."""
+        """Records that a worker could not be reached, and avoids it."""
         now = self.clock.monotonic()
         record = self.records.setdefault(
             worker.id, WorkerRecord(updated_at=now)
@@ -113,7 +116,7 @@
         peers: Sequence[RegisteredWorker],
         now: float,
     ) -> bool:
-        """Says whether a worker fails more than the others of its service."""
+        """Returns whether a worker fails more than others of its service."""
         record = self.records[worker.id]
         rate = record.failures / record.results
         if record.failures < MIN_FAILURES or rate < MIN_FAILURE_RATE:
@@ -127,7 +130,8 @@
             other.decay(now)
         results = sum(other.results for other in others)
         failures = sum(other.failures for other in others)
-        # One failure is added so that little evidence does not look perfect.
+        # One failure in ten results is added, so that few results don't yield a
+        # rate of zero.
         peer_rate = (failures + 1.0) / (results + 10.0)
         return rate > OUTLIER_FACTOR * peer_rate
 
@@ -138,7 +142,16 @@
         first_pause_s: float,
         reason: str,
     ) -> None:
-        """Avoids a worker, longer each time that it follows on another."""
+        """Avoids a worker for a pause, unless it is avoided already.
+
+        The pause doubles if it follows soon after the previous one.
+
+        Args:
+          worker: The worker.
+          record: Its results.
+          first_pause_s: Length of a first pause, in seconds.
+          reason: Reason for the log.
+        """
         now = self.clock.monotonic()
         if now < record.avoided_until:
             return
@@ -162,8 +175,8 @@
     ) -> list[RegisteredWorker]:
         """Returns the workers that are not avoided, at least half of them.
 
-        Where more than half would be avoided, those whose pause ends first
-        are taken again: the judgement must not empty a pool.
+        If more than half would be avoided, those whose pause ends first are
+        included, so that outlier detection can't empty a pool.
         """
         if not self.policy.avoidance:
             return list(workers)
@@ -184,5 +197,5 @@
         return good
 
     def forget(self, id: str) -> None:
-        """Drops the record of a worker that is gone."""
+        """Removes the record of a worker that was deregistered."""
         self.records.pop(id, None)
