--- a/src/rattanpier/_internal/relay/request_progress.py
+++ b/src/rattanpier/_internal/relay/request_progress.py
@@ -1,7 +1,7 @@
-"""How the answering of one request went so far, and how it ends.
+"""Progress of one relayed request, and its final answer if it fails.
 
-Code without a network: what may still be done for a request, and the truth of
-its final answer, follow from what was sent and what came back.
+Free of I/O: which steps remain, and what the final answer may promise, follow
+from what was sent to workers and what they returned.
 """
 
 from __future__ import annotations
@@ -15,34 +15,39 @@
 from rattanpier._internal.models.relay_request import RelayRequest
 from rattanpier._internal.relay.events import EventOrder
 
-NO_WORKER_RETRY_AFTER_S = 0.5  # Workers register again within a second or two.
-QUEUE_FULL_RETRY_AFTER_S = 0.4  # A plain request lasts a tenth of a second.
-MIN_TIME_LEFT_S = 0.005  # With less no worker can answer.
+# Workers register again within a second or two.
+NO_WORKER_RETRY_AFTER_S = 0.5
+QUEUE_FULL_RETRY_AFTER_S = 0.4  # A plain request takes about 0.1 s.
+MIN_TIME_LEFT_S = 0.005  # No worker can answer in less.
 
 
 @attrs.define(eq=False, repr=False)
 class RequestProgress:
-    """How the answering of one request went so far.
+    """Progress of one relayed request.
 
     Attributes:
       request: The request.
-      loop_deadline: Loop time at which the caller or the route gives up.
-      sent: Workers that it was sent to.
-      tried: Their ids.
-      may_have_run: Some worker may have run it.
-      failure: A worker's own failure, to be passed on if nothing better
-        comes.
-      reason: Why the last send failed.
-      retry_after_s: When the last worker said to come back.
+      loop_deadline: Deadline of the caller or the route, in seconds of the
+        event loop's clock.
+      service: Service that the request is sent to.
+      sent: Number of upstream requests.
+      tried: Ids of the workers that they were sent to.
+      may_have_run: Whether a worker may have run the request.
+      failure: Failure that a worker returned; passed on to the caller unless a
+        later upstream request succeeds.
+      reason: Why the last upstream request failed.
+      retry_after_s: Seconds after which the last worker asked for a retry.
       model: Model that is asked.
       first_model: Model that was asked first.
-      order: Events that came.
-      head_delivered: The head of the answer was delivered.
-      next_send_allowed: The next send was allowed already.
-      quarantined_s: Seconds for which it may reach no worker; 0: it may.
-      service: Its service.
-      excluded: Workers that each condition kept from the last choice.
-      available_in_s: When one of them may take the request, None if unknown.
+      order: Order of the events received.
+      head_delivered: Whether the head of the answer was delivered.
+      next_send_allowed: Whether the next upstream request was allowed already.
+      quarantined_s: Seconds for which the request is still quarantined; 0 if it
+        is not.
+      excluded: Number of workers that each condition excluded from the last
+        selection.
+      available_in_s: Seconds until one of them may accept the request; None if
+        unknown.
     """
 
     request: RelayRequest
@@ -67,11 +72,11 @@
 def final_answer(
     progress: RequestProgress, left_s: float
 ) -> WholeAnswer | AnswerRefused:
-    """Returns the final answer to a request that nobody answered.
+    """Returns the final answer to a request that no worker answered.
 
     Args:
-      progress: What was done for it.
-      left_s: Seconds until the caller or the route gives up.
+      progress: Progress of the request.
+      left_s: Seconds until the deadline of the caller or the route.
     """
     if progress.failure is not None:
         return progress.failure
@@ -90,7 +95,7 @@
 
 
 def no_worker_reason(progress: RequestProgress) -> str:
-    """Says why no worker was chosen.
+    """Returns why no worker was selected.
 
     >>> excluded = {"drained_domain": 3}
     >>> no_worker_reason(RequestProgress(None, 0.0, "s", excluded=excluded))
@@ -105,7 +110,7 @@
 ) -> tuple[RefusalCode, int]:
     """Returns the code and the HTTP status of a final answer.
 
-    503 promises that the request has not run and never will.
+    Status 503 guarantees that the request has not run and never will.
     """
     if not progress.may_have_run:
         if progress.quarantined_s:
@@ -120,7 +125,7 @@
 
 
 def round_for_log(value: float | None) -> float | None:
-    """Returns a number for a log line.
+    """Returns a number rounded for a log line; None if infinite or None.
 
     >>> round_for_log(1.23456), round_for_log(None)
     (1.235, None)
