--- a/tests/relay/test_decisions.py
+++ b/tests/relay/test_decisions.py
@@ -52,7 +52,7 @@
 )
 
 ORDER = RolloutOrder(7, "s", "v2", 24.0)
-MUCH, LITTLE = Exposure(900, 45), Exposure(100, 9)
+LARGE_SAMPLE, SMALL_SAMPLE = Exposure(900, 45), Exposure(100, 9)
 BOUND = ExposureBound(0.15, 30.0)
 PHASES = [RolloutPhase.TRYING, RolloutPhase.WIDENING, RolloutPhase.FULL]
 
@@ -65,7 +65,7 @@
 # Workers that come and go.
 
 
-def test_a_worker_that_announces_its_leave_gets_nothing_new(clock):
+def test_a_draining_worker_is_excluded_from_its_service(clock):
     directory = WorkerDirectory(clock)
     worker = make_worker("w")
     directory.put(worker)
@@ -74,14 +74,16 @@
     assert directory.of_service("s") == []
 
 
-def test_a_removed_registration_counts_at_once(clock):
+def test_a_removed_registration_excludes_the_worker_at_once(clock):
     directory = WorkerDirectory(clock)
     directory.put(make_worker("w"))
     assert directory.remove("w", after_outage=False)
     assert directory.of_service("s") == []
 
 
-async def test_one_that_ran_out_in_an_outage_is_waited_for(clock):
+async def test_a_registration_that_expired_in_an_outage_is_kept_for_a_time(
+    clock,
+):
     directory = WorkerDirectory(clock)
     directory.put(make_worker("w"))
     assert not directory.remove("w", after_outage=True)
@@ -91,7 +93,9 @@
     assert directory.of_service("s") == []
 
 
-async def test_one_that_is_back_in_time_stays(clock):
+async def test_a_worker_that_registers_again_within_the_grace_period_is_kept(
+    clock,
+):
     directory = WorkerDirectory(clock)
     directory.put(make_worker("w"))
     directory.remove("w", after_outage=True)
@@ -101,13 +105,13 @@
     assert directory.of_service("s")
 
 
-def test_a_leaving_worker_is_not_waited_for(clock):
+def test_a_draining_worker_has_no_grace_period_after_an_outage(clock):
     directory = WorkerDirectory(clock)
     directory.put(make_worker("w", draining=True))
     assert directory.remove("w", after_outage=True)
 
 
-def test_a_whole_table_drops_what_it_lacks(clock):
+def test_a_full_read_drops_workers_that_it_lacks(clock):
     directory = WorkerDirectory(clock)
     directory.put(make_worker("old"))
     assert directory.replace([make_worker("new")], False) == ["old"]
@@ -117,27 +121,27 @@
 # Workers that fail.
 
 
-def play(health, workers, failing, rounds=20):
+def record_results(health, workers, failing, rounds=20):
     for _ in range(rounds):
         for worker in workers:
             health.record_result(worker, worker.id in failing, workers)
 
 
-def test_a_worker_that_fails_more_than_the_others_is_avoided(clock):
+def test_a_worker_that_fails_more_than_its_peers_is_avoided(clock):
     health = Health(clock)
     workers = make_workers(6)
-    play(health, workers, {"w2"})
+    record_results(health, workers, {"w2"})
     assert "w2" not in {worker.id for worker in health.usable(workers)}
 
 
-def test_where_all_fail_alike_none_is_avoided(clock):
+def test_no_worker_is_avoided_if_all_fail_equally(clock):
     health = Health(clock)
     workers = make_workers(6)
-    play(health, workers, {worker.id for worker in workers})
+    record_results(health, workers, {worker.id for worker in workers})
     assert len(health.usable(workers)) == 6
 
 
-def test_a_pool_keeps_half_of_its_workers(clock):
+def test_at_least_half_of_a_pool_stays_usable(clock):
     health = Health(clock)
     workers = make_workers(6)
     for worker in workers:
@@ -145,7 +149,7 @@
     assert len(health.usable(workers)) == 3
 
 
-async def test_an_avoided_worker_is_tried_again(clock):
+async def test_an_avoided_worker_is_used_again_after_its_pause(clock):
     health = Health(clock)
     workers = make_workers(3)
     health.record_unreachable(workers[0])
@@ -157,7 +161,7 @@
 # Which worker.
 
 
-def chooser(clock):
+def make_chooser(clock):
     return Chooser(
         Loads(clock),
         "a",
@@ -167,46 +171,46 @@
     )
 
 
-def test_a_plain_request_goes_where_slots_are_free(clock):
-    chosen = chooser(clock)
+def test_a_plain_request_goes_to_the_worker_with_free_slots(clock):
+    chooser = make_chooser(clock)
     workers = make_workers(3)
     for worker in workers[:2]:
         for _ in range(4):
-            chosen.loads.begin(worker.id, 0.0)
-    assert chosen.choose(make_request(), workers, "").worker == workers[2]
+            chooser.loads.begin(worker.id, 0.0)
+    assert chooser.choose(make_request(), workers, "").worker == workers[2]
 
 
-def test_a_report_of_others_work_counts_and_is_forgotten(clock):
+def test_a_load_report_counts_and_decays(clock):
     loads = Loads(clock)
     loads.record_report("w0", ReportedLoad(6, 2, 8))
     assert loads.workers["w0"].peer_requests(clock.monotonic()) == (6.0, 2.0)
     assert loads.workers["w0"].peer_requests(clock.monotonic() + 20)[0] < 0.1
 
 
-def test_the_same_prompt_goes_to_the_worker_that_read_it(clock):
-    chosen = chooser(clock)
+def test_a_prompt_goes_to_the_worker_that_has_it_cached(clock):
+    chooser = make_chooser(clock)
     workers = make_workers(9)
     request = make_chat()
     for small, model in ((True, "small"), (False, "large")):
         # Not the one that the prompt's shared parts belong to.
-        read = chosen.groups.workers_for(workers, small)[-1]
-        chosen.loads.record_prompt_read(read.id, model, request.prompt)
-        choice = chosen.choose(request, workers, model)
+        read = chooser.groups.workers_for(workers, small)[-1]
+        chooser.loads.record_prompt_read(read.id, model, request.prompt)
+        choice = chooser.choose(request, workers, model)
         assert choice.worker.id == read.id
         assert choice.to_read == 0
 
 
-def test_a_worker_with_many_prompts_to_read_is_passed_by(clock):
-    chosen = chooser(clock)
+def test_a_worker_with_a_long_prompt_queue_is_not_chosen(clock):
+    chooser = make_chooser(clock)
     workers = make_workers(3)
     request = make_chat()
-    chosen.loads.record_prompt_read("w1", "small", request.prompt)
+    chooser.loads.record_prompt_read("w1", "small", request.prompt)
     for _ in range(8):
-        chosen.loads.begin("w1", 0.2)
-    assert chosen.choose(request, workers, "small").worker.id != "w1"
+        chooser.loads.begin("w1", 0.2)
+    assert chooser.choose(request, workers, "small").worker.id != "w1"
 
 
-def test_entries_agree_on_the_home_of_a_shared_part():
+def test_entries_agree_on_the_home_worker_of_a_shared_part():
     workers = make_workers(9)
     one = home_of(make_prompt(("a", 9), ("b", 9), ("x", 9)), workers)
     other = home_of(make_prompt(("a", 9), ("b", 9), ("y", 9)), workers[::-1])
@@ -217,7 +221,7 @@
     assert len(homes) == 9
 
 
-def test_parts_count_only_behind_parts_that_are_kept(clock):
+def test_a_cached_part_counts_only_after_cached_parts(clock):
     loads = Loads(clock)
     loads.record_prompt_read("w", "m", make_prompt(("b", 400)))
     both = make_prompt(("a", 400), ("b", 400))
@@ -233,21 +237,21 @@
     assert first_model(make_request()) == ""
 
 
-def test_only_a_smaller_model_is_followed_by_the_largest():
+def test_only_smaller_models_escalate_to_the_largest():
     request = make_chat()
     assert larger_model(request, "small") == "large"
     assert larger_model(request, "large") == ""
     assert larger_model(request, "") == ""
 
 
-NOW_OR_SOON = LargerModelEstimate(0.0, 0.5, 1.0)
+IDLE_ESTIMATE = LargerModelEstimate(0.0, 0.5, 1.0)
 
 
 @pytest.mark.parametrize(
     ("confidence", "now", "outlook", "kept"),
     [
-        (40.0, 0.5, NOW_OR_SOON, None),
-        (90.0, 0.5, NOW_OR_SOON, KeepReason.CONFIDENT),
+        (40.0, 0.5, IDLE_ESTIMATE, None),
+        (90.0, 0.5, IDLE_ESTIMATE, KeepReason.CONFIDENT),
         (
             40.0,
             0.5,
@@ -256,14 +260,14 @@
         ),
         (10.0, 0.5, LargerModelEstimate(FULL_LOAD_WAIT_S, 0.5, 1.0), None),
         # Its first event would miss the objective, 4 s.
-        (10.0, 3.6, NOW_OR_SOON, KeepReason.TIME),
+        (10.0, 3.6, IDLE_ESTIMATE, KeepReason.TIME),
         (10.0, 0.5, LargerModelEstimate(0.0, 3.6, 4.0), KeepReason.TIME),
         # Its end would miss the deadline, 10 s.
         (10.0, 0.5, LargerModelEstimate(0.0, 0.5, 9.6), KeepReason.TIME),
         (10.0, 0.5, LargerModelEstimate(0.0, 0.5, 9.4), None),
     ],
 )
-def test_doubt_leads_to_a_larger_model_where_it_can_be_in_time(
+def test_low_confidence_escalates_if_the_larger_model_can_be_in_time(
     confidence, now, outlook, kept
 ):
     assert judge_answer(make_chat(), confidence, now, outlook) is kept
@@ -301,7 +305,7 @@
     return chosen / count
 
 
-def test_a_version_that_nobody_ordered_gets_nothing():
+def test_a_version_without_a_rollout_order_gets_no_requests():
     rollouts = make_rollouts()
     old, new = both_versions()
     assert rollouts.split(make_request(), "s", old).first == old
@@ -309,7 +313,7 @@
     assert rollouts.split(make_request(), "s", new).first == new
 
 
-def test_the_share_grows_with_the_phases_and_never_moves_a_session_back():
+def test_the_share_grows_with_phases_and_moves_no_session_back():
     rollouts = make_rollouts()
     order(rollouts)
     old, new = both_versions()
@@ -342,7 +346,7 @@
     }
 
 
-async def test_a_session_under_way_is_not_moved_while_an_order_is_tried(clock):
+async def test_an_active_session_is_not_moved_in_the_trying_phase(clock):
     names = [f"session-{number}" for number in range(400)]
     here, there = make_rollouts(clock), make_rollouts(clock)
     for name in names:
@@ -361,7 +365,7 @@
     assert moved_sessions(here, names[200:])
 
 
-def test_a_rolled_back_version_gets_nothing_even_alone():
+def test_a_rolled_back_version_gets_no_requests_even_if_no_other_is_left():
     rollouts = make_rollouts()
     order(rollouts)
     rollouts.take_record(record(RolloutPhase.ROLLED_BACK))
@@ -371,7 +375,7 @@
     assert not rollouts.split(make_request(), "s", new).otherwise
 
 
-def test_a_final_record_stays_and_an_older_one_is_not_taken():
+def test_a_final_record_is_not_replaced_and_an_older_one_is_ignored():
     rollouts = make_rollouts()
     order(rollouts)
     rollouts.take_record(record(RolloutPhase.ROLLED_BACK))
@@ -381,7 +385,7 @@
     assert rollouts.phase(ORDER) is RolloutPhase.ROLLED_BACK
 
 
-def test_bad_answers_stop_a_version_without_the_store():
+def test_failures_stop_a_version_without_the_store():
     rollouts = make_rollouts()
     order(rollouts)
     old, new = both_versions()
@@ -410,11 +414,13 @@
         ({}, {}, False),
     ],
 )
-def test_a_worse_version_is_told_from_chance(stable, candidate, worse):
+def test_a_worse_version_is_distinguished_from_random_failures(
+    stable, candidate, worse
+):
     assert (find_worse(stable, candidate) is not None) == worse
 
 
-def test_a_good_version_is_seldom_taken_for_a_worse_one():
+def test_a_good_version_is_rarely_judged_worse():
     rng = random.Random(5)
     wrong = 0
     for _ in range(300):
@@ -428,31 +434,52 @@
 @pytest.mark.parametrize(
     ("progress", "phase"),
     [
-        (Progress("trying", 0.4, 0.4, MUCH, False, 5), "trying"),
-        (Progress("trying", 0.6, 0.6, MUCH, False, 5), "trying"),
-        (Progress("trying", 0.95, 0.95, MUCH, False, 5), "widening"),
+        (Progress("trying", 0.4, 0.4, LARGE_SAMPLE, False, 5), "trying"),
+        (Progress("trying", 0.6, 0.6, LARGE_SAMPLE, False, 5), "trying"),
+        (
+            Progress("trying", 0.95, 0.95, LARGE_SAMPLE, False, 5),
+            "widening",
+        ),
         (Progress("trying", 0.95, 0.95, Exposure(900, 2), False, 5), "trying"),
-        (Progress("trying", 0.1, 0.1, LITTLE, True, 5), "rolled_back"),
-        (Progress("widening", 0.92, 0.01, MUCH, False, 5), "widening"),
-        (Progress("widening", 0.92, 0.03, MUCH, False, 5), "full"),
-        (Progress("full", GIVE_UP_AT - 0.005, 0.01, MUCH, False, 0), "full"),
-        (Progress("full", GIVE_UP_AT - 0.005, 0.05, MUCH, False, 5), "full"),
         (
-            Progress("full", GIVE_UP_AT - 0.005, 0.05, MUCH, False, 0),
+            Progress("trying", 0.1, 0.1, SMALL_SAMPLE, True, 5),
+            "rolled_back",
+        ),
+        (
+            Progress("widening", 0.92, 0.01, LARGE_SAMPLE, False, 5),
+            "widening",
+        ),
+        (
+            Progress("widening", 0.92, 0.03, LARGE_SAMPLE, False, 5),
+            "full",
+        ),
+        (
+            Progress("full", GIVE_UP_AT - 0.005, 0.01, LARGE_SAMPLE, False, 0),
+            "full",
+        ),
+        (
+            Progress("full", GIVE_UP_AT - 0.005, 0.05, LARGE_SAMPLE, False, 5),
+            "full",
+        ),
+        (
+            Progress("full", GIVE_UP_AT - 0.005, 0.05, LARGE_SAMPLE, False, 0),
             "completed",
         ),
         (
-            Progress("full", GIVE_UP_AT + 0.005, 0.05, MUCH, False, 5),
+            Progress("full", GIVE_UP_AT + 0.005, 0.05, LARGE_SAMPLE, False, 5),
             "completed",
         ),
         (
-            Progress("full", GIVE_UP_AT - 0.005, 0.05, MUCH, True, 0),
+            Progress("full", GIVE_UP_AT - 0.005, 0.05, LARGE_SAMPLE, True, 0),
             "rolled_back",
         ),
-        (Progress("completed", 0.97, 0.05, MUCH, True, 0), "completed"),
+        (
+            Progress("completed", 0.97, 0.05, LARGE_SAMPLE, True, 0),
+            "completed",
+        ),
     ],
 )
-def test_a_roll_out_goes_on_by_evidence_and_time(progress, phase):
+def test_a_rollout_advances_by_evidence_and_time(progress, phase):
     given = attrs.evolve(progress, phase=RolloutPhase(progress.phase))
     assert next_phase(given, BOUND) is RolloutPhase(phase)
 
@@ -460,7 +487,7 @@
 # Further sends.
 
 
-def test_budgets_of_all_entries_stay_within_what_operators_allow(clock):
+def test_the_sum_of_retry_budgets_stays_within_the_operators_bound(clock):
     bounds = Bounds(retry_ratio=0.9, retry_slack=52)
     entries = [ServiceRetryBudgets(bounds, lambda: 6, clock) for _ in range(6)]
     requests = 600
@@ -476,7 +503,7 @@
 # A planned stop.
 
 
-async def test_a_leaving_entry_takes_only_what_will_end_in_time(clock):
+async def test_a_draining_entry_accepts_only_requests_that_can_finish(clock):
     drain = DrainState(clock, grace_s=8.0)
     drain.begin()
     assert drain.takes(streaming=True)
@@ -487,7 +514,7 @@
     assert not drain.takes(streaming=False)
 
 
-async def test_it_ends_once_callers_have_left_and_at_the_latest_before_the_kill(
+async def test_a_draining_entry_exits_when_idle_or_before_the_grace_period_ends(
     clock,
 ):
     drain = DrainState(clock, grace_s=8.0)
@@ -506,7 +533,7 @@
 # Events.
 
 
-def test_an_event_that_is_not_whole_is_held():
+def test_an_incomplete_event_is_buffered():
     splitter = EventSplitter()
     assert not list(splitter.feed(b"id: 1\nda"))
     found = list(splitter.feed(b"ta\n\nid: 2\r\ndata\r\n\r\nid"))
@@ -514,7 +541,7 @@
     assert splitter.rest == b"id"
 
 
-def test_a_missing_event_is_an_error_and_a_seen_one_is_dropped():
+def test_a_missing_event_is_an_error_and_a_duplicate_is_dropped():
     order = EventOrder()
     splitter = EventSplitter()
     first, second, again, gap = splitter.feed(
@@ -527,7 +554,7 @@
         order.take(gap)
 
 
-def test_only_new_workers_serve_where_no_old_one_is_left():
+def test_new_workers_serve_if_no_old_worker_is_left():
     rollouts = make_rollouts()
     order(rollouts)
     _, new = both_versions()
