--- a/tests/relay/test_budgets.py
+++ b/tests/relay/test_budgets.py
@@ -9,19 +9,21 @@
 from tests.lib.clock import ManualClock
 
 BOUNDS = Bounds(retry_ratio=0.9, retry_slack=430, retry_window_s=10.0)
-DOUBTFUL = 0.45  # Of first answers, which are asked again of another model.
+ESCALATION_SHARE = (
+    0.45  # Of first answers, which are asked again of another model.
+)
 
 
-def arrivals(rng, entries, per_s, seconds, clump):
+def arrivals(rng, entries, per_s, seconds, burst):
     """Random times of clumps of requests, and the entry that gets each."""
-    count = int(entries * per_s * seconds / clump)
+    count = int(entries * per_s * seconds / burst)
     return sorted(
         (rng.uniform(0.0, seconds), rng.randrange(entries))
         for _ in range(count)
     )
 
 
-def play(entries, per_s, seconds, wanted, seed=1, clump=1):
+def simulate(entries, per_s, seconds, draw_additional, seed=1, burst=1):
     """Returns when requests came, and which further sends were allowed."""
     rng = random.Random(seed)
     clock = ManualClock()
@@ -30,13 +32,13 @@
         for _ in range(entries)
     ]
     requests, sends, refused = [], [], 0
-    for at, entry in arrivals(rng, entries, per_s, seconds, clump):
+    for at, entry in arrivals(rng, entries, per_s, seconds, burst):
         clock.now = at
         budget = budgets[entry]["s"]
-        for _ in range(clump):
+        for _ in range(burst):
             budget.record_request()
             requests.append(at)
-        for _ in range(sum(wanted(rng) for _ in range(clump))):
+        for _ in range(sum(draw_additional(rng) for _ in range(burst))):
             if budget.try_acquire():
                 sends.append(at)
             else:
@@ -44,18 +46,18 @@
     return requests, sends, refused
 
 
-def most_beyond(requests, sends, window_s):
+def max_excess(requests, sends, window_s):
     """Further sends beyond the ratio in the worst window."""
     worst = 0.0
     for end in sends:
         window = [at for at in sends if end - window_s <= at <= end]
-        began = [at for at in requests if end - window_s <= at <= end]
-        worst = max(worst, len(window) - BOUNDS.retry_ratio * len(began))
+        received = [at for at in requests if end - window_s <= at <= end]
+        worst = max(worst, len(window) - BOUNDS.retry_ratio * len(received))
     return worst
 
 
-def one_in_two(rng):
-    return int(rng.random() < DOUBTFUL)
+def draw_escalation(rng):
+    return int(rng.random() < ESCALATION_SHARE)
 
 
 def always_three(_rng):
@@ -64,25 +66,27 @@
 
 @pytest.mark.parametrize("entries", [8, 80, 195, 420])
 @pytest.mark.parametrize("clump", [1, 4])
-def test_doubtful_answers_are_asked_again_while_the_sum_allows_it(
+def test_escalations_are_allowed_while_the_fleet_is_within_its_bound(
     entries, clump
 ):
-    requests, sends, refused = play(entries, 3.0, 20.0, one_in_two, clump=clump)
+    requests, sends, refused = simulate(
+        entries, 3.0, 20.0, draw_escalation, burst=clump
+    )
     # Only an entry with one or two requests so far has less than one send. A
     # bucket of two sends refused 841 of 5,284 at 195 entries and clumps of 4.
     assert refused <= 0.01 * len(sends)
 
 
 @pytest.mark.parametrize("entries", [8, 80, 195, 420])
-def test_the_sum_of_all_entries_keeps_the_bound_when_every_send_fails(entries):
-    requests, sends, _ = play(entries, 100.0 / entries, 20.0, always_three)
-    assert most_beyond(requests, sends, BOUNDS.retry_window_s) <= (
+def test_the_fleet_keeps_the_bound_when_every_upstream_request_fails(entries):
+    requests, sends, _ = simulate(entries, 100.0 / entries, 20.0, always_three)
+    assert max_excess(requests, sends, BOUNDS.retry_window_s) <= (
         BOUNDS.retry_slack
     )
     assert len(sends) > 0.7 * BOUNDS.retry_ratio * len(requests)
 
 
-def test_the_sum_keeps_the_bound_when_each_entry_has_had_one_request():
+def test_the_fleet_keeps_the_bound_when_each_entry_received_one_request():
     clock = ManualClock()
     entries = [
         ServiceRetryBudgets(BOUNDS, lambda: 420, clock) for _ in range(420)
@@ -96,7 +100,7 @@
     assert sends > 0
 
 
-def test_slack_that_is_less_than_one_send_is_saved_up():
+def test_slack_below_one_request_accumulates():
     clock = ManualClock()
     budget = ServiceRetryBudgets(BOUNDS, lambda: 4000, clock)["s"]
     assert not budget.try_acquire()
@@ -106,7 +110,7 @@
     assert budget.try_acquire()
 
 
-def test_an_entry_that_learns_of_more_entries_takes_a_smaller_part():
+def test_an_entry_that_discovers_peers_takes_a_smaller_part():
     clock = ManualClock()
     known = 1
     budget = ServiceRetryBudgets(BOUNDS, lambda: known, clock)["s"]
@@ -115,7 +119,7 @@
     assert not budget.try_acquire()
 
 
-def test_sends_count_until_the_window_has_passed():
+def test_additional_requests_count_until_the_window_has_passed():
     clock = ManualClock()
     budget = ServiceRetryBudgets(BOUNDS, lambda: 430, clock)["s"]
     for _ in range(10):
