--- a/tests/relay/test_model_groups.py
+++ b/tests/relay/test_model_groups.py
@@ -23,7 +23,7 @@
     return ManualClock()
 
 
-def test_entries_find_the_same_groups_in_any_order_of_the_workers(clock):
+def test_entries_compute_the_same_groups_in_any_order_of_the_workers(clock):
     workers = make_workers(20)
     shuffled = random.Random(2).sample(workers, 20)
     one, other = ModelGroups(clock), ModelGroups(clock)
@@ -39,7 +39,7 @@
     assert len(small) + len(large) == 20
 
 
-def test_each_domain_has_its_turn():
+def test_sorted_workers_alternate_between_domains():
     workers = [
         make_worker(f"w{number}", domain="abc"[number % 3])
         for number in range(12)
@@ -48,7 +48,7 @@
     assert domains == ["a", "b", "c"] * 4
 
 
-def test_a_worker_that_goes_moves_no_other_across_by_more_than_its_place(clock):
+def test_a_removed_worker_moves_at_most_one_other_between_groups(clock):
     workers = make_workers(20)
     groups = ModelGroups(clock)
     before = {worker.id for worker in groups.workers_for(workers, True)}
@@ -56,7 +56,7 @@
     assert len(before ^ after) <= 2
 
 
-def test_few_workers_serve_all_models(clock):
+def test_a_small_pool_is_not_divided(clock):
     workers = make_workers(3)
     groups = ModelGroups(clock)
     assert (
@@ -66,7 +66,7 @@
     )
 
 
-def test_the_share_follows_the_work(clock):
+def test_the_share_follows_the_demand(clock):
     groups = ModelGroups(clock)
     assert groups.share() == DEFAULT_SHARE
     for _ in range(400):
@@ -78,7 +78,7 @@
     assert groups.share() == MIN_SHARE
 
 
-def test_slots_count_where_they_are_scarcer_than_reading(clock):
+def test_slots_determine_the_share_if_they_are_scarcer_than_reading(clock):
     groups = ModelGroups(clock)
     for _ in range(400):
         groups.record_upstream_request(True, 0.001)
@@ -88,7 +88,7 @@
     assert groups.share() == MAX_SHARE
 
 
-def test_a_large_prompt_leaves_the_small_ones_workers_alone(clock):
+def test_a_large_model_uses_the_other_group_only_when_its_own_is_busy(clock):
     entry = make_entry(clock, 1)
     workers = make_workers(9)
     small = {worker.id for worker in entry.groups.workers_for(workers, True)}
@@ -99,7 +99,7 @@
     assert entry.choose(make_chat(), workers, "large").worker.id in small
 
 
-def test_small_answers_begin_sooner_apart_from_large_ones():
+def test_small_models_answer_sooner_in_a_separate_group():
     together = play_engines(per_s=45.0, apart=False)
     apart = play_engines(per_s=45.0, apart=True)
     for share in (0.75, 0.9):
@@ -111,13 +111,13 @@
         assert apart.quantile("large", share) < 1.3 * mixed_s
 
 
-def test_prices_stand_for_speeds_until_answers_came(clock):
+def test_reading_time_is_estimated_from_prices_before_any_answer(clock):
     timings = ModelTimings(clock)
     timings.apply_prices([ModelCost("small", 0.1), ModelCost("large", 1.0)])
     assert timings.read_s("large", 3000) > 5 * timings.read_s("small", 3000)
 
 
-def test_the_time_to_read_is_learned_from_workers_that_were_free(clock):
+def test_reading_time_is_learned_from_idle_workers(clock):
     timings = ModelTimings(clock)
     rng = random.Random(4)
     for _ in range(MIN_SAMPLES):
@@ -128,7 +128,7 @@
     assert timings.read_s("m", 1000) == pytest.approx(0.1, rel=0.1)
 
 
-def test_waits_are_known_by_priority_and_forgotten(clock):
+def test_waits_are_tracked_by_priority_and_expire(clock):
     timings = ModelTimings(clock)
     for _ in range(20):
         timings.record_wait("m", 2, 0.0, 3.0)
