--- a/tests/relay/test_policy.py
+++ b/tests/relay/test_policy.py
@@ -28,14 +28,14 @@
     return attrs.evolve(USUAL, **off)
 
 
-def test_all_is_on_where_nothing_is_said(tmp_path):
+def test_all_mechanisms_are_enabled_by_default(tmp_path):
     path = tmp_path / "policy.toml"
     path.write_text("")
     assert load_policy(str(path)) == USUAL
     assert all(attrs.astuple(USUAL))
 
 
-def test_a_mechanism_is_switched_off_by_its_name(tmp_path):
+def test_a_mechanism_is_disabled_by_name(tmp_path):
     path = tmp_path / "policy.toml"
     path.write_text("cascade = false\n")
     assert load_policy(str(path)) == without(cascade=False)
@@ -50,7 +50,7 @@
         ("cascade =", "Invalid value"),
     ],
 )
-def test_a_file_that_is_wrong_is_refused_with_its_line(tmp_path, text, said):
+def test_an_invalid_file_is_rejected_with_the_line_number(tmp_path, text, said):
     path = tmp_path / "policy.toml"
     path.write_text(f"\n{text}\n")
     with pytest.raises(SettingsError, match=said) as caught:
@@ -58,17 +58,17 @@
     assert "policy.toml:2" in caught.value.message
 
 
-def test_operators_find_each_switch_on_their_page():
+def test_each_switch_is_documented_for_operators():
     page = (ROOT / "docs" / "operators" / "policy.md").read_text()
     for field in attrs.fields(Policy):
         assert f"`{field.name}`" in page
 
 
-def test_the_largest_model_may_be_asked_first():
+def test_the_largest_model_is_asked_first_without_start_small():
     assert first_model(make_chat(), without(start_small=False)) == "large"
 
 
-def test_reasons_to_keep_an_answer_can_be_left_out():
+def test_reasons_to_keep_an_answer_can_be_disabled():
     busy, late = (
         LargerModelEstimate(9.0, 0.5, 1.0),
         LargerModelEstimate(0.0, 99.0, 99.0),
@@ -82,7 +82,7 @@
     assert judge_answer(request, 10.0, 0.1, late, off) is None
 
 
-def test_workers_that_fail_may_be_used_on():
+def test_failing_workers_are_used_without_avoidance():
     health = Health(ManualClock(), without(avoidance=False))
     workers = make_workers(4)
     for _ in range(4):
@@ -90,7 +90,7 @@
     assert health.usable(workers) == workers
 
 
-def test_another_domain_may_count_as_near():
+def test_other_domains_have_no_cost_without_domain_cost():
     entry = make_entry(ManualClock(), 1)
     far = make_worker("w", domain="b")
     assert entry.is_cross_domain(far)
