--- a/tests/relay/test_resting_workers.py
+++ b/tests/relay/test_resting_workers.py
@@ -10,7 +10,7 @@
 from tests.lib.platform_site import platform_site, until
 from tests.lib.relay_parts import make_request
 
-REST_S = 2.0
+BACKOFF_S = 2.0
 
 
 @pytest.fixture
@@ -19,14 +19,14 @@
         yield made
 
 
-def tire(worker, rest=str(REST_S)):
+def start_shedding(worker, backoff=str(BACKOFF_S)):
     """A worker turns all away from now on."""
     worker.fault = WorkerFault.SHED
-    worker.rest = rest
+    worker.rest = backoff
 
 
 @pytest.mark.parametrize("path", ["/safe/x", "/chat/x"])
-async def test_a_worker_that_asked_for_rest_is_not_asked_again(site, path):
+async def test_a_worker_that_asked_for_backoff_gets_no_requests(site, path):
     service = "engine" if path == "/chat/x" else "plain"
     for name in ("w1", "w2"):
         await site.add_worker(name, service)
@@ -34,7 +34,7 @@
     ask = site.chat if service == "engine" else site.ask
     await ask(path)
     asked = next(each for each in site.workers.values() if each.runs)
-    tire(asked)
+    start_shedding(asked)
     for number in range(40):
         # No prompt is kept anywhere.
         prompt = {"X-Prefix-Hash": f"a{number}:400,b{number}:600"}
@@ -42,24 +42,24 @@
     assert asked.shed == 1
 
 
-async def test_with_all_workers_resting_a_request_is_refused_at_once(site):
+async def test_a_request_is_refused_at_once_if_all_workers_back_off(site):
     for name in ("w1", "w2"):
-        tire(await site.add_worker(name))
+        start_shedding(await site.add_worker(name))
     await site.add_entry()
     await site.ask()
     answers = [await site.ask() for _ in range(20)]
     for answer in answers:
         assert answer.status == 503
         assert b"resting 2" in answer.body
-        assert 0.0 < float(answer.headers["Retry-After"]) <= 2.5 * REST_S
+        assert 0.0 < float(answer.headers["Retry-After"]) <= 2.5 * BACKOFF_S
     assert len({answer.headers["Retry-After"] for answer in answers}) > 1
     assert {each.shed for each in site.workers.values()} == {1}
 
 
-async def test_a_rest_ends_by_time(site):
+async def test_a_backoff_ends_after_its_time(site):
     worker = await site.add_worker("w1")
     entry = await site.add_entry()
-    tire(worker, "0.2")
+    start_shedding(worker, "0.2")
     assert (await site.ask()).status == 503
     worker.fault = WorkerFault.NONE
     assert (await site.ask()).status == 503
@@ -70,29 +70,29 @@
     assert (await site.ask()).status == 200
 
 
-async def test_a_rest_is_for_the_entry_that_was_told(site):
+async def test_a_backoff_applies_only_to_the_entry_that_received_it(site):
     for name in ("w1", "w2"):
         await site.add_worker(name)
     first = await site.add_entry("entry-1")
     second = await site.add_entry("entry-2", seeds=[str(first.settings.peers)])
     for worker in site.workers.values():
-        tire(worker)
+        start_shedding(worker)
     await site.ask(entry="entry-1")
     assert first.edge.dispatcher.rests.until
     assert not second.edge.dispatcher.rests.until
 
 
-async def test_one_that_turns_away_without_a_time_is_asked_again(site):
+async def test_a_worker_that_sheds_without_retry_after_is_asked_again(site):
     worker = await site.add_worker("w1")
     await site.add_entry()
-    tire(worker, "")
+    start_shedding(worker, "")
     for _ in range(3):
         await site.ask()
     assert worker.shed == 3
 
 
 @pytest.mark.parametrize(("session", "found"), [("s1", None), ("", "old")])
-async def test_a_session_waits_for_its_version_while_that_rests(
+async def test_a_session_is_not_moved_while_its_version_backs_off(
     site, session, found
 ):
     for name in ("old", "new"):
@@ -102,7 +102,7 @@
     workers = entry.state.directory.workers
     split = Split([workers["new"]], [workers["old"]])
     dispatcher.rollouts = types.SimpleNamespace(split=lambda *_: split)
-    dispatcher.rests.hear(workers["new"].incarnation, REST_S)
+    dispatcher.rests.hear(workers["new"].incarnation, BACKOFF_S)
     course = RequestProgress(make_request(session=session), 1e9, "plain")
     choice = dispatcher.find_worker(course, "")
     assert (choice and choice.worker.id) == found
