--- a/tests/relay/test_rate_limits.py
+++ b/tests/relay/test_rate_limits.py
@@ -13,9 +13,9 @@
 )
 
 RATE_PER_S = 0.5
-TOLD_S = 0.5  # An answer that was passed on counts from then on.
+PROPAGATION_S = 0.5  # An answer that was passed on counts from then on.
 WINDOW_S = 4.0
-ALLOWED = 1.5 * RATE_PER_S * WINDOW_S + 5
+MAX_REQUESTS = 1.5 * RATE_PER_S * WINDOW_S + 5
 
 
 @pytest.fixture
@@ -24,7 +24,7 @@
         yield made
 
 
-async def ask_for(site, seconds, path="/safe/x", pause_s=0.05):
+async def send_for(site, seconds, path="/safe/x", pause_s=0.05):
     """Asks the entries in turn, and returns the answers."""
     loop = asyncio.get_running_loop()
     until = loop.time() + seconds
@@ -36,21 +36,21 @@
     return answers
 
 
-async def test_all_entries_together_keep_within_a_named_limit(site):
+async def test_all_entries_together_keep_a_declared_limit(site):
     for name in ("w1", "w2", "w3"):
         await site.add_worker(name)
     first = await site.add_entry("entry-1")
     seeds = [str(first.settings.peers)]
     await site.add_entry("entry-2", seeds=seeds)
     site.workers["w1"].limit = str(RATE_PER_S)
-    await ask_for(site, 2 * TOLD_S)
+    await send_for(site, 2 * PROPAGATION_S)
     before = len(site.workers["w1"].runs)
-    answers = await ask_for(site, WINDOW_S)
-    assert len(site.workers["w1"].runs) - before <= ALLOWED
+    answers = await send_for(site, WINDOW_S)
+    assert len(site.workers["w1"].runs) - before <= MAX_REQUESTS
     assert {answer.status for answer in answers} == {200}
 
 
-async def limited_site(site, workers=("w1",), entries=2, service="plain"):
+async def make_limited_site(site, workers=("w1",), entries=2, service="plain"):
     """Entries before workers that all name the same limit."""
     for name in workers:
         worker = await site.add_worker(name, service)
@@ -59,29 +59,31 @@
     seeds = [str(first.settings.peers)]
     for number in range(2, entries + 1):
         await site.add_entry(f"entry-{number}", seeds=seeds)
-    await until(lambda: all(knows(each, entries) for each in of_site(site)))
-    return of_site(site)
+    await until(
+        lambda: all(knows_entries(each, entries) for each in entries_of(site))
+    )
+    return entries_of(site)
 
 
-def of_site(site):
+def entries_of(site):
     return list(site.entries.values())
 
 
-def knows(entry, entries):
+def knows_entries(entry, entries):
     return len(entry.fleet.live()) == entries
 
 
-def limited(entry):
+def limits_of(entry):
     return entry.edge.dispatcher.limits.limited
 
 
-async def test_entries_that_were_not_told_hear_of_a_limit_and_of_its_end(site):
-    entries = await limited_site(site, entries=3)
+async def test_a_limit_and_its_end_reach_all_entries(site):
+    entries = await make_limited_site(site, entries=3)
     await site.ask(entry="entry-1")
-    await until(lambda: all(map(limited, entries)))
+    await until(lambda: all(map(limits_of, entries)))
     site.workers["w1"].limit = ""
     senders = 0
-    while any(map(limited, entries)):
+    while any(map(limits_of, entries)):
         for name in site.entries:
             answer = await site.ask(entry=name)
             senders += answer.status == 200
@@ -89,19 +91,19 @@
     assert senders
 
 
-async def test_one_that_starts_hears_of_limits_before_it_sends(site):
-    first, _ = await limited_site(site)
+async def test_a_new_entry_receives_limits_before_it_sends(site):
+    first, _ = await make_limited_site(site)
     await site.ask()
-    await until(lambda: limited(first))
+    await until(lambda: limits_of(first))
     seeds = [str(first.settings.peers)]
     third = await site.add_entry("entry-3", seeds=seeds)
-    await until(lambda: limited(third))
+    await until(lambda: limits_of(third))
     assert len(site.workers["w1"].runs) == 1
 
 
-async def test_with_all_workers_limited_a_request_is_refused_at_once(site):
-    await limited_site(site, workers=("w1", "w2"))
-    answers = await ask_for(site, 1.0)
+async def test_a_request_is_refused_at_once_if_all_workers_are_limited(site):
+    await make_limited_site(site, workers=("w1", "w2"))
+    answers = await send_for(site, 1.0)
     refused = [answer for answer in answers if answer.status == 503]
     assert refused
     for answer in refused:
@@ -110,7 +112,7 @@
     assert len({answer.headers["Retry-After"] for answer in refused}) > 1
 
 
-async def test_a_larger_model_is_bound_by_a_limit_as_well(site):
+async def test_a_limit_also_applies_to_escalations(site):
     worker = await site.add_worker("e1", "engine")
     worker.confidence = {SMALL: 10.0, LARGE: 90.0}
     worker.limit = "0.1"
@@ -121,10 +123,10 @@
     assert [run.headers["x-model"] for run in worker.runs] == [SMALL]
 
 
-async def test_who_answers_that_it_is_another_worker_names_no_limit(site):
+async def test_an_answer_of_another_worker_declares_no_limit(site):
     worker = await site.add_worker("w1")
     worker.id = "w9"
     worker.limit = str(RATE_PER_S)
     entry = await site.add_entry()
     assert (await site.ask()).status == 503
-    assert not limited(entry)
+    assert not limits_of(entry)
