--- a/benchmarks/queues.py
+++ b/benchmarks/queues.py
@@ -66,17 +66,17 @@
             entry = self.waiting[name][0]
             price = entry.cost if self.by_cost else 1.0
             if self.deficit[name] >= price:
-                return self.take(name, price)
+                return self.pop_first(name, price)
             self.rotation.rotate(-1)
-            self.visit()
+            self.add_quantum()
 
-    def visit(self) -> None:
+    def add_quantum(self) -> None:
         """Gives the workspace whose turn begins its quantum."""
         name = self.rotation[0]
         quantum = COST_QUANTUM if self.by_cost else JOB_QUANTUM
         self.deficit[name] += quantum * self.waiting[name][0].share
 
-    def take(self, name: str, price: float) -> Entry:
+    def pop_first(self, name: str, price: float) -> Entry:
         """Takes the workspace's first request."""
         self.deficit[name] -= price
         entry = self.waiting[name].popleft()
@@ -84,7 +84,7 @@
             del self.waiting[name]
             self.rotation.popleft()
             if self.rotation:
-                self.visit()
+                self.add_quantum()
         return entry
 
     def charge(self, workspace: str, cost: float, share: float) -> None:
