--- a/tests/relay/test_decisions.py
+++ b/tests/relay/test_decisions.py
@@ -1,4 +1,4 @@
-"""The relay's decisions, without a network."""
+"""Decision logic of the relay, tested without I/O."""
 
 import random
 
@@ -62,7 +62,7 @@
     return ManualClock()
 
 
-# Workers that come and go.
+# Registration and removal of workers.
 
 
 def test_a_draining_worker_is_excluded_from_its_service(clock):
@@ -118,7 +118,7 @@
     assert [worker.id for worker in directory.of_service("s")] == ["new"]
 
 
-# Workers that fail.
+# Outlier detection.
 
 
 def record_results(health, workers, failing, rounds=20):
@@ -158,7 +158,7 @@
     assert workers[0] in health.usable(workers)
 
 
-# Which worker.
+# Selection of a worker.
 
 
 def make_chooser(clock):
@@ -192,7 +192,7 @@
     workers = make_workers(9)
     request = make_chat()
     for small, model in ((True, "small"), (False, "large")):
-        # Not the one that the prompt's shared parts belong to.
+        # Not the home worker of the prompt's shared parts.
         read = chooser.groups.workers_for(workers, small)[-1]
         chooser.loads.record_prompt_read(read.id, model, request.prompt)
         choice = chooser.choose(request, workers, model)
@@ -229,7 +229,7 @@
     assert kept_tokens(loads, "w", "other", make_prompt(("b", 400))) == 0
 
 
-# Which model.
+# Selection of a model.
 
 
 def test_the_smallest_model_is_asked_first():
@@ -259,10 +259,10 @@
             KeepReason.LOAD,
         ),
         (10.0, 0.5, LargerModelEstimate(FULL_LOAD_WAIT_S, 0.5, 1.0), None),
-        # Its first event would miss the objective, 4 s.
+        # The first event would miss the objective of 4 s.
         (10.0, 3.6, IDLE_ESTIMATE, KeepReason.TIME),
         (10.0, 0.5, LargerModelEstimate(0.0, 3.6, 4.0), KeepReason.TIME),
-        # Its end would miss the deadline, 10 s.
+        # The end would miss the deadline of 10 s.
         (10.0, 0.5, LargerModelEstimate(0.0, 0.5, 9.6), KeepReason.TIME),
         (10.0, 0.5, LargerModelEstimate(0.0, 0.5, 9.4), None),
     ],
@@ -285,7 +285,7 @@
 
 
 def order(rollouts):
-    """Orders a roll-out whose first moments are over."""
+    """Orders a roll-out whose initial hold of sessions has passed."""
     rollouts.take_order(ORDER)
     rollouts.known_at[ORDER.id] = -100.0
 
@@ -356,11 +356,11 @@
         assert not moved_sessions(rollouts, names)
     there.sessions.take(here.sessions.take_news())
     await clock.advance(2.0)
-    # Half go on at the other entry, which heard of them from the first.
+    # Half continue at the other entry, which received them from the first.
     assert not moved_sessions(there, names[:200])
     here.sessions.take(there.sessions.take_news())
     await clock.advance(4.0)
-    # Those are under way yet, the rest have ended.
+    # These are still active, the rest have ended.
     assert not moved_sessions(here, names[:200])
     assert moved_sessions(here, names[200:])
 
@@ -403,7 +403,7 @@
         ({"r": Tally(100, 1)}, {"r": Tally(10, 4)}, True),
         ({"r": Tally(100, 1)}, {"r": Tally(10, 1)}, False),
         ({"r": Tally(100, 30)}, {"r": Tally(10, 3)}, False),
-        # One route alone, among others that are well.
+        # A single failing route among healthy ones.
         (
             {"r": Tally(100, 1), "q": Tally(100, 1)},
             {"r": Tally(40, 0), "q": Tally(8, 4)},
@@ -484,7 +484,7 @@
     assert next_phase(given, BOUND) is RolloutPhase(phase)
 
 
-# Further sends.
+# Retry budgets.
 
 
 def test_the_sum_of_retry_budgets_stays_within_the_operators_bound(clock):
@@ -500,7 +500,7 @@
     assert sent > 0.7 * requests
 
 
-# A planned stop.
+# Draining of an entry.
 
 
 async def test_a_draining_entry_accepts_only_requests_that_can_finish(clock):
