--- a/tests/relay/test_budgets.py
+++ b/tests/relay/test_budgets.py
@@ -1,4 +1,4 @@
-"""Further sends of many entries that each see few requests."""
+"""Retry budgets of many entries that each receive few requests."""
 
 import random
 
@@ -9,13 +9,11 @@
 from tests.lib.clock import ManualClock
 
 BOUNDS = Bounds(retry_ratio=0.9, retry_slack=430, retry_window_s=10.0)
-ESCALATION_SHARE = (
-    0.45  # Of first answers, which are asked again of another model.
-)
+ESCALATION_SHARE = 0.45  # Of first answers.
 
 
 def arrivals(rng, entries, per_s, seconds, burst):
-    """Random times of clumps of requests, and the entry that gets each."""
+    """Returns random times of bursts, and the entry that receives each."""
     count = int(entries * per_s * seconds / burst)
     return sorted(
         (rng.uniform(0.0, seconds), rng.randrange(entries))
@@ -24,7 +22,7 @@
 
 
 def simulate(entries, per_s, seconds, draw_additional, seed=1, burst=1):
-    """Returns when requests came, and which further sends were allowed."""
+    """Returns times of requests and of additional ones, and the refused."""
     rng = random.Random(seed)
     clock = ManualClock()
     budgets = [
@@ -47,7 +45,7 @@
 
 
 def max_excess(requests, sends, window_s):
-    """Further sends beyond the ratio in the worst window."""
+    """Returns the additional requests beyond the ratio in the worst window."""
     worst = 0.0
     for end in sends:
         window = [at for at in sends if end - window_s <= at <= end]
@@ -72,8 +70,9 @@
     requests, sends, refused = simulate(
         entries, 3.0, 20.0, draw_escalation, burst=clump
     )
-    # Only an entry with one or two requests so far has less than one send. A
-    # bucket of two sends refused 841 of 5,284 at 195 entries and clumps of 4.
+    # Only an entry that has received one or two requests has a budget of less
+    # than one. A token bucket of two refused 841 of 5,284 additional requests
+    # with 195 entries and bursts of 4.
     assert refused <= 0.01 * len(sends)
 
 
