--- a/tests/relay/test_model_groups.py
+++ b/tests/relay/test_model_groups.py
@@ -1,4 +1,4 @@
-"""Workers for small and for large models, and how long each model takes."""
+"""Worker groups of small and large models, and timings of models."""
 
 import random
 
@@ -105,7 +105,7 @@
     for share in (0.75, 0.9):
         mixed_s = together.quantile("small", share)
         assert apart.quantile("small", share) < 0.5 * mixed_s
-    # Large ones pay less for it than small ones gain.
+    # Large models lose less by it than small ones gain.
     for share in (0.5, 0.9):
         mixed_s = together.quantile("large", share)
         assert apart.quantile("large", share) < 1.3 * mixed_s
