--- a/tests/relay/test_policy.py
+++ b/tests/relay/test_policy.py
@@ -1,4 +1,4 @@
-"""Mechanisms that operators switch off."""
+"""Mechanisms that operators can disable."""
 
 import attrs
 import pytest
