--- a/tests/relay/test_resting_workers.py
+++ b/tests/relay/test_resting_workers.py
@@ -1,4 +1,4 @@
-"""Workers that turn requests away and ask for rest, before real entries."""
+"""Workers that reject requests and ask for backoff, with real entries."""
 
 import types
 
@@ -20,7 +20,7 @@
 
 
 def start_shedding(worker, backoff=str(BACKOFF_S)):
-    """A worker turns all away from now on."""
+    """Makes a worker reject all requests from now on."""
     worker.fault = WorkerFault.SHED
     worker.rest = backoff
 
@@ -36,7 +36,7 @@
     asked = next(each for each in site.workers.values() if each.runs)
     start_shedding(asked)
     for number in range(40):
-        # No prompt is kept anywhere.
+        # No worker has any part of the prompt cached.
         prompt = {"X-Prefix-Hash": f"a{number}:400,b{number}:600"}
         assert (await ask(path, headers=prompt)).status == 200
     assert asked.shed == 1
