--- a/tests/relay/test_rate_limits.py
+++ b/tests/relay/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""Workers that say how much they take, before real entries."""
+"""Workers that declare rate limits, with real entries."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 )
 
 RATE_PER_S = 0.5
-PROPAGATION_S = 0.5  # An answer that was passed on counts from then on.
+PROPAGATION_S = 0.5  # After this a declared limit applies on all entries.
 WINDOW_S = 4.0
 MAX_REQUESTS = 1.5 * RATE_PER_S * WINDOW_S + 5
 
@@ -25,7 +25,7 @@
 
 
 async def send_for(site, seconds, path="/safe/x", pause_s=0.05):
-    """Asks the entries in turn, and returns the answers."""
+    """Sends requests to the entries in turn, and returns the answers."""
     loop = asyncio.get_running_loop()
     until = loop.time() + seconds
     answers = []
@@ -51,7 +51,7 @@
 
 
 async def make_limited_site(site, workers=("w1",), entries=2, service="plain"):
-    """Entries before workers that all name the same limit."""
+    """Starts entries, and workers that all declare the same limit."""
     for name in workers:
         worker = await site.add_worker(name, service)
         worker.limit = str(RATE_PER_S)
@@ -118,7 +118,7 @@
     worker.limit = "0.1"
     await site.add_entry()
     answer = await site.chat()
-    # The small model's answer is what there is.
+    # Only the small model's answer was possible.
     assert events(answer.body) == [1, 2, 3, 4, 5]
     assert [run.headers["x-model"] for run in worker.runs] == [SMALL]
 
