--- a/benchmarks/queues.py
+++ b/benchmarks/queues.py
@@ -1,4 +1,4 @@
-"""Baselines for fairness: FIFO and deficit round-robin.
+"""Baselines for the fairness benchmark: FIFO and deficit round-robin.
 
 Both have the interface of `dispatch.fairness.TokenCounterQueue`.
 """
@@ -11,13 +11,17 @@
 
 from rattanpier._internal.dispatch.fairness import Entry
 
-JOB_QUANTUM = 4  # Jobs of a visit, times the share, as in the paper.
-COST_QUANTUM = 500.0  # Cost of a visit, times the share.
+JOB_QUANTUM = 4  # Jobs per visit, times the share, as in the paper.
+COST_QUANTUM = 500.0  # Cost per visit, times the share.
 
 
 @attrs.define
 class FifoQueue:
-    """Serves requests in the order of arrival."""
+    """Serves requests in the order of arrival.
+
+    Attributes:
+      entries: Waiting requests, the oldest first.
+    """
 
     entries: collections.deque[Entry] = attrs.Factory(collections.deque)
 
@@ -26,21 +30,27 @@
         self.entries.append(entry)
 
     def pop(self) -> Entry | None:
-        """Takes the oldest request."""
+        """Removes and returns the oldest request; None if there is none."""
         return self.entries.popleft() if self.entries else None
 
     def charge(self, workspace: str, cost: float, share: float) -> None:
-        """Does nothing: FIFO keeps no account."""
+        """Does nothing, since FIFO does not account for costs."""
 
 
 @attrs.define
 class DeficitQueue:
     """Deficit round-robin over workspaces.
 
-    After "Preventing Tenant Starvation with Weighted Queues": a rotation of
-    the tenants with work, and a quantum of work by share at each visit. With
-    `by_cost` the quantum is cost, and real costs are charged to the deficit;
-    without it the quantum is jobs, as in the paper.
+    Follows "Preventing Tenant Starvation with Weighted Queues": tenants with
+    waiting requests are visited in rotation, and each visit adds a quantum by
+    share.
+
+    Attributes:
+      by_cost: Whether the quantum is a cost and actual costs are charged to the
+        deficit; otherwise the quantum is a number of jobs, as in the paper.
+      waiting: Waiting requests by workspace, the oldest first.
+      rotation: Workspaces with waiting requests; the first is visited.
+      deficit: Remaining quantum by workspace, in jobs or cost.
     """
 
     by_cost: bool
@@ -49,7 +59,7 @@
     deficit: dict[str, float] = attrs.Factory(dict)
 
     def push(self, entry: Entry) -> None:
-        """Adds a request; a new workspace joins the rotation's end."""
+        """Adds a request; a new workspace joins the end of the rotation."""
         name = entry.workspace
         if name not in self.waiting:
             self.waiting[name] = collections.deque()
@@ -58,7 +68,7 @@
         self.waiting[name].append(entry)
 
     def pop(self) -> Entry | None:
-        """Takes a request of the workspace whose turn it is."""
+        """Removes and returns the next request; None if there is none."""
         if not self.rotation:
             return None
         while True:
@@ -71,13 +81,18 @@
             self.add_quantum()
 
     def add_quantum(self) -> None:
-        """Gives the workspace whose turn begins its quantum."""
+        """Adds a quantum to the workspace whose visit begins."""
         name = self.rotation[0]
         quantum = COST_QUANTUM if self.by_cost else JOB_QUANTUM
         self.deficit[name] += quantum * self.waiting[name][0].share
 
     def pop_first(self, name: str, price: float) -> Entry:
-        """Takes the workspace's first request."""
+        """Removes and returns a workspace's first request.
+
+        Args:
+          name: Of the workspace.
+          price: Jobs or cost to subtract from its deficit.
+        """
         self.deficit[name] -= price
         entry = self.waiting[name].popleft()
         if not self.waiting[name]:
@@ -88,6 +103,6 @@
         return entry
 
     def charge(self, workspace: str, cost: float, share: float) -> None:
-        """Corrects the deficit by what a request really cost."""
+        """Corrects the deficit when the actual cost of a request is known."""
         if self.by_cost:
             self.deficit[workspace] = self.deficit.get(workspace, 0.0) - cost
