--- a/src/rattanpier/_internal/relay/dispatch.py
+++ b/src/rattanpier/_internal/relay/dispatch.py
@@ -1,4 +1,8 @@
-"""What every answer needs: a worker, leave to send again, what was learned."""
+"""Shared steps of answering a request.
+
+Selects the worker of each upstream request, decides whether another one is
+allowed, and records what the answers showed.
+"""
 
 from __future__ import annotations
 
@@ -28,13 +32,7 @@
 )
 from rattanpier._internal.placement.rate_limits import RateLimits
 from rattanpier._internal.placement.rests import Rests
-from rattanpier._internal.relay.budgets import SendBudget
-from rattanpier._internal.relay.course import (
-    LEAST_LEFT_S,
-    Course,
-    give_up,
-    rounded,
-)
+from rattanpier._internal.relay.budgets import ServiceRetryBudget
 from rattanpier._internal.relay.directory import WorkerDirectory
 from rattanpier._internal.relay.exchange import (
     Sender,
@@ -43,6 +41,12 @@
 from rattanpier._internal.relay.health import Health
 from rattanpier._internal.relay.load import InFlight, Loads
 from rattanpier._internal.relay.placement import Choice, Chooser
+from rattanpier._internal.relay.request_progress import (
+    MIN_TIME_LEFT_S,
+    RequestProgress,
+    final_answer,
+    round_for_log,
+)
 from rattanpier._internal.relay.rollouts import Rollouts
 from rattanpier._internal.relay.worker_ends import WorkerEnds
 from rattanpier._internal.retries.quarantine import Quarantine
@@ -51,29 +55,41 @@
 
 log = structlog.get_logger(part="dispatch")
 
-# Nobody knows when operators take a failure domain back. Those who come again
-# within a second or two are served if it was for a moment.
-DRAINED_RETRY_S = 2.0
-MAX_WHOLE_BYTES = 16 * 2**20  # Of an answer that is not a stream.
+# It is not known when operators return a drained failure domain to service.
+# Callers that retry within a second or two are served if the drain was brief.
+DRAINED_RETRY_AFTER_S = 2.0
+MAX_ANSWER_BYTES = 16 * 2**20  # Limit of an answer that is not streamed.
 
 
 @attrs.define(eq=False, repr=False)
 class Dispatcher:
-    """What answers need of this entry, and where they leave what they show.
+    """The components of this entry that answering a request depends on.
 
-    `answering.answer` begins one; `plain_answers`, `stream_answers` and
+    `answering.answer` starts an answer; `plain_answers`, `stream_answers` and
     `escalation` carry it out.
 
     Attributes:
-      conditions: What keeps requests from workers, one after the other.
-      opens_in_s: Returns the seconds until a worker takes a request; 0: now.
-      note_begun: Told of each worker that a send is begun to.
-      limits: What workers say that they take.
-      rests: Which want nothing from this entry for a while.
-      budgets: Sends beyond the first of each request, by service.
-      policy: Mechanisms that are on.
-      tell_prompt: Told of each prompt that is sent: the worker's id, the
-        model, the prompt and the seconds in which it is likely read.
+      clock: Source of monotonic time.
+      metrics: Counters and timings.
+      directory: Registered workers.
+      health: Recent failures of workers.
+      loads: Load of each worker.
+      chooser: Selects among eligible workers.
+      sender: Sends requests to workers.
+      ends: Which worker processes have ended.
+      conditions: Filters of eligible workers, applied in this order.
+      available_in_s: Returns the seconds until a worker accepts a request; 0
+        if it does now.
+      on_request_started: Called with the worker of each upstream request when
+        it starts.
+      limits: Rate limits that workers have declared.
+      rests: Workers that asked this entry to back off.
+      quarantine: Requests under which workers crashed.
+      rollouts: Roll-outs of versions.
+      budgets: Upstream requests beyond the first of each request, by service.
+      policy: Enabled mechanisms.
+      publish_prompt: Called for each prompt that is sent, with the worker's
+        id, the model, the prompt and the estimated seconds to read it.
     """
 
     clock: Clock
@@ -85,20 +101,20 @@
     sender: Sender
     ends: WorkerEnds
     conditions: Sequence[Condition]
-    opens_in_s: Callable[[RegisteredWorker], float]
-    note_begun: Callable[[RegisteredWorker], None]
+    available_in_s: Callable[[RegisteredWorker], float]
+    on_request_started: Callable[[RegisteredWorker], None]
     limits: RateLimits
     rests: Rests
     quarantine: Quarantine
     rollouts: Rollouts
-    budgets: Mapping[str, SendBudget]
+    budgets: Mapping[str, ServiceRetryBudget]
     policy: Policy = USUAL
-    tell_prompt: Callable[[str, str, Prompt, float], None] = attrs.field(
+    publish_prompt: Callable[[str, str, Prompt, float], None] = attrs.field(
         default=lambda _worker, _model, _prompt, _read_s: None
     )
 
     def pick_service(self, request: RelayRequest) -> str:
-        """Returns the service that a request goes to, by weight."""
+        """Returns a service of the request's route, drawn by weight."""
         shares = request.route.shares
         if len(shares) == 1:
             return shares[0].service
@@ -106,105 +122,133 @@
         names = [share.service for share in shares]
         return self.chooser.rng.choices(names, weights)[0]
 
-    # Choosing.
+    # Selecting a worker.
 
-    def choose(self, course: Course) -> Choice | None:
-        """Returns the worker for the next send, which begins now, or None."""
-        choice = self.expect(course, course.model)
+    def choose(self, progress: RequestProgress) -> Choice | None:
+        """Returns the worker of the next upstream request, or None.
+
+        The request counts as started.
+        """
+        choice = self.find_worker(progress, progress.model)
         if choice is not None:
-            self.note_begun(choice.worker)
+            self.on_request_started(choice.worker)
         return choice
 
-    def expect(self, course: Course, model: str) -> Choice | None:
-        """Returns the worker that a model would be asked of now, or None.
+    def find_worker(
+        self, progress: RequestProgress, model: str
+    ) -> Choice | None:
+        """Returns the worker that would run a model now, or None.
 
-        The version goes before all else: that its workers are left out is no
-        reason for a wider exposure, or to move a session.
+        The version is decided first: if the workers of a version are excluded
+        by a condition, this neither widens the exposure of the other version
+        nor moves a session.
         """
-        request = course.request
-        workers = self.directory.of_service(course.service)
-        split = self.rollouts.split(request, course.service, workers)
-        course.left_out = {}
-        leaving = self.directory.leaving_of_service(course.service)
+        request = progress.request
+        workers = self.directory.of_service(progress.service)
+        split = self.rollouts.split(request, progress.service, workers)
+        progress.excluded = {}
+        leaving = self.directory.leaving_of_service(progress.service)
         if leaving:
-            self.count_left_out(course, LEAVING, leaving)
+            self.count_excluded(progress, LEAVING, leaving)
         for group in (split.first, split.otherwise):
-            found = eligible(self.conditions, course, group)
-            self.note_left_out(course, group, found)
+            found = eligible(self.conditions, progress, group)
+            self.record_excluded(progress, group, found)
             choice = self.chooser.choose(request, found.workers, model)
             if choice is not None:
                 return choice
             if request.session and not OWN_WORDS.isdisjoint(found.left_out):
-                # The session's version is back before long.
+                # The session's version accepts requests again soon.
                 return None
         return None
 
-    def note_left_out(
-        self, course: Course, group: Sequence[RegisteredWorker], found: Eligible
+    def record_excluded(
+        self,
+        progress: RequestProgress,
+        group: Sequence[RegisteredWorker],
+        found: Eligible,
     ) -> None:
-        """Takes in what kept a request from the workers of a version."""
+        """Records which conditions excluded workers of a version."""
         for name, count in found.left_out.items():
-            self.count_left_out(course, name, count)
+            self.count_excluded(progress, name, count)
         if not TIMED.isdisjoint(found.left_out):
-            course.opens_in_s = self.retry_in_s(group)
+            progress.available_in_s = self.retry_after_s(group)
         elif DRAINED_DOMAIN in found.left_out:
-            course.opens_in_s = DRAINED_RETRY_S
+            progress.available_in_s = DRAINED_RETRY_AFTER_S
 
-    def count_left_out(self, course: Course, name: str, count: int) -> None:
-        """Takes in that a condition kept a request from some workers."""
+    def count_excluded(
+        self, progress: RequestProgress, name: str, count: int
+    ) -> None:
+        """Counts workers that a condition excluded."""
         self.metrics.count(f"relay.left_out.{name}")
-        course.left_out[name] = course.left_out.get(name, 0) + count
+        progress.excluded[name] = progress.excluded.get(name, 0) + count
+
+    def retry_after_s(
+        self, workers: Sequence[RegisteredWorker]
+    ) -> float | None:
+        """Returns the seconds until a caller should retry.
 
-    def retry_in_s(self, workers: Sequence[RegisteredWorker]) -> float | None:
-        """Returns when to come back for one of some closed workers.
+        The result is jittered to up to twice the wait for the first of these
+        workers to accept requests, so that callers refused at the same moment
+        do not return together.
 
-        Callers that are refused at the same moment are spread over as long
-        again as the soonest of them has to wait.
+        Returns:
+          None if all workers accept requests now.
         """
-        wait_s = soonest_s(self.opens_in_s, workers)
+        wait_s = soonest_s(self.available_in_s, workers)
         if wait_s is None:
             return None
         return wait_s * (1.0 + self.chooser.rng.random())
 
-    def begin_flight(
-        self, course: Course, worker: RegisteredWorker, read_s: float
+    def add_in_flight(
+        self, progress: RequestProgress, worker: RegisteredWorker, read_s: float
     ) -> InFlight:
-        """Counts a request in at a worker."""
-        suspect = self.quarantine.suspects(course.request.content)
+        """Adds a request to those in flight at a worker.
+
+        Args:
+          progress: The request.
+          worker: Where it is sent.
+          read_s: Estimated seconds in which the worker reads its prompt.
+        """
+        suspect = self.quarantine.suspects(progress.request.content)
         return self.loads.begin(worker.id, read_s, suspect)
 
-    def may_send_again(self, course: Course) -> bool:
-        """Says whether a request may be sent to one more worker."""
-        request = course.request
-        course.held_s = self.quarantine.held_s(request.content)
-        if course.held_s:
+    def may_send(self, progress: RequestProgress) -> bool:
+        """Returns whether a request may be sent to another worker.
+
+        An additional upstream request is taken from the retry budget.
+        """
+        request = progress.request
+        progress.quarantined_s = self.quarantine.held_s(request.content)
+        if progress.quarantined_s:
             self.metrics.count("relay.held")
-            course.reason = "workers ended under this request"
+            progress.reason = "workers ended under this request"
             return False
-        if course.granted:
-            course.granted = False
+        if progress.next_send_allowed:
+            progress.next_send_allowed = False
             return True
-        if course.sent >= request.route.max_workers:
+        if progress.sent >= request.route.max_workers:
             return False
-        if course.may_have_run and not request.route.repeatable:
+        if progress.may_have_run and not request.route.repeatable:
             return False
-        if self.left_s(course) <= LEAST_LEFT_S:
+        if self.left_s(progress) <= MIN_TIME_LEFT_S:
             return False
-        if course.sent and not self.budgets[course.service].take():
+        if progress.sent and not self.budgets[progress.service].try_acquire():
             self.metrics.count("relay.budget_spent")
-            course.reason = course.reason or "retry budget spent"
+            progress.reason = progress.reason or "retry budget spent"
             return False
         return True
 
-    def left_s(self, course: Course) -> float:
-        """Returns the seconds until the caller or the route gives up."""
-        return course.loop_deadline - asyncio.get_running_loop().time()
-
-    def note_send(self, course: Course, choice: Choice) -> Sending:
-        """Counts a send and returns what the worker is told."""
-        request = course.request
-        course.sent += 1
-        course.tried.add(choice.worker.id)
+    def left_s(self, progress: RequestProgress) -> float:
+        """Returns the seconds until the deadline of the caller or the route."""
+        return progress.loop_deadline - asyncio.get_running_loop().time()
+
+    def record_upstream_request(
+        self, progress: RequestProgress, choice: Choice
+    ) -> Sending:
+        """Records an upstream request and returns its parameters."""
+        request = progress.request
+        progress.sent += 1
+        progress.tried.add(choice.worker.id)
         self.metrics.count("relay.sent")
         log.info(
             "Sent.",
@@ -213,115 +257,135 @@
             route=request.route.name,
             worker=choice.worker.id,
             version=choice.worker.version,
-            model=course.model,
-            send=course.sent,
+            model=progress.model,
+            send=progress.sent,
             cost=round(choice.cost, 2),
             to_read=round(choice.to_read),
             candidates=choice.candidates,
-            left_out=course.left_out,
+            left_out=progress.excluded,
             session=request.session,
-            report_age_s=rounded(choice.report_age_s),
-            left_s=round(self.left_s(course), 3),
+            report_age_s=round_for_log(choice.report_age_s),
+            left_s=round(self.left_s(progress), 3),
         )
         return Sending(
             worker=choice.worker,
-            left_s=self.left_s(course),
-            model=course.model,
+            left_s=self.left_s(progress),
+            model=progress.model,
             urgency=request.priority if request.route.streaming else None,
-            after_event=course.order.last,
+            after_event=progress.order.last,
         )
 
-    def refuse(self, course: Course) -> WholeAnswer | AnswerRefused:
-        """Returns the final answer to a request that nobody answered."""
-        found = give_up(course, self.left_s(course))
+    def refuse(self, progress: RequestProgress) -> WholeAnswer | AnswerRefused:
+        """Returns the final answer to a request that no worker answered."""
+        found = final_answer(progress, self.left_s(progress))
         if isinstance(found, AnswerRefused):
             self.metrics.count(f"relay.refused.{found.refusal.code.value}")
         return found
 
-    # Judging.
+    # Recording results.
 
-    def note_failed(
-        self, course: Course, worker: RegisteredWorker, error: SendError
+    def record_send_error(
+        self,
+        progress: RequestProgress,
+        worker: RegisteredWorker,
+        error: SendError,
     ) -> None:
-        """Takes in that a send failed."""
-        course.reason = str(error)
-        course.retry_after_s = error.retry_after_s
+        """Records that an upstream request failed."""
+        progress.reason = str(error)
+        progress.retry_after_s = error.retry_after_s
         if not error.not_run:
-            course.may_have_run = True
-            self.note_result(course, worker, bad=True, relative_s=None)
+            progress.may_have_run = True
+            self.record_result(progress, worker, bad=True, relative_s=None)
         elif error.misdirected or not error.connected:
-            # A worker that started anew at the same address has another id:
-            # the one that was asked for is gone, though still registered.
-            self.health.note_unreachable(worker)
+            # A process restarted at the same address has another id: the
+            # requested one no longer exists although it is still registered.
+            self.health.record_unreachable(worker)
         reason = "not_run" if error.not_run else "may_have_run"
         self.metrics.count(f"relay.send_failed.{reason}")
         log.info(
             "Send failed.",
-            request=course.request.id,
-            content=course.request.content,
+            request=progress.request.id,
+            content=progress.request.content,
             worker=worker.id,
-            reason=course.reason,
+            reason=progress.reason,
             not_run=error.not_run,
             connected=error.connected,
         )
 
-    async def note_broken(
-        self, course: Course, worker: RegisteredWorker, error: SendError
+    async def handle_send_error(
+        self,
+        progress: RequestProgress,
+        worker: RegisteredWorker,
+        error: SendError,
     ) -> None:
-        """Takes in that a send failed, and looks whether its worker ended."""
+        """Records a failed upstream request, and whether its worker crashed."""
         if not error.not_run:
-            # A caller that leaves meanwhile does not undo the end.
-            await asyncio.shield(self.look_for_end(course.request, worker))
-        self.note_failed(course, worker, error)
+            # The crash is recorded even if the caller disconnects meanwhile.
+            await asyncio.shield(self.check_for_crash(progress.request, worker))
+        self.record_send_error(progress, worker, error)
 
-    async def look_for_end(
+    async def check_for_crash(
         self, request: RelayRequest, worker: RegisteredWorker
     ) -> None:
-        """Counts a worker's end against a request, if it ended."""
+        """Attributes a crash of a worker to a request, if it crashed."""
         if not await self.ends.has_ended(worker):
             return
         self.metrics.count("relay.worker_ended")
         log.info(
-            "Worker ended under a request.",
+            "Worker crashed during a request.",
             request=request.id,
             content=request.content,
             worker=worker.id,
         )
         self.quarantine.note_end(request.content, worker.incarnation)
 
-    def note_result(
+    def record_result(
         self,
-        course: Course,
+        progress: RequestProgress,
         worker: RegisteredWorker,
         bad: bool,
         relative_s: float | None,
     ) -> None:
-        """Lets health and roll-outs learn from an answer."""
+        """Records a result in worker health and roll-out evidence.
+
+        Args:
+          progress: The request.
+          worker: Whose result it is.
+          bad: Whether the worker failed.
+          relative_s: Time to the answer relative to the work of the request,
+            for the comparison of versions; None if not measured.
+        """
         peers = self.directory.of_service(worker.service)
-        self.health.note(worker, bad, peers)
+        self.health.record_result(worker, bad, peers)
         if bad and self.quarantine.explains(worker.incarnation):
-            # A version is not worse for a request that ends all workers.
+            # A request that crashes any worker is no evidence against a
+            # version.
             return
-        self.rollouts.note(worker, course.request.route.name, bad, relative_s)
+        self.rollouts.note(worker, progress.request.route.name, bad, relative_s)
 
-    def note_worker_failure(
-        self, course: Course, worker: RegisteredWorker, answer: WholeAnswer
+    def record_worker_failure(
+        self,
+        progress: RequestProgress,
+        worker: RegisteredWorker,
+        answer: WholeAnswer,
     ) -> None:
-        """Takes in that a worker ran a request and failed."""
-        course.may_have_run = True
-        course.failure = answer
-        course.reason = f"worker failed with {answer.status}"
+        """Records that a worker ran a request and returned a failure."""
+        progress.may_have_run = True
+        progress.failure = answer
+        progress.reason = f"worker failed with {answer.status}"
         self.metrics.count("relay.worker_failed")
         log.info(
             "Worker failed.",
-            request=course.request.id,
+            request=progress.request.id,
             worker=worker.id,
             status=answer.status,
         )
 
-    def note_late(self, course: Course, worker: RegisteredWorker) -> None:
-        """Takes in that the time ran out at a worker."""
-        course.may_have_run = True
-        course.reason = "time ran out at the worker"
-        self.note_result(course, worker, bad=True, relative_s=None)
+    def record_timeout(
+        self, progress: RequestProgress, worker: RegisteredWorker
+    ) -> None:
+        """Records that a request timed out at a worker."""
+        progress.may_have_run = True
+        progress.reason = "time ran out at the worker"
+        self.record_result(progress, worker, bad=True, relative_s=None)
         self.metrics.count("relay.late")
--- a/src/rattanpier/_internal/relay/escalation.py
+++ b/src/rattanpier/_internal/relay/escalation.py
@@ -1,4 +1,4 @@
-"""Whether a doubtful answer is dropped, and a larger model asked."""
+"""Decides whether an answer is dropped in favour of a larger model's."""
 
 from __future__ import annotations
 
@@ -9,81 +9,101 @@
 from rattanpier._internal.models.relay_request import RelayRequest
 from rattanpier._internal.models.sending import AnswerHead
 from rattanpier._internal.models.worker import RegisteredWorker
-from rattanpier._internal.relay.course import Course, rounded
 from rattanpier._internal.relay.dispatch import Dispatcher
 from rattanpier._internal.relay.model_choice import (
-    ENOUGH_CONFIDENCE,
-    Kept,
-    Outlook,
+    MIN_CONFIDENCE,
+    KeepReason,
+    LargerModelEstimate,
     judge_answer,
     larger_model,
 )
 from rattanpier._internal.relay.placement import Choice
+from rattanpier._internal.relay.request_progress import (
+    RequestProgress,
+    round_for_log,
+)
 
 log = structlog.get_logger(part="dispatch")
 
 
-def goes_on(
+def should_escalate(
     dispatcher: Dispatcher,
-    course: Course,
+    progress: RequestProgress,
     worker: RegisteredWorker,
     head: AnswerHead,
 ) -> bool:
-    """Says whether an answer is dropped for a larger model's."""
-    request = course.request
-    larger = larger_model(request, course.model)
+    """Returns whether an answer is dropped and a larger model is asked.
+
+    If so, the request continues with the larger model and is allowed one more
+    upstream request.
+
+    Args:
+      dispatcher: Components of this entry.
+      progress: The request.
+      worker: Worker that gave the answer.
+      head: Head of the answer.
+    """
+    request = progress.request
+    larger = larger_model(request, progress.model)
     if not dispatcher.policy.cascade or not larger or head.confidence is None:
         return False
-    if head.confidence >= ENOUGH_CONFIDENCE:
+    if head.confidence >= MIN_CONFIDENCE:
         return False
-    tried = course.tried
-    # The same worker may well be the best: it is not ruled out.
-    course.tried = tried - {worker.id}
-    choice = dispatcher.expect(course, larger)
-    outlook = expect_larger(dispatcher, request, larger, choice)
-    kept = judge_answer(
+    tried = progress.tried
+    # The same worker may be the best one for the larger model as well.
+    progress.tried = tried - {worker.id}
+    choice = dispatcher.find_worker(progress, larger)
+    estimate = estimate_larger_model(dispatcher, request, larger, choice)
+    keep_reason = judge_answer(
         request,
         head.confidence,
         dispatcher.clock.monotonic(),
-        outlook,
+        estimate,
         dispatcher.policy,
     )
-    if kept is None and not dispatcher.may_send_again(course):
-        kept = Kept.BUDGET
+    if keep_reason is None and not dispatcher.may_send(progress):
+        keep_reason = KeepReason.BUDGET
     log.info(
         "Answer judged.",
         request=request.id,
         worker=worker.id,
-        model=course.model,
+        model=progress.model,
         confidence=head.confidence,
-        kept=None if kept is None else kept.value,
-        wait_s=rounded(outlook.wait_s),
-        first_s=rounded(outlook.first_s),
-        whole_s=rounded(outlook.whole_s),
+        kept=None if keep_reason is None else keep_reason.value,
+        wait_s=round_for_log(estimate.wait_s),
+        first_s=round_for_log(estimate.first_s),
+        whole_s=round_for_log(estimate.whole_s),
         larger=larger,
     )
-    if kept is not None:
-        course.tried = tried
-        dispatcher.metrics.count(f"relay.kept.{kept.value}")
+    if keep_reason is not None:
+        progress.tried = tried
+        dispatcher.metrics.count(f"relay.kept.{keep_reason.value}")
         return False
-    course.granted = True
+    progress.next_send_allowed = True
     dispatcher.metrics.count("relay.larger_model")
-    course.model = larger
-    course.may_have_run = True
+    progress.model = larger
+    progress.may_have_run = True
     return True
 
 
-def expect_larger(
+def estimate_larger_model(
     dispatcher: Dispatcher,
     request: RelayRequest,
     model: str,
     choice: Choice | None,
-) -> Outlook:
-    """Returns what is expected of a model at the worker chosen for it."""
+) -> LargerModelEstimate:
+    """Returns the expected durations of a larger model's answer.
+
+    Args:
+      dispatcher: Components of this entry.
+      request: The request.
+      model: The larger model.
+      choice: Worker selected for it; all durations are infinite if None.
+    """
     if choice is None:
-        return Outlook(math.inf, math.inf, math.inf)
-    pace = dispatcher.chooser.pace
-    wait_s = max(choice.wait_s, pace.wait_s(model, request.priority))
-    stream_s = pace.stream_s(model, request.prompt.expected_output)
+        return LargerModelEstimate(math.inf, math.inf, math.inf)
+    timings = dispatcher.chooser.timings
+    wait_s = max(choice.wait_s, timings.wait_s(model, request.priority))
+    stream_s = timings.stream_s(model, request.prompt.expected_output)
     first_s = choice.read_s + wait_s
-    return Outlook(choice.wait_s, first_s, first_s + stream_s)
+    return LargerModelEstimate(choice.wait_s, first_s, first_s + stream_s)
--- a/src/rattanpier/_internal/relay/placement.py
+++ b/src/rattanpier/_internal/relay/placement.py
@@ -1,9 +1,9 @@
-"""Which worker gets a request: the one where it is likely answered first.
+"""Selects the worker that is expected to answer a request first.
 
-Code without a network: it weighs what `Loads` and `Pace` know. For model
-engines the unit is seconds until this request's first event, most of which go
-into reading prompts, one after another; running requests share each step and
-add little. For plain services it is the share of a worker's slots in use.
+Free of I/O: costs are computed from `Loads` and `ModelTimings`. For model
+engines the cost is the expected seconds to the request's first event. Most of
+it is prompt reading, which is sequential; running requests share each step and
+add little. For plain services the cost is the share of a worker's slots in use.
 """
 
 from __future__ import annotations
@@ -16,42 +16,45 @@
 from rattanpier._internal.models.policy import USUAL, Policy
 from rattanpier._internal.models.relay_request import Prompt, RelayRequest
 from rattanpier._internal.models.worker import RegisteredWorker
-from rattanpier._internal.relay.load import Loads, weighed_parts
+from rattanpier._internal.relay.load import Loads, part_sizes
 from rattanpier._internal.relay.model_groups import ModelGroups
-from rattanpier._internal.relay.pace import Pace
+from rattanpier._internal.relay.model_timings import ModelTimings
 from rattanpier._internal.relay.prompt_updates import MIN_PUBLISHED_READ_S
 from rattanpier._internal.utils.hashing import most_preferred
 
-# A request that another entry has running slows each step a little.
-RUNNING_S = 0.008
-# Entries agree on the worker that a shared part belongs to. That it holds the
-# part is likely but not known, so it counts for less than a part seen there.
-HOME_TRUST = 0.7
-# Bytes between failure domains are paid for: worth a detour of so many seconds,
-# and for each token of the prompt.
-FAR_S = 0.01
-FAR_TOKEN_S = 1e-5
-FAR_SLOTS = 0.34  # For plain services: a third of a worker's slots.
-# What a worker of the other group has to be better by. A large model's prompt
-# among the smallest one's streams holds them all up, the reverse only itself.
-LARGE_AMONG_SMALL_S = 0.8
-SMALL_AMONG_LARGE_S = 0.25
-JITTER = 0.02  # Breaks ties, so that entries do not all choose alike.
+# Each running request, of any entry, slows each step a little.
+RUNNING_REQUEST_COST_S = 0.008
+# All entries compute the same home worker for a shared part. It probably has
+# the part cached, but this is not known, so the part counts for less than one
+# that this entry has seen there.
+HOME_HIT_PROBABILITY = 0.7
+# Traffic between failure domains is charged for: equivalent seconds for each
+# request, and for each token of its prompt.
+CROSS_DOMAIN_COST_S = 0.01
+CROSS_DOMAIN_TOKEN_COST_S = 1e-5
+# For plain services the equivalent is a third of a worker's slots.
+CROSS_DOMAIN_COST_SLOTS = 0.34
+# By how much a worker of the other group has to be better. A large model's
+# prompt delays all streams of the smallest model beside it, while a small
+# model's request among large ones delays only itself.
+LARGE_IN_SMALL_GROUP_COST_S = 0.8
+SMALL_IN_LARGE_GROUP_COST_S = 0.25
+COST_JITTER = 0.02  # Breaks ties, so that entries choose differently.
 
 
 @attrs.frozen
 class Choice:
-    """A worker and why.
+    """The selected worker and the figures behind the selection.
 
     Attributes:
       worker: The worker.
-      cost: Seconds to the first event and what stands for prices, or slots in
-        use for plain services.
-      to_read: Prompt tokens that it has to read for the request.
-      read_s: Seconds in which it reads them.
-      wait_s: Seconds that other requests are read before.
-      candidates: Workers that were weighed.
-      report_age_s: Age of its last load report, or None.
+      cost: Expected seconds to the first event plus the equivalents of costs
+        for traffic and groups; for plain services, the share of slots in use.
+      to_read: Tokens of the prompt that it has not cached.
+      candidates: Number of workers that were compared.
+      report_age_s: Age of its last load report in seconds, or None.
+      read_s: Expected seconds to read `to_read` tokens.
+      wait_s: Expected seconds until other prompts there have been read.
     """
 
     worker: RegisteredWorker
@@ -65,21 +68,21 @@
 
 @attrs.define(eq=False, repr=False)
 class Chooser:
-    """Weighs workers.
+    """Compares workers by cost.
 
     Attributes:
-      loads: What is known of them.
+      loads: Load of each worker.
       domain: This entry's failure domain.
-      rng: Breaks ties.
-      pace: How long each model takes.
-      groups: Which workers are for which models.
-      policy: Mechanisms that are on.
+      rng: Random source that breaks ties.
+      timings: Durations of each model.
+      groups: Division of workers between small and large models.
+      policy: Enabled mechanisms.
     """
 
     loads: Loads
     domain: str
     rng: random.Random
-    pace: Pace
+    timings: ModelTimings
     groups: ModelGroups
     policy: Policy = USUAL
 
@@ -96,52 +99,58 @@
             return self.choose_engine(request, workers, model)
         return self.choose_plain(workers)
 
-    def is_far(self, worker: RegisteredWorker) -> bool:
-        """Says whether bytes to a worker cross failure domains, and count."""
+    def is_cross_domain(self, worker: RegisteredWorker) -> bool:
+        """Returns whether a worker is in another domain, if that has a cost."""
         return self.policy.domain_cost and worker.domain != self.domain
 
     def choose_plain(self, workers: Sequence[RegisteredWorker]) -> Choice:
-        """Returns the worker with most free slots."""
+        """Returns the worker with the smallest share of slots in use."""
         now = self.loads.clock.monotonic()
 
-        def weigh(worker: RegisteredWorker) -> float:
+        def cost_of(worker: RegisteredWorker) -> float:
             load = self.loads.workers[worker.id]
-            running, waiting = load.others(now)
+            running, waiting = load.peer_requests(now)
             used = (len(load.running) + running + waiting) / worker.slots
-            far = FAR_SLOTS if self.is_far(worker) else 0.0
-            return used + far + JITTER * self.rng.random()
+            domain_cost = (
+                CROSS_DOMAIN_COST_SLOTS if self.is_cross_domain(worker) else 0.0
+            )
+            return used + domain_cost + COST_JITTER * self.rng.random()
 
-        cost, worker = self.least(workers, weigh)
-        return self.make(worker, cost, 0.0, len(workers), now)
+        cost, worker = self.lowest_cost(workers, cost_of)
+        return self.make_choice(worker, cost, 0.0, len(workers), now)
 
-    def least(
+    def lowest_cost(
         self,
         workers: Sequence[RegisteredWorker],
-        weigh: Callable[[RegisteredWorker], float],
+        cost_of: Callable[[RegisteredWorker], float],
     ) -> tuple[float, RegisteredWorker]:
-        """Returns the least cost and the worker that has it."""
-        costs = [weigh(worker) for worker in workers]
+        """Returns the lowest cost and the worker that has it."""
+        costs = [cost_of(worker) for worker in workers]
         cost = min(costs)
         return cost, workers[costs.index(cost)]
 
-    def waiting_s(
-        self, worker: RegisteredWorker, usual_read_s: float, now: float
+    def queue_wait_s(
+        self, worker: RegisteredWorker, typical_read_s: float, now: float
     ) -> float:
-        """Returns the seconds for which others are read before a request.
+        """Returns the expected wait of a request for other prompts.
 
         Args:
           worker: Where it would wait.
-          usual_read_s: What others have waiting there is taken to be such as
-            was seen here, unless they told of more.
+          typical_read_s: Seconds to read a typical prompt seen by this entry.
+            Requests of peers that wait at the worker are assumed to take as
+            long, unless peers have published more work.
           now: Monotonic seconds.
+
+        Returns:
+          Seconds.
         """
         load = self.loads.workers[worker.id]
-        running, waiting = load.others(now)
-        told_s = max(0.0, load.others_until - now)
+        running, waiting = load.peer_requests(now)
+        published_s = max(0.0, load.peer_prompts_until - now)
         return (
-            load.pending_s()
-            + RUNNING_S * (len(load.running) + running)
-            + max(waiting * usual_read_s, told_s)
+            load.pending_read_s()
+            + RUNNING_REQUEST_COST_S * (len(load.running) + running)
+            + max(waiting * typical_read_s, published_s)
         )
 
     def choose_engine(
@@ -150,81 +159,95 @@
         workers: Sequence[RegisteredWorker],
         model: str,
     ) -> Choice:
-        """Returns the worker where the request is likely answered first.
+        """Returns the worker that is expected to answer first.
 
-        What is the same for all workers is found once, so that callers wait
-        less on a slow VM.
+        Values common to all workers are computed once, which shortens the
+        latency of requests on a slow VM.
         """
         now = self.loads.clock.monotonic()
         small = is_smallest(request, model)
-        group = workers
+        preferred = workers
         if small is not None and self.policy.groups:
-            group = self.groups.of(workers, small)
-        members = {worker.id for worker in group}
+            preferred = self.groups.workers_for(workers, small)
+        preferred_ids = {worker.id for worker in preferred}
         prompt = request.prompt
-        home = home_of(prompt, group) if self.policy.homes else ""
-        parts = weighed_parts(model, prompt)
-        token_s = self.pace.token_read_s(model)
-        usual_read_s = self.pace.usual_read_s(model)
-        far_s = FAR_S + FAR_TOKEN_S * prompt.tokens
-        apart_s = SMALL_AMONG_LARGE_S if small else LARGE_AMONG_SMALL_S
+        home = home_of(prompt, preferred) if self.policy.homes else ""
+        parts = part_sizes(model, prompt)
+        token_s = self.timings.token_read_s(model)
+        typical_read_s = self.timings.typical_read_s(model)
+        domain_cost_s = (
+            CROSS_DOMAIN_COST_S + CROSS_DOMAIN_TOKEN_COST_S * prompt.tokens
+        )
+        group_cost_s = (
+            SMALL_IN_LARGE_GROUP_COST_S
+            if small
+            else LARGE_IN_SMALL_GROUP_COST_S
+        )
 
         def to_read(worker: RegisteredWorker) -> float:
-            kept: float = self.loads.kept_tokens(worker.id, parts, now)
+            cached: float = self.loads.cached_tokens(worker.id, parts, now)
             if worker.id == home:
                 shared = sum(part.tokens for part in prompt.parts[:-1])
-                trust = self.home_trust(token_s * shared)
-                kept = max(kept, trust * shared)
-            return max(0.0, prompt.tokens - kept)
+                probability = self.home_hit_probability(token_s * shared)
+                cached = max(cached, probability * shared)
+            return max(0.0, prompt.tokens - cached)
 
-        def weigh(worker: RegisteredWorker) -> float:
+        def cost_of(worker: RegisteredWorker) -> float:
             cost = token_s * to_read(worker)
-            cost += self.waiting_s(worker, usual_read_s, now)
-            if self.is_far(worker):
-                cost += far_s
-            if worker.id not in members:
-                cost += apart_s
-            return cost * (1.0 + JITTER * self.rng.random())
-
-        cost, worker = self.least(workers, weigh)
+            cost += self.queue_wait_s(worker, typical_read_s, now)
+            if self.is_cross_domain(worker):
+                cost += domain_cost_s
+            if worker.id not in preferred_ids:
+                cost += group_cost_s
+            return cost * (1.0 + COST_JITTER * self.rng.random())
+
+        cost, worker = self.lowest_cost(workers, cost_of)
         tokens = to_read(worker)
-        return self.make(
+        return self.make_choice(
             worker,
             cost,
             tokens,
             len(workers),
             now,
             read_s=token_s * tokens,
-            wait_s=self.waiting_s(worker, usual_read_s, now),
+            wait_s=self.queue_wait_s(worker, typical_read_s, now),
         )
 
-    def note_send(
+    def record_upstream_request(
         self, request: RelayRequest, model: str, choice: Choice
     ) -> None:
-        """Takes in the work that a send is."""
-        self.pace.note_send(model, choice.read_s)
+        """Records the expected prompt reading of an upstream request."""
+        self.timings.record_upstream_request(model, choice.read_s)
         small = is_smallest(request, model)
         if small is not None:
-            self.groups.note_send(small, choice.read_s)
+            self.groups.record_upstream_request(small, choice.read_s)
 
-    def note_run(
+    def record_run(
         self, request: RelayRequest, model: str, seconds: float, slots: int
     ) -> None:
-        """Takes in how long a request ran, or waited, at a worker."""
+        """Records how long a request occupied a worker.
+
+        Args:
+          request: The request.
+          model: Model that it was sent to.
+          seconds: Time in which it ran or waited.
+          slots: Slots of the worker.
+        """
         small = is_smallest(request, model)
         if small is not None:
-            self.groups.note_run(small, seconds, slots)
+            self.groups.record_run(small, seconds, slots)
 
-    def home_trust(self, read_s: float) -> float:
-        """Returns how likely a home holds shared parts nobody told of.
+    def home_hit_probability(self, read_s: float) -> float:
+        """Returns the probability that a home has unpublished parts cached.
 
         Args:
-          read_s: Seconds in which they are read.
+          read_s: Seconds to read the parts. Peers publish long prompts, so
+            that a long part that was not published is not cached.
         """
-        told = self.policy.prompt_news and read_s >= MIN_PUBLISHED_READ_S
-        return 0.0 if told else HOME_TRUST
+        published = self.policy.prompt_news and read_s >= MIN_PUBLISHED_READ_S
+        return 0.0 if published else HOME_HIT_PROBABILITY
 
-    def make(
+    def make_choice(
         self,
         worker: RegisteredWorker,
         cost: float,
@@ -233,14 +256,18 @@
         now: float,
         **times: float,
     ) -> Choice:
-        """Returns a choice with what it was made from."""
+        """Returns a choice with the figures behind it."""
         load = self.loads.workers[worker.id]
         age = None if load.report is None else now - load.report_at
         return Choice(worker, cost, to_read, candidates, age, **times)
 
 
 def is_smallest(request: RelayRequest, model: str) -> bool | None:
-    """Says whether a model is the smallest of its route; None: no choice."""
+    """Returns whether a model is the smallest of its route.
+
+    Returns:
+      None if the route does not offer several models including this one.
+    """
     models = request.route.models
     if len(models) < 2 or model not in models:
         return None
@@ -248,10 +275,13 @@
 
 
 def home_of(prompt: Prompt, workers: Sequence[RegisteredWorker]) -> str:
-    """Returns the worker that a prompt's shared parts belong to, or nothing.
+    """Returns the id of the home worker of a prompt's shared parts.
+
+    All entries compute the same one without communication; a worker that joins
+    or leaves moves few parts.
 
-    All entries find the same one without talk; one that comes or goes moves
-    few parts.
+    Returns:
+      An empty string if the prompt has no shared part.
     """
     if len(prompt.parts) < 2:
         return ""
--- /dev/null
+++ b/src/rattanpier/_internal/relay/request_progress.py
@@ -0,0 +1,133 @@
+"""Progress of one relayed request, and its final answer if it fails.
+
+Free of I/O: which steps remain, and what the final answer may promise, follow
+from what was sent to workers and what they returned.
+"""
+
+from __future__ import annotations
+
+import math
+
+import attrs
+
+from rattanpier._internal.models.refusal import Refusal, RefusalCode
+from rattanpier._internal.models.relay_answer import AnswerRefused, WholeAnswer
+from rattanpier._internal.models.relay_request import RelayRequest
+from rattanpier._internal.relay.events import EventOrder
+
+# Workers register again within a second or two.
+NO_WORKER_RETRY_AFTER_S = 0.5
+QUEUE_FULL_RETRY_AFTER_S = 0.4  # A plain request takes about 0.1 s.
+MIN_TIME_LEFT_S = 0.005  # No worker can answer in less.
+
+
+@attrs.define(eq=False, repr=False)
+class RequestProgress:
+    """Progress of one relayed request.
+
+    Attributes:
+      request: The request.
+      loop_deadline: Deadline of the caller or the route, in seconds of the
+        event loop's clock.
+      service: Service that the request is sent to.
+      sent: Number of upstream requests.
+      tried: Ids of the workers that they were sent to.
+      may_have_run: Whether a worker may have run the request.
+      failure: Failure that a worker returned; passed on to the caller unless a
+        later upstream request succeeds.
+      reason: Why the last upstream request failed.
+      retry_after_s: Seconds after which the last worker asked for a retry.
+      model: Model that is asked.
+      first_model: Model that was asked first.
+      order: Order of the events received.
+      head_delivered: Whether the head of the answer was delivered.
+      next_send_allowed: Whether the next upstream request was allowed already.
+      quarantined_s: Seconds for which the request is still quarantined; 0 if it
+        is not.
+      excluded: Number of workers that each condition excluded from the last
+        selection.
+      available_in_s: Seconds until one of them may accept the request; None if
+        unknown.
+    """
+
+    request: RelayRequest
+    loop_deadline: float
+    service: str
+    sent: int = 0
+    tried: set[str] = attrs.Factory(set)
+    may_have_run: bool = False
+    failure: WholeAnswer | None = None
+    reason: str = ""
+    retry_after_s: float | None = None
+    model: str = ""
+    first_model: str = ""
+    order: EventOrder = attrs.Factory(EventOrder)
+    head_delivered: bool = False
+    next_send_allowed: bool = False
+    quarantined_s: float = 0.0
+    excluded: dict[str, int] = attrs.Factory(dict)
+    available_in_s: float | None = None
+
+
+def final_answer(
+    progress: RequestProgress, left_s: float
+) -> WholeAnswer | AnswerRefused:
+    """Returns the final answer to a request that no worker answered.
+
+    Args:
+      progress: Progress of the request.
+      left_s: Seconds until the deadline of the caller or the route.
+    """
+    if progress.failure is not None:
+        return progress.failure
+    code, status = final_code(progress, left_s)
+    retry_after_s = None
+    if not progress.may_have_run:
+        retry_after_s = progress.retry_after_s or QUEUE_FULL_RETRY_AFTER_S
+        if not progress.sent:
+            retry_after_s = progress.available_in_s or NO_WORKER_RETRY_AFTER_S
+        if progress.quarantined_s:
+            retry_after_s = progress.quarantined_s
+    reason = progress.reason or no_worker_reason(progress)
+    return AnswerRefused(
+        Refusal(code, reason, not progress.may_have_run, retry_after_s), status
+    )
+
+
+def no_worker_reason(progress: RequestProgress) -> str:
+    """Returns why no worker was selected.
+
+    >>> excluded = {"drained_domain": 3}
+    >>> no_worker_reason(RequestProgress(None, 0.0, "s", excluded=excluded))
+    'no worker takes work: drained_domain 3'
+    """
+    counts = (f"{name} {count}" for name, count in progress.excluded.items())
+    return ": ".join(filter(None, ("no worker takes work", ", ".join(counts))))
+
+
+def final_code(
+    progress: RequestProgress, left_s: float
+) -> tuple[RefusalCode, int]:
+    """Returns the code and the HTTP status of a final answer.
+
+    Status 503 guarantees that the request has not run and never will.
+    """
+    if not progress.may_have_run:
+        if progress.quarantined_s:
+            return RefusalCode.QUARANTINED, 503
+        code = (
+            RefusalCode.QUEUE_FULL if progress.sent else RefusalCode.NO_WORKER
+        )
+        return code, 503
+    if left_s <= MIN_TIME_LEFT_S:
+        return RefusalCode.DEADLINE, 504
+    return RefusalCode.UPSTREAM_FAILED, 502
+
+
+def round_for_log(value: float | None) -> float | None:
+    """Returns a number rounded for a log line; None if infinite or None.
+
+    >>> round_for_log(1.23456), round_for_log(None)
+    (1.235, None)
+    """
+    return None if value is None or math.isinf(value) else round(value, 3)
--- a/src/rattanpier/_internal/relay/stream_answers.py
+++ b/src/rattanpier/_internal/relay/stream_answers.py
@@ -16,9 +16,8 @@
     WholeAnswer,
 )
 from rattanpier._internal.models.worker import RegisteredWorker
-from rattanpier._internal.relay.course import Course
-from rattanpier._internal.relay.dispatch import MAX_WHOLE_BYTES, Dispatcher
-from rattanpier._internal.relay.escalation import goes_on
+from rattanpier._internal.relay.dispatch import MAX_ANSWER_BYTES, Dispatcher
+from rattanpier._internal.relay.escalation import should_escalate
 from rattanpier._internal.relay.events import (
     Event,
     EventError,
@@ -31,6 +30,7 @@
     copied_headers,
 )
 from rattanpier._internal.relay.placement import Choice
+from rattanpier._internal.relay.request_progress import RequestProgress
 
 log = structlog.get_logger(part="dispatch")
 
@@ -45,10 +45,10 @@
 
 
 async def stream(
-    dispatcher: Dispatcher, course: Course
+    dispatcher: Dispatcher, course: RequestProgress
 ) -> AsyncIterator[AnswerPart]:
     """Yields the parts of an answer that is a series of events."""
-    while dispatcher.may_send_again(course):
+    while dispatcher.may_send(course):
         choice = dispatcher.choose(course)
         if choice is None:
             break
@@ -57,7 +57,7 @@
                 yield part
                 if isinstance(part, AnswerEnded | WholeAnswer):
                     return
-    if course.begun:
+    if course.head_delivered:
         dispatcher.metrics.count("relay.cut")
         yield AnswerCut(course.reason)
     else:
@@ -65,15 +65,15 @@
 
 
 async def stream_one(
-    dispatcher: Dispatcher, course: Course, choice: Choice
+    dispatcher: Dispatcher, course: RequestProgress, choice: Choice
 ) -> AsyncIterator[AnswerPart]:
     """Yields what one worker adds to an answer; nothing if it failed."""
     request = course.request
     worker = choice.worker
-    sending = dispatcher.note_send(course, choice)
-    flight = dispatcher.begin_flight(course, worker, choice.read_s)
-    dispatcher.chooser.note_send(request, course.model, choice)
-    dispatcher.tell_prompt(
+    sending = dispatcher.record_upstream_request(course, choice)
+    flight = dispatcher.add_in_flight(course, worker, choice.read_s)
+    dispatcher.chooser.record_upstream_request(request, course.model, choice)
+    dispatcher.publish_prompt(
         worker.id, course.model, request.prompt, choice.read_s
     )
     model = course.model
@@ -87,33 +87,37 @@
             if head.status >= 300:
                 yield await pass_failure(dispatcher, course, worker, answer)
                 return
-            flight.begun = True
+            flight.first_event_received = True
             took = relative_time(
                 course, choice, dispatcher.clock.monotonic() - began
             )
             first_at = dispatcher.clock.monotonic()
-            dispatcher.chooser.pace.note_first(
+            dispatcher.chooser.timings.record_first_event(
                 model, request.priority, choice.to_read, first_at - began
             )
-            dispatcher.loads.note_read(worker.id, model, request.prompt)
-            if not course.begun and goes_on(dispatcher, course, worker, head):
-                dispatcher.note_result(course, worker, False, took)
+            dispatcher.loads.record_prompt_read(
+                worker.id, model, request.prompt
+            )
+            if not course.head_delivered and should_escalate(
+                dispatcher, course, worker, head
+            ):
+                dispatcher.record_result(course, worker, False, took)
                 return
             async with aclosing(
                 read_events(dispatcher, course, answer)
             ) as events:
                 async for event in events:
-                    if not course.begun:
-                        course.begun = True
+                    if not course.head_delivered:
+                        course.head_delivered = True
                         note_first(dispatcher, course, choice, began)
                         yield AnswerBegun(head.status, copied_headers(head))
                     yield AnswerPiece(event.data)
-            if not course.begun:
-                course.begun = True
+            if not course.head_delivered:
+                course.head_delivered = True
                 yield AnswerBegun(head.status, copied_headers(head))
-        dispatcher.note_result(course, worker, bad=False, relative_s=took)
+        dispatcher.record_result(course, worker, bad=False, relative_s=took)
         dispatcher.quarantine.note_answered(request.content)
-        dispatcher.chooser.pace.note_stream(
+        dispatcher.chooser.timings.record_stream(
             model,
             request.prompt.expected_output,
             dispatcher.clock.monotonic() - first_at,
@@ -122,25 +126,27 @@
     except WorkerFailedError:
         return
     except SendError as error:
-        await dispatcher.note_broken(course, worker, error)
+        await dispatcher.handle_send_error(course, worker, error)
     except EventError as error:
-        await dispatcher.note_broken(course, worker, SendError(str(error)))
+        await dispatcher.handle_send_error(
+            course, worker, SendError(str(error))
+        )
     except TimeoutError:
         waited_s = dispatcher.clock.monotonic() - began
-        if not flight.begun:
-            dispatcher.chooser.pace.note_wait(
+        if not flight.first_event_received:
+            dispatcher.chooser.timings.record_wait(
                 model, request.priority, choice.to_read, waited_s
             )
-        dispatcher.note_late(course, worker)
+        dispatcher.record_timeout(course, worker)
     finally:
         dispatcher.loads.end(worker.id, flight)
         dispatcher.rollouts.note_running(worker, -1)
         ran_s = dispatcher.clock.monotonic() - began
-        dispatcher.chooser.note_run(request, model, ran_s, worker.slots)
+        dispatcher.chooser.record_run(request, model, ran_s, worker.slots)
 
 
 async def read_events(
-    dispatcher: Dispatcher, course: Course, answer: OpenAnswer
+    dispatcher: Dispatcher, course: RequestProgress, answer: OpenAnswer
 ) -> AsyncIterator[Event]:
     """Yields the events of an answer that the caller lacks."""
     splitter = EventSplitter()
@@ -155,7 +161,7 @@
 
 async def pass_failure(
     dispatcher: Dispatcher,
-    course: Course,
+    course: RequestProgress,
     worker: RegisteredWorker,
     answer: OpenAnswer,
 ) -> WholeAnswer:
@@ -165,17 +171,20 @@
       WorkerFailedError: Another worker may do better.
     """
     head = answer.head
-    body = await answer.read_all(MAX_WHOLE_BYTES)
+    body = await answer.read_all(MAX_ANSWER_BYTES)
     found = WholeAnswer(head.status, copied_headers(head), body)
     if head.status < FIRST_FAILURE:
         return found
-    dispatcher.note_result(course, worker, bad=True, relative_s=None)
-    dispatcher.note_worker_failure(course, worker, found)
+    dispatcher.record_result(course, worker, bad=True, relative_s=None)
+    dispatcher.record_worker_failure(course, worker, found)
     raise WorkerFailedError
 
 
 def note_first(
-    dispatcher: Dispatcher, course: Course, choice: Choice, began: float
+    dispatcher: Dispatcher,
+    course: RequestProgress,
+    choice: Choice,
+    began: float,
 ) -> None:
     """Measures the time to a worker's first event."""
     now = dispatcher.clock.monotonic()
@@ -192,7 +201,7 @@
 
 
 def relative_time(
-    course: Course, choice: Choice, seconds: float
+    course: RequestProgress, choice: Choice, seconds: float
 ) -> float | None:
     """Returns the time to an answer's head against the work for it.
 
--- a/tests/relay/test_budgets.py
+++ b/tests/relay/test_budgets.py
@@ -1,58 +1,61 @@
-"""Further sends of many entries that each see few requests."""
+"""Retry budgets of many entries that each receive few requests."""
 
 import random
 
 import pytest
 
 from rattanpier._internal.models.relay_settings import Bounds
-from rattanpier._internal.relay.budgets import Budgets
+from rattanpier._internal.relay.budgets import ServiceRetryBudgets
 from tests.lib.clock import ManualClock
 
 BOUNDS = Bounds(retry_ratio=0.9, retry_slack=430, retry_window_s=10.0)
-DOUBTFUL = 0.45  # Of first answers, which are asked again of another model.
+ESCALATION_SHARE = 0.45  # Of first answers.
 
 
-def arrivals(rng, entries, per_s, seconds, clump):
-    """Random times of clumps of requests, and the entry that gets each."""
-    count = int(entries * per_s * seconds / clump)
+def arrivals(rng, entries, per_s, seconds, burst):
+    """Returns random times of bursts, and the entry that receives each."""
+    count = int(entries * per_s * seconds / burst)
     return sorted(
         (rng.uniform(0.0, seconds), rng.randrange(entries))
         for _ in range(count)
     )
 
 
-def play(entries, per_s, seconds, wanted, seed=1, clump=1):
-    """Returns when requests came, and which further sends were allowed."""
+def simulate(entries, per_s, seconds, draw_additional, seed=1, burst=1):
+    """Returns times of requests and of additional ones, and the refused."""
     rng = random.Random(seed)
     clock = ManualClock()
-    budgets = [Budgets(BOUNDS, lambda: entries, clock) for _ in range(entries)]
+    budgets = [
+        ServiceRetryBudgets(BOUNDS, lambda: entries, clock)
+        for _ in range(entries)
+    ]
     requests, sends, refused = [], [], 0
-    for at, entry in arrivals(rng, entries, per_s, seconds, clump):
+    for at, entry in arrivals(rng, entries, per_s, seconds, burst):
         clock.now = at
         budget = budgets[entry]["s"]
-        for _ in range(clump):
-            budget.note_request()
+        for _ in range(burst):
+            budget.record_request()
             requests.append(at)
-        for _ in range(sum(wanted(rng) for _ in range(clump))):
-            if budget.take():
+        for _ in range(sum(draw_additional(rng) for _ in range(burst))):
+            if budget.try_acquire():
                 sends.append(at)
             else:
                 refused += 1
     return requests, sends, refused
 
 
-def most_beyond(requests, sends, window_s):
-    """Further sends beyond the ratio in the worst window."""
+def max_excess(requests, sends, window_s):
+    """Returns the additional requests beyond the ratio in the worst window."""
     worst = 0.0
     for end in sends:
         window = [at for at in sends if end - window_s <= at <= end]
-        began = [at for at in requests if end - window_s <= at <= end]
-        worst = max(worst, len(window) - BOUNDS.retry_ratio * len(began))
+        received = [at for at in requests if end - window_s <= at <= end]
+        worst = max(worst, len(window) - BOUNDS.retry_ratio * len(received))
     return worst
 
 
-def one_in_two(rng):
-    return int(rng.random() < DOUBTFUL)
+def draw_escalation(rng):
+    return int(rng.random() < ESCALATION_SHARE)
 
 
 def always_three(_rng):
@@ -61,65 +64,70 @@
 
 @pytest.mark.parametrize("entries", [8, 80, 195, 420])
 @pytest.mark.parametrize("clump", [1, 4])
-def test_doubtful_answers_are_asked_again_while_the_sum_allows_it(
+def test_escalations_are_allowed_while_the_fleet_is_within_its_bound(
     entries, clump
 ):
-    requests, sends, refused = play(entries, 3.0, 20.0, one_in_two, clump=clump)
-    # Only an entry with one or two requests so far has less than one send. A
-    # bucket of two sends refused 841 of 5,284 at 195 entries and clumps of 4.
+    requests, sends, refused = simulate(
+        entries, 3.0, 20.0, draw_escalation, burst=clump
+    )
+    # Only an entry that has received one or two requests has a budget of less
+    # than one. A token bucket of two refused 841 of 5,284 additional requests
+    # with 195 entries and bursts of 4.
     assert refused <= 0.01 * len(sends)
 
 
 @pytest.mark.parametrize("entries", [8, 80, 195, 420])
-def test_the_sum_of_all_entries_keeps_the_bound_when_every_send_fails(entries):
-    requests, sends, _ = play(entries, 100.0 / entries, 20.0, always_three)
-    assert most_beyond(requests, sends, BOUNDS.retry_window_s) <= (
+def test_the_fleet_keeps_the_bound_when_every_upstream_request_fails(entries):
+    requests, sends, _ = simulate(entries, 100.0 / entries, 20.0, always_three)
+    assert max_excess(requests, sends, BOUNDS.retry_window_s) <= (
         BOUNDS.retry_slack
     )
     assert len(sends) > 0.7 * BOUNDS.retry_ratio * len(requests)
 
 
-def test_the_sum_keeps_the_bound_when_each_entry_has_had_one_request():
+def test_the_fleet_keeps_the_bound_when_each_entry_received_one_request():
     clock = ManualClock()
-    entries = [Budgets(BOUNDS, lambda: 420, clock) for _ in range(420)]
+    entries = [
+        ServiceRetryBudgets(BOUNDS, lambda: 420, clock) for _ in range(420)
+    ]
     sends = 0
     for entry in entries:
-        entry["s"].note_request()
-        while entry["s"].take():
+        entry["s"].record_request()
+        while entry["s"].try_acquire():
             sends += 1
     assert sends <= BOUNDS.retry_ratio * len(entries) + BOUNDS.retry_slack
     assert sends > 0
 
 
-def test_slack_that_is_less_than_one_send_is_saved_up():
+def test_slack_below_one_request_accumulates():
     clock = ManualClock()
-    budget = Budgets(BOUNDS, lambda: 4000, clock)["s"]
-    assert not budget.take()
-    budget.note_request()
-    assert not budget.take()
-    budget.note_request()
-    assert budget.take()
+    budget = ServiceRetryBudgets(BOUNDS, lambda: 4000, clock)["s"]
+    assert not budget.try_acquire()
+    budget.record_request()
+    assert not budget.try_acquire()
+    budget.record_request()
+    assert budget.try_acquire()
 
 
-def test_an_entry_that_learns_of_more_entries_takes_a_smaller_part():
+def test_an_entry_that_discovers_peers_takes_a_smaller_part():
     clock = ManualClock()
     known = 1
-    budget = Budgets(BOUNDS, lambda: known, clock)["s"]
-    assert all(budget.take() for _ in range(100))
+    budget = ServiceRetryBudgets(BOUNDS, lambda: known, clock)["s"]
+    assert all(budget.try_acquire() for _ in range(100))
     known = 10
-    assert not budget.take()
+    assert not budget.try_acquire()
 
 
-def test_sends_count_until_the_window_has_passed():
+def test_additional_requests_count_until_the_window_has_passed():
     clock = ManualClock()
-    budget = Budgets(BOUNDS, lambda: 430, clock)["s"]
+    budget = ServiceRetryBudgets(BOUNDS, lambda: 430, clock)["s"]
     for _ in range(10):
-        budget.note_request()
-    while budget.take():
+        budget.record_request()
+    while budget.try_acquire():
         pass
     clock.now = BOUNDS.retry_window_s
-    assert not budget.take()
+    assert not budget.try_acquire()
     clock.now += 0.1
     for _ in range(10):
-        budget.note_request()
-    assert budget.take()
+        budget.record_request()
+    assert budget.try_acquire()
