--- a/src/rattanpier/_internal/dispatch/runner.py
+++ b/src/rattanpier/_internal/dispatch/runner.py
@@ -40,7 +40,7 @@
     Waiting,
 )
 from rattanpier._internal.dispatch.steps import StepRun, steps_to_use
-from rattanpier._internal.dispatch.tries import Tries
+from rattanpier._internal.dispatch.upstream_dispatcher import UpstreamDispatcher
 from rattanpier._internal.models.configuration import Configuration
 from rattanpier._internal.models.outcomes import SettleOutcome
 from rattanpier._internal.models.plan import Plan
@@ -82,7 +82,7 @@
 
     configuration: Callable[[], Configuration]
     claims: Claims
-    tries: Tries
+    dispatcher: UpstreamDispatcher
     keeper: ClaimKeeper
     clock: Clock
     metrics: Metrics
@@ -96,7 +96,7 @@
     @property
     def attempts(self) -> Attempts:
         """Emits the result of each try."""
-        return self.tries.attempts
+        return self.dispatcher.attempts
 
     def answer(
         self, request: RouteRequest, request_id: str
@@ -136,7 +136,7 @@
         nothing was sent yet, the request is planned once more.
         """
         request = attempt.request
-        self.tries.budget.note_request()
+        self.dispatcher.budget.note_request()
         if request.keyed:
             # What became of an earlier attempt goes before any refusal.
             self.keeper.begin(attempt)
@@ -178,9 +178,9 @@
         """Returns the versions for a request, or why there are none."""
         plan = make_plan(configuration, request, self.braked)
         self.observe(request, plan, self.braked)
-        if not self.tries.current():
+        if not self.dispatcher.current():
             return not_current().refusal
-        if self.tries.left_s(request) <= 0:
+        if self.dispatcher.remaining_s(request) <= 0:
             return deadline_passed().refusal
         if isinstance(plan, Plan) and not plan.steps:
             return Refusal(
@@ -267,9 +267,9 @@
                 request, steps_to_use(request, plan), attempt.ask.holder
             ),
             self.policy,
-            lambda version: self.tries.stream(attempt, version, allowed),
+            lambda version: self.dispatcher.stream(attempt, version, allowed),
             allowed,
-            self.tries.may_retry_step,
+            self.dispatcher.may_retry_step,
         )
 
     async def settle(
--- a/src/rattanpier/_internal/dispatch/service_tries.py
+++ b/src/rattanpier/_internal/dispatch/service_dispatch.py
@@ -17,7 +17,7 @@
     send_call,
 )
 from rattanpier._internal.dispatch.quarantining import content_of
-from rattanpier._internal.dispatch.tries import Tries
+from rattanpier._internal.dispatch.upstream_dispatcher import UpstreamDispatcher
 from rattanpier._internal.models.configuration import (
     Configuration,
     UpstreamKind,
@@ -26,8 +26,11 @@
 from rattanpier._internal.routing.placement import Target
 
 
-async def try_service(
-    tries: Tries, attempt: Attempt, service: str, call: ServiceCall
+async def dispatch_call(
+    dispatcher: UpstreamDispatcher,
+    attempt: Attempt,
+    service: str,
+    call: ServiceCall,
 ) -> ServiceAnswer:
     """Returns the answer of one worker, or of a retry on others.
 
@@ -35,57 +38,64 @@
       DispatchError: No try, or no further try, can answer.
     """
     tried: set[str] = set()
-    failed: UpstreamError | None = None
+    last_error: UpstreamError | None = None
     while True:
-        target = pick(tries, service, tried)
+        target = pick_target(dispatcher, service, tried)
         if target is None:
-            raise upstream_failed(failed) if failed else no_worker()
-        await tries.check_claim(attempt)
-        if not may_use(
-            tries.configuration(), attempt.request.workspace, service
+            raise upstream_failed(last_error) if last_error else no_worker()
+        await dispatcher.check_claim(attempt)
+        if not may_use_service(
+            dispatcher.configuration(), attempt.request.workspace, service
         ):
-            raise not_allowed(service)
+            raise service_not_allowed(service)
         tried.add(target.name)
         ran_before = attempt.note_dispatch()
         try:
-            answer = await send_one(tries, attempt, target, call)
-            tries.quarantine.note_answered(content_of(attempt.request))
+            answer = await send_to_worker(dispatcher, attempt, target, call)
+            dispatcher.quarantine.note_answered(content_of(attempt.request))
             return answer
         except UpstreamError as error:
-            await tries.note_failure(attempt, target, error, ran_before)
-            tries.check_retry(attempt.request, error, tried)
-            failed = error
+            await dispatcher.record_failure(attempt, target, error, ran_before)
+            dispatcher.check_retry(attempt.request, error, tried)
+            last_error = error
 
 
-async def send_one(
-    tries: Tries, attempt: Attempt, target: Target, call: ServiceCall
+async def send_to_worker(
+    dispatcher: UpstreamDispatcher,
+    attempt: Attempt,
+    target: Target,
+    call: ServiceCall,
 ) -> ServiceAnswer:
     """Sends a call to one worker."""
-    tries.load.outstanding[target.name] += 1
+    dispatcher.load.outstanding[target.name] += 1
     try:
         return await send_call(
-            tries.session_for(attempt.request),
+            dispatcher.session_for(attempt.request),
             target.worker.url,
             call,
             attempt.next_id(),
-            tries.left_s(attempt.request),
+            dispatcher.remaining_s(attempt.request),
         )
     finally:
-        tries.load.outstanding[target.name] -= 1
+        dispatcher.load.outstanding[target.name] -= 1
 
 
-def pick(tries: Tries, service: str, tried: set[str]) -> Target | None:
+def pick_target(
+    dispatcher: UpstreamDispatcher, service: str, tried: set[str]
+) -> Target | None:
     """Returns the worker for the next try."""
 
     def find(leaving: Collection[str]) -> list[Target]:
-        return tries.placement.of_service(
-            tries.configuration(), service, leaving, tried
+        return dispatcher.placement.of_service(
+            dispatcher.configuration(), service, leaving, tried
         )
 
-    return tries.choose_of(find, tried)
+    return dispatcher.choose_target(find, tried)
 
 
-def may_use(configuration: Configuration, workspace: str, service: str) -> bool:
+def may_use_service(
+    configuration: Configuration, workspace: str, service: str
+) -> bool:
     """Says whether a workspace may use a plain service now."""
     upstream = configuration.upstreams.get(service)
     known = configuration.workspaces.get(workspace)
@@ -97,7 +107,7 @@
     )
 
 
-def not_allowed(service: str) -> DispatchError:
+def service_not_allowed(service: str) -> DispatchError:
     """Returns the error for a service that the workspace lost."""
     return DispatchError(
         RefusalCode.SERVICE_NOT_ALLOWED,
--- a/src/rattanpier/_internal/dispatch/service_runner.py
+++ b/src/rattanpier/_internal/dispatch/service_runner.py
@@ -30,8 +30,8 @@
     may_dispatch,
     settle_refusal,
 )
-from rattanpier._internal.dispatch.service_tries import try_service
-from rattanpier._internal.dispatch.tries import Tries
+from rattanpier._internal.dispatch.service_dispatch import dispatch_call
+from rattanpier._internal.dispatch.upstream_dispatcher import UpstreamDispatcher
 from rattanpier._internal.models.configuration import Configuration
 from rattanpier._internal.models.plan import Plan
 from rattanpier._internal.models.refusal import Refusal, RefusalCode
@@ -57,7 +57,7 @@
     """
 
     configuration: Callable[[], Configuration]
-    tries: Tries
+    dispatcher: UpstreamDispatcher
     keeper: ClaimKeeper
     holder: str
     admit: Admit = admit_all
@@ -70,7 +70,7 @@
         A caller that goes away cancels this: an idempotent call then ends,
         another goes on so that a repeat of its key finds the answer.
         """
-        self.tries.budget.note_request()
+        self.dispatcher.budget.note_request()
         request = self.mark(request, request.service, call)
         plan = self.plan(request)
         if isinstance(plan, Plan):
@@ -92,9 +92,9 @@
 
     def plan(self, request: RouteRequest) -> Plan | Refusal:
         """Decides which service gets a call."""
-        if not self.tries.current():
+        if not self.dispatcher.current():
             return not_current().refusal
-        if self.tries.left_s(request) <= 0:
+        if self.dispatcher.remaining_s(request) <= 0:
             return deadline_passed().refusal
         plan = make_plan(self.configuration(), request)
         if isinstance(plan, Plan) and not plan.service:
@@ -141,7 +141,7 @@
         reply = await self.keeper.claim_first(attempt)
         if reply is not None and not may_dispatch(attempt.request, reply):
             return refuse_claim(attempt, reply)
-        answer = await try_service(self.tries, attempt, service, call)
+        answer = await dispatch_call(self.dispatcher, attempt, service, call)
         reply = await self.keeper.wait(attempt)
         if not is_granted(reply):
             return refuse_claim(attempt, reply)
--- a/src/rattanpier/_internal/dispatch/tries.py
+++ b/src/rattanpier/_internal/dispatch/upstream_dispatcher.py
@@ -48,51 +48,52 @@
 from rattanpier._internal.utils.clock import Clock
 from rattanpier._internal.utils.metrics import Metrics
 
-MAX_TRIES = 3
-SEND_MARGIN_S = 3.0  # Age of a claim; confirming and connecting take 2 s.
-MAX_RESUMES = 3  # Of one run.
+MAX_UPSTREAM_REQUESTS = 3
+MAX_CLAIM_AGE_S = 3.0  # Age of a claim; confirming and connecting take 2 s.
+MAX_RESUMES_PER_RUN = 3  # Of one run.
 
 MayServe = Callable[[str], bool]
-Confirm = Callable[[Attempt], Awaitable[bool]]
+ConfirmClaim = Callable[[Attempt], Awaitable[bool]]
 
 
 @attrs.define
-class Tries:
+class UpstreamDispatcher:
     """Sends requests to workers.
 
     Attributes:
       session: For requests that may be repeated.
-      fresh: For non-idempotent ones: each gets a connection of its own, so
-        that none is lost on a pooled connection that the upstream closed.
+      unpooled_session: For non-idempotent ones: each gets a connection of its
+        own, so that none is lost on a pooled connection that the upstream
+        closed.
       configuration: Returns the configuration in force.
       confirm: Says right before a dispatch whether a claim still holds.
       placement: The workers that this entry uses.
       leaving: Workers that get nothing new.
-      announced: Returns those of them that the platform told to leave; the
-        others only seem silent.
+      announced_leaving: Returns those of them that the platform told to leave;
+        the others only seem silent.
       on_failure: Called with a worker's name and the error of a try.
       quarantine: Requests under which workers ended.
-      rests: Workers that turned a request away and asked for rest.
+      backoffs: Workers that turned a request away and asked for rest.
       current: Says whether the node's configuration is in force now.
       attempts: Emits the result of each try.
     """
 
     session: aiohttp.ClientSession
-    fresh: aiohttp.ClientSession
+    unpooled_session: aiohttp.ClientSession
     configuration: Callable[[], Configuration]
     clock: Clock
     metrics: Metrics
     domain: str
     rng: random.Random
     spawn: Callable[..., asyncio.Task]
-    confirm: Confirm
+    confirm: ConfirmClaim
     budget: RetryBudget
     placement: Placement
     quarantine: Quarantine
-    rests: Rests
+    backoffs: Rests
     load: Load = attrs.Factory(Load)
     leaving: Collection[str] = ()
-    announced: Callable[[], Collection[str]] = tuple
+    announced_leaving: Callable[[], Collection[str]] = tuple
     on_failure: Callable[[str, Exception], None] = lambda name, error: None
     current: Callable[[], bool] = lambda: True
     attempts: Attempts = attrs.Factory(Attempts)
@@ -110,19 +111,19 @@
           DispatchError: No try, or no further try, can answer.
         """
         tried: set[str] = set()
-        seen: list[Chunk] = []
-        failed: UpstreamError | None = None
+        released: list[Chunk] = []
+        last_error: UpstreamError | None = None
         while True:
             # A stop is the reason to tell, also where no worker is left.
             await self.check_dispatch(attempt, version, may_serve)
-            target = self.pick(version, tried)
+            target = self.pick_target(version, tried)
             if target is None:
-                raise upstream_failed(failed) if failed else no_worker()
+                raise upstream_failed(last_error) if last_error else no_worker()
             tried.add(target.name)
             ran_before = attempt.note_dispatch()
             try:
                 source = observe(
-                    self.follow(target, attempt, version, may_serve),
+                    self.stream_run(target, attempt, version, may_serve),
                     self.attempts,
                     self.clock,
                     attempt.request.workspace,
@@ -130,15 +131,15 @@
                 )
                 async with aclosing(source):
                     async for chunk in source:
-                        if not is_repeat(chunk, seen):
-                            seen.append(chunk)
+                        if not is_already_released(chunk, released):
+                            released.append(chunk)
                             yield chunk
                 self.quarantine.note_answered(content_of(attempt.request))
                 return
             except UpstreamError as error:
-                await self.note_failure(attempt, target, error, ran_before)
+                await self.record_failure(attempt, target, error, ran_before)
                 self.check_retry(attempt.request, error, tried)
-                failed = error
+                last_error = error
 
     async def check_dispatch(
         self, attempt: Attempt, version: str, may_serve: MayServe
@@ -159,10 +160,10 @@
             raise not_current()
         if not attempt.request.idempotent and not await self.confirm(attempt):
             raise claim_in_doubt()
-        if self.left_s(attempt.request) <= 0:
+        if self.remaining_s(attempt.request) <= 0:
             raise deadline_passed()
 
-    async def note_failure(
+    async def record_failure(
         self,
         attempt: Attempt,
         target: Target,
@@ -179,7 +180,7 @@
         """
         self.on_failure(target.name, error)
         if error.retry_after_s:
-            self.rests.hear(target.name, error.retry_after_s)
+            self.backoffs.hear(target.name, error.retry_after_s)
         if error.not_run:
             attempt.may_have_run = ran_before
         elif await has_ended(target):
@@ -194,9 +195,9 @@
         self, request: RouteRequest, error: UpstreamError, tried: set[str]
     ) -> None:
         """Raises DispatchError unless a failed request may go elsewhere."""
-        if self.left_s(request) <= 0:
+        if self.remaining_s(request) <= 0:
             raise deadline_passed() from error
-        if error.final or len(tried) >= MAX_TRIES:
+        if error.final or len(tried) >= MAX_UPSTREAM_REQUESTS:
             raise upstream_failed(error) from error
         if not error.not_run and not request.idempotent:
             raise upstream_failed(error) from error
@@ -213,10 +214,10 @@
 
         A process may have been frozen since the claim was confirmed.
         """
-        if self.left_s(attempt.request) <= 0:
+        if self.remaining_s(attempt.request) <= 0:
             return False
         age = self.clock.monotonic() - attempt.asked_at
-        return attempt.request.idempotent or age <= SEND_MARGIN_S
+        return attempt.request.idempotent or age <= MAX_CLAIM_AGE_S
 
     def may_retry_step(self) -> bool:
         """Says whether the next step may follow a step that failed."""
@@ -225,11 +226,11 @@
             self.metrics.count("dispatch.retry.step")
         return allowed
 
-    def left_s(self, request: RouteRequest) -> float:
+    def remaining_s(self, request: RouteRequest) -> float:
         """Returns the seconds until the caller gives up."""
         return request.deadline - self.clock.monotonic()
 
-    def pick(self, version: str, tried: set[str]) -> Target | None:
+    def pick_target(self, version: str, tried: set[str]) -> Target | None:
         """Returns the worker for the next try."""
 
         def find(leaving: Collection[str]) -> list[Target]:
@@ -237,9 +238,9 @@
                 self.configuration(), version, leaving, tried
             )
 
-        return self.choose_of(find, tried)
+        return self.choose_target(find, tried)
 
-    def choose_of(
+    def choose_target(
         self,
         find: Callable[[Collection[str]], list[Target]],
         tried: Collection[str],
@@ -254,23 +255,25 @@
           find: Returns the workers that are not among those given to it.
           tried: Workers that the request was sent to before.
         """
-        target = self.choose(self.awake(find(self.leaving)))
+        target = self.choose(self.without_backoff(find(self.leaving)))
         if target is None and tried:
-            target = self.choose(self.awake(find(self.announced())))
+            target = self.choose(
+                self.without_backoff(find(self.announced_leaving()))
+            )
         return target
 
-    def awake(self, targets: list[Target]) -> list[Target]:
+    def without_backoff(self, targets: list[Target]) -> list[Target]:
         """Returns the workers that did not ask for rest."""
-        rests = self.rests
-        if rests.all_over():
+        backoffs = self.backoffs
+        if backoffs.all_over():
             return targets
-        return [each for each in targets if not rests.opens_in_s(each.name)]
+        return [each for each in targets if not backoffs.opens_in_s(each.name)]
 
     def session_for(self, request: RouteRequest) -> aiohttp.ClientSession:
         """Returns the session whose connections suit a request."""
-        return self.session if request.idempotent else self.fresh
+        return self.session if request.idempotent else self.unpooled_session
 
-    async def follow(
+    async def stream_run(
         self,
         target: Target,
         attempt: Attempt,
@@ -286,7 +289,7 @@
         session = self.session_for(attempt.request)
         after: int | None = None
         resumes = 0
-        over = False  # The engine has nothing left to stop.
+        finished = False  # The engine has nothing left to stop.
         self.load.outstanding[target.name] += 1
         try:
             while True:
@@ -296,24 +299,24 @@
                         async for chunk in source:
                             after = chunk.number
                             yield chunk
-                    over = True
+                    finished = True
                     return
                 except UpstreamError as error:
-                    over = error.not_run and after is None
+                    finished = error.not_run and after is None
                     if after is not None:
                         error.not_run = False
                     resumes += 1
-                    if after is None or resumes > MAX_RESUMES:
+                    if after is None or resumes > MAX_RESUMES_PER_RUN:
                         raise
                     if not (self.current() and may_serve(version)):
                         raise
-                    call = self.resumed(call, attempt.request, error)
+                    call = self.make_resume_call(call, attempt.request, error)
         finally:
             self.load.outstanding[target.name] -= 1
-            if not over:
+            if not finished:
                 self.spawn(cancel_chat(self.session, call))
 
-    def resumed(
+    def make_resume_call(
         self, call: EngineCall, request: RouteRequest, error: UpstreamError
     ) -> EngineCall:
         """Returns the call that resumes a cut run.
@@ -321,7 +324,7 @@
         Raises:
           UpstreamError: There is nothing to resume, or no time.
         """
-        left = self.left_s(request)
+        left = self.remaining_s(request)
         if not error.cut or left <= 0:
             raise error
         self.metrics.count("dispatch.retry.resume")
@@ -345,22 +348,22 @@
             target.worker.url,
             json.dumps(body).encode(),
             attempt.next_id(),
-            self.left_s(attempt.request),
+            self.remaining_s(attempt.request),
             lambda: (
                 self.current() and may_serve(version) and self.may_send(attempt)
             ),
         )
 
 
-def is_repeat(chunk: Chunk, seen: list[Chunk]) -> bool:
+def is_already_released(chunk: Chunk, released: list[Chunk]) -> bool:
     """Says whether a rerun repeats a chunk that was seen before.
 
     Raises:
       UpstreamError: The rerun says something else.
     """
-    if chunk.number >= len(seen):
+    if chunk.number >= len(released):
         return False
-    before = seen[chunk.number]
+    before = released[chunk.number]
     if (chunk.text, chunk.finish) != (before.text, before.finish):
         raise UpstreamError(
             "a rerun differs from what was released", False, final=True
--- a/src/rattanpier/_internal/edge/app.py
+++ b/src/rattanpier/_internal/edge/app.py
@@ -116,7 +116,7 @@
     async def ready(self, _request: web.Request) -> web.Response:
         """`GET /readyz`: the entry takes new callers."""
         ready = (
-            self.chat.runner.tries.current()
+            self.chat.runner.dispatcher.current()
             and self.chat.runner.claims.ownership.acquainted
             and self.members.me.state is MemberState.LIVE
         )
--- a/src/rattanpier/_internal/edge/chat.py
+++ b/src/rattanpier/_internal/edge/chat.py
@@ -82,7 +82,9 @@
           IntakeError: The request is refused.
         """
         workspace = find_caller(
-            request, self.runner.configuration(), self.runner.tries.current()
+            request,
+            self.runner.configuration(),
+            self.runner.dispatcher.current(),
         )
         data = await read_body(request, self.settings.max_body_bytes)
         pinned = self.tokens.pinned(
--- a/src/rattanpier/_internal/edge/services.py
+++ b/src/rattanpier/_internal/edge/services.py
@@ -97,7 +97,7 @@
         """
         configuration = self.runner.configuration()
         workspace = find_caller(
-            request, configuration, self.runner.tries.current()
+            request, configuration, self.runner.dispatcher.current()
         )
         service = request.match_info["service"]
         upstream = configuration.upstreams.get(service)
--- a/src/rattanpier/_internal/programs/entry.py
+++ b/src/rattanpier/_internal/programs/entry.py
@@ -17,7 +17,7 @@
 from rattanpier._internal.dispatch.quarantining import QuarantineSharing
 from rattanpier._internal.dispatch.runner import Runner
 from rattanpier._internal.dispatch.service_runner import ServiceRunner
-from rattanpier._internal.dispatch.tries import Tries
+from rattanpier._internal.dispatch.upstream_dispatcher import UpstreamDispatcher
 from rattanpier._internal.edge.app import Edge
 from rattanpier._internal.edge.chat import ChatHandler
 from rattanpier._internal.edge.gate import Gate
@@ -60,7 +60,7 @@
     follow_incarnation(members, claims, handler, services)
     gate = add_gate(kernel)
     add_detached_drain(kernel, gate, handler.runner.keeper)
-    add_workers(kernel, settings, handler.runner.tries)
+    add_workers(kernel, settings, handler.runner.dispatcher)
     server = HttpServer(edge.app(), settings.callers, gate)
     kernel.add("edge", server, stop=server.stop)
     await server.start()
@@ -101,7 +101,9 @@
     members.rejoined.subscribe(take_over)
 
 
-def add_workers(kernel: Kernel, settings: Settings, tries: Tries) -> Workers:
+def add_workers(
+    kernel: Kernel, settings: Settings, dispatcher: UpstreamDispatcher
+) -> Workers:
     """Adds what keeps new work from workers that leave or don't answer."""
     follower = kernel.find("follower")
     session = kernel.find("http")
@@ -116,9 +118,9 @@
         spawn=kernel.spawn,
         read_vms=vms.read if vms_url else None,
     )
-    tries.leaving = workers
-    tries.announced = workers.announced
-    tries.on_failure = workers.note_failure
+    dispatcher.leaving = workers
+    dispatcher.announced_leaving = workers.announced
+    dispatcher.on_failure = workers.note_failure
     kernel.find("peer_server").on_notice("worker", workers.take_notice)
     kernel.spawn(workers.run(kernel))
     if vms_url:
@@ -199,9 +201,9 @@
     clock = kernel.find("clock")
     metrics = kernel.find("metrics")
     keeper = ClaimKeeper(claims, clock, metrics, kernel.spawn)
-    tries = Tries(
+    dispatcher = UpstreamDispatcher(
         session=kernel.find("http"),
-        fresh=add_fresh_session(kernel),
+        unpooled_session=add_fresh_session(kernel),
         configuration=lambda: follower.configuration,
         clock=clock,
         metrics=metrics,
@@ -212,13 +214,13 @@
         budget=RetryBudget(clock),
         placement=Placement(settings.node.name),
         quarantine=add_quarantine(kernel, settings),
-        rests=Rests(clock, random.Random(settings.node.name)),
+        backoffs=Rests(clock, random.Random(settings.node.name)),
         current=kernel.find("currency").is_current,
     )
     runner = Runner(
         configuration=lambda: follower.configuration,
         claims=claims,
-        tries=tries,
+        dispatcher=dispatcher,
         keeper=keeper,
         clock=clock,
         metrics=metrics,
@@ -282,7 +284,7 @@
     """Returns the handler of calls to plain services."""
     runner = ServiceRunner(
         configuration=chat.runner.configuration,
-        tries=chat.runner.tries,
+        dispatcher=chat.runner.dispatcher,
         keeper=chat.runner.keeper,
         holder=chat.runner.holder,
     )
--- a/tests/failure/test_claims_ownership.py
+++ b/tests/failure/test_claims_ownership.py
@@ -327,7 +327,7 @@
     ownership = SimpleNamespace(acquainted=acquainted)
     runner = SimpleNamespace(
         claims=SimpleNamespace(ownership=ownership),
-        tries=SimpleNamespace(current=lambda: True),
+        dispatcher=SimpleNamespace(current=lambda: True),
     )
     edge = Edge(
         chat=SimpleNamespace(runner=runner),
--- a/tests/lib/dispatch.py
+++ b/tests/lib/dispatch.py
@@ -12,7 +12,7 @@
 from rattanpier._internal.dispatch.budget import RetryBudget
 from rattanpier._internal.dispatch.keeper import ClaimKeeper
 from rattanpier._internal.dispatch.runner import Runner
-from rattanpier._internal.dispatch.tries import Tries
+from rattanpier._internal.dispatch.upstream_dispatcher import UpstreamDispatcher
 from rattanpier._internal.models.configuration import (
     Upstream,
     UpstreamKind,
@@ -99,11 +99,11 @@
         self.keeper = ClaimKeeper(
             self.claims, self.clock, self.metrics, self.spawn
         )
-        tries = Tries(
+        dispatcher = UpstreamDispatcher(
             quarantine=Quarantine(self.clock),
-            rests=Rests(self.clock, random.Random(1)),
+            backoffs=Rests(self.clock, random.Random(1)),
             session=self.session,
-            fresh=self.session,
+            unpooled_session=self.session,
             configuration=lambda: self.configuration,
             clock=self.clock,
             metrics=self.metrics,
@@ -117,7 +117,7 @@
         self.runner = Runner(
             configuration=lambda: self.configuration,
             claims=self.claims,
-            tries=tries,
+            dispatcher=dispatcher,
             keeper=self.keeper,
             clock=self.clock,
             metrics=self.metrics,
--- a/tests/unit/test_dispatch_order.py
+++ b/tests/unit/test_dispatch_order.py
@@ -58,7 +58,7 @@
                     bench.claims.decide(repeat)
             return True
 
-        bench.runner.tries.current = current
+        bench.runner.dispatcher.current = current
         part = await bench.ask(ONCE)
         assert len(up.runs) == (0 if others else 1)
         assert isinstance(part, Refused if others else Ended)
@@ -159,7 +159,7 @@
         RawUpstream() as two,
         bench_over(one, two) as bench,
     ):
-        bench.runner.tries.leaving = {"w1"}
+        bench.runner.dispatcher.leaving = {"w1"}
         part = await bench.ask(build_request())
         assert isinstance(part, Ended)
         assert (len(one.runs), len(two.runs)) == (1, 1)
@@ -171,8 +171,8 @@
         RawUpstream() as two,
         bench_over(one, two) as bench,
     ):
-        bench.runner.tries.leaving = {"w1"}
-        bench.runner.tries.announced = lambda: {"w1"}
+        bench.runner.dispatcher.leaving = {"w1"}
+        bench.runner.dispatcher.announced_leaving = lambda: {"w1"}
         part = await bench.ask(build_request())
         assert part.refusal.code is RefusalCode.UPSTREAM_FAILED
         assert two.runs == []
@@ -180,7 +180,7 @@
 
 async def test_a_first_try_is_refused_where_all_seem_silent():
     async with RawUpstream() as up, bench_over(up) as bench:
-        bench.runner.tries.leaving = {"w0"}
+        bench.runner.dispatcher.leaving = {"w0"}
         part = await bench.ask(build_request())
         assert part.refusal.code is RefusalCode.NO_WORKER
         assert part.refusal.not_run is True
