--- a/src/rattanpier/_internal/dispatch/attempt.py
+++ b/src/rattanpier/_internal/dispatch/attempt.py
@@ -19,28 +19,28 @@
     Attributes:
       request: What is to be answered.
       ask: Its claim.
-      task: Obtains the claim; None until that was begun.
-      asked_at: Monotonic seconds at which the claim was last asked for; the
-        claim was certain at some moment after it.
-      tries: Dispatches so far, each with a request id of its own.
+      claim_task: Obtains the claim; None until that was begun.
+      claim_asked_at: Monotonic seconds at which the claim was last asked for;
+        the claim was certain at some moment after it.
+      dispatches: Dispatches so far, each with a request id of its own.
       may_have_run: True unless it is certain that no upstream ran it.
-      ended: True once the claim was settled, or is somebody else's.
+      closed: True once the claim was settled, or is somebody else's.
     """
 
     request: RouteRequest
     ask: Ask
-    task: asyncio.Task[ClaimReply] | None = None
-    asked_at: float = 0.0
-    tries: int = 0
+    claim_task: asyncio.Task[ClaimReply] | None = None
+    claim_asked_at: float = 0.0
+    dispatches: int = 0
     may_have_run: bool = False
-    ended: bool = False
+    closed: bool = False
 
-    def next_id(self) -> str:
+    def next_request_id(self) -> str:
         """Returns the request id of the next dispatch."""
-        self.tries += 1
-        return f"{self.ask.holder}/{self.tries}"
+        self.dispatches += 1
+        return f"{self.ask.holder}/{self.dispatches}"
 
-    def note_dispatch(self) -> bool:
+    def record_dispatch(self) -> bool:
         """Notes that an upstream may run the request from now on.
 
         Returns:
@@ -53,9 +53,9 @@
     @property
     def reply(self) -> ClaimReply | None:
         """What came of the claim, once it is known."""
-        if self.task is None or not self.task.done():
+        if self.claim_task is None or not self.claim_task.done():
             return None
-        return self.task.result()
+        return self.claim_task.result()
 
     @property
     def granted(self) -> bool:
--- a/src/rattanpier/_internal/dispatch/keeper.py
+++ b/src/rattanpier/_internal/dispatch/keeper.py
@@ -82,8 +82,8 @@
 
     def begin(self, attempt: Attempt) -> None:
         """Starts to obtain the claim, unless that was done."""
-        if attempt.task is None:
-            attempt.task = self.spawn(self.obtain(attempt))
+        if attempt.claim_task is None:
+            attempt.claim_task = self.spawn(self.obtain(attempt))
 
     async def obtain(self, attempt: Attempt) -> ClaimReply:
         """Claims a request; waits while another attempt runs it."""
@@ -93,27 +93,27 @@
             if left <= 0:
                 return UNAVAILABLE
             # Taken before the ask: a pause at any later moment counts.
-            attempt.asked_at = now
+            attempt.claim_asked_at = now
             reply = await self.claims.claim(
                 attempt.ask, min(CLAIM_TIMEOUT_S, left)
             )
             if reply.outcome is not ClaimOutcome.RUNNING:
                 return reply
-            if left <= JOIN_PAUSE_S or attempt.ended:
+            if left <= JOIN_PAUSE_S or attempt.closed:
                 return reply
             self.metrics.count("claims.joined")
             await self.clock.sleep(JOIN_PAUSE_S)
 
     async def wait(self, attempt: Attempt) -> ClaimReply:
         """Returns what came of the claim."""
-        assert attempt.task is not None
+        assert attempt.claim_task is not None
         # The claim goes on when its caller goes away: it has to be ended.
-        return await asyncio.shield(attempt.task)
+        return await asyncio.shield(attempt.claim_task)
 
     async def head_start(self, attempt: Attempt, seconds: float) -> None:
         """Waits a little for the claim."""
-        if attempt.task is not None:
-            await asyncio.wait({attempt.task}, timeout=seconds)
+        if attempt.claim_task is not None:
+            await asyncio.wait({attempt.claim_task}, timeout=seconds)
 
     async def claim_first(self, attempt: Attempt) -> ClaimReply | None:
         """Claims a request, as far as its first dispatch has to wait for it.
@@ -141,13 +141,13 @@
         assert reply is not None and is_granted(reply)
         for _ in range(CONFIRM_TRIES):
             now = self.clock.monotonic()
-            if now - attempt.asked_at <= CONFIRM_MARGIN_S:
+            if now - attempt.claim_asked_at <= CONFIRM_MARGIN_S:
                 return True
             self.metrics.count("claims.retry.confirm")
             again = await self.claims.claim(attempt.ask, CLAIM_TIMEOUT_S)
             if not is_granted(again) or again.attempt != reply.attempt:
                 return False
-            attempt.asked_at = now
+            attempt.claim_asked_at = now
         return False
 
     async def end(
@@ -159,7 +159,7 @@
     ) -> SettleOutcome:
         """Settles the claim; goes on trying when it can't be done now."""
         op = settle_op(attempt, result, bill, answer)
-        attempt.ended = True
+        attempt.closed = True
         # A caller that goes away now must not leave the claim half ended.
         return await asyncio.shield(self.track(self.end_now(attempt, op)))
 
@@ -192,9 +192,9 @@
         For callers that went away and for refusals: a repeat of the key has
         not to wait for this process to die.
         """
-        if attempt.ended or attempt.task is None:
+        if attempt.closed or attempt.claim_task is None:
             return
-        attempt.ended = True
+        attempt.closed = True
         self.later(self.end_abandoned(attempt))
 
     async def end_abandoned(self, attempt: Attempt) -> None:
--- a/src/rattanpier/_internal/dispatch/service_dispatch.py
+++ b/src/rattanpier/_internal/dispatch/service_dispatch.py
@@ -49,7 +49,7 @@
         ):
             raise service_not_allowed(service)
         tried.add(target.name)
-        ran_before = attempt.note_dispatch()
+        ran_before = attempt.record_dispatch()
         try:
             answer = await send_to_worker(dispatcher, attempt, target, call)
             dispatcher.quarantine.note_answered(content_of(attempt.request))
@@ -73,7 +73,7 @@
             dispatcher.session_for(attempt.request),
             target.worker.url,
             call,
-            attempt.next_id(),
+            attempt.next_request_id(),
             dispatcher.remaining_s(attempt.request),
         )
     finally:
--- a/src/rattanpier/_internal/dispatch/upstream_dispatcher.py
+++ b/src/rattanpier/_internal/dispatch/upstream_dispatcher.py
@@ -120,7 +120,7 @@
             if target is None:
                 raise upstream_failed(last_error) if last_error else no_worker()
             tried.add(target.name)
-            ran_before = attempt.note_dispatch()
+            ran_before = attempt.record_dispatch()
             try:
                 source = observe(
                     self.stream_run(target, attempt, version, may_serve),
@@ -176,7 +176,7 @@
           attempt: The attempt that the try was part of.
           target: The worker that was tried.
           error: How it failed.
-          ran_before: What the attempt's `note_dispatch` returned.
+          ran_before: What the attempt's `record_dispatch` returned.
         """
         self.on_failure(target.name, error)
         if error.retry_after_s:
@@ -216,7 +216,7 @@
         """
         if self.remaining_s(attempt.request) <= 0:
             return False
-        age = self.clock.monotonic() - attempt.asked_at
+        age = self.clock.monotonic() - attempt.claim_asked_at
         return attempt.request.idempotent or age <= MAX_CLAIM_AGE_S
 
     def may_retry_step(self) -> bool:
@@ -347,7 +347,7 @@
         return EngineCall(
             target.worker.url,
             json.dumps(body).encode(),
-            attempt.next_id(),
+            attempt.next_request_id(),
             self.remaining_s(attempt.request),
             lambda: (
                 self.current() and may_serve(version) and self.may_send(attempt)
