--- a/src/rattanpier/_internal/dispatch/attempts.py
+++ b/src/rattanpier/_internal/dispatch/attempts.py
@@ -18,7 +18,7 @@
 class AttemptOutcome(enum.StrEnum):
     """How an attempt ended."""
 
-    WHOLE = "whole"
+    COMPLETE = "whole"
     TRUNCATED = "truncated"  # It began, and did not come to its end.
     FAILED = "failed"  # Nothing came.
     ABANDONED = "abandoned"  # It began; then it was not wanted any more.
@@ -46,7 +46,7 @@
 Attempts = Subject[AttemptResult]
 
 
-async def observe(
+async def report_result(
     source: AsyncIterator[Chunk],
     attempts: Attempts,
     clock: Clock,
@@ -77,7 +77,7 @@
                 finish = chunk.finish
                 if finish is not None:
                     # The caller may stop asking once it has the last chunk.
-                    emit(AttemptOutcome.WHOLE)
+                    emit(AttemptOutcome.COMPLETE)
                 yield chunk
     except UpstreamError as error:
         if chunks and finish is None:
--- a/src/rattanpier/_internal/dispatch/gates.py
+++ b/src/rattanpier/_internal/dispatch/gates.py
@@ -99,7 +99,7 @@
             self.limits[pool].note(result.first_token_s)
         elif pool is not None:
             self.limits[pool].note_refused()
-        if result.outcome is AttemptOutcome.WHOLE:
+        if result.outcome is AttemptOutcome.COMPLETE:
             before = self.output.get(result.workspace, float(result.chunks))
             self.output[result.workspace] = (
                 OUTPUT_MEMORY * before + (1 - OUTPUT_MEMORY) * result.chunks
--- a/src/rattanpier/_internal/dispatch/upstream_dispatcher.py
+++ b/src/rattanpier/_internal/dispatch/upstream_dispatcher.py
@@ -12,7 +12,7 @@
 import attrs
 
 from rattanpier._internal.dispatch.attempt import Attempt
-from rattanpier._internal.dispatch.attempts import Attempts, observe
+from rattanpier._internal.dispatch.attempts import Attempts, report_result
 from rattanpier._internal.dispatch.budget import RetryBudget
 from rattanpier._internal.dispatch.engine import (
     Chunk,
@@ -122,7 +122,7 @@
             tried.add(target.name)
             ran_before = attempt.record_dispatch()
             try:
-                source = observe(
+                source = report_result(
                     self.stream_run(target, attempt, version, may_serve),
                     self.attempts,
                     self.clock,
--- a/tests/lib/rollouts.py
+++ b/tests/lib/rollouts.py
@@ -186,7 +186,7 @@
         world = self.world
         world.runs.append((world.clock.now, self.name, version))
         failed = world.rng.random() < world.failing.get(version, 0.01)
-        outcome = AttemptOutcome.FAILED if failed else AttemptOutcome.WHOLE
+        outcome = AttemptOutcome.FAILED if failed else AttemptOutcome.COMPLETE
         self.collector.take_attempt(
             AttemptResult("desk", version, outcome, 0.2, 10)
         )
--- a/tests/unit/test_rollout_attempts.py
+++ b/tests/unit/test_rollout_attempts.py
@@ -7,7 +7,7 @@
 from rattanpier._internal.dispatch.attempts import (
     AttemptOutcome,
     Attempts,
-    observe,
+    report_result,
 )
 from rattanpier._internal.dispatch.engine import Chunk
 from rattanpier._internal.dispatch.failures import UpstreamError
@@ -29,7 +29,9 @@
 
     attempts, results = Attempts(), []
     attempts.subscribe(results.append)
-    observed = observe(source(), attempts, SystemClock(), "desk", "small@1")
+    observed = report_result(
+        source(), attempts, SystemClock(), "desk", "small@1"
+    )
     try:
         async for _ in observed:
             pass
@@ -41,7 +43,7 @@
 @pytest.mark.parametrize(
     ("chunks", "error", "outcome"),
     [
-        ([None, "stop"], None, AttemptOutcome.WHOLE),
+        ([None, "stop"], None, AttemptOutcome.COMPLETE),
         ([None], None, AttemptOutcome.TRUNCATED),
         ([None], UpstreamError("cut", False), AttemptOutcome.TRUNCATED),
         ([], UpstreamError("500", False), AttemptOutcome.FAILED),
@@ -71,7 +73,9 @@
         started.set()
         await asyncio.Event().wait()
 
-    observed = observe(source(), attempts, SystemClock(), "desk", "small@1")
+    observed = report_result(
+        source(), attempts, SystemClock(), "desk", "small@1"
+    )
 
     async def take():
         async for _ in observed:
@@ -104,7 +108,9 @@
         while True:
             yield make_chunk()
 
-    observed = observe(source(), attempts, SystemClock(), "desk", "small@1")
+    observed = report_result(
+        source(), attempts, SystemClock(), "desk", "small@1"
+    )
     await anext(observed)
     await observed.aclose()
     assert [r.outcome for r in results] == [AttemptOutcome.ABANDONED]
