--- a/src/rattanpier/_internal/dispatch/failures.py
+++ b/src/rattanpier/_internal/dispatch/failures.py
@@ -118,7 +118,7 @@
     )
 
 
-def not_whole() -> DispatchError:
+def incomplete_answer() -> DispatchError:
     """Returns the error for an answer without its end or its usage."""
     return DispatchError(
         RefusalCode.UPSTREAM_FAILED,
--- a/src/rattanpier/_internal/dispatch/runner.py
+++ b/src/rattanpier/_internal/dispatch/runner.py
@@ -39,7 +39,7 @@
     Started,
     Waiting,
 )
-from rattanpier._internal.dispatch.steps import StepRun, steps_to_use
+from rattanpier._internal.dispatch.steps import StepRun, usable_steps
 from rattanpier._internal.dispatch.upstream_dispatcher import UpstreamDispatcher
 from rattanpier._internal.models.configuration import Configuration
 from rattanpier._internal.models.outcomes import SettleOutcome
@@ -264,7 +264,7 @@
 
         return StepRun(
             self.policy.begin(
-                request, steps_to_use(request, plan), attempt.ask.holder
+                request, usable_steps(request, plan), attempt.ask.holder
             ),
             self.policy,
             lambda version: self.dispatcher.stream(attempt, version, allowed),
--- a/src/rattanpier/_internal/dispatch/steps.py
+++ b/src/rattanpier/_internal/dispatch/steps.py
@@ -17,11 +17,14 @@
 )
 from rattanpier._internal.dispatch.bills import Spent, is_whole, spent_by
 from rattanpier._internal.dispatch.engine import Chunk
-from rattanpier._internal.dispatch.failures import DispatchError, not_whole
+from rattanpier._internal.dispatch.failures import (
+    DispatchError,
+    incomplete_answer,
+)
 from rattanpier._internal.models.plan import Plan
 from rattanpier._internal.models.request import RouteRequest
 
-Source = Callable[[str], AsyncIterator[Chunk]]
+OpenStream = Callable[[str], AsyncIterator[Chunk]]
 
 
 @attrs.frozen
@@ -37,7 +40,7 @@
     chunk: Chunk
 
 
-def steps_to_use(request: RouteRequest, plan: Plan) -> list[str]:
+def usable_steps(request: RouteRequest, plan: Plan) -> list[str]:
     """Returns the versions that may be asked, in order; at least one.
 
     A non-idempotent request may run once: it gets the last step alone, which
@@ -53,7 +56,7 @@
     Attributes:
       walk: Where it is.
       policy: Says whether an answer is good enough.
-      source: Opens the answer of a version.
+      open_stream: Opens the answer of a version.
       may_serve: Says whether a version may get work now.
       may_retry: Says whether the retry budget allows one more dispatch.
       spent: An item for each step whose answer was whole.
@@ -61,7 +64,7 @@
 
     walk: Walk
     policy: CascadePolicy
-    source: Source
+    open_stream: OpenStream
     may_serve: MayServe
     may_retry: Callable[[], bool]
     spent: list[Spent] = attrs.Factory(list)
@@ -77,7 +80,7 @@
         """
         while not self.walk.is_last:
             version = self.walk.version
-            chunks = await self.try_step(version)
+            chunks = await self.run_step(version)
             if chunks is not None:
                 for chunk in chunks:
                     yield StepChunk(version, chunk)
@@ -86,7 +89,7 @@
             async for chunk in rest:
                 yield StepChunk(self.walk.version, chunk)
 
-    async def try_step(self, version: str) -> list[Chunk] | None:
+    async def run_step(self, version: str) -> list[Chunk] | None:
         """Returns an accepted answer, or None to go on to the next step.
 
         Raises:
@@ -109,22 +112,22 @@
 
     async def collect(self, version: str) -> list[Chunk]:
         """Returns the whole answer of a step."""
-        async with aclosing(self.source(version)) as source:
+        async with aclosing(self.open_stream(version)) as source:
             chunks = [chunk async for chunk in source]
         if not is_whole(chunks):
-            raise not_whole()
+            raise incomplete_answer()
         return chunks
 
     async def last_step(self) -> AsyncIterator[Chunk]:
         """Yields the answer of the last step as it comes."""
         version = self.walk.version
         chunks: list[Chunk] = []
-        async with aclosing(self.source(version)) as source:
+        async with aclosing(self.open_stream(version)) as source:
             async for chunk in source:
                 chunks.append(chunk)
                 yield chunk
         if not is_whole(chunks):
-            raise not_whole()
+            raise incomplete_answer()
         self.spent.append(spent_by(version, chunks))
         # Its verdict changes nothing any more; the answer may be rated.
         self.policy.judge(self.walk, answer_of(chunks), self.may_serve)
