--- a/src/rattanpier/_internal/dispatch/runner.py
+++ b/src/rattanpier/_internal/dispatch/runner.py
@@ -118,7 +118,7 @@
         """Yields the parts of an answer; ends the claim in any case."""
         attempt = make_attempt(request, self.holder, request_id)
         try:
-            async with aclosing(self.admitted(attempt)) as parts:
+            async with aclosing(self.run_with_replanning(attempt)) as parts:
                 async for part in parts:
                     yield part
         except AssertionError:
@@ -129,7 +129,9 @@
         finally:
             self.keeper.abandon(attempt)
 
-    async def admitted(self, attempt: Attempt) -> AsyncIterator[Part]:
+    async def run_with_replanning(
+        self, attempt: Attempt
+    ) -> AsyncIterator[Part]:
         """Plans a request and runs it once it is let through.
 
         A version may be withdrawn between the plan and the dispatch: where
@@ -142,17 +144,17 @@
             self.keeper.begin(attempt)
         for plans in range(1, MAX_PLANS + 1):
             try:
-                async with aclosing(self.planned(attempt)) as parts:
+                async with aclosing(self.plan_and_run(attempt)) as parts:
                     async for part in parts:
                         yield part
                 return
             except DispatchError as error:
-                if plans == MAX_PLANS or not is_stale(error, attempt):
+                if plans == MAX_PLANS or not is_plan_stale(error, attempt):
                     yield await self.keeper.give_up(attempt, error.refusal)
                     return
                 self.metrics.count("dispatch.planned_again")
 
-    async def planned(self, attempt: Attempt) -> AsyncIterator[Part]:
+    async def plan_and_run(self, attempt: Attempt) -> AsyncIterator[Part]:
         """Plans a request by the configuration in force, and runs it.
 
         Raises:
@@ -167,7 +169,7 @@
             if refusal is not None:
                 yield await self.keeper.give_up(attempt, refusal)
                 return
-            run = self.claimed(attempt, configuration, plan)
+            run = self.claim_and_run(attempt, configuration, plan)
             async with aclosing(run) as parts:
                 async for part in parts:
                     yield part
@@ -190,7 +192,7 @@
             )
         return plan
 
-    async def claimed(
+    async def claim_and_run(
         self, attempt: Attempt, configuration: Configuration, plan: Plan
     ) -> AsyncIterator[Part]:
         """Runs a request unless its claim went to somebody else.
@@ -203,12 +205,12 @@
             yield refuse_claim(attempt, reply)
             return
         async with aclosing(
-            self.released(attempt, configuration, plan)
+            self.stream_claimed(attempt, configuration, plan)
         ) as parts:
             async for part in parts:
                 yield part
 
-    async def released(
+    async def stream_claimed(
         self, attempt: Attempt, configuration: Configuration, plan: Plan
     ) -> AsyncIterator[Part]:
         """Yields the parts of an answer as they may be released.
@@ -220,7 +222,7 @@
           DispatchError: There is no answer, or no more of it.
         """
         chunks: list[Chunk] = []
-        held: list[Chunk] = []  # From the chunk that ends the answer on.
+        withheld: list[Chunk] = []  # From the chunk that ends the answer on.
         version = ""
         run = self.start_steps(attempt, plan)
         async with aclosing(run.chunks()) as steps:
@@ -233,8 +235,8 @@
                     version = step.version
                     yield Started(version, plan.pin_lost)
                 chunks.append(step.chunk)
-                if held or step.chunk.finish is not None:
-                    held.append(step.chunk)
+                if withheld or step.chunk.finish is not None:
+                    withheld.append(step.chunk)
                 else:
                     yield Piece(step.chunk)
         yield Waiting()
@@ -243,7 +245,7 @@
         if refusal is not None:
             yield Refused(refusal)
             return
-        for chunk in held:
+        for chunk in withheld:
             yield Piece(chunk)
         yield Ended(bill)
 
@@ -287,7 +289,7 @@
         return settle_refusal(outcome)
 
 
-def is_stale(error: DispatchError, attempt: Attempt) -> bool:
+def is_plan_stale(error: DispatchError, attempt: Attempt) -> bool:
     """Says whether only the plan is out of date: nothing was sent by it."""
     withdrawn = error.refusal.code is RefusalCode.VERSION_WITHDRAWN
     return withdrawn and not attempt.may_have_run
--- a/src/rattanpier/_internal/dispatch/service_runner.py
+++ b/src/rattanpier/_internal/dispatch/service_runner.py
@@ -123,7 +123,7 @@
             async with self.admit(request, plan) as refusal:
                 if refusal is not None:
                     return await self.keeper.give_up(attempt, refusal)
-                return await self.claimed(attempt, plan.service, call)
+                return await self.claim_and_run(attempt, plan.service, call)
         except DispatchError as error:
             return await self.keeper.give_up(attempt, error.refusal)
         except AssertionError:
@@ -134,7 +134,7 @@
         finally:
             self.keeper.abandon(attempt)
 
-    async def claimed(
+    async def claim_and_run(
         self, attempt: Attempt, service: str, call: ServiceCall
     ) -> ServiceResult:
         """Runs a call unless its claim went to somebody else."""
