--- a/src/rattanpier/_internal/dispatch/engine.py
+++ b/src/rattanpier/_internal/dispatch/engine.py
@@ -114,7 +114,7 @@
         if body.held:
             raise UpstreamError("the body was held back", True) from error
         raise UpstreamError(
-            f"connection failed: {error!r}", False, cut=True
+            f"connection failed: {error!r}", False, resumable=True
         ) from error
 
 
@@ -167,7 +167,7 @@
     given = response.headers.get(REQUEST_ID)
     if given != request_id:
         raise UpstreamError(
-            f"the answer is for request {given!r}", False, cut=False
+            f"the answer is for request {given!r}", False, resumable=False
         )
 
 
@@ -219,7 +219,7 @@
                 raise missing_chunk(event.number, expected)
             expected += 1
             yield parse_chunk(event, index < len(events))
-    raise UpstreamError("the stream ended early", False, cut=True)
+    raise UpstreamError("the stream ended early", False, resumable=True)
 
 
 class Event(NamedTuple):
@@ -261,7 +261,7 @@
 def missing_chunk(number: int, expected: int) -> UpstreamError:
     """Returns the error for a gap in the numbers of chunks."""
     return UpstreamError(
-        f"chunk {number} came in place of {expected}", False, cut=True
+        f"chunk {number} came in place of {expected}", False, resumable=True
     )
 
 
--- a/src/rattanpier/_internal/dispatch/failures.py
+++ b/src/rattanpier/_internal/dispatch/failures.py
@@ -11,7 +11,7 @@
 BUDGET_RETRY_S = 2.0
 NOT_CURRENT_RETRY_S = 1.0
 DEADLINE_RETRY_S = 1.0
-STOPPED_RETRY_S = 0.5  # A fresh plan may name another version.
+WITHDRAWN_RETRY_S = 0.5  # A fresh plan may name another version.
 
 
 class UpstreamError(Exception):
@@ -21,7 +21,7 @@
       not_run: True only if the request certainly did not run there: no byte
         of it left this process, or the upstream itself said so.
       retry_after_s: When the upstream said to come back, or None.
-      cut: True if an answer had begun and may be resumed.
+      resumable: True if an answer had begun and may be resumed.
       final: True if another worker would say the same.
     """
 
@@ -30,13 +30,13 @@
         message: str,
         not_run: bool,
         retry_after_s: float | None = None,
-        cut: bool = False,
+        resumable: bool = False,
         final: bool = False,
     ) -> None:
         super().__init__(message)
         self.not_run = not_run
         self.retry_after_s = retry_after_s
-        self.cut = cut
+        self.resumable = resumable
         self.final = final
 
 
@@ -66,12 +66,12 @@
     )
 
 
-def version_stopped(version: str) -> DispatchError:
+def version_withdrawn(version: str) -> DispatchError:
     """Returns the error for a version that takes no new work."""
     return DispatchError(
         RefusalCode.VERSION_WITHDRAWN,
         f"Version {version} takes no new work.",
-        STOPPED_RETRY_S,
+        WITHDRAWN_RETRY_S,
     )
 
 
@@ -84,14 +84,14 @@
     )
 
 
-def deadline_passed() -> DispatchError:
+def deadline_exceeded() -> DispatchError:
     """Returns the error for a request whose time is up."""
     return DispatchError(
         RefusalCode.DEADLINE, "The request's time is up.", DEADLINE_RETRY_S
     )
 
 
-def budget_spent() -> DispatchError:
+def retry_budget_exhausted() -> DispatchError:
     """Returns the error for a retry that the budget does not allow."""
     return DispatchError(
         RefusalCode.RETRY_BUDGET,
@@ -100,7 +100,7 @@
     )
 
 
-def claim_in_doubt() -> DispatchError:
+def claim_unconfirmed() -> DispatchError:
     """Returns the error for a claim that can't be confirmed any more."""
     return DispatchError(
         RefusalCode.CLAIM_UNAVAILABLE,
--- a/src/rattanpier/_internal/dispatch/runner.py
+++ b/src/rattanpier/_internal/dispatch/runner.py
@@ -27,7 +27,7 @@
 from rattanpier._internal.dispatch.engine import Chunk
 from rattanpier._internal.dispatch.failures import (
     DispatchError,
-    deadline_passed,
+    deadline_exceeded,
     not_current,
 )
 from rattanpier._internal.dispatch.keeper import ClaimKeeper, refuse_claim
@@ -183,7 +183,7 @@
         if not self.dispatcher.current():
             return not_current().refusal
         if self.dispatcher.remaining_s(request) <= 0:
-            return deadline_passed().refusal
+            return deadline_exceeded().refusal
         if isinstance(plan, Plan) and not plan.steps:
             return Refusal(
                 RefusalCode.NO_RULE,
--- a/src/rattanpier/_internal/dispatch/service_runner.py
+++ b/src/rattanpier/_internal/dispatch/service_runner.py
@@ -18,7 +18,7 @@
 )
 from rattanpier._internal.dispatch.failures import (
     DispatchError,
-    deadline_passed,
+    deadline_exceeded,
     not_current,
 )
 from rattanpier._internal.dispatch.keeper import ClaimKeeper, refuse_claim
@@ -95,7 +95,7 @@
         if not self.dispatcher.current():
             return not_current().refusal
         if self.dispatcher.remaining_s(request) <= 0:
-            return deadline_passed().refusal
+            return deadline_exceeded().refusal
         plan = make_plan(self.configuration(), request)
         if isinstance(plan, Plan) and not plan.service:
             return Refusal(
--- a/src/rattanpier/_internal/dispatch/upstream_dispatcher.py
+++ b/src/rattanpier/_internal/dispatch/upstream_dispatcher.py
@@ -22,13 +22,13 @@
 )
 from rattanpier._internal.dispatch.failures import (
     UpstreamError,
-    budget_spent,
-    claim_in_doubt,
-    deadline_passed,
+    claim_unconfirmed,
+    deadline_exceeded,
     no_worker,
     not_current,
+    retry_budget_exhausted,
     upstream_failed,
-    version_stopped,
+    version_withdrawn,
 )
 from rattanpier._internal.dispatch.quarantining import (
     content_of,
@@ -148,7 +148,7 @@
         await self.check_claim(attempt)
         # Asked last before each dispatch: a withdrawal counts at once.
         if not may_serve(version):
-            raise version_stopped(version)
+            raise version_withdrawn(version)
 
     async def check_claim(self, attempt: Attempt) -> None:
         """Raises DispatchError if an attempt may dispatch nothing more."""
@@ -159,9 +159,9 @@
         if not self.current():
             raise not_current()
         if not attempt.request.idempotent and not await self.confirm(attempt):
-            raise claim_in_doubt()
+            raise claim_unconfirmed()
         if self.remaining_s(attempt.request) <= 0:
-            raise deadline_passed()
+            raise deadline_exceeded()
 
     async def record_failure(
         self,
@@ -196,13 +196,13 @@
     ) -> None:
         """Raises DispatchError unless a failed request may go elsewhere."""
         if self.remaining_s(request) <= 0:
-            raise deadline_passed() from error
+            raise deadline_exceeded() from error
         if error.final or len(tried) >= MAX_UPSTREAM_REQUESTS:
             raise upstream_failed(error) from error
         if not error.not_run and not request.idempotent:
             raise upstream_failed(error) from error
         if not self.budget.take():
-            raise budget_spent() from error
+            raise retry_budget_exhausted() from error
         self.metrics.count(
             "dispatch.retry.not_run"
             if error.not_run
@@ -325,7 +325,7 @@
           UpstreamError: There is nothing to resume, or no time.
         """
         left = self.remaining_s(request)
-        if not error.cut or left <= 0:
+        if not error.resumable or left <= 0:
             raise error
         self.metrics.count("dispatch.retry.resume")
         return attrs.evolve(call, timeout_s=left)
