--- a/src/rattanpier/_internal/dispatch/engine.py
+++ b/src/rattanpier/_internal/dispatch/engine.py
@@ -52,7 +52,7 @@
       finish: Why the answer ended, or None.
       usage: Given with the last chunk.
       confidence: The engine's own measure of the answer, with the last chunk.
-      more: True if another chunk came with it and follows at once.
+      more_buffered: True if another chunk came with it and follows at once.
     """
 
     number: int
@@ -61,7 +61,7 @@
     finish: str | None = None
     usage: Usage | None = None
     confidence: float | None = None
-    more: bool = False
+    more_buffered: bool = False
 
 
 @attrs.frozen
@@ -100,8 +100,8 @@
     try:
         async with open_answer(session, call, body, after) as response:
             if response.status != 200:
-                raise await refusal_of(response)
-            check_identity(response, call.request_id)
+                raise await read_refusal(response)
+            check_request_id(response, call.request_id)
             async for chunk in read_events(response, after):
                 yield chunk
     except (
@@ -162,7 +162,7 @@
             pass
 
 
-def check_identity(response: aiohttp.ClientResponse, request_id: str) -> None:
+def check_request_id(response: aiohttp.ClientResponse, request_id: str) -> None:
     """Raises UpstreamError if an answer belongs to another request."""
     given = response.headers.get(REQUEST_ID)
     if given != request_id:
@@ -171,7 +171,7 @@
         )
 
 
-async def refusal_of(response: aiohttp.ClientResponse) -> UpstreamError:
+async def read_refusal(response: aiohttp.ClientResponse) -> UpstreamError:
     """Returns the error for an upstream's refusal."""
     try:
         body = json.loads(await response.read())
@@ -216,7 +216,7 @@
             if event.number < expected:
                 continue  # A chunk that came twice.
             if event.number > expected:
-                raise missing_chunk(event.number, expected)
+                raise chunk_gap(event.number, expected)
             expected += 1
             yield parse_chunk(event, index < len(events))
     raise UpstreamError("the stream ended early", False, resumable=True)
@@ -243,11 +243,11 @@
       ValueError: An event is too large.
     """
     number = -1
-    rest = b""
+    partial_line = b""
     # A read for each line would cost more than all else that is done here.
     async for block in response.content.iter_any():
-        *lines, rest = (rest + block).split(b"\n")
-        if len(rest) > MAX_EVENT_BYTES:
+        *lines, partial_line = (partial_line + block).split(b"\n")
+        if len(partial_line) > MAX_EVENT_BYTES:
             raise ValueError("an event is too large")
         events = []
         for line in lines:
@@ -258,14 +258,14 @@
         yield events
 
 
-def missing_chunk(number: int, expected: int) -> UpstreamError:
+def chunk_gap(number: int, expected: int) -> UpstreamError:
     """Returns the error for a gap in the numbers of chunks."""
     return UpstreamError(
         f"chunk {number} came in place of {expected}", False, resumable=True
     )
 
 
-def parse_chunk(event: Event, more: bool) -> Chunk:
+def parse_chunk(event: Event, more_buffered: bool) -> Chunk:
     """Returns a chunk from its event.
 
     Raises:
@@ -279,10 +279,12 @@
     try:
         choices = body.get("choices") or [{}]
         text = choices[0].get("delta", {}).get("content") or ""
-        counted = body.get("usage")
+        token_counts = body.get("usage")
         usage = (
-            Usage(counted["prompt_tokens"], counted["completion_tokens"])
-            if counted
+            Usage(
+                token_counts["prompt_tokens"], token_counts["completion_tokens"]
+            )
+            if token_counts
             else None
         )
         return Chunk(
@@ -292,7 +294,7 @@
             choices[0].get("finish_reason"),
             usage,
             body.get("confidence"),
-            more,
+            more_buffered,
         )
     except (AttributeError, KeyError, TypeError, IndexError) as error:
         raise ValueError(f"not a chunk: {error!r}") from error
--- a/src/rattanpier/_internal/dispatch/plain.py
+++ b/src/rattanpier/_internal/dispatch/plain.py
@@ -13,7 +13,7 @@
     CONNECT_TIMEOUT_S,
     REQUEST_ID,
     TIMEOUT_MS,
-    refusal_of,
+    read_refusal,
 )
 from rattanpier._internal.dispatch.failures import UpstreamError
 from rattanpier._internal.utils.headers import Header, pass_on
@@ -149,7 +149,7 @@
       UpstreamError: It is a failure, another request's, or not whole.
     """
     if response.status >= FIRST_FAILURE or response.status in BUSY:
-        raise await refusal_of(response)
+        raise await read_refusal(response)
     given = response.headers.get(REQUEST_ID)
     if given is not None and given != request_id:
         raise UpstreamError(f"the answer is for request {given!r}", False)
--- a/src/rattanpier/_internal/edge/chat.py
+++ b/src/rattanpier/_internal/edge/chat.py
@@ -192,7 +192,7 @@
             match part:
                 case Piece(chunk):
                     ready.append(b"data: " + chunk.data + b"\n\n")
-                    if not chunk.more:
+                    if not chunk.more_buffered:
                         await write_all(response, ready)
                 case Waiting():
                     await write_all(response, ready)
--- a/tests/unit/test_engine_events.py
+++ b/tests/unit/test_engine_events.py
@@ -14,7 +14,7 @@
     chunk = parse_chunk(Event(7, data), True)
     assert (chunk.number, chunk.data, chunk.text) == (7, data, "é")
     assert (chunk.finish, chunk.usage) == ("stop", Usage(2, 3))
-    assert (chunk.confidence, chunk.more) == (0.5, True)
+    assert (chunk.confidence, chunk.more_buffered) == (0.5, True)
 
 
 @pytest.mark.parametrize(
