--- a/src/rattanpier/_internal/dispatch/body.py
+++ b/src/rattanpier/_internal/dispatch/body.py
@@ -16,7 +16,7 @@
 MaySend = Callable[[], bool]
 
 
-class BodyHeldError(Exception):
+class BodyWithheldError(Exception):
     """The body was not sent."""
 
 
@@ -25,13 +25,13 @@
 
     Attributes:
       may_send: Says whether the body may be sent now.
-      held: True if it was not sent, so that nothing can have run.
+      withheld: True if it was not sent, so that nothing can have run.
     """
 
     def __init__(self, body: bytes, may_send: MaySend) -> None:
         super().__init__(body, content_type="application/json")
         self.may_send = may_send
-        self.held = False
+        self.withheld = False
 
     async def write_with_length(
         self, writer: AbstractStreamWriter, content_length: int | None
@@ -39,9 +39,9 @@
         """Writes the body.
 
         Raises:
-          BodyHeldError: It may not be sent.
+          BodyWithheldError: It may not be sent.
         """
         if not self.may_send():
-            self.held = True
-            raise BodyHeldError
+            self.withheld = True
+            raise BodyWithheldError
         await super().write_with_length(writer, content_length)
--- a/src/rattanpier/_internal/dispatch/engine.py
+++ b/src/rattanpier/_internal/dispatch/engine.py
@@ -111,7 +111,7 @@
         # No connection: no byte of the request left this process.
         raise UpstreamError(f"can't connect: {error}", True) from error
     except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
-        if body.held:
+        if body.withheld:
             raise UpstreamError("the body was held back", True) from error
         raise UpstreamError(
             f"connection failed: {error!r}", False, resumable=True
