--- a/src/rattanpier/_internal/dispatch/plain.py
+++ b/src/rattanpier/_internal/dispatch/plain.py
@@ -20,12 +20,14 @@
 
 MAX_ANSWER_BYTES = 16 * 2**20
 READ_BYTES = 2**16
-FIRST_FAILURE = 500
-NO_BODY = frozenset({204, 304})
+MIN_FAILURE_STATUS = 500
+BODILESS_STATUSES = frozenset({204, 304})
 # The service ran nothing to keep: a repeat of the key may ask again.
-BUSY = frozenset({408, 429})
+BUSY_STATUSES = frozenset({408, 429})
 
-Send = Callable[[aiohttp.ClientRequest], Awaitable[aiohttp.ClientResponse]]
+SendRequest = Callable[
+    [aiohttp.ClientRequest], Awaitable[aiohttp.ClientResponse]
+]
 
 
 @attrs.frozen
@@ -71,7 +73,7 @@
         self.sent = False
 
     async def __call__(
-        self, request: aiohttp.ClientRequest, send: Send
+        self, request: aiohttp.ClientRequest, send: SendRequest
     ) -> aiohttp.ClientResponse:
         """Sends a request; a broken connection is raised so that it stays."""
         assert not self.sent
@@ -129,7 +131,7 @@
             middlewares=(SendOnce(),),
             skip_auto_headers=("Content-Type", "User-Agent"),
         ) as response:
-            return await take_answer(response, call.method, request_id)
+            return await read_answer(response, call.method, request_id)
     except (
         aiohttp.ClientConnectorError,
         aiohttp.ConnectionTimeoutError,
@@ -140,7 +142,7 @@
         raise UpstreamError(f"connection failed: {error!r}", False) from error
 
 
-async def take_answer(
+async def read_answer(
     response: aiohttp.ClientResponse, method: str, request_id: str
 ) -> ServiceAnswer:
     """Returns a whole answer.
@@ -148,21 +150,24 @@
     Raises:
       UpstreamError: It is a failure, another request's, or not whole.
     """
-    if response.status >= FIRST_FAILURE or response.status in BUSY:
+    if (
+        response.status >= MIN_FAILURE_STATUS
+        or response.status in BUSY_STATUSES
+    ):
         raise await read_refusal(response)
     given = response.headers.get(REQUEST_ID)
     if given is not None and given != request_id:
         raise UpstreamError(f"the answer is for request {given!r}", False)
-    check_has_end(response, method)
+    check_delimited(response, method)
     body = await read_limited(response)
     return ServiceAnswer(
         response.status, pass_on(response.headers.items()), body
     )
 
 
-def check_has_end(response: aiohttp.ClientResponse, method: str) -> None:
+def check_delimited(response: aiohttp.ClientResponse, method: str) -> None:
     """Raises UpstreamError if an answer's end looks the same as a cut."""
-    if method == "HEAD" or response.status in NO_BODY:
+    if method == "HEAD" or response.status in BODILESS_STATUSES:
         return
     if response.content_length is not None:
         return
