--- a/src/rattanpier/_internal/dispatch/quarantining.py
+++ b/src/rattanpier/_internal/dispatch/quarantining.py
@@ -27,22 +27,22 @@
 
 log = structlog.get_logger(part="quarantine")
 
-CHECK_TIMEOUT_S = 0.3  # A VM without a listener refuses within some ms.
+PORT_CHECK_TIMEOUT_S = 0.3  # A VM without a listener refuses within some ms.
 
 
-def content_of(request: RouteRequest) -> str:
+def content_key(request: RouteRequest) -> str:
     """Returns what a request is known by, the same for each attempt."""
     return f"{request.workspace}/{request.digest}"
 
 
-async def has_ended(target: Target) -> bool:
+async def has_terminated(target: Target) -> bool:
     """Says whether a worker whose answer broke off surely ended."""
     url = URL(target.worker.url)
-    found = await listens(url.host or "", url.port or 0, CHECK_TIMEOUT_S)
+    found = await listens(url.host or "", url.port or 0, PORT_CHECK_TIMEOUT_S)
     return found is False
 
 
-def held(seconds: float) -> DispatchError:
+def request_quarantined(seconds: float) -> DispatchError:
     """Returns the error for a request under which workers ended.
 
     Args:
@@ -58,36 +58,36 @@
     """Tells other entries of ends, and passes on what is new.
 
     Attributes:
-      spread: Sends a notice to a few entries; must not block.
+      broadcast: Sends a notice to a few entries; must not block.
     """
 
     quarantine: Quarantine
-    spread: Callable[[peer_pb2.Notice], None]
-    telling: asyncio.Handle | None = None
+    broadcast: Callable[[peer_pb2.Notice], None]
+    scheduled: asyncio.Handle | None = None
 
-    def tell_soon(self) -> None:
+    def schedule_publish(self) -> None:
         """Tells of what is untold, all of one turn of the loop together."""
-        if self.telling is None:
+        if self.scheduled is None:
             loop = asyncio.get_running_loop()
-            self.telling = loop.call_soon(self.tell)
+            self.scheduled = loop.call_soon(self.publish)
 
-    def tell(self) -> None:
+    def publish(self) -> None:
         """Tells others of what is untold."""
-        self.telling = None
-        self.send(self.quarantine.take_untold())
+        self.scheduled = None
+        self.publish_update(self.quarantine.take_untold())
 
-    def send(self, news: QuarantineNews) -> None:
-        """Sends news to a few entries."""
-        rumors = peer_pb2.Rumors(text=encode(news).encode())
-        self.spread(peer_pb2.Notice(spread=peer_pb2.Spread(rumors=rumors)))
+    def publish_update(self, update: QuarantineNews) -> None:
+        """Sends update to a few entries."""
+        rumors = peer_pb2.Rumors(text=encode(update).encode())
+        self.broadcast(peer_pb2.Notice(spread=peer_pb2.Spread(rumors=rumors)))
 
     def receive(self, notice: peer_pb2.Notice) -> None:
-        """Takes in another entry's news, and passes on what was new."""
+        """Takes in another entry's update, and passes on what was new."""
         try:
-            news = decode(QuarantineNews, notice.spread.rumors.text)
+            update = decode(QuarantineNews, notice.spread.rumors.text)
         except UnreadableError as error:
             log.warning("Notice can't be read.", error=error.message)
             return
-        fresh = self.quarantine.take(news)
-        if fresh != QuarantineNews():
-            self.send(fresh)
+        unseen = self.quarantine.take(update)
+        if unseen != QuarantineNews():
+            self.publish_update(unseen)
--- a/src/rattanpier/_internal/dispatch/service_dispatch.py
+++ b/src/rattanpier/_internal/dispatch/service_dispatch.py
@@ -16,7 +16,7 @@
     ServiceCall,
     send_call,
 )
-from rattanpier._internal.dispatch.quarantining import content_of
+from rattanpier._internal.dispatch.quarantining import content_key
 from rattanpier._internal.dispatch.upstream_dispatcher import UpstreamDispatcher
 from rattanpier._internal.models.configuration import (
     Configuration,
@@ -52,7 +52,7 @@
         ran_before = attempt.record_dispatch()
         try:
             answer = await send_to_worker(dispatcher, attempt, target, call)
-            dispatcher.quarantine.note_answered(content_of(attempt.request))
+            dispatcher.quarantine.note_answered(content_key(attempt.request))
             return answer
         except UpstreamError as error:
             await dispatcher.record_failure(attempt, target, error, ran_before)
--- a/src/rattanpier/_internal/dispatch/upstream_dispatcher.py
+++ b/src/rattanpier/_internal/dispatch/upstream_dispatcher.py
@@ -31,9 +31,9 @@
     version_withdrawn,
 )
 from rattanpier._internal.dispatch.quarantining import (
-    content_of,
-    has_ended,
-    held,
+    content_key,
+    has_terminated,
+    request_quarantined,
 )
 from rattanpier._internal.models.configuration import Configuration
 from rattanpier._internal.models.request import RouteRequest
@@ -134,7 +134,7 @@
                         if not is_already_released(chunk, released):
                             released.append(chunk)
                             yield chunk
-                self.quarantine.note_answered(content_of(attempt.request))
+                self.quarantine.note_answered(content_key(attempt.request))
                 return
             except UpstreamError as error:
                 await self.record_failure(attempt, target, error, ran_before)
@@ -152,10 +152,10 @@
 
     async def check_claim(self, attempt: Attempt) -> None:
         """Raises DispatchError if an attempt may dispatch nothing more."""
-        held_s = self.quarantine.held_s(content_of(attempt.request))
+        held_s = self.quarantine.held_s(content_key(attempt.request))
         if held_s:
             self.metrics.count("dispatch.held")
-            raise held(held_s)
+            raise request_quarantined(held_s)
         if not self.current():
             raise not_current()
         if not attempt.request.idempotent and not await self.confirm(attempt):
@@ -183,9 +183,9 @@
             self.backoffs.hear(target.name, error.retry_after_s)
         if error.not_run:
             attempt.may_have_run = ran_before
-        elif await has_ended(target):
+        elif await has_terminated(target):
             self.metrics.count("dispatch.worker_ended")
-            self.quarantine.note_end(content_of(attempt.request), target.name)
+            self.quarantine.note_end(content_key(attempt.request), target.name)
 
     def choose(self, targets: list[Target]) -> Target | None:
         """Returns the worker to use of some; None if there is none."""
--- a/src/rattanpier/_internal/programs/entry.py
+++ b/src/rattanpier/_internal/programs/entry.py
@@ -247,7 +247,7 @@
     sharing = QuarantineSharing(
         quarantine, ring_spread(settings.node.name, entries, links)
     )
-    quarantine.tell = sharing.tell_soon
+    quarantine.tell = sharing.schedule_publish
     kernel.find("peer_server").on_notice("spread", sharing.receive)
     return quarantine
 
--- a/tests/retries/test_quarantining.py
+++ b/tests/retries/test_quarantining.py
@@ -7,7 +7,7 @@
 
 from rattanpier._internal.dispatch.quarantining import (
     QuarantineSharing,
-    content_of,
+    content_key,
 )
 from rattanpier._internal.membership.ring import neighbours
 from rattanpier._internal.models.request import RouteRequest
@@ -39,7 +39,7 @@
                 loop.call_soon(self.entries[other].receive, heard)
 
         sharing = QuarantineSharing(Quarantine(self.clock), spread)
-        sharing.quarantine.tell = sharing.tell_soon
+        sharing.quarantine.tell = sharing.schedule_publish
         self.entries[name] = sharing
 
     def holding(self):
@@ -73,7 +73,7 @@
 
 def test_the_content_of_a_chat_outlives_its_attempt():
     def content(workspace, key, digest):
-        return content_of(RouteRequest(workspace, key, digest=digest))
+        return content_key(RouteRequest(workspace, key, digest=digest))
 
     first = content("desk", "k1", "d")
     assert first == content("desk", "k2", "d")
