--- a/src/rattanpier/_internal/dispatch/repeatable.py
+++ b/src/rattanpier/_internal/dispatch/repeatable.py
@@ -9,10 +9,10 @@
 ANY_METHOD = "*"
 
 
-def plain_path(target: str) -> str:
+def normalize_path(target: str) -> str:
     """Returns a path in the one form that paths are compared in.
 
-    >>> plain_path("/Orders//%37/?x=1")
+    >>> normalize_path("/Orders//%37/?x=1")
     '/orders/7'
     """
     path = unquote(target.partition("?")[0])
@@ -44,12 +44,12 @@
     >>> may_repeat(["POST /orders"], "GET", "/orders/7")
     True
     """
-    path = plain_path(target)
+    path = normalize_path(target)
     for listed in non_repeatable:
         listed_method, _, listed_path = listed.partition(" ")
         if listed_method.upper() not in (ANY_METHOD, method.upper()):
             continue
-        prefix = plain_path(listed_path)
+        prefix = normalize_path(listed_path)
         if path == prefix or path.startswith(prefix.rstrip("/") + "/"):
             return False
     return True
