--- a/src/rattanpier/_internal/dispatch/parts.py
+++ b/src/rattanpier/_internal/dispatch/parts.py
@@ -23,14 +23,14 @@
 
 
 @attrs.frozen
-class Piece:
+class ReleasedChunk:
     """A chunk that may be released."""
 
     chunk: Chunk
 
 
 @attrs.frozen
-class Waiting:
+class Flush:
     """The next part takes a while: what came so far has to go out."""
 
 
@@ -42,7 +42,7 @@
 
 
 @attrs.frozen
-class Ended:
+class Completed:
     """The last part: the answer is whole, settled and billed."""
 
     bill: Bill
@@ -55,4 +55,4 @@
     refusal: Refusal
 
 
-Part = Started | Piece | Waiting | Recorded | Ended | Refused
+Part = Started | ReleasedChunk | Flush | Recorded | Completed | Refused
--- a/src/rattanpier/_internal/dispatch/runner.py
+++ b/src/rattanpier/_internal/dispatch/runner.py
@@ -32,12 +32,12 @@
 )
 from rattanpier._internal.dispatch.keeper import ClaimKeeper, refuse_claim
 from rattanpier._internal.dispatch.parts import (
-    Ended,
+    Completed,
+    Flush,
     Part,
-    Piece,
     Refused,
+    ReleasedChunk,
     Started,
-    Waiting,
 )
 from rattanpier._internal.dispatch.steps import StepRun, usable_steps
 from rattanpier._internal.dispatch.upstream_dispatcher import UpstreamDispatcher
@@ -238,16 +238,16 @@
                 if withheld or step.chunk.finish is not None:
                     withheld.append(step.chunk)
                 else:
-                    yield Piece(step.chunk)
-        yield Waiting()
+                    yield ReleasedChunk(step.chunk)
+        yield Flush()
         bill = make_bill(configuration, attempt.request, run.spent)
         refusal = await self.settle(attempt, version, bill, chunks)
         if refusal is not None:
             yield Refused(refusal)
             return
         for chunk in withheld:
-            yield Piece(chunk)
-        yield Ended(bill)
+            yield ReleasedChunk(chunk)
+        yield Completed(bill)
 
     def start_steps(self, attempt: Attempt, plan: Plan) -> StepRun:
         """Returns the run of a request through the steps of its plan."""
--- a/src/rattanpier/_internal/edge/chat.py
+++ b/src/rattanpier/_internal/edge/chat.py
@@ -13,13 +13,13 @@
 from rattanpier._internal.dispatch.bills import completion
 from rattanpier._internal.dispatch.engine import Chunk
 from rattanpier._internal.dispatch.parts import (
-    Ended,
+    Completed,
+    Flush,
     Part,
-    Piece,
     Recorded,
     Refused,
+    ReleasedChunk,
     Started,
-    Waiting,
 )
 from rattanpier._internal.dispatch.runner import Runner
 from rattanpier._internal.edge.errors import error_event, refuse
@@ -165,13 +165,13 @@
                 case Started():
                     part = await self.keep_pin(route, part)
                     headers = self.headers(route, request_id, part)
-                case Piece(chunk):
+                case ReleasedChunk(chunk):
                     chunks.append(chunk)
                 case Recorded(answer):
                     return recorded_response(answer, request_id)
                 case Refused(refusal):
                     return self.refuse(refusal, request_id)
-                case Ended():
+                case Completed():
                     return web.json_response(
                         completion(chunks), headers=headers
                     )
@@ -190,11 +190,11 @@
         ready: list[bytes] = []
         async for part in parts:
             match part:
-                case Piece(chunk):
+                case ReleasedChunk(chunk):
                     ready.append(b"data: " + chunk.data + b"\n\n")
                     if not chunk.more_buffered:
                         await write_all(response, ready)
-                case Waiting():
+                case Flush():
                     await write_all(response, ready)
                 case Started():
                     part = await self.keep_pin(route, part)
@@ -210,7 +210,7 @@
                     self.metrics.count(f"refusal.{refusal.code.value}")
                     ready.append(error_event(refusal, request_id))
                     await write_all(response, ready)
-                case Ended():
+                case Completed():
                     ready.append(DONE_EVENT)
                     await write_all(response, ready)
         assert response is not None
--- a/tests/unit/test_dispatch_order.py
+++ b/tests/unit/test_dispatch_order.py
@@ -8,7 +8,7 @@
 from rattanpier._internal.cascade.policy import fixed_threshold
 from rattanpier._internal.claims.book import Ask
 from rattanpier._internal.claims.records import ClaimResult
-from rattanpier._internal.dispatch.parts import Ended, Recorded, Refused
+from rattanpier._internal.dispatch.parts import Completed, Recorded, Refused
 from rattanpier._internal.models.configuration import VersionState
 from rattanpier._internal.models.outcomes import ClaimOutcome
 from rattanpier._internal.models.refusal import Refusal, RefusalCode
@@ -61,13 +61,13 @@
         bench.runner.dispatcher.current = current
         part = await bench.ask(ONCE)
         assert len(up.runs) == (0 if others else 1)
-        assert isinstance(part, Refused if others else Ended)
+        assert isinstance(part, Refused if others else Completed)
 
 
 async def test_a_thawed_process_whose_claim_holds_goes_on():
     async with RawUpstream() as up, bench_over(up) as bench:
         freeze(bench, 20.0, others=False)
-        assert isinstance(await bench.ask(ONCE), Ended)
+        assert isinstance(await bench.ask(ONCE), Completed)
         assert len(up.runs) == 1
         assert bench.claims.asks == 2
 
@@ -139,7 +139,7 @@
         pinned = attrs.evolve(ONCE, pinned=SMALL)
         bench.claims.after_claim = lambda _ask: withdraw(bench, SMALL)
         part = await bench.ask(pinned)
-        assert isinstance(part, Ended)
+        assert isinstance(part, Completed)
         assert len(up.runs) == 1
         assert part.bill.version == LARGE
 
@@ -161,7 +161,7 @@
     ):
         bench.runner.dispatcher.leaving = {"w1"}
         part = await bench.ask(build_request())
-        assert isinstance(part, Ended)
+        assert isinstance(part, Completed)
         assert (len(one.runs), len(two.runs)) == (1, 1)
 
 
@@ -190,7 +190,7 @@
 async def test_a_repeat_gets_its_answer_though_no_rule_matches_now():
     async with RawUpstream() as up, bench_over(up) as bench:
         request = build_request(keyed=True)
-        assert isinstance(await bench.ask(request), Ended)
+        assert isinstance(await bench.ask(request), Completed)
         bench.configuration = attrs.evolve(bench.configuration, rules=[])
         assert isinstance(await bench.ask(request, "r2"), Recorded)
         assert len(up.runs) == 1
@@ -287,7 +287,7 @@
             part = await bench.ask(
                 build_request(key=f"k{number}"), f"r{number}"
             )
-            assert isinstance(part, Ended)
+            assert isinstance(part, Completed)
         assert one.touched <= 1
         two.mode = "tired"
         await bench.ask(build_request(key="last"), "last")
