--- a/src/rattanpier/_internal/dispatch/budget.py
+++ b/src/rattanpier/_internal/dispatch/budget.py
@@ -6,9 +6,9 @@
 
 from rattanpier._internal.utils.clock import Clock
 
-RETRY_SHARE = 0.1  # Retries for each request of this entry.
-FLOOR_PER_S = 1.0  # Retries a second that are allowed without traffic.
-MOST_SAVED = 20.0  # Retries that may come at once.
+RETRIES_PER_REQUEST = 0.1  # Retries for each request of this entry.
+MIN_RETRIES_PER_S = 1.0  # Retries a second that are allowed without traffic.
+MAX_SAVED_RETRIES = 20.0  # Retries that may come at once.
 
 
 @attrs.define
@@ -17,30 +17,30 @@
 
     Attributes:
       clock: For the floor.
-      share: Tokens that each request adds.
+      tokens_per_request: Tokens that each request adds.
       tokens: Retries that are allowed now.
     """
 
     clock: Clock
-    share: float = RETRY_SHARE
-    floor_per_s: float = FLOOR_PER_S
-    most: float = MOST_SAVED
-    tokens: float = MOST_SAVED
+    tokens_per_request: float = RETRIES_PER_REQUEST
+    min_per_s: float = MIN_RETRIES_PER_S
+    capacity: float = MAX_SAVED_RETRIES
+    tokens: float = MAX_SAVED_RETRIES
     filled_at: float = attrs.field(
         default=attrs.Factory(
             lambda self: self.clock.monotonic(), takes_self=True
         )
     )
 
-    def note_request(self) -> None:
+    def record_request(self) -> None:
         """Counts a request that came in."""
-        self.tokens = min(self.most, self.tokens + self.share)
+        self.tokens = min(self.capacity, self.tokens + self.tokens_per_request)
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Says whether one more retry is allowed, and counts it."""
         now = self.clock.monotonic()
-        earned = (now - self.filled_at) * self.floor_per_s
-        self.tokens = min(self.most, self.tokens + earned)
+        earned = (now - self.filled_at) * self.min_per_s
+        self.tokens = min(self.capacity, self.tokens + earned)
         self.filled_at = now
         if self.tokens < 1.0:
             return False
--- a/src/rattanpier/_internal/dispatch/runner.py
+++ b/src/rattanpier/_internal/dispatch/runner.py
@@ -138,7 +138,7 @@
         nothing was sent yet, the request is planned once more.
         """
         request = attempt.request
-        self.dispatcher.budget.note_request()
+        self.dispatcher.budget.record_request()
         if request.keyed:
             # What became of an earlier attempt goes before any refusal.
             self.keeper.begin(attempt)
--- a/src/rattanpier/_internal/dispatch/service_runner.py
+++ b/src/rattanpier/_internal/dispatch/service_runner.py
@@ -70,7 +70,7 @@
         A caller that goes away cancels this: an idempotent call then ends,
         another goes on so that a repeat of its key finds the answer.
         """
-        self.dispatcher.budget.note_request()
+        self.dispatcher.budget.record_request()
         request = self.mark(request, request.service, call)
         plan = self.plan(request)
         if isinstance(plan, Plan):
--- a/src/rattanpier/_internal/dispatch/upstream_dispatcher.py
+++ b/src/rattanpier/_internal/dispatch/upstream_dispatcher.py
@@ -201,7 +201,7 @@
             raise upstream_failed(error) from error
         if not error.not_run and not request.idempotent:
             raise upstream_failed(error) from error
-        if not self.budget.take():
+        if not self.budget.try_acquire():
             raise retry_budget_exhausted() from error
         self.metrics.count(
             "dispatch.retry.not_run"
@@ -221,7 +221,7 @@
 
     def may_retry_step(self) -> bool:
         """Says whether the next step may follow a step that failed."""
-        allowed = self.budget.take()
+        allowed = self.budget.try_acquire()
         if allowed:
             self.metrics.count("dispatch.retry.step")
         return allowed
