--- a/src/rattanpier/_internal/dispatch/upstream_dispatcher.py
+++ b/src/rattanpier/_internal/dispatch/upstream_dispatcher.py
@@ -1,4 +1,9 @@
-"""Tries to get an answer from the workers of one version."""
+"""Dispatches requests to the workers of a version, with bounded retries.
+
+A request is sent again only if it is idempotent or certainly did not run. Each
+dispatch is preceded by checks that the claim, the configuration and the
+deadline still allow it, because a withdrawal has to take effect at once.
+"""
 
 from __future__ import annotations
 
@@ -49,8 +54,8 @@
 from rattanpier._internal.utils.metrics import Metrics
 
 MAX_UPSTREAM_REQUESTS = 3
-MAX_CLAIM_AGE_S = 3.0  # Age of a claim; confirming and connecting take 2 s.
-MAX_RESUMES_PER_RUN = 3  # Of one run.
+MAX_CLAIM_AGE_S = 3.0  # Confirming the claim and connecting take up to 2 s.
+MAX_RESUMES_PER_RUN = 3
 
 MayServe = Callable[[str], bool]
 ConfirmClaim = Callable[[Attempt], Awaitable[bool]]
@@ -58,24 +63,26 @@
 
 @attrs.define
 class UpstreamDispatcher:
-    """Sends requests to workers.
+    """Dispatches requests to workers and retries failed ones.
 
     Attributes:
-      session: For requests that may be repeated.
-      unpooled_session: For non-idempotent ones: each gets a connection of its
-        own, so that none is lost on a pooled connection that the upstream
-        closed.
+      session: HTTP session with pooled connections, for idempotent requests.
+      unpooled_session: HTTP session for non-idempotent requests. Each request
+        gets its own connection, so that none is lost on a pooled connection
+        that the upstream has closed.
       configuration: Returns the configuration in force.
-      confirm: Says right before a dispatch whether a claim still holds.
+      confirm: Returns whether a claim still holds, right before a dispatch.
+      budget: Limits the retries of this entry.
       placement: The workers that this entry uses.
-      leaving: Workers that get nothing new.
-      announced_leaving: Returns those of them that the platform told to leave;
-        the others only seem silent.
-      on_failure: Called with a worker's name and the error of a try.
-      quarantine: Requests under which workers ended.
-      backoffs: Workers that turned a request away and asked for rest.
-      current: Says whether the node's configuration is in force now.
-      attempts: Emits the result of each try.
+      leaving: Names of the workers that get no new requests.
+      announced_leaving: Returns those of `leaving` that the platform announced
+        as leaving; the others only failed to answer probes.
+      on_failure: Called with a worker's name and the error of an upstream
+        request.
+      quarantine: Requests under which workers crashed.
+      backoffs: Workers that refused a request and sent Retry-After.
+      current: Returns whether the configuration of this node is in force.
+      attempts: Emits the result of each upstream request.
     """
 
     session: aiohttp.ClientSession
@@ -101,20 +108,26 @@
     async def stream(
         self, attempt: Attempt, version: str, may_serve: MayServe
     ) -> AsyncIterator[Chunk]:
-        """Yields an answer's chunks, from one worker or a retry on others.
+        """Yields the chunks of an answer, retrying on other workers.
 
         A request is sent again only if it is idempotent or certainly did not
-        run. Where chunks came already, a rerun may only go on if it repeats
-        them word for word.
+        run. If chunks were already released, a rerun is accepted only while it
+        repeats them exactly.
+
+        Args:
+          attempt: The attempt to dispatch.
+          version: The version that has to answer.
+          may_serve: Returns whether a version may take new work.
 
         Raises:
-          DispatchError: No try, or no further try, can answer.
+          DispatchError: No worker can answer, or no retry is allowed.
         """
         tried: set[str] = set()
         released: list[Chunk] = []
         last_error: UpstreamError | None = None
         while True:
-            # A stop is the reason to tell, also where no worker is left.
+            # Checked before picking a worker: if the version was withdrawn,
+            # that is the error to report even when no worker is left.
             await self.check_dispatch(attempt, version, may_serve)
             target = self.pick_target(version, tried)
             if target is None:
@@ -144,14 +157,14 @@
     async def check_dispatch(
         self, attempt: Attempt, version: str, may_serve: MayServe
     ) -> None:
-        """Raises DispatchError if there must be no dispatch now."""
+        """Raises DispatchError if the attempt must not be dispatched now."""
         await self.check_claim(attempt)
-        # Asked last before each dispatch: a withdrawal counts at once.
+        # Checked last, so that a withdrawal takes effect immediately.
         if not may_serve(version):
             raise version_withdrawn(version)
 
     async def check_claim(self, attempt: Attempt) -> None:
-        """Raises DispatchError if an attempt may dispatch nothing more."""
+        """Raises DispatchError if the attempt may not dispatch any more."""
         held_s = self.quarantine.held_s(content_key(attempt.request))
         if held_s:
             self.metrics.count("dispatch.held")
@@ -170,13 +183,13 @@
         error: UpstreamError,
         ran_before: bool,
     ) -> None:
-        """Notes that a try failed, and whether the request may have run.
+        """Records a failed upstream request and whether it may have run.
 
         Args:
-          attempt: The attempt that the try was part of.
-          target: The worker that was tried.
-          error: How it failed.
-          ran_before: What the attempt's `record_dispatch` returned.
+          attempt: The attempt that the upstream request belongs to.
+          target: The worker that it was sent to.
+          error: The failure.
+          ran_before: The value that `attempt.record_dispatch` returned.
         """
         self.on_failure(target.name, error)
         if error.retry_after_s:
@@ -188,13 +201,13 @@
             self.quarantine.note_end(content_key(attempt.request), target.name)
 
     def choose(self, targets: list[Target]) -> Target | None:
-        """Returns the worker to use of some; None if there is none."""
+        """Returns the worker to use among `targets`, or None if it is empty."""
         return two_choices(targets, self.load, self.domain, self.rng)
 
     def check_retry(
         self, request: RouteRequest, error: UpstreamError, tried: set[str]
     ) -> None:
-        """Raises DispatchError unless a failed request may go elsewhere."""
+        """Raises DispatchError unless a failed request may be retried."""
         if self.remaining_s(request) <= 0:
             raise deadline_exceeded() from error
         if error.final or len(tried) >= MAX_UPSTREAM_REQUESTS:
@@ -210,9 +223,10 @@
         )
 
     def may_send(self, attempt: Attempt) -> bool:
-        """Says whether a body may be sent, however long connecting took.
+        """Returns whether the request body may still be sent.
 
-        A process may have been frozen since the claim was confirmed.
+        Checked after connecting: the process may have been suspended since the
+        claim was confirmed.
         """
         if self.remaining_s(attempt.request) <= 0:
             return False
@@ -220,18 +234,18 @@
         return attempt.request.idempotent or age <= MAX_CLAIM_AGE_S
 
     def may_retry_step(self) -> bool:
-        """Says whether the next step may follow a step that failed."""
+        """Returns whether the next step may be run after a failed step."""
         allowed = self.budget.try_acquire()
         if allowed:
             self.metrics.count("dispatch.retry.step")
         return allowed
 
     def remaining_s(self, request: RouteRequest) -> float:
-        """Returns the seconds until the caller gives up."""
+        """Returns the seconds until the request's deadline."""
         return request.deadline - self.clock.monotonic()
 
     def pick_target(self, version: str, tried: set[str]) -> Target | None:
-        """Returns the worker for the next try."""
+        """Returns the worker for the next upstream request, or None."""
 
         def find(leaving: Collection[str]) -> list[Target]:
             return self.placement.of_version(
@@ -245,15 +259,15 @@
         find: Callable[[Collection[str]], list[Target]],
         tried: Collection[str],
     ) -> Target | None:
-        """Returns the worker for a try.
+        """Returns the worker for an upstream request, or None.
 
-        A worker that seems silent may only have been late to answer a probe:
-        before a retry is given up for want of a worker it is asked as well. A
-        first try is refused at once instead.
+        A worker that missed a probe may only have been slow to answer it. If
+        no other worker is left for a retry, such workers are considered as
+        well; a first upstream request is refused at once instead.
 
         Args:
-          find: Returns the workers that are not among those given to it.
-          tried: Workers that the request was sent to before.
+          find: Returns the candidate workers, without the names given to it.
+          tried: Names of the workers that the request was already sent to.
         """
         target = self.choose(self.without_backoff(find(self.leaving)))
         if target is None and tried:
@@ -263,14 +277,14 @@
         return target
 
     def without_backoff(self, targets: list[Target]) -> list[Target]:
-        """Returns the workers that did not ask for rest."""
+        """Returns the workers that are not in backoff."""
         backoffs = self.backoffs
         if backoffs.all_over():
             return targets
         return [each for each in targets if not backoffs.opens_in_s(each.name)]
 
     def session_for(self, request: RouteRequest) -> aiohttp.ClientSession:
-        """Returns the session whose connections suit a request."""
+        """Returns the HTTP session to send a request with."""
         return self.session if request.idempotent else self.unpooled_session
 
     async def stream_run(
@@ -280,7 +294,7 @@
         version: str,
         may_serve: MayServe,
     ) -> AsyncIterator[Chunk]:
-        """Yields the chunks of one run, resumed where its stream was cut.
+        """Yields the chunks of one run, resuming it if its stream breaks.
 
         Raises:
           UpstreamError: The run failed or can't be resumed.
@@ -289,7 +303,7 @@
         session = self.session_for(attempt.request)
         after: int | None = None
         resumes = 0
-        finished = False  # The engine has nothing left to stop.
+        finished = False  # True if there is nothing to cancel on the engine.
         self.load.outstanding[target.name] += 1
         try:
             while True:
@@ -319,10 +333,10 @@
     def make_resume_call(
         self, call: EngineCall, request: RouteRequest, error: UpstreamError
     ) -> EngineCall:
-        """Returns the call that resumes a cut run.
+        """Returns the call that resumes an interrupted run.
 
         Raises:
-          UpstreamError: There is nothing to resume, or no time.
+          UpstreamError: The run can't be resumed, or the deadline passed.
         """
         left = self.remaining_s(request)
         if not error.resumable or left <= 0:
@@ -337,7 +351,7 @@
         version: str,
         may_serve: MayServe,
     ) -> EngineCall:
-        """Returns the call of one try."""
+        """Returns the engine call for one upstream request."""
         body = {
             **attempt.request.body,
             "model": version,
@@ -356,16 +370,16 @@
 
 
 def is_already_released(chunk: Chunk, released: list[Chunk]) -> bool:
-    """Says whether a rerun repeats a chunk that was seen before.
+    """Returns whether a chunk of a rerun was already released.
 
     Raises:
-      UpstreamError: The rerun says something else.
+      UpstreamError: The chunk differs from the one released before.
     """
     if chunk.number >= len(released):
         return False
     before = released[chunk.number]
     if (chunk.text, chunk.finish) != (before.text, before.finish):
         raise UpstreamError(
-            "a rerun differs from what was released", False, final=True
+            "rerun differs from the chunks already released", False, final=True
         )
     return True
