--- a/src/rattanpier/_internal/dispatch/attempt.py
+++ b/src/rattanpier/_internal/dispatch/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a request: its claim, and what it may have run."""
+"""State of one attempt: its claim, and whether the request may have run."""
 
 from __future__ import annotations
 
@@ -17,14 +17,15 @@
     """The state of one attempt.
 
     Attributes:
-      request: What is to be answered.
-      ask: Its claim.
-      claim_task: Obtains the claim; None until that was begun.
-      claim_asked_at: Monotonic seconds at which the claim was last asked for;
-        the claim was certain at some moment after it.
-      dispatches: Dispatches so far, each with a request id of its own.
-      may_have_run: True unless it is certain that no upstream ran it.
-      closed: True once the claim was settled, or is somebody else's.
+      request: The request to answer.
+      ask: The claim request.
+      claim_task: Task that obtains the claim, or None if not yet started.
+      claim_asked_at: Monotonic time in seconds at which the claim was last
+        requested, which is no later than when it was granted.
+      dispatches: Number of dispatches so far; each has its own request ID.
+      may_have_run: False only if it is certain that no upstream ran the
+        request.
+      closed: True once the claim is being settled or given up.
     """
 
     request: RouteRequest
@@ -36,15 +37,15 @@
     closed: bool = False
 
     def next_request_id(self) -> str:
-        """Returns the request id of the next dispatch."""
+        """Returns the request ID for the next dispatch."""
         self.dispatches += 1
         return f"{self.ask.holder}/{self.dispatches}"
 
     def record_dispatch(self) -> bool:
-        """Notes that an upstream may run the request from now on.
+        """Records that an upstream may run the request from now on.
 
         Returns:
-          True if one may have run it before.
+          True if an upstream may already have run it before this dispatch.
         """
         ran_before = self.may_have_run
         self.may_have_run = True
@@ -52,14 +53,14 @@
 
     @property
     def reply(self) -> ClaimReply | None:
-        """What came of the claim, once it is known."""
+        """The reply to the claim, or None until it is known."""
         if self.claim_task is None or not self.claim_task.done():
             return None
         return self.claim_task.result()
 
     @property
     def granted(self) -> bool:
-        """True if the claim is certain and this attempt's."""
+        """True if the claim was granted to this attempt."""
         reply = self.reply
         return reply is not None and is_granted(reply)
 
@@ -67,8 +68,9 @@
     def proves_not_run(self) -> bool:
         """True if no upstream ran the request, in this attempt or before.
 
-        A caller's key may have been used by an earlier attempt: then the
-        shard's owner has to say that none of them can have run.
+        An earlier attempt may have used the same idempotency key. In that case
+        the owner of the claim's shard has to confirm that no attempt can have
+        run.
         """
         if self.may_have_run:
             return False
@@ -81,12 +83,13 @@
 def make_attempt(
     request: RouteRequest, holder: str, request_id: str
 ) -> Attempt:
-    """Returns a first attempt with its claim.
+    """Returns a new attempt at a request.
 
     Args:
-      request: What is to be answered.
-      holder: Prefix of the process's claims, "name/incarnation".
-      request_id: Unique within the process.
+      request: The request to answer.
+      holder: Prefix of the claim holders of this process,
+        "name/incarnation".
+      request_id: Request ID, unique within the process.
     """
     ask = Ask(
         request.workspace,
@@ -99,5 +102,5 @@
 
 
 def is_granted(reply: ClaimReply) -> bool:
-    """Says whether a claim was granted."""
+    """Returns whether a claim was granted."""
     return reply.outcome is ClaimOutcome.GRANTED
