--- a/src/rattanpier/_internal/dispatch/attempts.py
+++ b/src/rattanpier/_internal/dispatch/attempts.py
@@ -1,4 +1,4 @@
-"""What became of each attempt to answer a request, for those who judge."""
+"""Results of upstream requests, used to evaluate versions in a roll-out."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 
 
 class AttemptOutcome(enum.StrEnum):
-    """How an attempt ended."""
+    """Outcome of an upstream request."""
 
     COMPLETE = "whole"
-    TRUNCATED = "truncated"  # It began, and did not come to its end.
-    FAILED = "failed"  # Nothing came.
-    ABANDONED = "abandoned"  # It began; then it was not wanted any more.
+    TRUNCATED = "truncated"  # Chunks came, but not the last one.
+    FAILED = "failed"  # No chunk came.
+    ABANDONED = "abandoned"  # Cancelled by the reader after the first chunk.
 
 
 @attrs.frozen
 class AttemptResult:
-    """One attempt that a version finished.
+    """Result of one upstream request to a version.
 
     Attributes:
-      workspace: Whose request it was.
-      version: The version that was asked.
-      outcome: How it ended.
-      first_token_s: Seconds to the first chunk; None if none came.
-      chunks: Chunks that came.
+      workspace: Workspace of the request.
+      version: Version that the request was sent to.
+      outcome: Outcome of the upstream request.
+      first_token_s: Seconds until the first chunk, or None if none came.
+      chunks: Number of chunks received.
     """
 
     workspace: str
@@ -53,10 +53,13 @@
     workspace: str,
     version: str,
 ) -> AsyncIterator[Chunk]:
-    """Passes chunks on and emits the result at the end.
+    """Yields the chunks of `source` and emits the result at the end.
 
-    Attempts that did not run, or were not wanted any more before anything
-    came, say nothing of the version and are not emitted.
+    Upstream requests that did not run, or that were cancelled before the first
+    chunk, say nothing about the version and are not emitted.
+
+    Raises:
+      UpstreamError: Raised by `source`.
     """
     started = clock.monotonic()
     first: float | None = None
@@ -76,7 +79,8 @@
                 chunks += 1
                 finish = chunk.finish
                 if finish is not None:
-                    # The caller may stop asking once it has the last chunk.
+                    # Emitted before the yield: the reader may close the
+                    # generator once it has the last chunk.
                     emit(AttemptOutcome.COMPLETE)
                 yield chunk
     except UpstreamError as error:
