--- a/src/rattanpier/_internal/dispatch/steps.py
+++ b/src/rattanpier/_internal/dispatch/steps.py
@@ -1,4 +1,4 @@
-"""The steps of a plan, from cheap to strong, as one stream of chunks."""
+"""Runs the steps of a plan, cheapest first, as one stream of chunks."""
 
 from __future__ import annotations
 
@@ -29,10 +29,10 @@
 
 @attrs.frozen
 class StepChunk:
-    """A chunk of the step that answers.
+    """A chunk of the step whose answer is used.
 
     Attributes:
-      version: Version of the step.
+      version: Version that the step ran.
       chunk: The chunk.
     """
 
@@ -41,25 +41,25 @@
 
 
 def usable_steps(request: RouteRequest, plan: Plan) -> list[str]:
-    """Returns the versions that may be asked, in order; at least one.
+    """Returns the versions to run, in order; at least one.
 
-    A non-idempotent request may run once: it gets the last step alone, which
-    is the one that meets the quality target without another's help.
+    A non-idempotent request may run only once. It gets the last step alone,
+    which is the one that meets the quality target by itself.
     """
     return plan.steps if request.idempotent else plan.steps[-1:]
 
 
 @attrs.define
 class StepRun:
-    """One request on its way through its steps.
+    """Runs one request through the steps of its plan.
 
     Attributes:
-      walk: Where it is.
-      policy: Says whether an answer is good enough.
-      open_stream: Opens the answer of a version.
-      may_serve: Says whether a version may get work now.
-      may_retry: Says whether the retry budget allows one more dispatch.
-      spent: An item for each step whose answer was whole.
+      walk: Position in the steps.
+      policy: Decides whether the answer of a step is accepted.
+      open_stream: Returns the stream of chunks from a version.
+      may_serve: Returns whether a version may take new work.
+      may_retry: Returns whether the retry budget allows another dispatch.
+      spent: Usage of each step whose answer was complete.
     """
 
     walk: Walk
@@ -72,11 +72,11 @@
     async def chunks(self) -> AsyncIterator[StepChunk]:
         """Yields the chunks of the first step whose answer is accepted.
 
-        The last step streams at once; an earlier one's answer is held until
-        it is whole and accepted.
+        The last step is streamed as it arrives. The answer of an earlier step
+        is buffered until it is complete and accepted.
 
         Raises:
-          DispatchError: There is no answer.
+          DispatchError: No step gave an answer.
         """
         while not self.walk.is_last:
             version = self.walk.version
@@ -90,15 +90,16 @@
                 yield StepChunk(self.walk.version, chunk)
 
     async def run_step(self, version: str) -> list[Chunk] | None:
-        """Returns an accepted answer, or None to go on to the next step.
+        """Returns the accepted answer, or None to continue with the next step.
 
         Raises:
-          DispatchError: The step failed and there is none to go on to.
+          DispatchError: The step failed and no further step may run.
         """
         try:
             chunks = await self.collect(version)
         except DispatchError:
-            # The next step is a retry: what fails must not double the load.
+            # The next step counts as a retry, so that failures don't double
+            # the load.
             if go_on(self.walk, self.may_serve) is Verdict.ACCEPT:
                 raise
             if not self.may_retry():
@@ -111,7 +112,7 @@
         return chunks if verdict is Verdict.ACCEPT else None
 
     async def collect(self, version: str) -> list[Chunk]:
-        """Returns the whole answer of a step."""
+        """Returns all chunks of the complete answer of a step."""
         async with aclosing(self.open_stream(version)) as source:
             chunks = [chunk async for chunk in source]
         if not is_whole(chunks):
@@ -119,7 +120,7 @@
         return chunks
 
     async def last_step(self) -> AsyncIterator[Chunk]:
-        """Yields the answer of the last step as it comes."""
+        """Yields the chunks of the last step as they arrive."""
         version = self.walk.version
         chunks: list[Chunk] = []
         async with aclosing(self.open_stream(version)) as source:
@@ -129,5 +130,5 @@
         if not is_whole(chunks):
             raise incomplete_answer()
         self.spent.append(spent_by(version, chunks))
-        # Its verdict changes nothing any more; the answer may be rated.
+        # The verdict is not used, but the policy may learn from the answer.
         self.policy.judge(self.walk, answer_of(chunks), self.may_serve)
