--- a/src/rattanpier/_internal/dispatch/runner.py
+++ b/src/rattanpier/_internal/dispatch/runner.py
@@ -1,4 +1,9 @@
-"""Answers one request: plan, admit, claim, dispatch, release, settle, bill."""
+"""Answers model requests: plan, admit, claim, dispatch, settle and bill.
+
+Nothing is released to the caller before the claim is certain, and the end of an
+answer not before it is settled, so that callers of the same key never get
+different answers.
+"""
 
 from __future__ import annotations
 
@@ -54,8 +59,8 @@
 
 UNSETTLED_RETRY_S = 2.0
 INTERNAL_RETRY_S = 1.0
-# Versions are withdrawn some times a day: a second change within the moments
-# between plan and dispatch is told to the caller.
+# Versions are withdrawn a few times a day. A second withdrawal between planning
+# and dispatch is therefore rare, and is reported to the caller.
 MAX_PLANS = 2
 
 Observe = Callable[[RouteRequest, Plan | Refusal, Collection[str]], None]
@@ -64,7 +69,7 @@
 def observe_nothing(
     request: RouteRequest, plan: Plan | Refusal, braked: Collection[str]
 ) -> None:
-    """Takes no note of a request."""
+    """Ignores a request and its plan."""
 
 
 @attrs.define
@@ -73,11 +78,12 @@
 
     Attributes:
       configuration: Returns the configuration in force.
-      holder: Prefix of this process's claims, "name/incarnation".
+      holder: Prefix of the claim holders of this process,
+        "name/incarnation".
       braked: Versions that peers stopped using.
-      admit: May hold a request back or refuse it before it is claimed.
-      policy: Says at which step to start and when to go on.
-      observe: Is told of each request and its plan, to record them.
+      admit: Delays or refuses a request before it is claimed.
+      policy: Decides which step to start at and when to continue.
+      observe: Called with each request and its plan, to record them.
     """
 
     configuration: Callable[[], Configuration]
@@ -95,7 +101,7 @@
 
     @property
     def attempts(self) -> Attempts:
-        """Emits the result of each try."""
+        """Emits the result of each upstream request."""
         return self.dispatcher.attempts
 
     def answer(
@@ -103,9 +109,10 @@
     ) -> AsyncIterator[Part]:
         """Yields the parts of an answer.
 
-        Closing the generator early means that the caller went away: an
-        idempotent request is then cancelled and its claim ended; another
-        goes on to its end, so that a repeat of its key finds the answer.
+        Closing the generator early means that the caller disconnected. An
+        idempotent request is then cancelled and its claim released. A
+        non-idempotent one is completed, so that a repeat of its key finds the
+        answer.
         """
         parts = self.attempt(request, request_id)
         if request.idempotent:
@@ -115,7 +122,7 @@
     async def attempt(
         self, request: RouteRequest, request_id: str
     ) -> AsyncIterator[Part]:
-        """Yields the parts of an answer; ends the claim in any case."""
+        """Yields the parts of an answer and always ends the claim."""
         attempt = make_attempt(request, self.holder, request_id)
         try:
             async with aclosing(self.run_with_replanning(attempt)) as parts:
@@ -132,15 +139,16 @@
     async def run_with_replanning(
         self, attempt: Attempt
     ) -> AsyncIterator[Part]:
-        """Plans a request and runs it once it is let through.
+        """Plans and runs a request, planning it again if the plan is stale.
 
-        A version may be withdrawn between the plan and the dispatch: where
-        nothing was sent yet, the request is planned once more.
+        A version may be withdrawn between planning and dispatch. If nothing
+        was sent yet, the request is planned once more.
         """
         request = attempt.request
         self.dispatcher.budget.record_request()
         if request.keyed:
-            # What became of an earlier attempt goes before any refusal.
+            # The outcome of an earlier attempt takes precedence over any
+            # refusal of this one.
             self.keeper.begin(attempt)
         for plans in range(1, MAX_PLANS + 1):
             try:
@@ -155,7 +163,7 @@
                 self.metrics.count("dispatch.planned_again")
 
     async def plan_and_run(self, attempt: Attempt) -> AsyncIterator[Part]:
-        """Plans a request by the configuration in force, and runs it.
+        """Plans a request with the configuration in force, and runs it.
 
         Raises:
           DispatchError: There is no answer, or no more of it.
@@ -177,7 +185,7 @@
     def plan(
         self, configuration: Configuration, request: RouteRequest
     ) -> Plan | Refusal:
-        """Returns the versions for a request, or why there are none."""
+        """Returns the plan for a request, or why it has none."""
         plan = make_plan(configuration, request, self.braked)
         self.observe(request, plan, self.braked)
         if not self.dispatcher.current():
@@ -195,7 +203,7 @@
     async def claim_and_run(
         self, attempt: Attempt, configuration: Configuration, plan: Plan
     ) -> AsyncIterator[Part]:
-        """Runs a request unless its claim went to somebody else.
+        """Claims and runs a request unless its claim is refused.
 
         Raises:
           DispatchError: There is no answer, or no more of it.
@@ -213,16 +221,16 @@
     async def stream_claimed(
         self, attempt: Attempt, configuration: Configuration, plan: Plan
     ) -> AsyncIterator[Part]:
-        """Yields the parts of an answer as they may be released.
+        """Yields the parts of an answer as soon as they may be released.
 
-        Nothing is released before the claim is certain, and the end of the
-        answer not before it is settled.
+        Nothing is released before the claim is certain. The end of the answer
+        is withheld until the claim is settled.
 
         Raises:
           DispatchError: There is no answer, or no more of it.
         """
         chunks: list[Chunk] = []
-        withheld: list[Chunk] = []  # From the chunk that ends the answer on.
+        withheld: list[Chunk] = []  # From the finishing chunk on.
         version = ""
         run = self.start_steps(attempt, plan)
         async with aclosing(run.chunks()) as steps:
@@ -250,7 +258,7 @@
         yield Completed(bill)
 
     def start_steps(self, attempt: Attempt, plan: Plan) -> StepRun:
-        """Returns the run of a request through the steps of its plan."""
+        """Returns the run of an attempt through the steps of its plan."""
         request = attempt.request
 
         def allowed(name: str) -> bool:
@@ -277,8 +285,13 @@
     async def settle(
         self, attempt: Attempt, version: str, bill: Bill, chunks: list[Chunk]
     ) -> Refusal | None:
-        """Settles and bills an answer; returns why it can't be released."""
-        # Nobody else knows the key that an unkeyed request was given.
+        """Settles and bills an answer.
+
+        Returns:
+          None if the answer may be released, else the refusal.
+        """
+        # The key of an unkeyed request was generated here, so no caller can
+        # ask for its answer.
         keep = attempt.request.keyed
         outcome = await self.keeper.end(
             attempt,
@@ -290,28 +303,29 @@
 
 
 def is_plan_stale(error: DispatchError, attempt: Attempt) -> bool:
-    """Says whether only the plan is out of date: nothing was sent by it."""
+    """Returns whether an attempt failed on a stale plan before any dispatch."""
     withdrawn = error.refusal.code is RefusalCode.VERSION_WITHDRAWN
     return withdrawn and not attempt.may_have_run
 
 
 def may_dispatch(request: RouteRequest, reply: ClaimReply) -> bool:
-    """Says whether a claim allows a dispatch.
+    """Returns whether a claim allows a dispatch.
 
-    A grant that is not durable is enough only where a second run does no harm.
+    A grant that is not durable suffices only for idempotent requests, which may
+    run twice.
     """
     return is_granted(reply) and (reply.durable or request.idempotent)
 
 
 def internal_failure() -> Refusal:
-    """Returns the refusal for a failure that nobody foresaw."""
+    """Returns the refusal for an unexpected exception."""
     return Refusal(
         RefusalCode.INTERNAL, "The entry failed.", False, INTERNAL_RETRY_S
     )
 
 
 def settle_refusal(outcome: SettleOutcome) -> Refusal | None:
-    """Returns the refusal for an answer that was not settled, or None."""
+    """Returns the refusal for an unsettled answer; None if it is settled."""
     match outcome:
         case SettleOutcome.SETTLED:
             return None
