--- a/src/rattanpier/_internal/dispatch/engine.py
+++ b/src/rattanpier/_internal/dispatch/engine.py
@@ -1,9 +1,9 @@
 """Client of a model engine: chat completions as numbered chunks.
 
-Engines speak the usual chat-completions protocol with server-sent events; the
-`id` line of an event carries the chunk's number. A cut answer is resumed by a
-GET with the request's id and the last number seen: a GET never runs anything,
-whatever the engine knows of the request. A DELETE cancels it.
+Engines implement the chat-completions protocol with server-sent events; the `id`
+line of an event carries the chunk's number. An interrupted answer is resumed by
+a GET with the request ID and the last number received. A GET never starts a
+run, whether or not the engine knows the request. A DELETE cancels the request.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
 MAX_EVENT_BYTES = 2**20
 DONE = b"[DONE]"
 decode_json = json.JSONDecoder().raw_decode
-# Client errors that another worker may not repeat.
+# Client errors that another worker need not return as well.
 RETRYABLE_CLIENT_ERRORS = frozenset({404, 408, 410, 429})
 
 
 @attrs.frozen
 class Usage:
-    """Tokens that the engine counted."""
+    """Token counts reported by the engine."""
 
     prompt_tokens: int
     output_tokens: int
@@ -43,16 +43,16 @@
 
 @attrs.frozen
 class Chunk:
-    """One event of an answer.
+    """One chunk of a streamed answer.
 
     Attributes:
-      number: Position in the answer, from 0.
-      data: The JSON text as received.
-      text: The generated text in it.
-      finish: Why the answer ended, or None.
-      usage: Given with the last chunk.
-      confidence: The engine's own measure of the answer, with the last chunk.
-      more_buffered: True if another chunk came with it and follows at once.
+      number: Position in the answer, starting at 0.
+      data: JSON text as received.
+      text: Generated text of the chunk.
+      finish: Finish reason, or None if the answer continues.
+      usage: Token counts; only with the last chunk.
+      confidence: Confidence that the engine reports; only with the last chunk.
+      more_buffered: True if another chunk was received in the same read.
     """
 
     number: int
@@ -66,14 +66,15 @@
 
 @attrs.frozen
 class EngineCall:
-    """One request to one engine.
+    """One upstream request to an engine.
 
     Attributes:
       url: Base address of the worker.
-      body: The chat-completions request, as JSON text.
-      request_id: Unique to this try; the answer has to carry it.
-      timeout_s: Seconds for the whole answer.
-      may_send: Asked right before the body is sent.
+      body: The chat-completions request as JSON.
+      request_id: Unique ID of this upstream request; the response has to
+        repeat it.
+      timeout_s: Timeout of the complete answer in seconds.
+      may_send: Called right before the body is sent; returns whether it may be.
     """
 
     url: str
@@ -89,12 +90,12 @@
     """Yields the chunks of an answer.
 
     Args:
-      session: For the connections.
-      call: The request.
-      after: Number of the last chunk seen, to resume; None to run.
+      session: HTTP session to use.
+      call: The upstream request.
+      after: Number of the last chunk received, to resume; None to start a run.
 
     Raises:
-      UpstreamError: The engine refused, failed or stopped half way.
+      UpstreamError: The engine refused or failed, or the stream broke.
     """
     body = GuardedBody(call.body, call.may_send)
     try:
@@ -108,11 +109,13 @@
         aiohttp.ClientConnectorError,
         aiohttp.ConnectionTimeoutError,
     ) as error:
-        # No connection: no byte of the request left this process.
+        # Without a connection, no byte of the request was sent.
         raise UpstreamError(f"can't connect: {error}", True) from error
     except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
         if body.withheld:
-            raise UpstreamError("the body was held back", True) from error
+            raise UpstreamError(
+                "request body withheld: dispatch no longer allowed", True
+            ) from error
         raise UpstreamError(
             f"connection failed: {error!r}", False, resumable=True
         ) from error
@@ -124,7 +127,7 @@
     body: GuardedBody,
     after: int | None,
 ) -> Any:
-    """Returns the context of a response: a run, or a resumed one."""
+    """Returns the response context of a new run or of a resumed one."""
     timeout = aiohttp.ClientTimeout(
         total=call.timeout_s, sock_connect=CONNECT_TIMEOUT_S
     )
@@ -133,7 +136,7 @@
         TIMEOUT_MS: str(math.ceil(call.timeout_s * 1000)),
     }
     url = call.url + CHAT_PATH
-    # A redirect would be a second dispatch.
+    # Redirects are not followed: that would be a second dispatch.
     if after is not None:
         headers[LAST_EVENT_ID] = str(after)
         return session.get(
@@ -150,7 +153,10 @@
 
 
 async def cancel_chat(session: aiohttp.ClientSession, call: EngineCall) -> None:
-    """Tells an engine to stop a request; a lost order does no harm."""
+    """Cancels a request on an engine, ignoring failures.
+
+    A lost cancellation does no harm.
+    """
     timeout = aiohttp.ClientTimeout(total=CANCEL_TIMEOUT_S)
     with suppress(aiohttp.ClientError, OSError, TimeoutError):
         async with session.delete(
@@ -163,16 +169,18 @@
 
 
 def check_request_id(response: aiohttp.ClientResponse, request_id: str) -> None:
-    """Raises UpstreamError if an answer belongs to another request."""
+    """Raises UpstreamError if a response belongs to another request."""
     given = response.headers.get(REQUEST_ID)
     if given != request_id:
         raise UpstreamError(
-            f"the answer is for request {given!r}", False, resumable=False
+            f"response belongs to another request, {given!r}",
+            False,
+            resumable=False,
         )
 
 
 async def read_refusal(response: aiohttp.ClientResponse) -> UpstreamError:
-    """Returns the error for an upstream's refusal."""
+    """Reads an error response and returns the error for it."""
     try:
         body = json.loads(await response.read())
     except (ValueError, aiohttp.ClientError):
@@ -180,7 +188,7 @@
     not_run = isinstance(body, dict) and body.get("not_run") is True
     status = response.status
     return UpstreamError(
-        f"it answered {status}",
+        f"HTTP status {status}",
         not_run,
         retry_after(response),
         final=400 <= status < 500 and status not in RETRYABLE_CLIENT_ERRORS,
@@ -188,7 +196,7 @@
 
 
 def retry_after(response: aiohttp.ClientResponse) -> float | None:
-    """Returns the seconds in Retry-After; None for a date or for nothing."""
+    """Returns Retry-After in seconds, or None if it is absent or a date."""
     try:
         seconds = float(response.headers.get("Retry-After", ""))
     except ValueError:
@@ -199,14 +207,15 @@
 async def read_events(
     response: aiohttp.ClientResponse, after: int | None = None
 ) -> AsyncIterator[Chunk]:
-    """Yields chunks in order until the end mark.
+    """Yields chunks in order until the `[DONE]` event.
 
     Args:
       response: A response with server-sent events.
-      after: Number of the last chunk seen before; None if there is none.
+      after: Number of the last chunk received before, or None.
 
     Raises:
       UpstreamError: The stream ended early or a chunk is missing.
+      ValueError: An event is malformed or too large.
     """
     expected = 0 if after is None else after + 1
     async for events in read_blocks(response):
@@ -214,20 +223,22 @@
             if event.data == DONE:
                 return
             if event.number < expected:
-                continue  # A chunk that came twice.
+                continue  # Duplicate.
             if event.number > expected:
                 raise chunk_gap(event.number, expected)
             expected += 1
             yield parse_chunk(event, index < len(events))
-    raise UpstreamError("the stream ended early", False, resumable=True)
+    raise UpstreamError(
+        "event stream ended before [DONE]", False, resumable=True
+    )
 
 
 class Event(NamedTuple):
     """A server-sent event.
 
     Attributes:
-      number: From its id line.
-      data: From its data line.
+      number: Value of the `id` line.
+      data: Value of the `data` line.
     """
 
     number: int
@@ -237,18 +248,18 @@
 async def read_blocks(
     response: aiohttp.ClientResponse,
 ) -> AsyncIterator[list[Event]]:
-    """Yields the events of a stream, those together that came together.
+    """Yields the events of a stream, grouped by the read they arrived in.
 
     Raises:
-      ValueError: An event is too large.
+      ValueError: An event is too large or has a malformed number.
     """
     number = -1
     partial_line = b""
-    # A read for each line would cost more than all else that is done here.
+    # Reading line by line would cost more than all other work in this module.
     async for block in response.content.iter_any():
         *lines, partial_line = (partial_line + block).split(b"\n")
         if len(partial_line) > MAX_EVENT_BYTES:
-            raise ValueError("an event is too large")
+            raise ValueError("server-sent event exceeds 1 MiB")
         events = []
         for line in lines:
             if line.startswith(b"id:"):
@@ -259,23 +270,26 @@
 
 
 def chunk_gap(number: int, expected: int) -> UpstreamError:
-    """Returns the error for a gap in the numbers of chunks."""
+    """Returns the error for a gap in the chunk numbers."""
     return UpstreamError(
-        f"chunk {number} came in place of {expected}", False, resumable=True
+        f"received chunk {number}, expected chunk {expected}",
+        False,
+        resumable=True,
     )
 
 
 def parse_chunk(event: Event, more_buffered: bool) -> Chunk:
-    """Returns a chunk from its event.
+    """Parses the chunk in an event.
 
     Raises:
-      ValueError: The text is not a chunk.
+      ValueError: The data is not a valid chunk.
     """
     source = event.data.decode()
-    # json.loads guesses the encoding and looks for spaces around the value.
+    # Avoids json.loads, which detects the encoding and skips whitespace
+    # around the value.
     body, end = decode_json(source)
     if end != len(source):
-        raise ValueError("more than one value in an event")
+        raise ValueError("event contains more than one JSON value")
     try:
         choices = body.get("choices") or [{}]
         text = choices[0].get("delta", {}).get("content") or ""
@@ -297,4 +311,4 @@
             more_buffered,
         )
     except (AttributeError, KeyError, TypeError, IndexError) as error:
-        raise ValueError(f"not a chunk: {error!r}") from error
+        raise ValueError(f"malformed chunk: {error!r}") from error
