--- a/src/rattanpier/_internal/dispatch/failures.py
+++ b/src/rattanpier/_internal/dispatch/failures.py
@@ -1,4 +1,4 @@
-"""What can go wrong between an entry and an upstream."""
+"""Errors of upstream requests and of dispatches."""
 
 from __future__ import annotations
 
@@ -11,18 +11,19 @@
 BUDGET_RETRY_S = 2.0
 NOT_CURRENT_RETRY_S = 1.0
 DEADLINE_RETRY_S = 1.0
-WITHDRAWN_RETRY_S = 0.5  # A fresh plan may name another version.
+WITHDRAWN_RETRY_S = 0.5  # A new plan may use another version.
 
 
 class UpstreamError(Exception):
-    """One try at an upstream failed.
+    """An upstream request failed.
 
     Attributes:
       not_run: True only if the request certainly did not run there: no byte
-        of it left this process, or the upstream itself said so.
-      retry_after_s: When the upstream said to come back, or None.
-      resumable: True if an answer had begun and may be resumed.
-      final: True if another worker would say the same.
+        of it was sent, or the upstream itself said so.
+      retry_after_s: Seconds after which the upstream may be asked again, or
+        None.
+      resumable: True if an answer was interrupted and may be resumed.
+      final: True if another worker would return the same error.
     """
 
     def __init__(
@@ -41,11 +42,11 @@
 
 
 class DispatchError(Exception):
-    """No try, or no further try, can answer a request.
+    """A request can't be dispatched, or not again.
 
     Attributes:
-      refusal: For the caller. Its `not_run` says nothing yet: only the
-        attempt knows what was sent over all tries.
+      refusal: Refusal to return to the caller. Its `not_run` is not yet valid:
+        only the attempt knows what was sent over all dispatches.
     """
 
     def __init__(
@@ -67,7 +68,7 @@
 
 
 def version_withdrawn(version: str) -> DispatchError:
-    """Returns the error for a version that takes no new work."""
+    """Returns the error for a version that was withdrawn."""
     return DispatchError(
         RefusalCode.VERSION_WITHDRAWN,
         f"Version {version} takes no new work.",
@@ -76,7 +77,7 @@
 
 
 def not_current() -> DispatchError:
-    """Returns the error for a node that may be on an older revision."""
+    """Returns the error for a node that may have an older revision."""
     return DispatchError(
         RefusalCode.NOT_CURRENT,
         "This entry can't tell whether its configuration is in force.",
@@ -85,7 +86,7 @@
 
 
 def deadline_exceeded() -> DispatchError:
-    """Returns the error for a request whose time is up."""
+    """Returns the error for a request whose deadline passed."""
     return DispatchError(
         RefusalCode.DEADLINE, "The request's time is up.", DEADLINE_RETRY_S
     )
@@ -101,7 +102,7 @@
 
 
 def claim_unconfirmed() -> DispatchError:
-    """Returns the error for a claim that can't be confirmed any more."""
+    """Returns the error for a claim that could not be confirmed."""
     return DispatchError(
         RefusalCode.CLAIM_UNAVAILABLE,
         "The request's claim could not be confirmed before dispatch.",
@@ -110,7 +111,7 @@
 
 
 def upstream_failed(error: UpstreamError) -> DispatchError:
-    """Returns the error for the failure of the last try."""
+    """Returns the error for the failure of the last upstream request."""
     return DispatchError(
         RefusalCode.UPSTREAM_FAILED,
         f"The upstream failed: {error}.",
