--- a/src/rattanpier/_internal/dispatch/service_runner.py
+++ b/src/rattanpier/_internal/dispatch/service_runner.py
@@ -1,4 +1,8 @@
-"""Answers one call to a plain service: as a model's request, but whole."""
+"""Answers calls to plain services.
+
+A call goes through the same stages as a request for a model, but its answer is
+returned complete rather than streamed.
+"""
 
 from __future__ import annotations
 
@@ -52,8 +56,9 @@
 
     Attributes:
       configuration: Returns the configuration in force.
-      holder: Prefix of this process's claims, "name/incarnation".
-      admit: May hold a call back or refuse it before it is claimed.
+      holder: Prefix of the claim holders of this process,
+        "name/incarnation".
+      admit: Delays or refuses a call before it is claimed.
     """
 
     configuration: Callable[[], Configuration]
@@ -67,8 +72,9 @@
     ) -> ServiceResult:
         """Returns the answer to a call.
 
-        A caller that goes away cancels this: an idempotent call then ends,
-        another goes on so that a repeat of its key finds the answer.
+        Cancelled when the caller disconnects. An idempotent call is then
+        cancelled too; a non-idempotent one is completed, so that a repeat of
+        its key finds the answer.
         """
         self.dispatcher.budget.record_request()
         request = self.mark(request, request.service, call)
@@ -83,7 +89,7 @@
     def mark(
         self, request: RouteRequest, service: str, call: ServiceCall
     ) -> RouteRequest:
-        """Marks a request that a service's upstream says not to repeat."""
+        """Returns the request, non-idempotent if the service lists the call."""
         upstream = self.configuration().upstreams.get(service)
         listed = upstream.non_repeatable if upstream else []
         if may_repeat(listed, call.method, call.target):
@@ -91,7 +97,7 @@
         return attrs.evolve(request, idempotent=False)
 
     def plan(self, request: RouteRequest) -> Plan | Refusal:
-        """Decides which service gets a call."""
+        """Returns the plan for a call, or why it has none."""
         if not self.dispatcher.current():
             return not_current().refusal
         if self.dispatcher.remaining_s(request) <= 0:
@@ -112,11 +118,12 @@
         call: ServiceCall,
         request_id: str,
     ) -> ServiceResult:
-        """Runs one attempt and ends its claim in any case."""
+        """Runs one attempt and always ends its claim."""
         attempt = make_attempt(request, self.holder, request_id)
         try:
             if request.keyed:
-                # What became of an earlier attempt goes before any refusal.
+                # The outcome of an earlier attempt takes precedence over any
+                # refusal of this one.
                 self.keeper.begin(attempt)
             if isinstance(plan, Refusal):
                 return await self.keeper.give_up(attempt, plan)
@@ -137,7 +144,7 @@
     async def claim_and_run(
         self, attempt: Attempt, service: str, call: ServiceCall
     ) -> ServiceResult:
-        """Runs a call unless its claim went to somebody else."""
+        """Claims and runs a call unless its claim is refused."""
         reply = await self.keeper.claim_first(attempt)
         if reply is not None and not may_dispatch(attempt.request, reply):
             return refuse_claim(attempt, reply)
@@ -151,7 +158,11 @@
     async def settle(
         self, attempt: Attempt, service: str, answer: ServiceAnswer
     ) -> Refusal | None:
-        """Settles and bills an answer; returns why it can't be released."""
+        """Settles and bills an answer.
+
+        Returns:
+          None if the answer may be released, else the refusal.
+        """
         request = attempt.request
         outcome = await self.keeper.end(
             attempt,
@@ -163,7 +174,7 @@
 
 
 def make_record(service: str, answer: ServiceAnswer) -> Answer:
-    """Returns the answer to record."""
+    """Returns the record of an answer, without a body that is too large."""
     types = [
         value
         for name, value in answer.headers
