--- a/src/rattanpier/_internal/dispatch/service_dispatch.py
+++ b/src/rattanpier/_internal/dispatch/service_dispatch.py
@@ -1,4 +1,4 @@
-"""Tries to get an answer from the workers of one plain service."""
+"""Dispatches calls to the workers of a plain service, with retries."""
 
 from __future__ import annotations
 
@@ -32,10 +32,10 @@
     service: str,
     call: ServiceCall,
 ) -> ServiceAnswer:
-    """Returns the answer of one worker, or of a retry on others.
+    """Returns the answer to a call, retrying on other workers.
 
     Raises:
-      DispatchError: No try, or no further try, can answer.
+      DispatchError: No worker can answer, or no retry is allowed.
     """
     tried: set[str] = set()
     last_error: UpstreamError | None = None
@@ -66,7 +66,11 @@
     target: Target,
     call: ServiceCall,
 ) -> ServiceAnswer:
-    """Sends a call to one worker."""
+    """Sends a call to a worker and returns its answer.
+
+    Raises:
+      UpstreamError: The worker refused or failed.
+    """
     dispatcher.load.outstanding[target.name] += 1
     try:
         return await send_call(
@@ -83,7 +87,7 @@
 def pick_target(
     dispatcher: UpstreamDispatcher, service: str, tried: set[str]
 ) -> Target | None:
-    """Returns the worker for the next try."""
+    """Returns the worker for the next upstream request, or None."""
 
     def find(leaving: Collection[str]) -> list[Target]:
         return dispatcher.placement.of_service(
@@ -96,7 +100,7 @@
 def may_use_service(
     configuration: Configuration, workspace: str, service: str
 ) -> bool:
-    """Says whether a workspace may use a plain service now."""
+    """Returns whether a workspace may use a plain service."""
     upstream = configuration.upstreams.get(service)
     known = configuration.workspaces.get(workspace)
     return (
@@ -108,7 +112,7 @@
 
 
 def service_not_allowed(service: str) -> DispatchError:
-    """Returns the error for a service that the workspace lost."""
+    """Returns the error for a service that the workspace may not use."""
     return DispatchError(
         RefusalCode.SERVICE_NOT_ALLOWED,
         f"The workspace may not use service {service!r}.",
