--- a/src/rattanpier/_internal/dispatch/plain.py
+++ b/src/rattanpier/_internal/dispatch/plain.py
@@ -1,4 +1,4 @@
-"""Client of a plain service: one call, one whole answer."""
+"""Client of plain services: each call returns one complete answer."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 READ_BYTES = 2**16
 MIN_FAILURE_STATUS = 500
 BODILESS_STATUSES = frozenset({204, 304})
-# The service ran nothing to keep: a repeat of the key may ask again.
+# The service ran nothing worth recording: a repeat of the key may be sent.
 BUSY_STATUSES = frozenset({408, 429})
 
 SendRequest = Callable[
@@ -36,9 +36,9 @@
 
     Attributes:
       method: HTTP method.
-      target: Path and query, as received, after the service's name.
-      headers: Headers to be passed on.
-      body: The whole body.
+      target: Path and query as received, without the service's name.
+      headers: Headers to forward.
+      body: The complete body.
     """
 
     method: str
@@ -49,12 +49,12 @@
 
 @attrs.frozen
 class ServiceAnswer:
-    """The whole answer of a plain service.
+    """The complete answer of a plain service.
 
     Attributes:
       status: HTTP status, below 500.
-      headers: Headers to be passed back.
-      body: The whole body.
+      headers: Headers to return to the caller.
+      body: The complete body.
     """
 
     status: int
@@ -63,10 +63,9 @@
 
 
 class SendOnce:
-    """Client middleware that lets one send through, never a second.
+    """Client middleware that prevents aiohttp from resending a request.
 
-    aiohttp sends requests with some methods again, unasked, when their
-    connection breaks.
+    aiohttp automatically retries some methods when the connection breaks.
     """
 
     def __init__(self) -> None:
@@ -75,7 +74,13 @@
     async def __call__(
         self, request: aiohttp.ClientRequest, send: SendRequest
     ) -> aiohttp.ClientResponse:
-        """Sends a request; a broken connection is raised so that it stays."""
+        """Sends a request once.
+
+        A broken connection is raised as an error that aiohttp does not retry.
+
+        Raises:
+          aiohttp.ClientError: The request failed.
+        """
         assert not self.sent
         self.sent = True
         try:
@@ -98,17 +103,18 @@
     request_id: str,
     timeout_s: float,
 ) -> ServiceAnswer:
-    """Sends a call and returns its whole answer.
+    """Sends a call and returns its complete answer.
 
     Args:
-      session: For the connections.
-      url: Base address of the worker.
-      call: What the caller asked.
-      request_id: Unique to this try.
-      timeout_s: Seconds for the whole answer.
+      session: HTTP session to use.
+      url: Base URL of the worker.
+      call: The call.
+      request_id: Unique ID of this upstream request.
+      timeout_s: Timeout of the complete answer in seconds.
 
     Raises:
-      UpstreamError: The service refused, failed, or its answer is not whole.
+      UpstreamError: The service refused or failed, or its answer is
+        incomplete.
     """
     headers = [
         *call.headers,
@@ -120,7 +126,8 @@
         total=timeout_s, sock_connect=CONNECT_TIMEOUT_S
     )
     try:
-        # A redirect would be a second dispatch: it is passed back instead.
+        # Following a redirect would be a second dispatch; the caller gets it
+        # instead.
         async with session.request(
             call.method,
             URL(url.rstrip("/") + call.target, encoded=True),
@@ -136,7 +143,7 @@
         aiohttp.ClientConnectorError,
         aiohttp.ConnectionTimeoutError,
     ) as error:
-        # No connection: no byte of the request left this process.
+        # Without a connection, no byte of the request was sent.
         raise UpstreamError(f"can't connect: {error}", True) from error
     except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
         raise UpstreamError(f"connection failed: {error!r}", False) from error
@@ -145,10 +152,11 @@
 async def read_answer(
     response: aiohttp.ClientResponse, method: str, request_id: str
 ) -> ServiceAnswer:
-    """Returns a whole answer.
+    """Reads and returns a complete answer.
 
     Raises:
-      UpstreamError: It is a failure, another request's, or not whole.
+      UpstreamError: The answer is an error, belongs to another request or is
+        incomplete.
     """
     if (
         response.status >= MIN_FAILURE_STATUS
@@ -157,7 +165,9 @@
         raise await read_refusal(response)
     given = response.headers.get(REQUEST_ID)
     if given is not None and given != request_id:
-        raise UpstreamError(f"the answer is for request {given!r}", False)
+        raise UpstreamError(
+            f"response belongs to another request, {given!r}", False
+        )
     check_delimited(response, method)
     body = await read_limited(response)
     return ServiceAnswer(
@@ -166,27 +176,31 @@
 
 
 def check_delimited(response: aiohttp.ClientResponse, method: str) -> None:
-    """Raises UpstreamError if an answer's end looks the same as a cut."""
+    """Raises UpstreamError if a truncated answer could not be detected."""
     if method == "HEAD" or response.status in BODILESS_STATUSES:
         return
     if response.content_length is not None:
         return
     if response.headers.get("Transfer-Encoding", "").lower() == "chunked":
         return
-    raise UpstreamError("the answer does not say where it ends", False)
+    raise UpstreamError(
+        "response has neither a length nor chunked encoding", False
+    )
 
 
 async def read_limited(response: aiohttp.ClientResponse) -> bytes:
-    """Returns the body; aiohttp checks its announced length.
+    """Returns the body; aiohttp checks it against Content-Length.
 
     Raises:
-      UpstreamError: It is too large to be held.
+      UpstreamError: The body exceeds MAX_ANSWER_BYTES.
     """
     parts: list[bytes] = []
     size = 0
     async for part in response.content.iter_chunked(READ_BYTES):
         size += len(part)
         if size > MAX_ANSWER_BYTES:
-            raise UpstreamError("the answer is too large", False, final=True)
+            raise UpstreamError(
+                "response body exceeds 16 MiB", False, final=True
+            )
         parts.append(part)
     return b"".join(parts)
