--- a/src/rattanpier/_internal/dispatch/quarantining.py
+++ b/src/rattanpier/_internal/dispatch/quarantining.py
@@ -1,8 +1,9 @@
-"""Keeps chats and calls that end their workers from further ones.
+"""Detects workers that crash under a request, and shares this among entries.
 
-The decision is that of `retries.quarantine`. Here is how it shows that a worker
-ended, and how entries tell each other: by notices along their ring, which go on
-as long as they are new to somebody. One that is lost costs one more worker.
+`retries.quarantine` decides which requests are refused. This module detects
+that a worker process terminated, and sends updates to peers as notices along
+the ring of entries. A notice is forwarded as long as it is new to its receiver;
+a lost notice may cost one more worker.
 """
 
 from __future__ import annotations
@@ -27,26 +28,29 @@
 
 log = structlog.get_logger(part="quarantine")
 
-PORT_CHECK_TIMEOUT_S = 0.3  # A VM without a listener refuses within some ms.
+PORT_CHECK_TIMEOUT_S = 0.3  # A VM without a listener refuses within a few ms.
 
 
 def content_key(request: RouteRequest) -> str:
-    """Returns what a request is known by, the same for each attempt."""
+    """Returns the key of a request's content, the same for each attempt."""
     return f"{request.workspace}/{request.digest}"
 
 
 async def has_terminated(target: Target) -> bool:
-    """Says whether a worker whose answer broke off surely ended."""
+    """Returns whether a worker certainly terminated.
+
+    True only if its VM refuses connections to the worker's port.
+    """
     url = URL(target.worker.url)
     found = await listens(url.host or "", url.port or 0, PORT_CHECK_TIMEOUT_S)
     return found is False
 
 
 def request_quarantined(seconds: float) -> DispatchError:
-    """Returns the error for a request under which workers ended.
+    """Returns the error for a request under which workers crashed.
 
     Args:
-      seconds: Until it may be sent again.
+      seconds: Seconds until the request may be sent again.
     """
     return DispatchError(
         RefusalCode.QUARANTINED, "Workers ended under this request.", seconds
@@ -55,10 +59,11 @@
 
 @attrs.define
 class QuarantineSharing:
-    """Tells other entries of ends, and passes on what is new.
+    """Publishes quarantine updates to peers and forwards new ones.
 
     Attributes:
-      broadcast: Sends a notice to a few entries; must not block.
+      broadcast: Sends a notice to neighbouring entries; must not block.
+      scheduled: Handle of the scheduled publication, or None.
     """
 
     quarantine: Quarantine
@@ -66,23 +71,23 @@
     scheduled: asyncio.Handle | None = None
 
     def schedule_publish(self) -> None:
-        """Tells of what is untold, all of one turn of the loop together."""
+        """Schedules one publication for all updates of this loop iteration."""
         if self.scheduled is None:
             loop = asyncio.get_running_loop()
             self.scheduled = loop.call_soon(self.publish)
 
     def publish(self) -> None:
-        """Tells others of what is untold."""
+        """Publishes the updates that were not yet published."""
         self.scheduled = None
         self.publish_update(self.quarantine.take_untold())
 
     def publish_update(self, update: QuarantineNews) -> None:
-        """Sends update to a few entries."""
+        """Sends an update to neighbouring entries."""
         rumors = peer_pb2.Rumors(text=encode(update).encode())
         self.broadcast(peer_pb2.Notice(spread=peer_pb2.Spread(rumors=rumors)))
 
     def receive(self, notice: peer_pb2.Notice) -> None:
-        """Takes in another entry's update, and passes on what was new."""
+        """Applies a peer's update and forwards the part that was new."""
         try:
             update = decode(QuarantineNews, notice.spread.rumors.text)
         except UnreadableError as error:
