--- a/src/rattanpier/_internal/dispatch/repeatable.py
+++ b/src/rattanpier/_internal/dispatch/repeatable.py
@@ -1,4 +1,4 @@
-"""Which calls of a plain service may be sent more than once."""
+"""Decides which calls to a plain service may be sent more than once."""
 
 from __future__ import annotations
 
@@ -10,7 +10,10 @@
 
 
 def normalize_path(target: str) -> str:
-    """Returns a path in the one form that paths are compared in.
+    """Returns the normalized path of a target, for comparisons.
+
+    Removes the query and repeated or trailing slashes, decodes percent escapes
+    and ignores case.
 
     >>> normalize_path("/Orders//%37/?x=1")
     '/orders/7'
@@ -20,7 +23,7 @@
 
 
 def has_dot_segments(target: str) -> bool:
-    """Says whether a path climbs or stands still.
+    """Returns whether a path contains `.` or `..` segments.
 
     >>> has_dot_segments("/a/%2e%2e/orders"), has_dot_segments("/a.b/c")
     (True, False)
@@ -30,12 +33,13 @@
 
 
 def may_repeat(non_repeatable: Iterable[str], method: str, target: str) -> bool:
-    """Says whether a call may be sent more than once.
+    """Returns whether a call may be sent more than once.
 
-    A listed path stands for all below it too.
+    A listed path includes all paths below it.
 
     Args:
-      non_repeatable: Calls like "POST /orders" or "* /payments".
+      non_repeatable: Calls that must not be repeated, such as "POST /orders" or
+        "* /payments".
       method: HTTP method.
       target: Path and query as received.
 
