--- a/src/rattanpier/_internal/dispatch/parts.py
+++ b/src/rattanpier/_internal/dispatch/parts.py
@@ -1,4 +1,4 @@
-"""What the answering of a request yields, in order."""
+"""Parts that a runner yields for a request, in order."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 @attrs.frozen
 class Started:
-    """The first part of an answer: its claim is certain.
+    """The first part of an answer, once its claim is certain.
 
     Attributes:
       version: Version that answers.
-      pin_lost: Version the session had and can't keep, or empty.
+      pin_lost: Version that the session was pinned to and can't keep, or empty.
     """
 
     version: str
@@ -24,33 +24,33 @@
 
 @attrs.frozen
 class ReleasedChunk:
-    """A chunk that may be released."""
+    """A chunk that may be sent to the caller."""
 
     chunk: Chunk
 
 
 @attrs.frozen
 class Flush:
-    """The next part takes a while: what came so far has to go out."""
+    """Request to flush pending output, as the next part may take a while."""
 
 
 @attrs.frozen
 class Recorded:
-    """A recorded answer, whole, in place of all other parts."""
+    """A recorded complete answer, in place of all other parts."""
 
     answer: Answer
 
 
 @attrs.frozen
 class Completed:
-    """The last part: the answer is whole, settled and billed."""
+    """The last part: the answer is complete, settled and billed."""
 
     bill: Bill
 
 
 @attrs.frozen
 class Refused:
-    """The last part: there is no answer, or no more of it."""
+    """The last part: the request was refused or its answer broke off."""
 
     refusal: Refusal
 
