--- a/src/rattanpier/_internal/dispatch/body.py
+++ b/src/rattanpier/_internal/dispatch/body.py
@@ -1,9 +1,9 @@
-"""A request body that is held back if the dispatch is not allowed any more.
+"""Request body that is withheld if the dispatch is no longer allowed.
 
-Between the decision to dispatch and the first byte of the body lie a
-connection attempt and, where the process was frozen, any length of time. The
-upstream can't run a request without its body, so this is the last moment at
-which a withdrawal or an expired validity still counts.
+Connecting takes time between the decision to dispatch and the first byte of the
+body, and the process may be suspended meanwhile. The upstream can't run a
+request without its body, so sending it is the last point at which a withdrawal
+or an expired validity can be honoured.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 
 
 class BodyWithheldError(Exception):
-    """The body was not sent."""
+    """The request body was withheld."""
 
 
 class GuardedBody(aiohttp.BytesPayload):
-    """Bytes that ask right before they are written.
+    """Payload that checks whether it may be sent right before it is written.
 
     Attributes:
-      may_send: Says whether the body may be sent now.
-      withheld: True if it was not sent, so that nothing can have run.
+      may_send: Returns whether the body may be sent now.
+      withheld: True if the body was not sent, so the request can't have run.
     """
 
     def __init__(self, body: bytes, may_send: MaySend) -> None:
@@ -39,7 +39,7 @@
         """Writes the body.
 
         Raises:
-          BodyWithheldError: It may not be sent.
+          BodyWithheldError: The body may not be sent.
         """
         if not self.may_send():
             self.withheld = True
