--- a/src/rattanpier/_internal/dispatch/budget.py
+++ b/src/rattanpier/_internal/dispatch/budget.py
@@ -1,4 +1,4 @@
-"""The retry budget: retries are a bounded share of the traffic."""
+"""Retry budget, which limits retries to a share of the requests."""
 
 from __future__ import annotations
 
@@ -6,19 +6,22 @@
 
 from rattanpier._internal.utils.clock import Clock
 
-RETRIES_PER_REQUEST = 0.1  # Retries for each request of this entry.
-MIN_RETRIES_PER_S = 1.0  # Retries a second that are allowed without traffic.
-MAX_SAVED_RETRIES = 20.0  # Retries that may come at once.
+RETRIES_PER_REQUEST = 0.1  # Share of retries in the requests of this entry.
+MIN_RETRIES_PER_S = 1.0  # Allowed even without requests.
+MAX_SAVED_RETRIES = 20.0  # Largest burst of retries.
 
 
 @attrs.define
 class RetryBudget:
-    """A token bucket filled by requests and, slowly, by time.
+    """Token bucket refilled by requests and, slowly, by time.
 
     Attributes:
-      clock: For the floor.
-      tokens_per_request: Tokens that each request adds.
-      tokens: Retries that are allowed now.
+      clock: Clock for the refill by time.
+      tokens_per_request: Tokens added by each request.
+      min_per_s: Tokens added per second.
+      capacity: Maximum number of tokens.
+      tokens: Number of retries allowed now.
+      filled_at: Monotonic time in seconds of the last refill by time.
     """
 
     clock: Clock
@@ -33,11 +36,11 @@
     )
 
     def record_request(self) -> None:
-        """Counts a request that came in."""
+        """Records an incoming request."""
         self.tokens = min(self.capacity, self.tokens + self.tokens_per_request)
 
     def try_acquire(self) -> bool:
-        """Says whether one more retry is allowed, and counts it."""
+        """Takes a token for a retry; returns False if there is none."""
         now = self.clock.monotonic()
         earned = (now - self.filled_at) * self.min_per_s
         self.tokens = min(self.capacity, self.tokens + earned)
