--- a/src/rattanpier/_internal/dispatch/detach.py
+++ b/src/rattanpier/_internal/dispatch/detach.py
@@ -1,4 +1,4 @@
-"""Work that goes on to its end when its caller goes away."""
+"""Runs an answer in its own task, so that it outlives its caller."""
 
 from __future__ import annotations
 
@@ -12,11 +12,15 @@
 async def detached(
     parts: AsyncIterator[Part], spawn: Callable[..., asyncio.Task]
 ) -> AsyncIterator[Part]:
-    """Yields parts that a task of their own makes.
+    """Yields the parts of an answer that runs in its own task.
 
     Closing this generator leaves the task running.
+
+    Args:
+      parts: The parts of the answer.
+      spawn: Starts a task.
     """
-    # At most one answer is queued; its size is bounded by its max_tokens.
+    # The queue holds at most one answer, bounded by its max_tokens.
     queue: asyncio.Queue[Part | None] = asyncio.Queue()
     task = spawn(pump(parts, queue))
     while (part := await queue.get()) is not None:
@@ -27,7 +31,7 @@
 async def pump(
     parts: AsyncIterator[Part], queue: asyncio.Queue[Part | None]
 ) -> None:
-    """Moves all parts to a queue, then None."""
+    """Puts all parts on a queue, followed by None."""
     try:
         async with aclosing(parts):
             async for part in parts:
