--- a/src/rattanpier/_internal/dispatch/runner.py
+++ b/src/rattanpier/_internal/dispatch/runner.py
@@ -1,8 +1,7 @@
 """Answers model requests: plan, admit, claim, dispatch, settle and bill.
 
 Nothing is released to the caller before the claim is certain, and the end of an
-answer not before it is settled, so that callers of the same key never get
-different answers.
+answer not before it is settled.
 """
 
 from __future__ import annotations
