--- a/src/rattanpier/_internal/dispatch/engine.py
+++ b/src/rattanpier/_internal/dispatch/engine.py
@@ -1,9 +1,10 @@
 """Client of a model engine: chat completions as numbered chunks.
 
-Engines implement the chat-completions protocol with server-sent events; the `id`
-line of an event carries the chunk's number. An interrupted answer is resumed by
-a GET with the request ID and the last number received. A GET never starts a
-run, whether or not the engine knows the request. A DELETE cancels the request.
+Engines implement the chat-completions protocol with server-sent events; the
+`id` line of an event carries the chunk's number. An interrupted answer is
+resumed by a GET with the request ID and the last number received. A GET never
+starts a run, whether or not the engine knows the request. A DELETE cancels the
+request.
 """
 
 from __future__ import annotations
