--- a/src/rattanpier/_internal/dispatch/attempt.py
+++ b/src/rattanpier/_internal/dispatch/attempt.py
@@ -25,7 +25,8 @@
       dispatches: Number of dispatches so far; each has its own request ID.
       may_have_run: False only if it is certain that no upstream ran the
         request.
-      closed: True once the claim is being settled or given up.
+      closed: True once the claim was settled or given up, or belongs to
+        another attempt.
     """
 
     request: RouteRequest
