--- a/src/rattanpier/_internal/dispatch/steps.py
+++ b/src/rattanpier/_internal/dispatch/steps.py
@@ -130,5 +130,5 @@
         if not is_whole(chunks):
             raise incomplete_answer()
         self.spent.append(spent_by(version, chunks))
-        # The verdict is not used, but the policy may learn from the answer.
+        # The verdict is not used, but the policy may still rate the answer.
         self.policy.judge(self.walk, answer_of(chunks), self.may_serve)
