--- a/src/rattanpier/_internal/dispatch/plain.py
+++ b/src/rattanpier/_internal/dispatch/plain.py
@@ -22,7 +22,7 @@
 READ_BYTES = 2**16
 MIN_FAILURE_STATUS = 500
 BODILESS_STATUSES = frozenset({204, 304})
-# The service ran nothing worth recording: a repeat of the key may be sent.
+# The service ran nothing to record, so a repeat of the key may be sent again.
 BUSY_STATUSES = frozenset({408, 429})
 
 SendRequest = Callable[
