--- a/tests/failure/test_non_idempotent.py
+++ b/tests/failure/test_non_idempotent.py
@@ -28,7 +28,7 @@
         yield cluster
 
 
-async def use(cluster, engines, services):
+async def apply_upstreams(cluster, engines, services):
     """Puts upstreams in force on both entries."""
     cluster.revision += 1
     text = configuration_text(
@@ -71,9 +71,18 @@
     ],
 )
 @pytest.mark.asyncio(loop_scope="module")
-async def test_a_marked_call_is_sent_once(cluster, mode, method, path):
-    async with RawUpstream(mode) as one, RawUpstream(mode) as two:
-        await use(cluster, [one, two], [one, two])
+async def test_call_marked_non_idempotent_is_sent_once(
+    cluster, mode, method, path
+):
+    async with (
+        RawUpstream(mode) as first_upstream,
+        RawUpstream(mode) as second_upstream,
+    ):
+        await apply_upstreams(
+            cluster,
+            [first_upstream, second_upstream],
+            [first_upstream, second_upstream],
+        )
         for number in range(4):
             key = f"{mode}-{method}-{path}-{number}"
             answers = [
@@ -89,16 +98,19 @@
             ]
             assert all(body["error"]["code"] for _, body in answers)
             assert not any(body["error"]["not_run"] for _, body in answers)
-        assert one.touched + two.touched == 4
+        assert first_upstream.touched + second_upstream.touched == 4
 
 
 @pytest.mark.parametrize(
     "path", ["/orders", "/Orders/", "//orders", "/%6frders?x=1", "/orders/7"]
 )
 @pytest.mark.asyncio(loop_scope="module")
-async def test_a_listed_call_is_sent_once(cluster, path):
-    async with RawUpstream("cut_after") as one, RawUpstream("ok") as two:
-        await use(cluster, [], [one, two])
+async def test_call_listed_as_non_repeatable_is_sent_once(cluster, path):
+    async with (
+        RawUpstream("cut_after") as first_upstream,
+        RawUpstream("ok") as second_upstream,
+    ):
+        await apply_upstreams(cluster, [], [first_upstream, second_upstream])
         for number in range(6):
             await call(
                 cluster,
@@ -106,29 +118,35 @@
                 f"/services/phrases{path}",
                 ENTRIES[number % 2],
             )
-        assert len(one.runs) + len(two.runs) == 6
-        assert one.runs
+        assert len(first_upstream.runs) + len(second_upstream.runs) == 6
+        assert first_upstream.runs
 
 
 @pytest.mark.asyncio(loop_scope="module")
-async def test_a_repeatable_call_is_retried_elsewhere(cluster):
-    async with RawUpstream("cut_after") as one, RawUpstream("ok") as two:
-        await use(cluster, [], [one, two])
+async def test_repeatable_call_is_retried_on_another_worker(cluster):
+    async with (
+        RawUpstream("cut_after") as first_upstream,
+        RawUpstream("ok") as second_upstream,
+    ):
+        await apply_upstreams(cluster, [], [first_upstream, second_upstream])
         for _ in range(6):
             status, body = await call(
                 cluster, "POST", "/services/phrases/search"
             )
             assert (status, body) == (200, {"done": True})
-        assert len(two.runs) == 6
-        assert one.runs
+        assert len(second_upstream.runs) == 6
+        assert first_upstream.runs
 
 
 @pytest.mark.parametrize("path", ["/services/phrases/orders", "/v1/chat"])
 @pytest.mark.asyncio(loop_scope="module")
-async def test_a_redirect_is_not_followed(cluster, path):
-    async with RawUpstream("redirect") as one, RawUpstream("ok") as two:
-        one.elsewhere = two.url
-        await use(cluster, [one], [one])
+async def test_redirect_is_not_followed(cluster, path):
+    async with (
+        RawUpstream("redirect") as first_upstream,
+        RawUpstream("ok") as second_upstream,
+    ):
+        first_upstream.elsewhere = second_upstream.url
+        await apply_upstreams(cluster, [first_upstream], [first_upstream])
         path = path.replace("/v1/chat", "/v1/chat/completions")
         async with cluster.session.post(
             cluster.urls["entry-1"] + path,
@@ -137,21 +155,21 @@
             allow_redirects=False,
         ) as response:
             assert response.status in (307, 502)
-        assert two.runs == []
+        assert second_upstream.runs == []
 
 
 @pytest.mark.parametrize(
     "path", ["/services/phrases/orders", "/v1/chat/completions"]
 )
 @pytest.mark.asyncio(loop_scope="module")
-async def test_a_caller_that_left_finds_its_answer(cluster, path):
+async def test_disconnected_caller_finds_its_answer_by_key(cluster, path):
     async with RawUpstream("hold") as upstream:
-        await use(cluster, [upstream], [upstream])
+        await apply_upstreams(cluster, [upstream], [upstream])
         headers = {**MARKED, "Idempotency-Key": f"left-{path}"}
         first = asyncio.create_task(
             call(cluster, "POST", path, "entry-1", **headers)
         )
-        await wait_for(lambda: truth(upstream.runs))
+        await wait_for(lambda: as_awaitable(upstream.runs))
         first.cancel()
         await asyncio.gather(first, return_exceptions=True)
         second = asyncio.create_task(
@@ -165,9 +183,9 @@
 
 
 @pytest.mark.asyncio(loop_scope="module")
-async def test_a_key_names_one_call(cluster):
+async def test_key_reused_for_another_call_is_refused(cluster):
     async with RawUpstream("ok") as upstream:
-        await use(cluster, [], [upstream])
+        await apply_upstreams(cluster, [], [upstream])
         headers = {"Idempotency-Key": "one-call"}
         status, _ = await call(
             cluster, "POST", "/services/phrases/orders", **headers
@@ -187,9 +205,9 @@
 
 @pytest.mark.parametrize("mode", ["short_body", "no_length"])
 @pytest.mark.asyncio(loop_scope="module")
-async def test_a_cut_answer_is_not_passed_off_as_whole(cluster, mode):
+async def test_truncated_answer_is_not_returned_as_complete(cluster, mode):
     async with RawUpstream(mode) as upstream:
-        await use(cluster, [], [upstream])
+        await apply_upstreams(cluster, [], [upstream])
         headers = {"Idempotency-Key": f"cut-{mode}"}
         for entry in ENTRIES:
             status, body = await call(
@@ -201,9 +219,9 @@
 
 
 @pytest.mark.asyncio(loop_scope="module")
-async def test_services_refuse_what_is_not_allowed(cluster):
+async def test_disallowed_service_calls_are_refused(cluster):
     async with RawUpstream("ok") as upstream:
-        await use(cluster, [upstream], [upstream])
+        await apply_upstreams(cluster, [upstream], [upstream])
         cases = {
             "/services/nothing/x": (404, "unknown_service"),
             "/services/pool/x": (404, "unknown_service"),
@@ -221,5 +239,5 @@
         assert upstream.runs == []
 
 
-async def truth(value):
+async def as_awaitable(value):
     return value
