--- a/tests/failure/test_non_idempotent.py
+++ b/tests/failure/test_non_idempotent.py
@@ -1,4 +1,8 @@
-"""Non-idempotent requests run at most once, counted at the upstreams."""
+"""Non-idempotent requests run at most once, as counted at the upstreams.
+
+A retry after a broken connection, a redirect or a reused key must not start a
+second run.
+"""
 
 import asyncio
 
@@ -12,7 +16,7 @@
 from tests.lib.raw import RawUpstream
 
 ENTRIES = ("entry-1", "entry-2")
-pytestmark = pytest.mark.xdist_group("non_idempotent")  # Share the cluster.
+pytestmark = pytest.mark.xdist_group("non_idempotent")  # Shared cluster.
 AUTHORIZATION = {"Authorization": f"Bearer {DESK_KEY}"}
 MARKED = {"X-Non-Idempotent": "true"}
 CHAT = {"model": "auto", "messages": [{"role": "user", "content": "x"}]}
@@ -29,7 +33,7 @@
 
 
 async def apply_upstreams(cluster, engines, services):
-    """Puts upstreams in force on both entries."""
+    """Applies a configuration with these upstreams on both entries."""
     cluster.revision += 1
     text = configuration_text(
         [engine.url for engine in engines] or ["http://127.0.0.1:1"],
@@ -50,7 +54,7 @@
 
 
 async def call(cluster, method, path, entry="entry-1", **headers):
-    """Sends one call to an entry; returns (status, body)."""
+    """Sends a call to an entry and returns (status, body)."""
     async with cluster.session.request(
         method,
         URL(f"{cluster.urls[entry]}{path}", encoded=True),
