--- a/tests/failure/test_not_run.py
+++ b/tests/failure/test_not_run.py
@@ -10,10 +10,15 @@
 from tests.lib.raw import RawUpstream
 
 pytestmark = pytest.mark.xdist_group("not_run")  # They share the cluster.
-PER_CASE = 6
-RUNNING = {"cut_after", "fail", "stall", "half", "cut_reused"}
-CERTAIN = {"closed", "refuse"}
-UNSURE = {"cut_on_accept", "cut_in_headers", "cut_in_body", "refuse_busy"}
+REQUESTS_PER_CASE = 6
+MODES_THAT_RUN = {"cut_after", "fail", "stall", "half", "cut_reused"}
+MODES_CERTAINLY_NOT_RUN = {"closed", "refuse"}
+MODES_UNCERTAIN = {
+    "cut_on_accept",
+    "cut_in_headers",
+    "cut_in_body",
+    "refuse_busy",
+}
 
 
 def closed_url():
@@ -32,7 +37,7 @@
         yield cluster
 
 
-async def use(cluster, urls):
+async def apply_workers(cluster, urls):
     """Puts workers in force and waits until the entry uses them."""
     cluster.revision += 1
     text = configuration_text(urls, fleet_size=1)
@@ -46,7 +51,7 @@
     await wait_for(in_force)
 
 
-async def ask(cluster, **headers):
+async def send_request(cluster, **headers):
     """Sends one request; returns its id and its error, or None."""
     async with cluster.session.post(
         f"{cluster.urls['entry-1']}/v1/chat/completions",
@@ -61,38 +66,42 @@
         return response.headers["X-Request-Id"], body.get("error")
 
 
-async def count_false(cluster, upstreams, **headers):
+async def count_refusals(cluster, upstreams, **headers):
     """Sends requests; returns (refusals, said not run, falsely said)."""
-    refused = said = false = 0
-    for _ in range(PER_CASE):
-        request_id, error = await ask(cluster, **headers)
+    refused = reported = wrong = 0
+    for _ in range(REQUESTS_PER_CASE):
+        request_id, error = await send_request(cluster, **headers)
         ran = sum(len(up.runs_of(request_id)) for up in upstreams)
         if error is None:
             continue
         refused += 1
-        said += error["not_run"]
-        false += error["not_run"] and ran > 0
-    return refused, said, false
+        reported += error["not_run"]
+        wrong += error["not_run"] and ran > 0
+    return refused, reported, wrong
 
 
 @pytest.mark.parametrize("marked", ["false", "true"])
-@pytest.mark.parametrize("mode", sorted(RUNNING | CERTAIN | UNSURE))
+@pytest.mark.parametrize(
+    "mode", sorted(MODES_THAT_RUN | MODES_CERTAINLY_NOT_RUN | MODES_UNCERTAIN)
+)
 @pytest.mark.asyncio(loop_scope="module")
-async def test_one_worker(cluster, mode, marked):
+async def test_refusals_of_one_worker_report_not_run_truthfully(
+    cluster, mode, marked
+):
     async with RawUpstream(mode) as upstream:
         url = closed_url() if mode == "closed" else upstream.url
-        await use(cluster, [url])
+        await apply_workers(cluster, [url])
         timeout = "300" if mode == "stall" else "3000"
-        refused, said, false = await count_false(
+        refused, reported, wrong = await count_refusals(
             cluster,
             [upstream],
             **{"X-Non-Idempotent": marked, "X-Timeout-Ms": timeout},
         )
-        assert false == 0
-        if mode in CERTAIN:
-            assert (refused, said) == (PER_CASE, PER_CASE)
-        if mode in UNSURE:
-            assert (refused, said) == (PER_CASE, 0)
+        assert wrong == 0
+        if mode in MODES_CERTAINLY_NOT_RUN:
+            assert (refused, reported) == (REQUESTS_PER_CASE, REQUESTS_PER_CASE)
+        if mode in MODES_UNCERTAIN:
+            assert (refused, reported) == (REQUESTS_PER_CASE, 0)
         if marked == "true":
             ids = [run.split("/")[2] for run in upstream.runs]
             assert len(ids) == len(set(ids))
@@ -101,21 +110,26 @@
 @pytest.mark.parametrize("first", ["cut_after", "fail", "half"])
 @pytest.mark.parametrize("second", ["closed", "refuse"])
 @pytest.mark.asyncio(loop_scope="module")
-async def test_a_run_before_a_certain_refusal_is_not_forgotten(
+async def test_later_refusal_does_not_hide_an_earlier_run(
     cluster, first, second
 ):
-    async with RawUpstream(first) as one, RawUpstream(second) as two:
-        second_url = closed_url() if second == "closed" else two.url
-        await use(cluster, [one.url, second_url])
-        _, _, false = await count_false(cluster, [one, two])
-        assert false == 0
+    async with (
+        RawUpstream(first) as first_upstream,
+        RawUpstream(second) as second_upstream,
+    ):
+        second_url = closed_url() if second == "closed" else second_upstream.url
+        await apply_workers(cluster, [first_upstream.url, second_url])
+        _, _, wrong = await count_refusals(
+            cluster, [first_upstream, second_upstream]
+        )
+        assert wrong == 0
 
 
 @pytest.mark.asyncio(loop_scope="module")
-async def test_no_worker_and_a_passed_deadline_are_not_run(cluster):
+async def test_passed_deadline_reports_not_run(cluster):
     async with RawUpstream("ok") as upstream:
-        await use(cluster, [upstream.url])
-        _, error = await ask(cluster, **{"X-Timeout-Ms": "0.001"})
+        await apply_workers(cluster, [upstream.url])
+        _, error = await send_request(cluster, **{"X-Timeout-Ms": "0.001"})
         assert error["code"] == "deadline"
         assert error["not_run"] is True
         assert error["retry_after_s"] > 0
@@ -123,13 +137,13 @@
 
 
 @pytest.mark.asyncio(loop_scope="module")
-async def test_a_stale_connection_never_counts_as_not_run(cluster):
+async def test_stale_pooled_connection_loses_no_request(cluster):
     async with RawUpstream("cut_reused") as upstream:
-        await use(cluster, [upstream.url])
-        _, first = await ask(cluster)
+        await apply_workers(cluster, [upstream.url])
+        _, first = await send_request(cluster)
         assert first is None
-        for _ in range(PER_CASE):
-            request_id, error = await ask(
+        for _ in range(REQUESTS_PER_CASE):
+            request_id, error = await send_request(
                 cluster, **{"X-Non-Idempotent": "true"}
             )
             # A connection of its own: the pooled one can't lose it.
