--- a/tests/failure/test_not_run.py
+++ b/tests/failure/test_not_run.py
@@ -1,4 +1,8 @@
-"""Refusals that say "not run", against what upstreams really ran."""
+"""Refusals with `not_run` set, compared with what the upstreams ran.
+
+A caller sends a request again if it was refused as not run. If an upstream did
+run it, that would be a second run.
+"""
 
 import socket
 
@@ -9,7 +13,7 @@
 from tests.lib.cluster import Cluster, wait_for
 from tests.lib.raw import RawUpstream
 
-pytestmark = pytest.mark.xdist_group("not_run")  # They share the cluster.
+pytestmark = pytest.mark.xdist_group("not_run")  # Shared cluster.
 REQUESTS_PER_CASE = 6
 MODES_THAT_RUN = {"cut_after", "fail", "stall", "half", "cut_reused"}
 MODES_CERTAINLY_NOT_RUN = {"closed", "refuse"}
@@ -38,7 +42,7 @@
 
 
 async def apply_workers(cluster, urls):
-    """Puts workers in force and waits until the entry uses them."""
+    """Applies a configuration with these workers; waits until it is in force."""
     cluster.revision += 1
     text = configuration_text(urls, fleet_size=1)
     await cluster.apply(text, cluster.revision)
@@ -52,7 +56,7 @@
 
 
 async def send_request(cluster, **headers):
-    """Sends one request; returns its id and its error, or None."""
+    """Sends a request and returns its ID and its error, or None."""
     async with cluster.session.post(
         f"{cluster.urls['entry-1']}/v1/chat/completions",
         json={"model": "auto", "messages": [{"role": "user", "content": "x"}]},
@@ -67,7 +71,7 @@
 
 
 async def count_refusals(cluster, upstreams, **headers):
-    """Sends requests; returns (refusals, said not run, falsely said)."""
+    """Returns counts: (refusals, reported as not run, wrongly reported)."""
     refused = reported = wrong = 0
     for _ in range(REQUESTS_PER_CASE):
         request_id, error = await send_request(cluster, **headers)
@@ -146,6 +150,6 @@
             request_id, error = await send_request(
                 cluster, **{"X-Non-Idempotent": "true"}
             )
-            # A connection of its own: the pooled one can't lose it.
+            # Sent on its own connection, not on the stale pooled one.
             assert error is None
             assert len(upstream.runs_of(request_id)) == 1
