--- a/tests/failure/test_whole_answers.py
+++ b/tests/failure/test_whole_answers.py
@@ -36,7 +36,7 @@
     return [cluster.urls[engine] for engine in engines]
 
 
-async def use(cluster, engines, **faults):
+async def apply_engines(cluster, engines, **faults):
     """Puts engines in force, each with the same faults."""
     for engine in ENGINES:
         await cluster.set_faults(engine, **faults)
@@ -60,7 +60,7 @@
     return "".join(answer_words(SMALL, prompt, tokens, good))
 
 
-class Heard:
+class ReceivedAnswer:
     """What a caller got: text, whether the end came, and the error."""
 
     def __init__(self):
@@ -70,9 +70,11 @@
         self.started = asyncio.Event()
 
 
-async def listen(cluster, prompt, entry="entry-1", heard=None, **headers):
+async def stream_answer(
+    cluster, prompt, entry="entry-1", received=None, **headers
+):
     """Streams one answer."""
-    heard = heard or Heard()
+    received = received or ReceivedAnswer()
     body = {
         "model": "auto",
         "stream": True,
@@ -85,24 +87,24 @@
         headers={**AUTHORIZATION, "X-Timeout-Ms": "20000", **headers},
     ) as response:
         if response.status != 200:
-            heard.error = (await response.json())["error"]
-            return heard
+            received.error = (await response.json())["error"]
+            return received
         async for line in response.content:
             if line.startswith(b"data:"):
-                take(heard, line[5:].strip())
-    return heard
+                apply_event(received, line[5:].strip())
+    return received
 
 
-def take(heard, data):
+def apply_event(received, data):
     if data == b"[DONE]":
-        heard.done = True
+        received.done = True
         return
     event = json.loads(data)
     if "error" in event:
-        heard.error = event["error"]
+        received.error = event["error"]
         return
-    heard.text += event["choices"][0]["delta"].get("content") or ""
-    heard.started.set()
+    received.text += event["choices"][0]["delta"].get("content") or ""
+    received.started.set()
 
 
 async def runs_of(cluster, count_from):
@@ -112,7 +114,7 @@
     return runs
 
 
-async def marks(cluster):
+async def count_runs(cluster):
     return {engine: len(await cluster.runs(engine)) for engine in ENGINES}
 
 
@@ -122,62 +124,64 @@
         return (await response.json()).get("state")
 
 
-async def is_state(cluster, key, state):
+async def has_state(cluster, key, state):
     return await state_of(cluster, key) == state
 
 
 @pytest.mark.parametrize("marked", ["true", "false"])
 @pytest.mark.parametrize("fault", ["cut", "missing", "no_end"])
 @pytest.mark.asyncio(loop_scope="module")
-async def test_a_cut_stream_is_resumed(cluster, fault, marked):
-    await use(cluster, ENGINES, fault=fault, count=1)
-    before = await marks(cluster)
-    heard = await listen(cluster, f"p-{fault}", **{"X-Non-Idempotent": marked})
-    assert (heard.text, heard.done) == (expected(f"p-{fault}"), True)
+async def test_interrupted_stream_is_resumed(cluster, fault, marked):
+    await apply_engines(cluster, ENGINES, fault=fault, count=1)
+    before = await count_runs(cluster)
+    received = await stream_answer(
+        cluster, f"p-{fault}", **{"X-Non-Idempotent": marked}
+    )
+    assert (received.text, received.done) == (expected(f"p-{fault}"), True)
     runs = await runs_of(cluster, before)
     assert [run["resumes"] for run in runs] == [1]
 
 
 @pytest.mark.asyncio(loop_scope="module")
-async def test_a_chunk_that_comes_twice_is_released_once(cluster):
-    await use(cluster, ENGINES, fault="duplicate")
-    heard = await listen(cluster, "twice")
-    assert (heard.text, heard.done) == (expected("twice"), True)
+async def test_duplicate_chunk_is_released_once(cluster):
+    await apply_engines(cluster, ENGINES, fault="duplicate")
+    received = await stream_answer(cluster, "twice")
+    assert (received.text, received.done) == (expected("twice"), True)
 
 
 @pytest.mark.asyncio(loop_scope="module")
-async def test_a_rerun_may_go_on_where_it_says_the_same(cluster):
-    await use(cluster, ENGINES, fault="none")
+async def test_rerun_with_identical_chunks_continues_the_answer(cluster):
+    await apply_engines(cluster, ENGINES, fault="none")
     await cluster.set_faults("engine-1", fault="forget")
     for number in range(6):
         prompt = f"rerun-{number}"
-        heard = await listen(cluster, prompt)
-        assert (heard.text, heard.done) == (expected(prompt), True)
+        received = await stream_answer(cluster, prompt)
+        assert (received.text, received.done) == (expected(prompt), True)
     assert any(run["cancelled"] for run in await cluster.runs("engine-1"))
 
 
 @pytest.mark.asyncio(loop_scope="module")
-async def test_a_rerun_that_differs_ends_with_an_error(cluster):
-    await use(cluster, ENGINES, fault="forget")
+async def test_rerun_with_different_chunks_ends_with_an_error(cluster):
+    await apply_engines(cluster, ENGINES, fault="forget")
     await cluster.set_faults("engine-1", fault="forget", bad_versions=[SMALL])
     key = {"Idempotency-Key": "differs"}
-    heard = await listen(cluster, "differs", **key)
-    assert heard.done is False
-    assert heard.error["not_run"] is False
+    received = await stream_answer(cluster, "differs", **key)
+    assert received.done is False
+    assert received.error["not_run"] is False
     whole = (expected("differs"), expected("differs", good=False))
-    assert any(text.startswith(heard.text) for text in whole)
-    await wait_for(lambda: is_state(cluster, "differs", "unknown"))
+    assert any(text.startswith(received.text) for text in whole)
+    await wait_for(lambda: has_state(cluster, "differs", "unknown"))
 
 
 @pytest.mark.asyncio(loop_scope="module")
-async def test_a_truncated_answer_is_not_recorded(cluster):
-    await use(cluster, ENGINES, fault="forget")
-    before = await marks(cluster)
+async def test_truncated_answer_is_not_recorded(cluster):
+    await apply_engines(cluster, ENGINES, fault="forget")
+    before = await count_runs(cluster)
     headers = {"Idempotency-Key": "truncated", "X-Non-Idempotent": "true"}
-    heard = await listen(cluster, "truncated", **headers)
-    assert heard.done is False
-    assert heard.error["code"] == "upstream_failed"
-    again = await listen(cluster, "truncated", "entry-2", **headers)
+    received = await stream_answer(cluster, "truncated", **headers)
+    assert received.done is False
+    assert received.error["code"] == "upstream_failed"
+    again = await stream_answer(cluster, "truncated", "entry-2", **headers)
     assert (again.text, again.done) == ("", False)
     assert again.error["code"] == "outcome_unknown"
     assert again.error["not_run"] is False
@@ -186,39 +190,39 @@
 
 
 @pytest.mark.asyncio(loop_scope="module")
-async def test_swapped_answers_reach_nobody(cluster):
-    await use(cluster, ENGINES[:1], fault="swap")
+async def test_swapped_answers_reach_no_caller(cluster):
+    await apply_engines(cluster, ENGINES[:1], fault="swap")
     prompts = [f"swap-{number}" for number in range(6)]
     answers = await asyncio.gather(
-        *(listen(cluster, prompt) for prompt in prompts)
+        *(stream_answer(cluster, prompt) for prompt in prompts)
     )
-    for heard in answers:
-        assert (heard.text, heard.done) == ("", False)
-        assert heard.error["code"] == "upstream_failed"
+    for received in answers:
+        assert (received.text, received.done) == ("", False)
+        assert received.error["code"] == "upstream_failed"
 
 
 @pytest.mark.asyncio(loop_scope="module")
-async def test_a_late_answer_reaches_nobody(cluster):
-    await use(cluster, ENGINES, fault="none", slowdown=50.0)
+async def test_answer_after_the_deadline_reaches_no_caller(cluster):
+    await apply_engines(cluster, ENGINES, fault="none", slowdown=50.0)
     headers = {"Idempotency-Key": "late", "X-Timeout-Ms": "600"}
-    heard = await listen(cluster, "late", **headers)
-    assert heard.done is False
-    assert heard.error["code"] == "deadline"
-    assert heard.error["not_run"] is False
-    assert heard.error["retry_after_s"] > 0
-    await wait_for(lambda: is_state(cluster, "late", "unknown"))
+    received = await stream_answer(cluster, "late", **headers)
+    assert received.done is False
+    assert received.error["code"] == "deadline"
+    assert received.error["not_run"] is False
+    assert received.error["retry_after_s"] > 0
+    await wait_for(lambda: has_state(cluster, "late", "unknown"))
 
 
 @pytest.mark.asyncio(loop_scope="module")
-async def test_a_caller_that_left_cancels_and_frees_its_key(cluster):
-    await use(cluster, ENGINES, fault="none", slowdown=100.0)
-    before = await marks(cluster)
+async def test_disconnected_caller_cancels_the_run_and_frees_its_key(cluster):
+    await apply_engines(cluster, ENGINES, fault="none", slowdown=100.0)
+    before = await count_runs(cluster)
     key = {"Idempotency-Key": "gone"}
-    heard = Heard()
+    received = ReceivedAnswer()
     first = asyncio.create_task(
-        listen(cluster, "gone", "entry-1", heard, **key)
+        stream_answer(cluster, "gone", "entry-1", received, **key)
     )
-    await heard.started.wait()
+    await received.started.wait()
     first.cancel()
     await asyncio.gather(first, return_exceptions=True)
 
@@ -229,7 +233,7 @@
     await wait_for(cancelled, 2.5)  # Less than the engine waits by itself.
     for engine in ENGINES:
         await cluster.set_faults(engine)
-    again = await listen(
+    again = await stream_answer(
         cluster, "gone", "entry-2", **key, **{"X-Timeout-Ms": "3000"}
     )
     assert (again.text, again.done) == (expected("gone"), True)
@@ -237,27 +241,29 @@
 
 @pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGSTOP])
 @pytest.mark.asyncio(loop_scope="module")
-async def test_a_caller_finds_its_answer_at_another_entry(cluster, number):
-    await use(cluster, ENGINES, fault="none", slowdown=10.0)
+async def test_caller_finds_its_answer_at_another_entry(cluster, number):
+    await apply_engines(cluster, ENGINES, fault="none", slowdown=10.0)
     name = f"entry-{number.name.lower()}"
     await cluster.start_entry(name)
     key = {"Idempotency-Key": f"elsewhere-{number.name}"}
-    heard = Heard()
+    received = ReceivedAnswer()
     first = asyncio.create_task(
-        listen(cluster, "elsewhere", name, heard, tokens=60, **key)
+        stream_answer(cluster, "elsewhere", name, received, tokens=60, **key)
     )
-    await heard.started.wait()
+    await received.started.wait()
     cluster.processes[name].send(number)
-    again = await listen(cluster, "elsewhere", "entry-2", tokens=60, **key)
+    again = await stream_answer(
+        cluster, "elsewhere", "entry-2", tokens=60, **key
+    )
     text = expected("elsewhere", 60)
     assert (again.text, again.done) == (text, True)
     if number is signal.SIGSTOP:
         cluster.processes[name].send(signal.SIGCONT)
         await first
-        assert heard.error["code"] == "superseded"
+        assert received.error["code"] == "superseded"
     else:
         with pytest.raises(aiohttp.ClientError):
             await first
-    assert heard.done is False
-    assert text.startswith(heard.text)
+    assert received.done is False
+    assert text.startswith(received.text)
     assert await state_of(cluster, key["Idempotency-Key"]) == "answered"
