--- a/tests/failure/test_whole_answers.py
+++ b/tests/failure/test_whole_answers.py
@@ -1,4 +1,7 @@
-"""Callers get the whole answer to their own request, or none."""
+"""Callers get the complete answer to their own request, or an error.
+
+Engines are made to break, duplicate, swap or delay their streams.
+"""
 
 import asyncio
 import json
@@ -12,7 +15,7 @@
 from tests.lib.builders import DESK_KEY, SMALL, configuration_text
 from tests.lib.cluster import Cluster, wait_for
 
-pytestmark = pytest.mark.xdist_group("whole_answers")  # Share the cluster.
+pytestmark = pytest.mark.xdist_group("whole_answers")  # Shared cluster.
 AUTHORIZATION = {"Authorization": f"Bearer {DESK_KEY}"}
 ENGINES = ("engine-1", "engine-2")
 TOKENS = 24
@@ -37,7 +40,7 @@
 
 
 async def apply_engines(cluster, engines, **faults):
-    """Puts engines in force, each with the same faults."""
+    """Applies a configuration with these engines, all with the same faults."""
     for engine in ENGINES:
         await cluster.set_faults(engine, **faults)
     cluster.revision += 1
@@ -61,7 +64,7 @@
 
 
 class ReceivedAnswer:
-    """What a caller got: text, whether the end came, and the error."""
+    """What a caller received: the text, whether it was complete, the error."""
 
     def __init__(self):
         self.text = ""
@@ -73,7 +76,7 @@
 async def stream_answer(
     cluster, prompt, entry="entry-1", received=None, **headers
 ):
-    """Streams one answer."""
+    """Streams an answer and returns what was received."""
     received = received or ReceivedAnswer()
     body = {
         "model": "auto",
@@ -230,7 +233,7 @@
         runs = await runs_of(cluster, before)
         return [run["cancelled"] for run in runs] == [True]
 
-    await wait_for(cancelled, 2.5)  # Less than the engine waits by itself.
+    await wait_for(cancelled, 2.5)  # Shorter than the engine's own timeout.
     for engine in ENGINES:
         await cluster.set_faults(engine)
     again = await stream_answer(
