--- a/tests/failure/test_crashing_chats.py
+++ b/tests/failure/test_crashing_chats.py
@@ -18,11 +18,14 @@
 ATTEMPTS = 6
 # Operators take three; the next attempt may come to the other entry while the
 # news of the third end is on its way, some ms.
-MOST_ENDED = 4
-DEADLY = {"model": "auto", "messages": [{"role": "user", "content": "crash"}]}
+MAX_CRASHED = 4
+CRASHING_CHAT = {
+    "model": "auto",
+    "messages": [{"role": "user", "content": "crash"}],
+}
 
 
-async def chat(cluster, number):
+async def send_crashing_chat(cluster, number):
     """Sends the deadly chat under a key of its own; returns the status."""
     url = f"{cluster.urls[ENTRIES[number % 2]]}/v1/chat/completions"
     headers = {
@@ -30,13 +33,15 @@
         "X-Timeout-Ms": "5000",
         "Idempotency-Key": f"deadly-{number}",
     }
-    async with cluster.session.post(url, json=DEADLY, headers=headers) as got:
+    async with cluster.session.post(
+        url, json=CRASHING_CHAT, headers=headers
+    ) as got:
         with contextlib.suppress(aiohttp.ClientError):
             await got.read()
         return got.status
 
 
-async def test_a_chat_that_crashes_its_engines_reaches_few(tmp_path):
+async def test_crashing_chat_reaches_few_engines(tmp_path):
     async with contextlib.AsyncExitStack() as stack:
         engines = [
             await stack.enter_async_context(RawUpstream("crash"))
@@ -48,6 +53,6 @@
         await cluster.apply(text)
         await cluster.start_entries(ENTRIES)
         for number in range(ATTEMPTS):
-            assert await chat(cluster, number) >= 500
-        ended = sum(bool(engine.runs) for engine in engines)
-        assert ended <= MOST_ENDED
+            assert await send_crashing_chat(cluster, number) >= 500
+        crashed = sum(bool(engine.runs) for engine in engines)
+        assert crashed <= MAX_CRASHED
