--- a/tests/failure/test_crashing_chats.py
+++ b/tests/failure/test_crashing_chats.py
@@ -1,8 +1,8 @@
-"""A chat that crashes each engine that runs it reaches few of them.
+"""A chat that crashes each engine running it is stopped after a few engines.
 
-The same story as in relay/test_crashing_requests.py, on the chat interface: a
-failure is put down to the engine alone, the chat goes on to two more, and the
-next attempt, here or at another entry, begins anew.
+As in relay/test_crashing_requests.py, but on the chat interface. If each crash
+is blamed on the engine alone, the chat is retried on two more engines, and each
+further attempt, at this or another entry, does the same.
 """
 
 import contextlib
@@ -16,8 +16,8 @@
 ENTRIES = ("entry-1", "entry-2")
 ENGINES = 9
 ATTEMPTS = 6
-# Operators take three; the next attempt may come to the other entry while the
-# news of the third end is on its way, some ms.
+# Operators accept three. The next attempt may reach the other entry during the
+# few ms in which the update about the third crash is on its way.
 MAX_CRASHED = 4
 CRASHING_CHAT = {
     "model": "auto",
@@ -26,7 +26,7 @@
 
 
 async def send_crashing_chat(cluster, number):
-    """Sends the deadly chat under a key of its own; returns the status."""
+    """Sends the crashing chat under its own key and returns the status."""
     url = f"{cluster.urls[ENTRIES[number % 2]]}/v1/chat/completions"
     headers = {
         "Authorization": f"Bearer {DESK_KEY}",
