--- a/tests/failure/test_upstream_leaving.py
+++ b/tests/failure/test_upstream_leaving.py
@@ -32,13 +32,13 @@
             [cluster.urls[name] for name in ENGINES], fleet_size=3
         )
         await cluster.apply(text)
-        with_vms(cluster)
+        add_vms_setting(cluster)
         await set_vms(cluster, ())
         await asyncio.gather(*(cluster.start_entry(name) for name in NAMES))
         yield cluster
 
 
-def with_vms(cluster):
+def add_vms_setting(cluster):
     """Puts the VM list into the settings of the entries."""
     plain = cluster.settings_text
     vms = f'vms_url = "{cluster.urls["vms"]}"'
@@ -60,16 +60,16 @@
         assert response.status == 204
 
 
-async def count(cluster, name):
+async def count_runs(cluster, name):
     return len(await cluster.runs(name))
 
 
-async def busy(cluster, name, more):
+async def wait_for_runs(cluster, name, more):
     """Waits until an engine ran so many more requests."""
-    before = await count(cluster, name)
+    before = await count_runs(cluster, name)
 
     async def probe():
-        return await count(cluster, name) >= before + more
+        return await count_runs(cluster, name) >= before + more
 
     await wait_for(probe)
 
@@ -80,7 +80,7 @@
     def __init__(self):
         self.requests = 0
 
-    async def take(self, reader, writer):
+    async def handle(self, reader, writer):
         data = await reader.read(65536)
         self.requests += data.startswith(b"POST /v1/chat")
         writer.close()
@@ -91,71 +91,71 @@
     urls = [cluster.urls[name] for name in NAMES]
     async with Load(urls, callers=6, max_tokens=5) as load:
         for name in ENGINES:
-            await busy(cluster, name, 5)
+            await wait_for_runs(cluster, name, 5)
         yield cluster, load
 
 
-async def finish(load):
+async def check_all_answered(load):
     await load.__aexit__()
     assert load.ledger.faults == []
     assert load.ledger.whole == load.sent
     assert load.ledger.refusals == []
 
 
-async def test_an_announced_worker_gets_nothing_new(loaded):
+async def test_announced_leaving_worker_gets_no_new_requests(loaded):
     cluster, load = loaded
     await cluster.set_faults("vms", lag_s=LAG_S)
     await set_vms(cluster, ("engine-0",))
     await asyncio.sleep(LAG_S + LIMIT_S)
-    before = await count(cluster, "engine-0")
-    await busy(cluster, "engine-1", 50)
-    assert await count(cluster, "engine-0") == before
+    before = await count_runs(cluster, "engine-0")
+    await wait_for_runs(cluster, "engine-1", 50)
+    assert await count_runs(cluster, "engine-0") == before
     await set_vms(cluster, ())
-    await busy(cluster, "engine-0", 5)
-    await finish(load)
+    await wait_for_runs(cluster, "engine-0", 5)
+    await check_all_answered(load)
 
 
-async def test_a_killed_worker_gets_nothing_new(loaded):
+async def test_killed_worker_gets_no_new_requests(loaded):
     cluster, load = loaded
     port = urllib.parse.urlsplit(cluster.urls["engine-0"]).port
     await cluster.processes["engine-0"].kill()
     await asyncio.sleep(LIMIT_S)
     listener = Listener()
-    server = await asyncio.start_server(listener.take, "127.0.0.1", port)
-    await busy(cluster, "engine-1", 50)
+    server = await asyncio.start_server(listener.handle, "127.0.0.1", port)
+    await wait_for_runs(cluster, "engine-1", 50)
     assert listener.requests == 0
     server.close()
-    await finish(load)
+    await check_all_answered(load)
 
 
-async def test_a_frozen_worker_gets_nothing_new_and_comes_back(loaded):
+async def test_frozen_worker_gets_no_new_requests_until_it_recovers(loaded):
     cluster, load = loaded
     cluster.processes["engine-0"].send(signal.SIGSTOP)
     await asyncio.sleep(LIMIT_S)
     # Callers held by the frozen worker wait for it; new ones must not.
     urls = [cluster.urls[name] for name in NAMES]
-    async with Load(urls, callers=6, max_tokens=5, prefix="new") as late:
-        await busy(cluster, "engine-1", 50)
-    assert late.ledger.faults == []
-    assert late.ledger.whole == late.sent
+    async with Load(urls, callers=6, max_tokens=5, prefix="new") as new_load:
+        await wait_for_runs(cluster, "engine-1", 50)
+    assert new_load.ledger.faults == []
+    assert new_load.ledger.whole == new_load.sent
     cluster.processes["engine-0"].send(signal.SIGCONT)
-    await busy(cluster, "engine-0", 5)
-    await finish(load)
+    await wait_for_runs(cluster, "engine-0", 5)
+    await check_all_answered(load)
 
 
-async def test_a_pool_is_never_left_out_whole_on_suspicion(loaded):
+async def test_pool_is_not_excluded_entirely_on_missed_probes(loaded):
     cluster, load = loaded
     for name in ENGINES:
         cluster.processes[name].send(signal.SIGSTOP)
     await asyncio.sleep(LIMIT_S)
     urls = [cluster.urls[name] for name in NAMES]
-    async with Load(urls, callers=6, max_tokens=5, prefix="new") as late:
+    async with Load(urls, callers=6, max_tokens=5, prefix="new") as new_load:
         # Sent while every worker is silent: they wait, and are not refused.
         await asyncio.sleep(1)
         for name in ENGINES:
             cluster.processes[name].send(signal.SIGCONT)
         for name in ENGINES:
-            await busy(cluster, name, 5)
-    assert late.ledger.refusals == []
-    assert late.ledger.whole == late.sent
-    await finish(load)
+            await wait_for_runs(cluster, name, 5)
+    assert new_load.ledger.refusals == []
+    assert new_load.ledger.whole == new_load.sent
+    await check_all_answered(load)
