--- a/tests/failure/test_upstream_leaving.py
+++ b/tests/failure/test_upstream_leaving.py
@@ -1,4 +1,4 @@
-"""A worker that leaves, announced or not, gets nothing new within 3 s."""
+"""A leaving worker, announced or not, gets no new requests after 3 s."""
 
 import asyncio
 import signal
@@ -13,7 +13,7 @@
 NAMES = ("entry-1", "entry-2", "entry-3")
 ENGINES = ("engine-0", "engine-1", "engine-2")
 LIMIT_S = 3.0
-LAG_S = 1.0  # Of the VM list; the limit counts from when it can be read.
+LAG_S = 1.0  # Delay of the VM list; LIMIT_S starts once it can be read.
 
 
 @pytest.fixture
@@ -39,7 +39,7 @@
 
 
 def add_vms_setting(cluster):
-    """Puts the VM list into the settings of the entries."""
+    """Adds the URL of the VM list to the settings of the entries."""
     plain = cluster.settings_text
     vms = f'vms_url = "{cluster.urls["vms"]}"'
     cluster.settings_text = lambda *fields: plain(*fields).replace(
@@ -65,7 +65,7 @@
 
 
 async def wait_for_runs(cluster, name, more):
-    """Waits until an engine ran so many more requests."""
+    """Waits until an engine ran `more` further requests."""
     before = await count_runs(cluster, name)
 
     async def probe():
@@ -75,7 +75,7 @@
 
 
 class Listener:
-    """Takes a dead engine's place; counts what is sent there."""
+    """Listens on a dead engine's port and counts the requests sent there."""
 
     def __init__(self):
         self.requests = 0
@@ -132,7 +132,7 @@
     cluster, load = loaded
     cluster.processes["engine-0"].send(signal.SIGSTOP)
     await asyncio.sleep(LIMIT_S)
-    # Callers held by the frozen worker wait for it; new ones must not.
+    # Callers whose request is on the frozen worker wait; new ones must not.
     urls = [cluster.urls[name] for name in NAMES]
     async with Load(urls, callers=6, max_tokens=5, prefix="new") as new_load:
         await wait_for_runs(cluster, "engine-1", 50)
@@ -150,7 +150,8 @@
     await asyncio.sleep(LIMIT_S)
     urls = [cluster.urls[name] for name in NAMES]
     async with Load(urls, callers=6, max_tokens=5, prefix="new") as new_load:
-        # Sent while every worker is silent: they wait, and are not refused.
+        # Requests sent while no worker answers probes wait; they are not
+        # refused.
         await asyncio.sleep(1)
         for name in ENGINES:
             cluster.processes[name].send(signal.SIGCONT)
