--- a/tests/unit/test_engine_events.py
+++ b/tests/unit/test_engine_events.py
@@ -5,7 +5,7 @@
 from rattanpier._internal.dispatch.engine import Event, Usage, parse_chunk
 
 
-def test_a_chunk_is_read():
+def test_chunk_is_parsed():
     data = (
         '{"choices": [{"delta": {"content": "é"}, "finish_reason": "stop"}],'
         ' "usage": {"prompt_tokens": 2, "completion_tokens": 3},'
@@ -33,6 +33,6 @@
         b'{"usage": {"prompt_tokens": 1}}',
     ],
 )
-def test_what_is_no_chunk_is_refused(data):
+def test_malformed_chunk_is_refused(data):
     with pytest.raises(ValueError):
         parse_chunk(Event(0, data), False)
