--- a/tests/unit/test_engine_events.py
+++ b/tests/unit/test_engine_events.py
@@ -1,4 +1,4 @@
-"""What counts as a chunk of an engine's answer."""
+"""Parsing of the chunks of an engine's answer."""
 
 import pytest
 
