--- a/tests/unit/test_guarded_body.py
+++ b/tests/unit/test_guarded_body.py
@@ -11,15 +11,15 @@
 
 
 @pytest.mark.parametrize("allowed", [True, False])
-async def test_body_is_held_when_the_version_was_stopped(allowed):
+async def test_body_is_withheld_if_the_version_was_withdrawn(allowed):
     engine = EngineServer({"small@1": 1.0})
     server = HttpServer(engine.app(), ListenSettings())
     await server.start()
     body = b'{"model": "small@1", "messages": [{"content": "x"}]}'
-    asked = []
+    runs_when_asked = []
 
     def may_send():
-        asked.append(len(engine.runs))
+        runs_when_asked.append(len(engine.runs))
         return allowed
 
     call = EngineCall(server.url, body, "r1", 5.0, may_send)
@@ -32,11 +32,13 @@
             error = raised
         # The connection stays of use: nothing of the body was sent on it.
         follow_up = EngineCall(server.url, body, "r2", 5.0)
-        again = [chunk async for chunk in stream_chat(session, follow_up)]
+        follow_up_chunks = [
+            chunk async for chunk in stream_chat(session, follow_up)
+        ]
     await server.stop()
-    assert asked == [0]
+    assert runs_when_asked == [0]
     assert len(engine.runs) == (2 if allowed else 1)
-    assert again[-1].finish == "stop"
+    assert follow_up_chunks[-1].finish == "stop"
     if allowed:
         assert chunks[-1].finish == "stop"
     else:
