--- a/tests/unit/test_guarded_body.py
+++ b/tests/unit/test_guarded_body.py
@@ -1,4 +1,4 @@
-"""A withdrawal between the decision and the body still counts."""
+"""A withdrawal between the dispatch decision and the body is honoured."""
 
 import aiohttp
 import pytest
@@ -30,7 +30,7 @@
                 chunks.append(chunk)
         except UpstreamError as raised:
             error = raised
-        # The connection stays of use: nothing of the body was sent on it.
+        # The connection stays usable, as nothing of the body was sent on it.
         follow_up = EngineCall(server.url, body, "r2", 5.0)
         follow_up_chunks = [
             chunk async for chunk in stream_chat(session, follow_up)
