--- a/tests/unit/test_rollout_attempts.py
+++ b/tests/unit/test_rollout_attempts.py
@@ -18,7 +18,7 @@
     return Chunk(0, b"{}", "word", finish)
 
 
-async def gather(chunks, error=None):
+async def collect_results(chunks, error=None):
     """Runs one attempt and returns what was emitted."""
 
     async def source():
@@ -50,18 +50,20 @@
         ([], None, AttemptOutcome.FAILED),
     ],
 )
-async def test_each_end_is_emitted_once(chunks, error, outcome):
-    results = await gather([make_chunk(finish) for finish in chunks], error)
+async def test_each_outcome_is_emitted_once(chunks, error, outcome):
+    results = await collect_results(
+        [make_chunk(finish) for finish in chunks], error
+    )
     assert [result.outcome for result in results] == [outcome]
     assert results[0].chunks == len(chunks)
     assert (results[0].first_token_s is None) == (not chunks)
 
 
-async def test_an_attempt_that_did_not_run_says_nothing():
-    assert await gather([], UpstreamError("full", True)) == []
+async def test_request_that_did_not_run_emits_nothing():
+    assert await collect_results([], UpstreamError("full", True)) == []
 
 
-async def leave(count):
+async def collect_results_after_cancel(count):
     """Takes some chunks, leaves, and returns what was emitted."""
     attempts, results = Attempts(), []
     attempts.subscribe(results.append)
@@ -77,11 +79,11 @@
         source(), attempts, SystemClock(), "desk", "small@1"
     )
 
-    async def take():
+    async def read_all():
         async for _ in observed:
             pass
 
-    task = asyncio.create_task(take())
+    task = asyncio.create_task(read_all())
     await started.wait()
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
@@ -89,18 +91,18 @@
     return results
 
 
-async def test_a_caller_that_left_before_anything_came_says_nothing():
-    assert await leave(0) == []
+async def test_cancel_before_the_first_chunk_emits_nothing():
+    assert await collect_results_after_cancel(0) == []
 
 
-async def test_a_caller_that_left_midway_is_no_fault_but_counts():
+async def test_cancel_after_the_first_chunk_counts_as_abandoned():
     """In a store outage answers are given up once they began."""
-    results = await leave(2)
+    results = await collect_results_after_cancel(2)
     assert [r.outcome for r in results] == [AttemptOutcome.ABANDONED]
     assert results[0].first_token_s is not None
 
 
-async def test_an_attempt_closed_midway_counts_too():
+async def test_close_after_the_first_chunk_counts_as_abandoned():
     attempts, results = Attempts(), []
     attempts.subscribe(results.append)
 
