--- a/tests/unit/test_rollout_attempts.py
+++ b/tests/unit/test_rollout_attempts.py
@@ -1,4 +1,4 @@
-"""Results of attempts, as judges of versions get them."""
+"""Results of upstream requests, as used to evaluate versions."""
 
 import asyncio
 
@@ -19,7 +19,7 @@
 
 
 async def collect_results(chunks, error=None):
-    """Runs one attempt and returns what was emitted."""
+    """Reads one stream to its end and returns the emitted results."""
 
     async def source():
         for chunk in chunks:
@@ -64,7 +64,7 @@
 
 
 async def collect_results_after_cancel(count):
-    """Takes some chunks, leaves, and returns what was emitted."""
+    """Cancels the reader after `count` chunks; returns the emitted results."""
     attempts, results = Attempts(), []
     attempts.subscribe(results.append)
     started = asyncio.Event()
@@ -96,7 +96,7 @@
 
 
 async def test_cancel_after_the_first_chunk_counts_as_abandoned():
-    """In a store outage answers are given up once they began."""
+    """In a store outage, answers are abandoned after they started."""
     results = await collect_results_after_cancel(2)
     assert [r.outcome for r in results] == [AttemptOutcome.ABANDONED]
     assert results[0].first_token_s is not None
