--- a/tests/failure/test_not_run.py
+++ b/tests/failure/test_not_run.py
@@ -1,7 +1,6 @@
 """Refusals with `not_run` set, compared with what the upstreams ran.
 
-A caller sends a request again if it was refused as not run. If an upstream did
-run it, that would be a second run.
+A refusal must not claim `not_run` for a request that an upstream did run.
 """
 
 import socket
@@ -42,7 +41,7 @@
 
 
 async def apply_workers(cluster, urls):
-    """Applies a configuration with these workers; waits until it is in force."""
+    """Applies a configuration with these workers and waits for it."""
     cluster.revision += 1
     text = configuration_text(urls, fleet_size=1)
     await cluster.apply(text, cluster.revision)
