--- a/src/rattanpier/_internal/dispatch/budget.py
+++ b/src/rattanpier/_internal/dispatch/budget.py
@@ -6,7 +6,7 @@
 
 from rattanpier._internal.utils.clock import Clock
 
-RETRIES_PER_REQUEST = 0.1  # Share of retries in the requests of this entry.
+RETRIES_PER_REQUEST = 0.1  # Tokens earned by each request of this entry.
 MIN_RETRIES_PER_S = 1.0  # Allowed even without requests.
 MAX_SAVED_RETRIES = 20.0  # Largest burst of retries.
 
