--- a/tests/lib/dispatch.py
+++ b/tests/lib/dispatch.py
@@ -27,7 +27,7 @@
 from tests.lib.clock import ManualClock
 
 
-class BookClaims:
+class InMemoryClaims:
     """The claims service over one book, without a network.
 
     `after_claim` is called once, after the next claim was decided.
@@ -78,13 +78,13 @@
             self.book.apply(decision.op)
 
 
-class Bench:
+class DispatchHarness:
     """A runner, its clock, its claims and its sessions."""
 
     def __init__(self, configuration):
         self.configuration = configuration
         self.clock = ManualClock()
-        self.claims = BookClaims()
+        self.claims = InMemoryClaims()
         self.metrics = Metrics()
         self.tasks = set()
 
@@ -141,11 +141,11 @@
         return parts[-1]
 
 
-def bench_over(*upstreams, **changes):
+def make_harness(*upstreams, **changes):
     """A bench whose one pool has these raw upstreams as workers."""
     workers = {
         f"w{number}": Worker(upstream.url, "a", [SMALL, LARGE])
         for number, upstream in enumerate(upstreams)
     }
     pools = {"pool": Upstream(UpstreamKind.ENGINE, workers)}
-    return Bench(build_configuration(upstreams=pools, **changes))
+    return DispatchHarness(build_configuration(upstreams=pools, **changes))
--- a/tests/unit/test_dispatch_order.py
+++ b/tests/unit/test_dispatch_order.py
@@ -13,141 +13,145 @@
 from rattanpier._internal.models.outcomes import ClaimOutcome
 from rattanpier._internal.models.refusal import Refusal, RefusalCode
 from tests.lib.builders import LARGE, SMALL, build_request
-from tests.lib.dispatch import bench_over
+from tests.lib.dispatch import make_harness
 from tests.lib.raw import RawUpstream
 
 ONCE = build_request(idempotent=False, keyed=True)
 
 
-def freeze(bench, seconds, others=True):
+def freeze(harness, seconds, others=True):
     """Stops the process after its claim; another entry asks meanwhile."""
 
     def after_claim(ask):
-        bench.clock.now += seconds
+        harness.clock.now += seconds
         if others:
-            bench.claims.dead.add(ask.holder)
+            harness.claims.dead.add(ask.holder)
             repeat = attrs.evolve(ask, holder="entry-2/b/r2")
-            outcome = bench.claims.decide(repeat).outcome
+            outcome = harness.claims.decide(repeat).outcome
             assert outcome is ClaimOutcome.UNKNOWN
 
-    bench.claims.after_claim = after_claim
+    harness.claims.after_claim = after_claim
 
 
 async def test_a_thawed_process_does_not_dispatch():
-    async with RawUpstream() as up, bench_over(up) as bench:
-        freeze(bench, 20.0)
-        part = await bench.ask(ONCE)
+    async with RawUpstream() as up, make_harness(up) as harness:
+        freeze(harness, 20.0)
+        part = await harness.ask(ONCE)
         assert up.runs == []
         assert part.refusal.code is RefusalCode.CLAIM_UNAVAILABLE
 
 
 @pytest.mark.parametrize("others", [False, True])
 async def test_a_process_frozen_while_connecting_sends_no_body(others):
-    async with RawUpstream() as up, bench_over(up, up) as bench:
+    async with RawUpstream() as up, make_harness(up, up) as harness:
         calls = []
 
         def current():
-            calls.append(bench.clock.now)
+            calls.append(harness.clock.now)
             # Asked by the plan, before the dispatch, and before the body.
             if len(calls) == 3:
-                bench.clock.now += 20.0
-                ask = next(iter(bench.claims.book.claims.values()))
+                harness.clock.now += 20.0
+                ask = next(iter(harness.claims.book.claims.values()))
                 if others:
-                    bench.claims.dead.add(ask.holder)
+                    harness.claims.dead.add(ask.holder)
                     repeat = Ask("desk", "k1", "entry-2/b/r2", False, "")
-                    bench.claims.decide(repeat)
+                    harness.claims.decide(repeat)
             return True
 
-        bench.runner.dispatcher.current = current
-        part = await bench.ask(ONCE)
+        harness.runner.dispatcher.current = current
+        part = await harness.ask(ONCE)
         assert len(up.runs) == (0 if others else 1)
         assert isinstance(part, Refused if others else Completed)
 
 
 async def test_a_thawed_process_whose_claim_holds_goes_on():
-    async with RawUpstream() as up, bench_over(up) as bench:
-        freeze(bench, 20.0, others=False)
-        assert isinstance(await bench.ask(ONCE), Completed)
+    async with RawUpstream() as up, make_harness(up) as harness:
+        freeze(harness, 20.0, others=False)
+        assert isinstance(await harness.ask(ONCE), Completed)
         assert len(up.runs) == 1
-        assert bench.claims.asks == 2
+        assert harness.claims.asks == 2
 
 
 async def test_a_process_thawed_after_the_deadline_says_not_run():
-    async with RawUpstream() as up, bench_over(up) as bench:
-        freeze(bench, 40.0, others=False)
-        part = await bench.ask(ONCE)
+    async with RawUpstream() as up, make_harness(up) as harness:
+        freeze(harness, 40.0, others=False)
+        part = await harness.ask(ONCE)
         assert up.runs == []
         assert part.refusal.code is RefusalCode.DEADLINE
         assert part.refusal.not_run is True
-        await bench.keeper.finished()
-        claim = bench.claims.book.claims["desk", "k1"]
+        await harness.keeper.finished()
+        claim = harness.claims.book.claims["desk", "k1"]
         assert claim.result is ClaimResult.RELEASED
 
 
 async def test_a_grant_that_is_not_durable_runs_nothing_non_idempotent():
-    async with RawUpstream() as up, bench_over(up) as bench:
-        bench.claims.durable = False
-        part = await bench.ask(ONCE)
+    async with RawUpstream() as up, make_harness(up) as harness:
+        harness.claims.durable = False
+        part = await harness.ask(ONCE)
         assert isinstance(part, Refused)
         assert up.runs == []
 
 
 async def test_a_claim_whose_reply_was_lost_is_ended():
-    async with RawUpstream() as up, bench_over(up) as bench:
-        bench.claims.lose_replies = True
-        part = await bench.ask(ONCE)
-        await bench.keeper.finished()
+    async with RawUpstream() as up, make_harness(up) as harness:
+        harness.claims.lose_replies = True
+        part = await harness.ask(ONCE)
+        await harness.keeper.finished()
         assert part.refusal.code is RefusalCode.CLAIM_UNAVAILABLE
-        claim = bench.claims.book.claims["desk", "k1"]
+        claim = harness.claims.book.claims["desk", "k1"]
         assert claim.result is ClaimResult.RELEASED
         assert up.runs == []
 
 
 async def test_a_version_stopped_after_a_run_is_no_proof():
-    async with RawUpstream("fail") as up, bench_over(up, up) as bench:
+    async with RawUpstream("fail") as up, make_harness(up, up) as harness:
         stopped = {
             name: attrs.evolve(version, state=VersionState.WITHDRAWN)
-            for name, version in bench.configuration.versions.items()
+            for name, version in harness.configuration.versions.items()
         }
-        withdrawn = attrs.evolve(bench.configuration, versions=stopped)
+        withdrawn = attrs.evolve(harness.configuration, versions=stopped)
         answer = up.answer
 
         async def withdraw_then_answer(*arguments):
-            bench.configuration = withdrawn
+            harness.configuration = withdrawn
             return await answer(*arguments)
 
         up.answer = withdraw_then_answer
-        part = await bench.ask(build_request())
+        part = await harness.ask(build_request())
         assert len(up.runs) == 1
         assert part.refusal.code is RefusalCode.VERSION_WITHDRAWN
         assert part.refusal.not_run is False
 
 
-def withdraw(bench, *names):
+def withdraw(harness, *names):
     """Withdraws versions from now on."""
     versions = {
         name: attrs.evolve(version, state=VersionState.WITHDRAWN)
         if name in names
         else version
-        for name, version in bench.configuration.versions.items()
+        for name, version in harness.configuration.versions.items()
     }
-    bench.configuration = attrs.evolve(bench.configuration, versions=versions)
+    harness.configuration = attrs.evolve(
+        harness.configuration, versions=versions
+    )
 
 
 async def test_a_version_withdrawn_before_the_dispatch_is_planned_around():
-    async with RawUpstream() as up, bench_over(up) as bench:
+    async with RawUpstream() as up, make_harness(up) as harness:
         pinned = attrs.evolve(ONCE, pinned=SMALL)
-        bench.claims.after_claim = lambda _ask: withdraw(bench, SMALL)
-        part = await bench.ask(pinned)
+        harness.claims.after_claim = lambda _ask: withdraw(harness, SMALL)
+        part = await harness.ask(pinned)
         assert isinstance(part, Completed)
         assert len(up.runs) == 1
         assert part.bill.version == LARGE
 
 
 async def test_where_all_are_withdrawn_the_request_has_not_run():
-    async with RawUpstream() as up, bench_over(up) as bench:
-        bench.claims.after_claim = lambda _ask: withdraw(bench, SMALL, LARGE)
-        part = await bench.ask(ONCE)
+    async with RawUpstream() as up, make_harness(up) as harness:
+        harness.claims.after_claim = lambda _ask: withdraw(
+            harness, SMALL, LARGE
+        )
+        part = await harness.ask(ONCE)
         assert up.runs == []
         assert part.refusal.code is RefusalCode.NO_VERSION
         assert part.refusal.not_run is True
@@ -157,10 +161,10 @@
     async with (
         RawUpstream("fail") as one,
         RawUpstream() as two,
-        bench_over(one, two) as bench,
+        make_harness(one, two) as harness,
     ):
-        bench.runner.dispatcher.leaving = {"w1"}
-        part = await bench.ask(build_request())
+        harness.runner.dispatcher.leaving = {"w1"}
+        part = await harness.ask(build_request())
         assert isinstance(part, Completed)
         assert (len(one.runs), len(two.runs)) == (1, 1)
 
@@ -169,30 +173,30 @@
     async with (
         RawUpstream("fail") as one,
         RawUpstream() as two,
-        bench_over(one, two) as bench,
+        make_harness(one, two) as harness,
     ):
-        bench.runner.dispatcher.leaving = {"w1"}
-        bench.runner.dispatcher.announced_leaving = lambda: {"w1"}
-        part = await bench.ask(build_request())
+        harness.runner.dispatcher.leaving = {"w1"}
+        harness.runner.dispatcher.announced_leaving = lambda: {"w1"}
+        part = await harness.ask(build_request())
         assert part.refusal.code is RefusalCode.UPSTREAM_FAILED
         assert two.runs == []
 
 
 async def test_a_first_try_is_refused_where_all_seem_silent():
-    async with RawUpstream() as up, bench_over(up) as bench:
-        bench.runner.dispatcher.leaving = {"w0"}
-        part = await bench.ask(build_request())
+    async with RawUpstream() as up, make_harness(up) as harness:
+        harness.runner.dispatcher.leaving = {"w0"}
+        part = await harness.ask(build_request())
         assert part.refusal.code is RefusalCode.NO_WORKER
         assert part.refusal.not_run is True
         assert up.runs == []
 
 
 async def test_a_repeat_gets_its_answer_though_no_rule_matches_now():
-    async with RawUpstream() as up, bench_over(up) as bench:
+    async with RawUpstream() as up, make_harness(up) as harness:
         request = build_request(keyed=True)
-        assert isinstance(await bench.ask(request), Completed)
-        bench.configuration = attrs.evolve(bench.configuration, rules=[])
-        assert isinstance(await bench.ask(request, "r2"), Recorded)
+        assert isinstance(await harness.ask(request), Completed)
+        harness.configuration = attrs.evolve(harness.configuration, rules=[])
+        assert isinstance(await harness.ask(request, "r2"), Recorded)
         assert len(up.runs) == 1
 
 
@@ -202,34 +206,34 @@
     async def refuse(_request, _plan):
         yield Refusal(RefusalCode.QUEUE_FULL, "Full.", True, 3.0)
 
-    async with RawUpstream() as up, bench_over(up) as bench:
-        bench.runner.admit = refuse
-        part = await bench.ask(build_request(keyed=keyed))
-        await bench.keeper.finished()
+    async with RawUpstream() as up, make_harness(up) as harness:
+        harness.runner.admit = refuse
+        part = await harness.ask(build_request(keyed=keyed))
+        await harness.keeper.finished()
         assert part.refusal.code is RefusalCode.QUEUE_FULL
         assert part.refusal.not_run is True
         assert part.refusal.retry_after_s == 3.0
         assert up.runs == []
-        claims = list(bench.claims.book.claims.values())
+        claims = list(harness.claims.book.claims.values())
         results = [claim.result for claim in claims]
         assert results == [ClaimResult.RELEASED] * keyed
 
 
 async def test_a_repeated_key_is_not_said_to_be_not_run():
-    async with RawUpstream() as up, bench_over(up) as bench:
+    async with RawUpstream() as up, make_harness(up) as harness:
         lost = Ask("desk", "k1", "entry-9/z/r0", True, "")
-        bench.claims.decide(lost)
-        bench.claims.dead.add(lost.holder)
-        bench.configuration = attrs.evolve(bench.configuration, rules=[])
-        part = await bench.ask(build_request(keyed=True))
+        harness.claims.decide(lost)
+        harness.claims.dead.add(lost.holder)
+        harness.configuration = attrs.evolve(harness.configuration, rules=[])
+        part = await harness.ask(build_request(keyed=True))
         assert part.refusal.code is RefusalCode.NO_RULE
         assert part.refusal.not_run is False
 
 
 async def test_steps_of_a_cascade_share_one_bill():
-    async with RawUpstream() as up, bench_over(up) as bench:
-        bench.runner.policy = fixed_threshold(0.5)
-        part = await bench.ask(build_request())
+    async with RawUpstream() as up, make_harness(up) as harness:
+        harness.runner.policy = fixed_threshold(0.5)
+        part = await harness.ask(build_request())
         assert len(up.runs) == 2
         assert part.bill.version == LARGE
         # Each run reads 1 token and generates 3.
@@ -239,34 +243,34 @@
 
 
 async def test_a_non_idempotent_request_runs_one_step():
-    async with RawUpstream() as up, bench_over(up) as bench:
-        bench.runner.policy = fixed_threshold(0.5)
-        part = await bench.ask(ONCE)
+    async with RawUpstream() as up, make_harness(up) as harness:
+        harness.runner.policy = fixed_threshold(0.5)
+        part = await harness.ask(ONCE)
         assert part.bill.version == LARGE
         assert len(up.runs) == 1
 
 
 async def test_a_step_that_was_withdrawn_is_not_asked():
-    async with RawUpstream() as up, bench_over(up) as bench:
-        bench.runner.policy = fixed_threshold(0.5)
+    async with RawUpstream() as up, make_harness(up) as harness:
+        harness.runner.policy = fixed_threshold(0.5)
         answer = up.answer
 
         async def brake_then_answer(*arguments):
-            bench.runner.braked = {LARGE}
+            harness.runner.braked = {LARGE}
             return await answer(*arguments)
 
         up.answer = brake_then_answer
-        part = await bench.ask(build_request())
+        part = await harness.ask(build_request())
         assert part.bill.version == SMALL
         assert len(up.runs) == 1
 
 
 async def test_retries_are_a_bounded_share_of_the_traffic():
-    async with RawUpstream("fail") as up, bench_over(up, up) as bench:
+    async with RawUpstream("fail") as up, make_harness(up, up) as harness:
         codes = set()
         for number in range(100):
             request = build_request(key=f"k{number}")
-            part = await bench.ask(request, f"r{number}")
+            part = await harness.ask(request, f"r{number}")
             assert part.refusal.not_run is False
             assert part.refusal.retry_after_s > 0
             codes.add(part.refusal.code)
@@ -281,16 +285,16 @@
     async with (
         RawUpstream("tired") as one,
         RawUpstream() as two,
-        bench_over(one, two) as bench,
+        make_harness(one, two) as harness,
     ):
         for number in range(20):
-            part = await bench.ask(
+            part = await harness.ask(
                 build_request(key=f"k{number}"), f"r{number}"
             )
             assert isinstance(part, Completed)
         assert one.touched <= 1
         two.mode = "tired"
-        await bench.ask(build_request(key="last"), "last")
-        part = await bench.ask(build_request(key="again"), "again")
+        await harness.ask(build_request(key="last"), "last")
+        part = await harness.ask(build_request(key="again"), "again")
         assert part.refusal.code is RefusalCode.NO_WORKER
         assert two.touched == 20 + 1
