--- a/tests/lib/dispatch.py
+++ b/tests/lib/dispatch.py
@@ -1,4 +1,4 @@
-"""Runners over claims in memory, for the order of events in dispatch."""
+"""Test harness for dispatch: a runner with in-memory claims."""
 
 import asyncio
 import random
@@ -28,7 +28,7 @@
 
 
 class InMemoryClaims:
-    """The claims service over one book, without a network.
+    """Claims service backed by a single claim book, without a network.
 
     `after_claim` is called once, after the next claim was decided.
     """
@@ -79,7 +79,7 @@
 
 
 class DispatchHarness:
-    """A runner, its clock, its claims and its sessions."""
+    """A runner with its clock, claims and HTTP session."""
 
     def __init__(self, configuration):
         self.configuration = configuration
@@ -133,7 +133,7 @@
         await self.session.close()
 
     async def ask(self, request, request_id="r1"):
-        """Returns the last part of an answer."""
+        """Runs a request and returns the last part of its answer."""
         request = attrs.evolve(
             request, deadline=min(request.deadline, self.clock.now + 30.0)
         )
@@ -142,7 +142,7 @@
 
 
 def make_harness(*upstreams, **changes):
-    """A bench whose one pool has these raw upstreams as workers."""
+    """Returns a harness with one pool, whose workers are these upstreams."""
     workers = {
         f"w{number}": Worker(upstream.url, "a", [SMALL, LARGE])
         for number, upstream in enumerate(upstreams)
