--- a/tests/lib/engines.py
+++ b/tests/lib/engines.py
@@ -19,12 +19,12 @@
 from tests.lib.clock import ManualClock
 from tests.lib.relay_parts import MODELS, make_chat, make_workers
 
-READ_S = {"small": 1e-5, "large": 1e-4}  # Seconds a token.
+READ_S_PER_TOKEN = {"small": 1e-5, "large": 1e-4}  # Seconds a token.
 COSTS = (ModelCost("small", 0.02), ModelCost("large", 0.3))
 
 
 @attrs.define
-class Played:
+class SimulatedLatencies:
     """Seconds from arrival to first event, by model."""
 
     first_s: dict = attrs.Factory(lambda: {"small": [], "large": []})
@@ -34,7 +34,7 @@
         return ordered[int(share * (len(ordered) - 1))]
 
 
-def make_entry(clock, seed):
+def make_chooser(clock, seed):
     """What one entry decides by."""
     pace = ModelTimings(clock)
     pace.apply_prices(COSTS)
@@ -42,34 +42,34 @@
     return Chooser(loads, "a", random.Random(seed), pace, ModelGroups(clock))
 
 
-def play_engines(
+def simulate_engines(
     workers=9,
     entries=6,
     per_s=30.0,
     seconds=40.0,
     large=0.4,
-    apart=True,
-    told=0.0,
+    grouped=True,
+    shared=0.0,
 ):
     """Plays requests of which a share goes to the large model.
 
-    Entries hear of a share `told` of the prompts that the others send.
+    Entries hear of a share `shared` of the prompts that the others send.
     """
     rng = random.Random(11)
     clock = ManualClock()
     pool = make_workers(workers)
-    choosers = [make_entry(clock, seed) for seed in range(entries)]
+    choosers = [make_chooser(clock, seed) for seed in range(entries)]
     free_at = dict.fromkeys((worker.id for worker in pool), 0.0)
-    due, played, serial = [], Played(), itertools.count()
+    pending, latencies, serial = [], SimulatedLatencies(), itertools.count()
     while clock.now < seconds:
         clock.now += rng.expovariate(per_s)
-        while due and due[0][0] <= clock.now:
-            _, _, end = heapq.heappop(due)
+        while pending and pending[0][0] <= clock.now:
+            _, _, end = heapq.heappop(pending)
             end()
         model = "large" if rng.random() < large else "small"
         tokens = int(rng.lognormvariate(7.5, 1.0))
         request = make_chat(parts=((f"p{next(serial)}", tokens),))
-        if not apart:
+        if not grouped:
             # A route with one model has no groups.
             route = attrs.evolve(request.route, models=MODELS[:1])
             request = attrs.evolve(request, route=route)
@@ -78,13 +78,13 @@
         chooser.record_upstream_request(request, model, choice)
         id, sent = choice.worker.id, clock.now
         flight = chooser.loads.begin(id, choice.read_s)
-        is_told = told > 0.0 and rng.random() < told
-        for other in choosers if is_told else ():
+        is_shared = shared > 0.0 and rng.random() < shared
+        for other in choosers if is_shared else ():
             if other is not chooser and choice.read_s >= MIN_PUBLISHED_READ_S:
                 other.loads.apply_peer_prompt(id, choice.read_s)
-        first_at = max(sent, free_at[id]) + READ_S[model] * tokens
+        first_at = max(sent, free_at[id]) + READ_S_PER_TOKEN[model] * tokens
         free_at[id] = first_at
-        played.first_s[model].append(first_at - sent)
+        latencies.first_s[model].append(first_at - sent)
 
         def end(
             chooser=chooser,
@@ -99,5 +99,5 @@
                 model, 0, tokens, clock.now - sent
             )
 
-        heapq.heappush(due, (first_at, next(serial), end))
-    return played
+        heapq.heappush(pending, (first_at, next(serial), end))
+    return latencies
--- a/tests/relay/test_model_groups.py
+++ b/tests/relay/test_model_groups.py
@@ -14,7 +14,7 @@
 )
 from rattanpier._internal.relay.model_timings import MIN_SAMPLES, ModelTimings
 from tests.lib.clock import ManualClock
-from tests.lib.engines import make_entry, play_engines
+from tests.lib.engines import make_chooser, simulate_engines
 from tests.lib.relay_parts import make_chat, make_worker, make_workers
 
 
@@ -89,7 +89,7 @@
 
 
 def test_a_large_model_uses_the_other_group_only_when_its_own_is_busy(clock):
-    entry = make_entry(clock, 1)
+    entry = make_chooser(clock, 1)
     workers = make_workers(9)
     small = {worker.id for worker in entry.groups.workers_for(workers, True)}
     assert entry.choose(make_chat(), workers, "small").worker.id in small
@@ -100,8 +100,8 @@
 
 
 def test_small_models_answer_sooner_in_a_separate_group():
-    together = play_engines(per_s=45.0, apart=False)
-    apart = play_engines(per_s=45.0, apart=True)
+    together = simulate_engines(per_s=45.0, grouped=False)
+    apart = simulate_engines(per_s=45.0, grouped=True)
     for share in (0.75, 0.9):
         mixed_s = together.quantile("small", share)
         assert apart.quantile("small", share) < 0.5 * mixed_s
--- a/tests/relay/test_policy.py
+++ b/tests/relay/test_policy.py
@@ -15,7 +15,7 @@
 )
 from tests.lib.clock import ManualClock
 from tests.lib.counters import ROOT
-from tests.lib.engines import make_entry
+from tests.lib.engines import make_chooser
 from tests.lib.platform_site import (
     LARGE,
     SMALL,
@@ -91,7 +91,7 @@
 
 
 def test_other_domains_have_no_cost_without_domain_cost():
-    entry = make_entry(ManualClock(), 1)
+    entry = make_chooser(ManualClock(), 1)
     far = make_worker("w", domain="b")
     assert entry.is_cross_domain(far)
     entry.policy = without(domain_cost=False)
--- a/tests/relay/test_prompt_news.py
+++ b/tests/relay/test_prompt_news.py
@@ -17,7 +17,7 @@
 )
 from rattanpier._internal.utils.hashing import short_hash
 from tests.lib.clock import ManualClock
-from tests.lib.engines import make_entry, play_engines
+from tests.lib.engines import make_chooser, simulate_engines
 from tests.lib.relay_parts import (
     kept_tokens,
     make_chat,
@@ -140,7 +140,7 @@
 
 
 def test_worker_that_reads_prompts_of_peers_is_avoided(clock):
-    entry = make_entry(clock, 1)
+    entry = make_chooser(clock, 1)
     workers = make_workers(9)
     chosen = entry.choose(make_chat(), workers, "large").worker
     entry.loads.apply_peer_prompt(chosen.id, 0.6)
@@ -148,7 +148,7 @@
 
 
 def test_unpublished_home_is_not_assumed_to_cache_long_prompt(clock):
-    entry = make_entry(clock, 1)
+    entry = make_chooser(clock, 1)
     long_s = entry.timings.read_s("large", 40000)
     assert long_s > MIN_PUBLISHED_READ_S
     assert entry.home_hit_probability(long_s) == 0.0
@@ -159,8 +159,8 @@
 
 
 def test_published_prompts_shorten_first_token_of_large_model():
-    alone = play_engines(entries=8, per_s=30.0)
-    shared = play_engines(entries=8, per_s=30.0, told=1.0)
+    alone = simulate_engines(entries=8, per_s=30.0)
+    shared = simulate_engines(entries=8, per_s=30.0, shared=1.0)
     assert shared.quantile("large", 0.9) < 0.7 * alone.quantile("large", 0.9)
     assert shared.quantile("large", 0.97) < 0.7 * alone.quantile("large", 0.97)
     assert shared.quantile("small", 0.9) < 1.1 * alone.quantile("small", 0.9)
@@ -168,8 +168,8 @@
 
 def test_large_fleet_needs_notices_of_all_long_prompts():
     load = {"workers": 78, "entries": 195, "per_s": 300.0, "seconds": 10.0}
-    some = play_engines(**load, told=0.55)
-    every = play_engines(**load, told=1.0)
+    some = simulate_engines(**load, shared=0.55)
+    every = simulate_engines(**load, shared=1.0)
     # Within 1.16 s and 0.76 s.
     assert every.quantile("large", 0.9) < 0.8 * some.quantile("large", 0.9)
     assert every.quantile("large", 0.95) < 0.8 * some.quantile("large", 0.95)
