--- a/tests/lib/engines.py
+++ b/tests/lib/engines.py
@@ -1,7 +1,7 @@
-"""Model engines that read prompts one after another, without a network.
+"""Simulation of model engines that process prompts in order, without a network.
 
-A small model of what the placement decides about: a worker reads the prompts
-that it got in the order in which they came, and nothing else takes time.
+Models only what placement decides about: a worker reads its prompts in order of
+arrival, and nothing else takes time.
 """
 
 import heapq
@@ -19,13 +19,16 @@
 from tests.lib.clock import ManualClock
 from tests.lib.relay_parts import MODELS, make_chat, make_workers
 
-READ_S_PER_TOKEN = {"small": 1e-5, "large": 1e-4}  # Seconds a token.
+READ_S_PER_TOKEN = {
+    "small": 1e-5,
+    "large": 1e-4,
+}  # Seconds per token, by model.
 COSTS = (ModelCost("small", 0.02), ModelCost("large", 0.3))
 
 
 @attrs.define
 class SimulatedLatencies:
-    """Seconds from arrival to first event, by model."""
+    """Seconds from arrival to the first event, by model."""
 
     first_s: dict = attrs.Factory(lambda: {"small": [], "large": []})
 
@@ -35,7 +38,7 @@
 
 
 def make_chooser(clock, seed):
-    """What one entry decides by."""
+    """Returns the chooser of one entry."""
     pace = ModelTimings(clock)
     pace.apply_prices(COSTS)
     loads = Loads(clock)
@@ -51,9 +54,10 @@
     grouped=True,
     shared=0.0,
 ):
-    """Plays requests of which a share goes to the large model.
+    """Simulates requests, a fraction `large` of them for the large model.
 
-    Entries hear of a share `shared` of the prompts that the others send.
+    With `grouped`, workers are grouped by model. Entries learn of a fraction
+    `shared` of the prompts that their peers send.
     """
     rng = random.Random(11)
     clock = ManualClock()
