--- a/tests/relay/test_crashing_requests.py
+++ b/tests/relay/test_crashing_requests.py
@@ -28,7 +28,7 @@
 from rattanpier._internal.relay.own_table import HELD
 from rattanpier._internal.relay.rollouts import Rollouts
 from rattanpier._internal.retries.quarantine import HOLD_S
-from tests.lib.crashes import DEADLY, make_pool
+from tests.lib.crashes import CRASHING_BODY, start_crashing_pool
 from tests.lib.platform_site import events, platform_site, until
 
 ENTRIES = 3
@@ -62,7 +62,9 @@
     asked = []
     while loop.time() < end:
         entry = f"entry-{len(asked) % ENTRIES}"
-        asked.append(asyncio.ensure_future(kind(site, path, entry, DEADLY)))
+        asked.append(
+            asyncio.ensure_future(kind(site, path, entry, CRASHING_BODY))
+        )
         await asyncio.sleep(REPEAT_S)
     return await asyncio.gather(*asked)
 
@@ -89,7 +91,7 @@
     All begin at the only worker; others are there by the time that it ends.
     """
     more = {"event_gap_s": 0.4, "crash_s": CRASH_S}
-    pool = await make_pool(site, "engine", 1, **more)
+    pool = await start_crashing_pool(site, "engine", 1, **more)
     entry = await site.add_entry()
     beside = [
         asyncio.ensure_future(
@@ -99,10 +101,10 @@
     ]
     await asyncio.sleep(BEGIN_S)
     deadly = asyncio.ensure_future(
-        ask_engine(site, "/chat/x", "entry-1", DEADLY)
+        ask_engine(site, "/chat/x", "entry-1", CRASHING_BODY)
     )
     await asyncio.sleep(BEGIN_S)
-    pool.more["crash_s"] = 0.1
+    pool.options["crash_s"] = 0.1
     for _ in range(WORKERS - 1):
         await pool.add()
     await until(lambda: len(entry.state.directory.workers) == WORKERS)
@@ -112,7 +114,7 @@
         loads.record_report(f"w{number}", ReportedLoad(20 * number, 0, 128))
     answers = await asyncio.gather(*beside)
     assert (await deadly).status == 502
-    assert len(pool.ends) == 3
+    assert len(pool.crash_times) == 3
     return sum(
         answer.whole and events(answer.body) == [1, 2, 3, 4, 5]
         for answer in answers
@@ -129,14 +131,14 @@
 @pytest.mark.parametrize("kind", KINDS)
 async def test_a_request_that_crashes_its_workers_reaches_few(site, kind):
     service, path, ask = KINDS[kind]
-    pool = await make_pool(site, service, WORKERS)
+    pool = await start_crashing_pool(site, service, WORKERS)
     await add_entries(site)
     answers = await repeat(site, path, ask)
-    assert len(pool.ends) <= MOST_ENDED
+    assert len(pool.crash_times) <= MOST_ENDED
     # It is no success, and a promise that it did not run is true.
     assert {answer.status for answer in answers} <= {502, 503}
     promised = sum(answer.status == 503 for answer in answers)
-    assert len(answers) - promised <= pool.deadly_runs()
+    assert len(answers) - promised <= pool.count_crashing_runs()
     # All others are served by the workers that are left.
     served = [await ask(site, path, f"entry-{n}", b"usual") for n in range(3)]
     assert all(answer.status == 200 and answer.whole for answer in served)
@@ -149,20 +151,20 @@
 
 
 async def test_it_stays_held_when_all_entries_are_lost(site):
-    pool = await make_pool(site, "plain", WORKERS)
+    pool = await start_crashing_pool(site, "plain", WORKERS)
     entry = await site.add_entry()
     for _ in range(3):
-        await ask_plain(site, "/unsafe/x", "entry-1", DEADLY)
-    assert len(pool.ends) == 3
+        await ask_plain(site, "/unsafe/x", "entry-1", CRASHING_BODY)
+    assert len(pool.crash_times) == 3
     await until(lambda: has_held_row(site))
     await close(entry)
     del site.entries["entry-1"]
     entry = await site.add_entry()
     await until(lambda: entry.edge.dispatcher.quarantine.ends)
-    answer = await ask_plain(site, "/unsafe/x", "entry-1", DEADLY)
+    answer = await ask_plain(site, "/unsafe/x", "entry-1", CRASHING_BODY)
     assert answer.status == 503
     assert 500.0 < float(answer.headers["Retry-After"]) <= HOLD_S
-    assert len(pool.ends) == 3
+    assert len(pool.crash_times) == 3
 
 
 def has_held_row(site):
@@ -170,10 +172,10 @@
 
 
 async def test_other_entries_send_nothing_to_a_worker_that_ended(site):
-    pool = await make_pool(site, "plain", 2)
+    pool = await start_crashing_pool(site, "plain", 2)
     await add_entries(site)
-    await ask_plain(site, "/unsafe/x", "entry-0", DEADLY)
-    assert len(pool.ends) == 1
+    await ask_plain(site, "/unsafe/x", "entry-0", CRASHING_BODY)
+    assert len(pool.crash_times) == 1
     entries = [site.entries[name] for name in site.entries]
     await until(
         lambda: all(entry.edge.dispatcher.ends.ended for entry in entries)
@@ -194,10 +196,10 @@
         judged.append((worker.id, bad))
 
     monkeypatch.setattr(Rollouts, "note", note)
-    pool = await make_pool(site, "engine", 4)
+    pool = await start_crashing_pool(site, "engine", 4)
     await site.add_entry()
-    await ask_engine(site, "/chat/x", "entry-1", DEADLY)
-    assert len(pool.ends) == 3
+    await ask_engine(site, "/chat/x", "entry-1", CRASHING_BODY)
+    assert len(pool.crash_times) == 3
     # Only its first end may be its worker's own doing.
     assert len(judged) == 1
 
@@ -213,10 +215,10 @@
         return False
 
     monkeypatch.setattr(worker_ends, "listens", look_slowly)
-    await make_pool(site, "plain", 2)
+    await start_crashing_pool(site, "plain", 2)
     entry = await site.add_entry()
     leaving = asyncio.ensure_future(
-        ask_plain(site, "/unsafe/x", "entry-1", DEADLY)
+        ask_plain(site, "/unsafe/x", "entry-1", CRASHING_BODY)
     )
     await looking.wait()
     leaving.cancel()
