--- a/tests/lib/crashes.py
+++ b/tests/lib/crashes.py
@@ -1,4 +1,4 @@
-"""Workers that some requests crash, and that are started again."""
+"""Workers that crash under a certain request and are restarted."""
 
 import asyncio
 import itertools
@@ -6,17 +6,18 @@
 import attrs
 
 CRASHING_BODY = b"the request that crashes each worker that runs it"
-RESTART_DELAY_S = 0.4  # From a worker's end to its start under a new id.
-REGISTRATION_EXPIRY_S = 1.0  # From its end until its registration runs out.
+RESTART_DELAY_S = 0.4  # From a crash to the restart under a new ID.
+REGISTRATION_EXPIRY_S = 1.0  # From a crash until the registration expires.
 
 
 @attrs.define
 class CrashingPool:
-    """Workers of one service of a site.
+    """Pool of workers of one service, which crash under CRASHING_BODY.
 
     Attributes:
-      crash_times: Loop times at which one ended.
-      pending: Starts and removals that are still to come.
+      options: Further arguments for `site.add_worker`.
+      crash_times: Event loop times of the crashes, in seconds.
+      pending: Tasks of restarts and removals still to come.
     """
 
     site: object
@@ -27,7 +28,7 @@
     pending: set = attrs.Factory(set)
 
     async def add(self):
-        """Starts a worker that the deadly request crashes."""
+        """Starts a worker that crashes under CRASHING_BODY."""
         name = f"w{next(self.ids)}"
         await self.site.add_worker(
             name,
@@ -53,7 +54,7 @@
         self.site.store.remove("servers", name)
 
     def count_crashing_runs(self):
-        """How often a worker began to run the deadly request."""
+        """Returns how often a worker began to run CRASHING_BODY."""
         return sum(
             run.body == CRASHING_BODY
             for worker in self.site.workers.values()
