--- a/tests/unit/test_keeper.py
+++ b/tests/unit/test_keeper.py
@@ -37,7 +37,7 @@
     keeper = ClaimKeeper(claims, clock, Metrics(), spawn)
     ask = Ask("desk", "k1", "entry-1/i/r", True, "digest")
     attempt = Attempt(build_request(), ask)
-    attempt.task = spawn(granted())
+    attempt.claim_task = spawn(granted())
     await settle()
     outcome = await keeper.end(attempt, ClaimResult.UNKNOWN)
     assert outcome is SettleOutcome.UNAVAILABLE
