--- a/src/rattanpier/_internal/dispatch/body.py
+++ b/src/rattanpier/_internal/dispatch/body.py
@@ -1,9 +1,9 @@
-"""A request body that is held back if the dispatch is not allowed any more.
+"""Request body that is withheld if the dispatch is no longer allowed.
 
-Between the decision to dispatch and the first byte of the body lie a
-connection attempt and, where the process was frozen, any length of time. The
-upstream can't run a request without its body, so this is the last moment at
-which a withdrawal or an expired validity still counts.
+Connecting takes time between the decision to dispatch and the first byte of the
+body, and the process may be suspended meanwhile. The upstream can't run a
+request without its body, so sending it is the last point at which a withdrawal
+or an expired validity can be honoured.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 MaySend = Callable[[], bool]
 
 
-class BodyHeldError(Exception):
-    """The body was not sent."""
+class BodyWithheldError(Exception):
+    """The request body was withheld."""
 
 
 class GuardedBody(aiohttp.BytesPayload):
-    """Bytes that ask right before they are written.
+    """Payload that checks whether it may be sent right before it is written.
 
     Attributes:
-      may_send: Says whether the body may be sent now.
-      held: True if it was not sent, so that nothing can have run.
+      may_send: Returns whether the body may be sent now.
+      withheld: True if the body was not sent, so the request can't have run.
     """
 
     def __init__(self, body: bytes, may_send: MaySend) -> None:
         super().__init__(body, content_type="application/json")
         self.may_send = may_send
-        self.held = False
+        self.withheld = False
 
     async def write_with_length(
         self, writer: AbstractStreamWriter, content_length: int | None
@@ -39,9 +39,9 @@
         """Writes the body.
 
         Raises:
-          BodyHeldError: It may not be sent.
+          BodyWithheldError: The body may not be sent.
         """
         if not self.may_send():
-            self.held = True
-            raise BodyHeldError
+            self.withheld = True
+            raise BodyWithheldError
         await super().write_with_length(writer, content_length)
--- a/src/rattanpier/_internal/dispatch/quarantining.py
+++ b/src/rattanpier/_internal/dispatch/quarantining.py
@@ -1,8 +1,9 @@
-"""Keeps chats and calls that end their workers from further ones.
+"""Detects workers that crash under a request, and shares this among entries.
 
-The decision is that of `retries.quarantine`. Here is how it shows that a worker
-ended, and how entries tell each other: by notices along their ring, which go on
-as long as they are new to somebody. One that is lost costs one more worker.
+`retries.quarantine` decides which requests are refused. This module detects
+that a worker process terminated, and sends updates to peers as notices along
+the ring of entries. A notice is forwarded as long as it is new to its receiver;
+a lost notice may cost one more worker.
 """
 
 from __future__ import annotations
@@ -27,26 +28,29 @@
 
 log = structlog.get_logger(part="quarantine")
 
-CHECK_TIMEOUT_S = 0.3  # A VM without a listener refuses within some ms.
+PORT_CHECK_TIMEOUT_S = 0.3  # A VM without a listener refuses within a few ms.
 
 
-def content_of(request: RouteRequest) -> str:
-    """Returns what a request is known by, the same for each attempt."""
+def content_key(request: RouteRequest) -> str:
+    """Returns the key of a request's content, the same for each attempt."""
     return f"{request.workspace}/{request.digest}"
 
 
-async def has_ended(target: Target) -> bool:
-    """Says whether a worker whose answer broke off surely ended."""
+async def has_terminated(target: Target) -> bool:
+    """Returns whether a worker certainly terminated.
+
+    True only if its VM refuses connections to the worker's port.
+    """
     url = URL(target.worker.url)
-    found = await listens(url.host or "", url.port or 0, CHECK_TIMEOUT_S)
+    found = await listens(url.host or "", url.port or 0, PORT_CHECK_TIMEOUT_S)
     return found is False
 
 
-def held(seconds: float) -> DispatchError:
-    """Returns the error for a request under which workers ended.
+def request_quarantined(seconds: float) -> DispatchError:
+    """Returns the error for a request under which workers crashed.
 
     Args:
-      seconds: Until it may be sent again.
+      seconds: Seconds until the request may be sent again.
     """
     return DispatchError(
         RefusalCode.QUARANTINED, "Workers ended under this request.", seconds
@@ -55,39 +59,40 @@
 
 @attrs.define
 class QuarantineSharing:
-    """Tells other entries of ends, and passes on what is new.
+    """Publishes quarantine updates to peers and forwards new ones.
 
     Attributes:
-      spread: Sends a notice to a few entries; must not block.
+      broadcast: Sends a notice to neighbouring entries; must not block.
+      scheduled: Handle of the scheduled publication, or None.
     """
 
     quarantine: Quarantine
-    spread: Callable[[peer_pb2.Notice], None]
-    telling: asyncio.Handle | None = None
+    broadcast: Callable[[peer_pb2.Notice], None]
+    scheduled: asyncio.Handle | None = None
 
-    def tell_soon(self) -> None:
-        """Tells of what is untold, all of one turn of the loop together."""
-        if self.telling is None:
+    def schedule_publish(self) -> None:
+        """Schedules one publication for all updates of this loop iteration."""
+        if self.scheduled is None:
             loop = asyncio.get_running_loop()
-            self.telling = loop.call_soon(self.tell)
+            self.scheduled = loop.call_soon(self.publish)
 
-    def tell(self) -> None:
-        """Tells others of what is untold."""
-        self.telling = None
-        self.send(self.quarantine.take_untold())
+    def publish(self) -> None:
+        """Publishes the updates that were not yet published."""
+        self.scheduled = None
+        self.publish_update(self.quarantine.take_untold())
 
-    def send(self, news: QuarantineNews) -> None:
-        """Sends news to a few entries."""
-        rumors = peer_pb2.Rumors(text=encode(news).encode())
-        self.spread(peer_pb2.Notice(spread=peer_pb2.Spread(rumors=rumors)))
+    def publish_update(self, update: QuarantineNews) -> None:
+        """Sends an update to neighbouring entries."""
+        rumors = peer_pb2.Rumors(text=encode(update).encode())
+        self.broadcast(peer_pb2.Notice(spread=peer_pb2.Spread(rumors=rumors)))
 
     def receive(self, notice: peer_pb2.Notice) -> None:
-        """Takes in another entry's news, and passes on what was new."""
+        """Applies a peer's update and forwards the part that was new."""
         try:
-            news = decode(QuarantineNews, notice.spread.rumors.text)
+            update = decode(QuarantineNews, notice.spread.rumors.text)
         except UnreadableError as error:
             log.warning("Notice can't be read.", error=error.message)
             return
-        fresh = self.quarantine.take(news)
-        if fresh != QuarantineNews():
-            self.send(fresh)
+        unseen = self.quarantine.take(update)
+        if unseen != QuarantineNews():
+            self.publish_update(unseen)
--- a/src/rattanpier/_internal/dispatch/repeatable.py
+++ b/src/rattanpier/_internal/dispatch/repeatable.py
@@ -1,4 +1,4 @@
-"""Which calls of a plain service may be sent more than once."""
+"""Decides which calls to a plain service may be sent more than once."""
 
 from __future__ import annotations
 
@@ -9,10 +9,13 @@
 ANY_METHOD = "*"
 
 
-def plain_path(target: str) -> str:
-    """Returns a path in the one form that paths are compared in.
+def normalize_path(target: str) -> str:
+    """Returns the normalized path of a target, for comparisons.
 
-    >>> plain_path("/Orders//%37/?x=1")
+    Removes the query and repeated or trailing slashes, decodes percent escapes
+    and ignores case.
+
+    >>> normalize_path("/Orders//%37/?x=1")
     '/orders/7'
     """
     path = unquote(target.partition("?")[0])
@@ -20,7 +23,7 @@
 
 
 def has_dot_segments(target: str) -> bool:
-    """Says whether a path climbs or stands still.
+    """Returns whether a path contains `.` or `..` segments.
 
     >>> has_dot_segments("/a/%2e%2e/orders"), has_dot_segments("/a.b/c")
     (True, False)
@@ -30,12 +33,13 @@
 
 
 def may_repeat(non_repeatable: Iterable[str], method: str, target: str) -> bool:
-    """Says whether a call may be sent more than once.
+    """Returns whether a call may be sent more than once.
 
-    A listed path stands for all below it too.
+    A listed path includes all paths below it.
 
     Args:
-      non_repeatable: Calls like "POST /orders" or "* /payments".
+      non_repeatable: Calls that must not be repeated, such as "POST /orders" or
+        "* /payments".
       method: HTTP method.
       target: Path and query as received.
 
@@ -44,12 +48,12 @@
     >>> may_repeat(["POST /orders"], "GET", "/orders/7")
     True
     """
-    path = plain_path(target)
+    path = normalize_path(target)
     for listed in non_repeatable:
         listed_method, _, listed_path = listed.partition(" ")
         if listed_method.upper() not in (ANY_METHOD, method.upper()):
             continue
-        prefix = plain_path(listed_path)
+        prefix = normalize_path(listed_path)
         if path == prefix or path.startswith(prefix.rstrip("/") + "/"):
             return False
     return True
--- a/src/rattanpier/_internal/dispatch/steps.py
+++ b/src/rattanpier/_internal/dispatch/steps.py
@@ -1,4 +1,4 @@
-"""The steps of a plan, from cheap to strong, as one stream of chunks."""
+"""Runs the steps of a plan, cheapest first, as one stream of chunks."""
 
 from __future__ import annotations
 
@@ -17,19 +17,22 @@
 )
 from rattanpier._internal.dispatch.bills import Spent, is_whole, spent_by
 from rattanpier._internal.dispatch.engine import Chunk
-from rattanpier._internal.dispatch.failures import DispatchError, not_whole
+from rattanpier._internal.dispatch.failures import (
+    DispatchError,
+    incomplete_answer,
+)
 from rattanpier._internal.models.plan import Plan
 from rattanpier._internal.models.request import RouteRequest
 
-Source = Callable[[str], AsyncIterator[Chunk]]
+OpenStream = Callable[[str], AsyncIterator[Chunk]]
 
 
 @attrs.frozen
 class StepChunk:
-    """A chunk of the step that answers.
+    """A chunk of the step whose answer is used.
 
     Attributes:
-      version: Version of the step.
+      version: Version that the step ran.
       chunk: The chunk.
     """
 
@@ -37,31 +40,31 @@
     chunk: Chunk
 
 
-def steps_to_use(request: RouteRequest, plan: Plan) -> list[str]:
-    """Returns the versions that may be asked, in order; at least one.
+def usable_steps(request: RouteRequest, plan: Plan) -> list[str]:
+    """Returns the versions to run, in order; at least one.
 
-    A non-idempotent request may run once: it gets the last step alone, which
-    is the one that meets the quality target without another's help.
+    A non-idempotent request may run only once. It gets the last step alone,
+    which is the one that meets the quality target by itself.
     """
     return plan.steps if request.idempotent else plan.steps[-1:]
 
 
 @attrs.define
 class StepRun:
-    """One request on its way through its steps.
+    """Runs one request through the steps of its plan.
 
     Attributes:
-      walk: Where it is.
-      policy: Says whether an answer is good enough.
-      source: Opens the answer of a version.
-      may_serve: Says whether a version may get work now.
-      may_retry: Says whether the retry budget allows one more dispatch.
-      spent: An item for each step whose answer was whole.
+      walk: Position in the steps.
+      policy: Decides whether the answer of a step is accepted.
+      open_stream: Returns the stream of chunks from a version.
+      may_serve: Returns whether a version may take new work.
+      may_retry: Returns whether the retry budget allows another dispatch.
+      spent: Usage of each step whose answer was complete.
     """
 
     walk: Walk
     policy: CascadePolicy
-    source: Source
+    open_stream: OpenStream
     may_serve: MayServe
     may_retry: Callable[[], bool]
     spent: list[Spent] = attrs.Factory(list)
@@ -69,15 +72,15 @@
     async def chunks(self) -> AsyncIterator[StepChunk]:
         """Yields the chunks of the first step whose answer is accepted.
 
-        The last step streams at once; an earlier one's answer is held until
-        it is whole and accepted.
+        The last step is streamed as it arrives. The answer of an earlier step
+        is buffered until it is complete and accepted.
 
         Raises:
-          DispatchError: There is no answer.
+          DispatchError: No step gave an answer.
         """
         while not self.walk.is_last:
             version = self.walk.version
-            chunks = await self.try_step(version)
+            chunks = await self.run_step(version)
             if chunks is not None:
                 for chunk in chunks:
                     yield StepChunk(version, chunk)
@@ -86,16 +89,17 @@
             async for chunk in rest:
                 yield StepChunk(self.walk.version, chunk)
 
-    async def try_step(self, version: str) -> list[Chunk] | None:
-        """Returns an accepted answer, or None to go on to the next step.
+    async def run_step(self, version: str) -> list[Chunk] | None:
+        """Returns the accepted answer, or None to continue with the next step.
 
         Raises:
-          DispatchError: The step failed and there is none to go on to.
+          DispatchError: The step failed and no further step may run.
         """
         try:
             chunks = await self.collect(version)
         except DispatchError:
-            # The next step is a retry: what fails must not double the load.
+            # The next step counts as a retry, so that failures don't double
+            # the load.
             if go_on(self.walk, self.may_serve) is Verdict.ACCEPT:
                 raise
             if not self.may_retry():
@@ -108,23 +112,23 @@
         return chunks if verdict is Verdict.ACCEPT else None
 
     async def collect(self, version: str) -> list[Chunk]:
-        """Returns the whole answer of a step."""
-        async with aclosing(self.source(version)) as source:
+        """Returns all chunks of the complete answer of a step."""
+        async with aclosing(self.open_stream(version)) as source:
             chunks = [chunk async for chunk in source]
         if not is_whole(chunks):
-            raise not_whole()
+            raise incomplete_answer()
         return chunks
 
     async def last_step(self) -> AsyncIterator[Chunk]:
-        """Yields the answer of the last step as it comes."""
+        """Yields the chunks of the last step as they arrive."""
         version = self.walk.version
         chunks: list[Chunk] = []
-        async with aclosing(self.source(version)) as source:
+        async with aclosing(self.open_stream(version)) as source:
             async for chunk in source:
                 chunks.append(chunk)
                 yield chunk
         if not is_whole(chunks):
-            raise not_whole()
+            raise incomplete_answer()
         self.spent.append(spent_by(version, chunks))
-        # Its verdict changes nothing any more; the answer may be rated.
+        # The verdict is not used, but the policy may still rate the answer.
         self.policy.judge(self.walk, answer_of(chunks), self.may_serve)
--- a/tests/failure/test_crashing_chats.py
+++ b/tests/failure/test_crashing_chats.py
@@ -1,8 +1,8 @@
-"""A chat that crashes each engine that runs it reaches few of them.
+"""A chat that crashes each engine running it is stopped after a few engines.
 
-The same story as in relay/test_crashing_requests.py, on the chat interface: a
-failure is put down to the engine alone, the chat goes on to two more, and the
-next attempt, here or at another entry, begins anew.
+As in relay/test_crashing_requests.py, but on the chat interface. If each crash
+is blamed on the engine alone, the chat is retried on two more engines, and each
+further attempt, at this or another entry, does the same.
 """
 
 import contextlib
@@ -16,27 +16,32 @@
 ENTRIES = ("entry-1", "entry-2")
 ENGINES = 9
 ATTEMPTS = 6
-# Operators take three; the next attempt may come to the other entry while the
-# news of the third end is on its way, some ms.
-MOST_ENDED = 4
-DEADLY = {"model": "auto", "messages": [{"role": "user", "content": "crash"}]}
+# Operators accept three. The next attempt may reach the other entry during the
+# few ms in which the update about the third crash is on its way.
+MAX_CRASHED = 4
+CRASHING_CHAT = {
+    "model": "auto",
+    "messages": [{"role": "user", "content": "crash"}],
+}
 
 
-async def chat(cluster, number):
-    """Sends the deadly chat under a key of its own; returns the status."""
+async def send_crashing_chat(cluster, number):
+    """Sends the crashing chat under its own key and returns the status."""
     url = f"{cluster.urls[ENTRIES[number % 2]]}/v1/chat/completions"
     headers = {
         "Authorization": f"Bearer {DESK_KEY}",
         "X-Timeout-Ms": "5000",
         "Idempotency-Key": f"deadly-{number}",
     }
-    async with cluster.session.post(url, json=DEADLY, headers=headers) as got:
+    async with cluster.session.post(
+        url, json=CRASHING_CHAT, headers=headers
+    ) as got:
         with contextlib.suppress(aiohttp.ClientError):
             await got.read()
         return got.status
 
 
-async def test_a_chat_that_crashes_its_engines_reaches_few(tmp_path):
+async def test_crashing_chat_reaches_few_engines(tmp_path):
     async with contextlib.AsyncExitStack() as stack:
         engines = [
             await stack.enter_async_context(RawUpstream("crash"))
@@ -48,6 +53,6 @@
         await cluster.apply(text)
         await cluster.start_entries(ENTRIES)
         for number in range(ATTEMPTS):
-            assert await chat(cluster, number) >= 500
-        ended = sum(bool(engine.runs) for engine in engines)
-        assert ended <= MOST_ENDED
+            assert await send_crashing_chat(cluster, number) >= 500
+        crashed = sum(bool(engine.runs) for engine in engines)
+        assert crashed <= MAX_CRASHED
--- a/tests/lib/crashes.py
+++ b/tests/lib/crashes.py
@@ -1,68 +1,69 @@
-"""Workers that some requests crash, and that are started again."""
+"""Workers that crash under a certain request and are restarted."""
 
 import asyncio
 import itertools
 
 import attrs
 
-DEADLY = b"the request that crashes each worker that runs it"
-BACK_S = 0.4  # From a worker's end to its start under a new id.
-EXPIRY_S = 1.0  # From its end until its registration runs out.
+CRASHING_BODY = b"the request that crashes each worker that runs it"
+RESTART_DELAY_S = 0.4  # From a crash to the restart under a new ID.
+REGISTRATION_EXPIRY_S = 1.0  # From a crash until the registration expires.
 
 
 @attrs.define
 class CrashingPool:
-    """Workers of one service of a site.
+    """Pool of workers of one service, which crash under CRASHING_BODY.
 
     Attributes:
-      ends: Loop times at which one ended.
-      later: Starts and removals that are still to come.
+      options: Further arguments for `site.add_worker`.
+      crash_times: Event loop times of the crashes, in seconds.
+      pending: Tasks of restarts and removals still to come.
     """
 
     site: object
     service: str
-    more: dict = attrs.Factory(dict)
+    options: dict = attrs.Factory(dict)
     ids: itertools.count = attrs.Factory(itertools.count)
-    ends: list = attrs.Factory(list)
-    later: set = attrs.Factory(set)
+    crash_times: list = attrs.Factory(list)
+    pending: set = attrs.Factory(set)
 
     async def add(self):
-        """Starts a worker that the deadly request crashes."""
+        """Starts a worker that crashes under CRASHING_BODY."""
         name = f"w{next(self.ids)}"
         await self.site.add_worker(
             name,
             self.service,
-            deadly=DEADLY,
-            ended=lambda: self.note_end(name),
-            **self.more,
+            deadly=CRASHING_BODY,
+            ended=lambda: self.record_crash(name),
+            **self.options,
         )
 
-    def note_end(self, name):
-        self.ends.append(asyncio.get_running_loop().time())
+    def record_crash(self, name):
+        self.crash_times.append(asyncio.get_running_loop().time())
         for work in (self.restart(), self.expire(name)):
             task = asyncio.ensure_future(work)
-            self.later.add(task)
-            task.add_done_callback(self.later.discard)
+            self.pending.add(task)
+            task.add_done_callback(self.pending.discard)
 
     async def restart(self):
-        await asyncio.sleep(BACK_S)
+        await asyncio.sleep(RESTART_DELAY_S)
         await self.add()
 
     async def expire(self, name):
-        await asyncio.sleep(EXPIRY_S)
+        await asyncio.sleep(REGISTRATION_EXPIRY_S)
         self.site.store.remove("servers", name)
 
-    def deadly_runs(self):
-        """How often a worker began to run the deadly request."""
+    def count_crashing_runs(self):
+        """Returns how often a worker began to run CRASHING_BODY."""
         return sum(
-            run.body == DEADLY
+            run.body == CRASHING_BODY
             for worker in self.site.workers.values()
             for run in worker.runs
         )
 
 
-async def make_pool(site, service, count, **more):
-    pool = CrashingPool(site, service, more)
+async def start_crashing_pool(site, service, count, **options):
+    pool = CrashingPool(site, service, options)
     for _ in range(count):
         await pool.add()
     return pool
--- a/tests/lib/dispatch.py
+++ b/tests/lib/dispatch.py
@@ -1,4 +1,4 @@
-"""Runners over claims in memory, for the order of events in dispatch."""
+"""Test harness for dispatch: a runner with in-memory claims."""
 
 import asyncio
 import random
@@ -12,7 +12,7 @@
 from rattanpier._internal.dispatch.budget import RetryBudget
 from rattanpier._internal.dispatch.keeper import ClaimKeeper
 from rattanpier._internal.dispatch.runner import Runner
-from rattanpier._internal.dispatch.tries import Tries
+from rattanpier._internal.dispatch.upstream_dispatcher import UpstreamDispatcher
 from rattanpier._internal.models.configuration import (
     Upstream,
     UpstreamKind,
@@ -27,8 +27,8 @@
 from tests.lib.clock import ManualClock
 
 
-class BookClaims:
-    """The claims service over one book, without a network.
+class InMemoryClaims:
+    """Claims service backed by a single claim book, without a network.
 
     `after_claim` is called once, after the next claim was decided.
     """
@@ -78,13 +78,13 @@
             self.book.apply(decision.op)
 
 
-class Bench:
-    """A runner, its clock, its claims and its sessions."""
+class DispatchHarness:
+    """A runner with its clock, claims and HTTP session."""
 
     def __init__(self, configuration):
         self.configuration = configuration
         self.clock = ManualClock()
-        self.claims = BookClaims()
+        self.claims = InMemoryClaims()
         self.metrics = Metrics()
         self.tasks = set()
 
@@ -99,11 +99,11 @@
         self.keeper = ClaimKeeper(
             self.claims, self.clock, self.metrics, self.spawn
         )
-        tries = Tries(
+        dispatcher = UpstreamDispatcher(
             quarantine=Quarantine(self.clock),
-            rests=Rests(self.clock, random.Random(1)),
+            backoffs=Rests(self.clock, random.Random(1)),
             session=self.session,
-            fresh=self.session,
+            unpooled_session=self.session,
             configuration=lambda: self.configuration,
             clock=self.clock,
             metrics=self.metrics,
@@ -117,7 +117,7 @@
         self.runner = Runner(
             configuration=lambda: self.configuration,
             claims=self.claims,
-            tries=tries,
+            dispatcher=dispatcher,
             keeper=self.keeper,
             clock=self.clock,
             metrics=self.metrics,
@@ -133,7 +133,7 @@
         await self.session.close()
 
     async def ask(self, request, request_id="r1"):
-        """Returns the last part of an answer."""
+        """Runs a request and returns the last part of its answer."""
         request = attrs.evolve(
             request, deadline=min(request.deadline, self.clock.now + 30.0)
         )
@@ -141,11 +141,11 @@
         return parts[-1]
 
 
-def bench_over(*upstreams, **changes):
-    """A bench whose one pool has these raw upstreams as workers."""
+def make_harness(*upstreams, **changes):
+    """Returns a harness with one pool, whose workers are these upstreams."""
     workers = {
         f"w{number}": Worker(upstream.url, "a", [SMALL, LARGE])
         for number, upstream in enumerate(upstreams)
     }
     pools = {"pool": Upstream(UpstreamKind.ENGINE, workers)}
-    return Bench(build_configuration(upstreams=pools, **changes))
+    return DispatchHarness(build_configuration(upstreams=pools, **changes))
--- a/tests/unit/test_engine_events.py
+++ b/tests/unit/test_engine_events.py
@@ -1,11 +1,11 @@
-"""What counts as a chunk of an engine's answer."""
+"""Parsing of the chunks of an engine's answer."""
 
 import pytest
 
 from rattanpier._internal.dispatch.engine import Event, Usage, parse_chunk
 
 
-def test_a_chunk_is_read():
+def test_chunk_is_parsed():
     data = (
         '{"choices": [{"delta": {"content": "é"}, "finish_reason": "stop"}],'
         ' "usage": {"prompt_tokens": 2, "completion_tokens": 3},'
@@ -14,7 +14,7 @@
     chunk = parse_chunk(Event(7, data), True)
     assert (chunk.number, chunk.data, chunk.text) == (7, data, "é")
     assert (chunk.finish, chunk.usage) == ("stop", Usage(2, 3))
-    assert (chunk.confidence, chunk.more) == (0.5, True)
+    assert (chunk.confidence, chunk.more_buffered) == (0.5, True)
 
 
 @pytest.mark.parametrize(
@@ -33,6 +33,6 @@
         b'{"usage": {"prompt_tokens": 1}}',
     ],
 )
-def test_what_is_no_chunk_is_refused(data):
+def test_malformed_chunk_is_refused(data):
     with pytest.raises(ValueError):
         parse_chunk(Event(0, data), False)
