--- a/src/rattanpier/_internal/placement/drained_domains.py
+++ b/src/rattanpier/_internal/placement/drained_domains.py
@@ -27,13 +27,13 @@
 # For so long what was known counts where an older copy of the store says
 # otherwise: until operators have written it again. A domain that stays drained
 # for some seconds costs less than one that fills for a moment.
-REWRITTEN_S = 6.0
+REISSUE_GRACE_S = 6.0
 
 
-def shows_ended(before: DomainOrder, told: DomainOrder) -> bool:
+def repeats_ended_order(known: DomainOrder, received: DomainOrder) -> bool:
     """Says whether an older copy shows an order that ended."""
-    was_ended = told.drained and not before.drained
-    return was_ended and told.revision.is_kept_from(before.ended)
+    was_ended = received.drained and not known.drained
+    return was_ended and received.revision.is_kept_from(known.ended)
 
 
 @attrs.define(eq=False, repr=False)
@@ -41,49 +41,49 @@
     """The newest order of each failure domain.
 
     Attributes:
-      returned: Called with each domain whose order ended.
+      on_undrained: Called with each domain whose order ended.
       clock: Monotonic.
       orders: By domain, those that ended too.
       drained: Domains that get nothing new.
       as_of: Revision of the whole table that was taken last.
-      unconfirmed: Until when each order counts that the newest era of the store
-        has not shown, by domain, in monotonic seconds.
+      unconfirmed_until: Until when each order counts that the newest era of the
+        store has not shown, by domain, in monotonic seconds.
       disputed: Orders that ended and that an older copy shows, with the time
         from which they count if they still stand.
     """
 
-    returned: Callable[[str], None] = lambda _domain: None
+    on_undrained: Callable[[str], None] = lambda _domain: None
     clock: Clock = attrs.Factory(SystemClock)
     orders: dict[str, DomainOrder] = attrs.Factory(dict)
     drained: frozenset[str] = frozenset()
     as_of: Revision = Revision()
-    unconfirmed: dict[str, float] = attrs.Factory(dict)
+    unconfirmed_until: dict[str, float] = attrs.Factory(dict)
     disputed: dict[str, tuple[DomainOrder, float]] = attrs.Factory(dict)
 
-    def take(self, order: DomainOrder, source: str) -> None:
+    def apply_order(self, order: DomainOrder, source: str) -> None:
         """Takes an order, or its end, in; one that is older is left out.
 
         Args:
           order: What was heard of.
           source: Where it was heard of, for the log.
         """
-        before = self.orders.get(order.domain)
-        if before is not None:
-            if order.revision <= before.revision:
+        known = self.orders.get(order.domain)
+        if known is not None:
+            if order.revision <= known.revision:
                 return
-            if shows_ended(before, order):
-                self.dispute(before, order)
+            if repeats_ended_order(known, order):
+                self.dispute(known, order)
                 return
             if not order.drained:
-                ended = before.revision if before.drained else before.ended
+                ended = known.revision if known.drained else known.ended
                 order = attrs.evolve(order, ended=ended)
-        self.put(order, source)
+        self.set_order(order, source)
 
-    def put(self, order: DomainOrder, source: str) -> None:
+    def set_order(self, order: DomainOrder, source: str) -> None:
         """Lets an order, or its end, count."""
         self.orders[order.domain] = order
         self.disputed.pop(order.domain, None)
-        self.note_confirmed(order)
+        self.update_unconfirmed(order)
         was_drained = order.domain in self.drained
         if order.drained == was_drained:
             return
@@ -96,7 +96,7 @@
             drained=sorted(self.drained),
         )
         if was_drained:
-            self.returned(order.domain)
+            self.on_undrained(order.domain)
 
     def replace(
         self, orders: Iterable[DomainOrder], revision: Revision
@@ -109,26 +109,26 @@
         """
         if revision.era > self.as_of.era:
             # What its copy lacks too has as long again to be written.
-            self.unconfirmed.clear()
+            self.unconfirmed_until.clear()
         self.as_of = max(self.as_of, revision)
         standing = {order.domain: order for order in orders}
         for order in standing.values():
-            self.take(order, "store")
+            self.apply_order(order, "store")
         for domain in self.disputed.keys() - standing.keys():
             del self.disputed[domain]
         for domain in self.drained - standing.keys():
             if self.orders[domain].revision.era < revision.era:
-                self.note_confirmed(self.orders[domain])
+                self.update_unconfirmed(self.orders[domain])
             else:
-                self.take(DomainOrder(domain, False, revision), "store")
+                self.apply_order(DomainOrder(domain, False, revision), "store")
 
-    def note_confirmed(self, order: DomainOrder) -> None:
+    def update_unconfirmed(self, order: DomainOrder) -> None:
         """Keeps until when an order counts that the store has not shown."""
         if not order.drained or order.revision.era >= self.as_of.era:
-            self.unconfirmed.pop(order.domain, None)
-        elif order.domain not in self.unconfirmed:
-            until = self.clock.monotonic() + REWRITTEN_S
-            self.unconfirmed[order.domain] = until
+            self.unconfirmed_until.pop(order.domain, None)
+        elif order.domain not in self.unconfirmed_until:
+            until = self.clock.monotonic() + REISSUE_GRACE_S
+            self.unconfirmed_until[order.domain] = until
             log.info(
                 "Order stands that the store lacks.",
                 domain=order.domain,
@@ -139,7 +139,7 @@
     def dispute(self, end: DomainOrder, shown: DomainOrder) -> None:
         """Goes on with the end of an order that an older copy shows."""
         self.orders[end.domain] = attrs.evolve(end, revision=shown.revision)
-        until = self.clock.monotonic() + REWRITTEN_S
+        until = self.clock.monotonic() + REISSUE_GRACE_S
         self.disputed[end.domain] = shown, until
         log.info(
             "Order shown that ended.",
@@ -147,35 +147,37 @@
             revision=shown.revision.number,
         )
 
-    def settle(self) -> None:
+    def expire_grace_periods(self) -> None:
         """Believes the store where nothing was written again in time."""
         now = self.clock.monotonic()
         for order, until in list(self.disputed.values()):
             if until <= now:
-                self.put(order, "store")
+                self.set_order(order, "store")
         late = [
-            domain for domain, until in self.unconfirmed.items() if until <= now
+            domain
+            for domain, until in self.unconfirmed_until.items()
+            if until <= now
         ]
         for domain in late:
-            self.take(DomainOrder(domain, False, self.as_of), "store")
+            self.apply_order(DomainOrder(domain, False, self.as_of), "store")
 
-    def standing(self) -> list[DomainOrder]:
+    def active_orders(self) -> list[DomainOrder]:
         """Returns the orders that have not ended."""
         return [self.orders[domain] for domain in sorted(self.drained)]
 
-    def take_standing(self, orders: Iterable[DomainOrder]) -> None:
+    def apply_peer_orders(self, orders: Iterable[DomainOrder]) -> None:
         """Takes in the orders that a peer knows to stand."""
         for order in orders:
-            self.take(order, "peer")
+            self.apply_order(order, "peer")
 
     def digest(self) -> int:
         """Returns a number that tells these orders from others."""
         total = 0
-        for order in self.standing():
+        for order in self.active_orders():
             total ^= stable_hash(f"{order.domain}/{order.revision.number}")
         return total
 
-    def open(
+    def open_workers(
         self, workers: Sequence[RegisteredWorker]
     ) -> Sequence[RegisteredWorker]:
         """Returns the workers that are in no drained domain."""
--- a/src/rattanpier/_internal/programs/relay_dispatch.py
+++ b/src/rattanpier/_internal/programs/relay_dispatch.py
@@ -90,7 +90,7 @@
         Condition(eligibility.ENDED, lambda _, some: ends.living(some)),
         Condition(
             eligibility.DRAINED_DOMAIN,
-            lambda _, some: state.domains.open(some),
+            lambda _, some: state.domains.open_workers(some),
         ),
         Condition(
             eligibility.OTHER_REGION,
@@ -161,7 +161,7 @@
     )
     directory = state.directory
     directory.registered = warm_ups.note_registered
-    state.domains.returned = lambda domain: warm_ups.presume(
+    state.domains.on_undrained = lambda domain: warm_ups.presume(
         directory.of_domain(domain)
     )
     state.rollouts.warms_up = warm_ups.warms_up
--- a/src/rattanpier/_internal/relay/state.py
+++ b/src/rattanpier/_internal/relay/state.py
@@ -83,7 +83,7 @@
             self.domains.replace(domain_orders, page.revision)
             return
         for order in domain_orders:
-            self.domains.take(order, "store")
+            self.domains.apply_order(order, "store")
 
     def engines(self) -> list[str]:
         """Returns the services whose workers are model engines."""
@@ -149,7 +149,7 @@
         """Drops what the store lacks and what did not come back in time."""
         if self.health.available:
             self.forget(self.directory.drop_missing())
-            self.domains.settle()
+            self.domains.expire_grace_periods()
 
     def forget(self, ids: Iterable[str]) -> None:
         """Tells that what was known of workers no longer holds."""
@@ -184,7 +184,7 @@
         workers are only added to an entry that knows none.
         """
         for order in snapshot.domain_orders:
-            self.domains.take(order, "snapshot")
+            self.domains.apply_order(order, "snapshot")
         if snapshot.table_version > self.table_version:
             table = snapshot.table()
             if table is not None:
--- a/tests/lib/restored_fleet.py
+++ b/tests/lib/restored_fleet.py
@@ -135,11 +135,11 @@
             self.domains.replace(orders, page.revision)
             return
         for order in orders:
-            self.domains.take(order, "store")
+            self.domains.apply_order(order, "store")
 
     def tick(self):
         self.directory.drop_missing()
-        self.domains.settle()
+        self.domains.expire_grace_periods()
 
     def ready(self):
         return {worker.id for worker in self.directory.of_service("s")}
--- a/tests/placement/test_drained_domains.py
+++ b/tests/placement/test_drained_domains.py
@@ -11,7 +11,7 @@
 
 from rattanpier._internal.models.domain_order import DomainOrder
 from rattanpier._internal.placement.drained_domains import (
-    REWRITTEN_S,
+    REISSUE_GRACE_S,
     DrainedDomains,
 )
 from rattanpier._internal.programs.relay import close
@@ -39,34 +39,34 @@
 def test_an_order_counts_until_its_end_was_seen():
     domains = DrainedDomains()
     workers = [make_worker("w1", domain="a"), make_worker("w2", domain="b")]
-    assert domains.open(workers) == workers
-    domains.take(drained("b", 7), "store")
-    assert domains.open(workers) == workers[:1]
-    domains.take(DomainOrder("b", False, at(9)), "store")
-    assert domains.open(workers) == workers
+    assert domains.open_workers(workers) == workers
+    domains.apply_order(drained("b", 7), "store")
+    assert domains.open_workers(workers) == workers[:1]
+    domains.apply_order(DomainOrder("b", False, at(9)), "store")
+    assert domains.open_workers(workers) == workers
 
 
 def test_an_older_end_lifts_no_newer_order():
     domains = DrainedDomains()
-    domains.take(drained("b", 9), "peer")
-    domains.take(DomainOrder("b", False, at(8)), "snapshot")
+    domains.apply_order(drained("b", 9), "peer")
+    domains.apply_order(DomainOrder("b", False, at(8)), "snapshot")
     domains.replace([], revision=at(8))
     assert domains.drained == {"b"}
 
 
 def test_a_peer_that_knows_less_drains_nothing_anew():
     domains = DrainedDomains()
-    domains.take(drained("b", 7), "store")
-    domains.take(DomainOrder("b", False, at(9)), "store")
-    domains.take_standing([drained("b", 7)])
+    domains.apply_order(drained("b", 7), "store")
+    domains.apply_order(DomainOrder("b", False, at(9)), "store")
+    domains.apply_peer_orders([drained("b", 7)])
     assert not domains.drained
 
 
 def test_a_whole_table_without_an_order_ends_it():
     returned = []
     domains = DrainedDomains(returned.append)
-    domains.take(drained("a", 5), "store")
-    domains.take(drained("b", 6), "store")
+    domains.apply_order(drained("a", 5), "store")
+    domains.apply_order(drained("b", 6), "store")
     domains.replace([drained("a", 5)], revision=at(8))
     assert domains.drained == {"a"}
     assert returned == ["b"]
@@ -75,7 +75,7 @@
 def test_an_order_again_right_after_its_end_counts():
     domains = DrainedDomains()
     for revision, order in enumerate([True, False, True], start=1):
-        domains.take(DomainOrder("b", order, at(revision)), "store")
+        domains.apply_order(DomainOrder("b", order, at(revision)), "store")
     assert domains.drained == {"b"}
 
 
@@ -98,54 +98,54 @@
 def test_an_order_that_the_copy_lacks_counts_until_it_is_written_again(
     restored, clock
 ):
-    restored.take(drained("b", 9), "store")
+    restored.apply_order(drained("b", 9), "store")
     restored.replace([], at(4, era=2))
     assert restored.drained == {"b"}
-    clock.now += REWRITTEN_S - 0.1
-    restored.take(DomainOrder("b", True, at(6, era=2)), "store")
-    clock.now += REWRITTEN_S
-    restored.settle()
+    clock.now += REISSUE_GRACE_S - 0.1
+    restored.apply_order(DomainOrder("b", True, at(6, era=2)), "store")
+    clock.now += REISSUE_GRACE_S
+    restored.expire_grace_periods()
     assert restored.drained == {"b"}
-    restored.take(DomainOrder("b", False, at(7, era=2)), "store")
+    restored.apply_order(DomainOrder("b", False, at(7, era=2)), "store")
     assert not restored.drained
 
 
 def test_an_order_that_is_not_written_again_ends(restored, clock):
-    restored.take(drained("b", 9), "store")
+    restored.apply_order(drained("b", 9), "store")
     restored.replace([], at(4, era=2))
-    clock.now += REWRITTEN_S
-    restored.settle()
+    clock.now += REISSUE_GRACE_S
+    restored.expire_grace_periods()
     assert not restored.drained
     # What a peer still tells of the earlier era brings it back no more.
-    restored.take_standing([drained("b", 9)])
+    restored.apply_peer_orders([drained("b", 9)])
     assert not restored.drained
 
 
 def test_an_order_that_ended_stays_ended_though_the_copy_shows_it(restored):
-    restored.take(drained("b", 3), "store")
-    restored.take(DomainOrder("b", False, at(9)), "store")
+    restored.apply_order(drained("b", 3), "store")
+    restored.apply_order(DomainOrder("b", False, at(9)), "store")
     restored.replace([DomainOrder("b", True, at(3, era=2))], at(4, era=2))
     assert not restored.drained
     restored.replace([DomainOrder("b", True, at(3, era=2))], at(5, era=2))
     assert not restored.drained
-    restored.take(DomainOrder("b", True, at(6, era=2)), "store")
+    restored.apply_order(DomainOrder("b", True, at(6, era=2)), "store")
     assert restored.drained == {"b"}
 
 
 def test_an_order_that_is_shown_for_long_counts(restored, clock):
     """Operators may have ordered anew just before the copy took over."""
-    restored.take(drained("b", 3), "store")
-    restored.take(DomainOrder("b", False, at(9)), "store")
+    restored.apply_order(drained("b", 3), "store")
+    restored.apply_order(DomainOrder("b", False, at(9)), "store")
     restored.replace([DomainOrder("b", True, at(3, era=2))], at(4, era=2))
-    clock.now += REWRITTEN_S
-    restored.settle()
+    clock.now += REISSUE_GRACE_S
+    restored.expire_grace_periods()
     assert restored.drained == {"b"}
     restored.replace([], at(5, era=2))
     assert not restored.drained
 
 
 def test_an_order_that_stands_in_the_copy_ends_by_its_removal(restored):
-    restored.take(drained("b", 3), "store")
+    restored.apply_order(drained("b", 3), "store")
     restored.replace([DomainOrder("b", True, at(3, era=2))], at(4, era=2))
     assert restored.drained == {"b"}
     restored.replace([], at(5, era=2))
@@ -156,31 +156,31 @@
     restored, clock
 ):
     restored.replace([], at(4, era=2))
-    restored.take_standing([drained("b", 9)])
+    restored.apply_peer_orders([drained("b", 9)])
     assert restored.drained == {"b"}
-    clock.now += REWRITTEN_S
-    restored.settle()
+    clock.now += REISSUE_GRACE_S
+    restored.expire_grace_periods()
     assert not restored.drained
 
 
 def test_an_order_has_as_long_to_be_written_again_in_each_era(restored, clock):
-    restored.take(drained("b", 9), "store")
+    restored.apply_order(drained("b", 9), "store")
     restored.replace([], at(4, era=2))
-    clock.now += REWRITTEN_S - 0.1
+    clock.now += REISSUE_GRACE_S - 0.1
     restored.replace([], at(4, era=3))
     clock.now += 0.2
-    restored.settle()
+    restored.expire_grace_periods()
     assert restored.drained == {"b"}
 
 
 def test_a_second_return_within_seconds_lifts_nothing(restored, clock):
-    restored.take(drained("b", 9), "store")
+    restored.apply_order(drained("b", 9), "store")
     restored.replace([], at(4, era=2))
-    clock.now += REWRITTEN_S / 2
-    restored.take(DomainOrder("b", True, at(6, era=2)), "store")
+    clock.now += REISSUE_GRACE_S / 2
+    restored.apply_order(DomainOrder("b", True, at(6, era=2)), "store")
     restored.replace([], at(4, era=3))
-    clock.now += REWRITTEN_S - 0.1
-    restored.settle()
+    clock.now += REISSUE_GRACE_S - 0.1
+    restored.expire_grace_periods()
     assert restored.drained == {"b"}
 
 
