--- a/src/rattanpier/_internal/placement/__init__.py
+++ b/src/rattanpier/_internal/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Which workers a request may go to."""
+"""Selection of the workers that a request may be sent to."""
--- a/src/rattanpier/_internal/placement/drained_domains.py
+++ b/src/rattanpier/_internal/placement/drained_domains.py
@@ -1,12 +1,13 @@
-"""Failure domains whose workers get nothing new, as operators ordered.
+"""Failure domains that operators have drained: they get no new requests.
 
-An order narrows where requests may go: whatever tells of it counts, the store,
-a peer or a peer's snapshot. It ends only when its removal was seen in the
-store, by this entry or by one that tells of it with the removal's revision: a
-store that is away, or an entry that knows less, lifts nothing.
+A drain order restricts where requests may go, so it is accepted from any
+source: the store, a peer or a peer's snapshot. It ends only when its removal
+was seen in the store, by this entry or by a peer that reports the revision of
+the removal. An unavailable store or a peer that knows less ends no order.
 
-A store that came back from an older copy may lack an order that stands, which
-operators then write again, or show one that ended: neither changes anything.
+After the store was restored from a backup it may lack an order that is in
+force, which operators then write again, or contain one that has ended. Neither
+takes effect until the grace period is over.
 """
 
 from __future__ import annotations
@@ -24,32 +25,34 @@
 
 log = structlog.get_logger(part="domains")
 
-# For so long what was known counts where an older copy of the store says
-# otherwise: until operators have written it again. A domain that stays drained
-# for some seconds costs less than one that fills for a moment.
+# After the store was restored from a backup, the orders known before take
+# precedence for this long, so that operators can write them again. A domain
+# that stays drained for some seconds too long costs less than one that gets
+# requests for a moment.
 REISSUE_GRACE_S = 6.0
 
 
 def repeats_ended_order(known: DomainOrder, received: DomainOrder) -> bool:
-    """Says whether an older copy shows an order that ended."""
+    """Returns whether a restored store contains an order that has ended."""
     was_ended = received.drained and not known.drained
     return was_ended and received.revision.is_kept_from(known.ended)
 
 
 @attrs.define(eq=False, repr=False)
 class DrainedDomains:
-    """The newest order of each failure domain.
+    """The newest order for each failure domain.
 
     Attributes:
       on_undrained: Called with each domain whose order ended.
-      clock: Monotonic.
-      orders: By domain, those that ended too.
-      drained: Domains that get nothing new.
-      as_of: Revision of the whole table that was taken last.
-      unconfirmed_until: Until when each order counts that the newest era of the
-        store has not shown, by domain, in monotonic seconds.
-      disputed: Orders that ended and that an older copy shows, with the time
-        from which they count if they still stand.
+      clock: Source of monotonic time.
+      orders: The newest order by domain, including orders that have ended.
+      drained: Domains that get no new requests.
+      as_of: Store revision of the last full read.
+      unconfirmed_until: By domain, the time in monotonic seconds until which an
+        order stays in force although the newest era of the store lacks it.
+      disputed: By domain, an ended order that a restored store contains, and
+        the time in monotonic seconds from which it is in force again if the
+        store still contains it.
     """
 
     on_undrained: Callable[[str], None] = lambda _domain: None
@@ -61,11 +64,11 @@
     disputed: dict[str, tuple[DomainOrder, float]] = attrs.Factory(dict)
 
     def apply_order(self, order: DomainOrder, source: str) -> None:
-        """Takes an order, or its end, in; one that is older is left out.
+        """Applies an order or its removal; ignores it if it is outdated.
 
         Args:
-          order: What was heard of.
-          source: Where it was heard of, for the log.
+          order: The order received.
+          source: Where it was received from, for the log.
         """
         known = self.orders.get(order.domain)
         if known is not None:
@@ -80,7 +83,7 @@
         self.set_order(order, source)
 
     def set_order(self, order: DomainOrder, source: str) -> None:
-        """Lets an order, or its end, count."""
+        """Puts an order or its removal into force."""
         self.orders[order.domain] = order
         self.disputed.pop(order.domain, None)
         self.update_unconfirmed(order)
@@ -101,14 +104,14 @@
     def replace(
         self, orders: Iterable[DomainOrder], revision: Revision
     ) -> None:
-        """Takes in all orders that stand in the store.
+        """Applies a full read of the orders in the store.
 
         Args:
-          orders: Those that stand.
-          revision: The store's as of which they do.
+          orders: The orders in force.
+          revision: Revision of the store at which they were read.
         """
         if revision.era > self.as_of.era:
-            # What its copy lacks too has as long again to be written.
+            # Orders that this backup lacks get the full grace period again.
             self.unconfirmed_until.clear()
         self.as_of = max(self.as_of, revision)
         standing = {order.domain: order for order in orders}
@@ -123,32 +126,37 @@
                 self.apply_order(DomainOrder(domain, False, revision), "store")
 
     def update_unconfirmed(self, order: DomainOrder) -> None:
-        """Keeps until when an order counts that the store has not shown."""
+        """Starts or ends the grace period of an order that the store lacks."""
         if not order.drained or order.revision.era >= self.as_of.era:
             self.unconfirmed_until.pop(order.domain, None)
         elif order.domain not in self.unconfirmed_until:
             until = self.clock.monotonic() + REISSUE_GRACE_S
             self.unconfirmed_until[order.domain] = until
             log.info(
-                "Order stands that the store lacks.",
+                "Drain order in force is missing from the store.",
                 domain=order.domain,
                 revision=order.revision.number,
                 as_of=self.as_of.number,
             )
 
     def dispute(self, end: DomainOrder, shown: DomainOrder) -> None:
-        """Goes on with the end of an order that an older copy shows."""
+        """Keeps an order ended that a restored store contains.
+
+        Args:
+          end: The removal of the order.
+          shown: The order as the restored store contains it.
+        """
         self.orders[end.domain] = attrs.evolve(end, revision=shown.revision)
         until = self.clock.monotonic() + REISSUE_GRACE_S
         self.disputed[end.domain] = shown, until
         log.info(
-            "Order shown that ended.",
+            "Store contains a drain order that has ended.",
             domain=end.domain,
             revision=shown.revision.number,
         )
 
     def expire_grace_periods(self) -> None:
-        """Believes the store where nothing was written again in time."""
+        """Accepts the state of the store where a grace period is over."""
         now = self.clock.monotonic()
         for order, until in list(self.disputed.values()):
             if until <= now:
@@ -162,16 +170,16 @@
             self.apply_order(DomainOrder(domain, False, self.as_of), "store")
 
     def active_orders(self) -> list[DomainOrder]:
-        """Returns the orders that have not ended."""
+        """Returns the orders in force, sorted by domain."""
         return [self.orders[domain] for domain in sorted(self.drained)]
 
     def apply_peer_orders(self, orders: Iterable[DomainOrder]) -> None:
-        """Takes in the orders that a peer knows to stand."""
+        """Applies the orders that a peer reports as in force."""
         for order in orders:
             self.apply_order(order, "peer")
 
     def digest(self) -> int:
-        """Returns a number that tells these orders from others."""
+        """Returns a digest of the orders in force, to compare with peers."""
         total = 0
         for order in self.active_orders():
             total ^= stable_hash(f"{order.domain}/{order.revision.number}")
@@ -180,7 +188,7 @@
     def open_workers(
         self, workers: Sequence[RegisteredWorker]
     ) -> Sequence[RegisteredWorker]:
-        """Returns the workers that are in no drained domain."""
+        """Returns the workers that are not in a drained domain."""
         if not self.drained:
             return workers
         return [each for each in workers if each.domain not in self.drained]
