--- a/src/rattanpier/_internal/placement/eligibility.py
+++ b/src/rattanpier/_internal/placement/eligibility.py
@@ -27,9 +27,9 @@
 AVOIDED = "avoided"
 KEPT_APART = "kept_apart"
 # Conditions that a worker's own word begins and ends.
-OWN_WORDS = frozenset({RATE_LIMITED, RESTING})
+WORKER_REPORTED = frozenset({RATE_LIMITED, RESTING})
 # Conditions of which it is known when a worker takes a request again.
-TIMED = frozenset({WARMING_UP, RATE_LIMITED, RESTING})
+TEMPORARY = frozenset({WARMING_UP, RATE_LIMITED, RESTING})
 
 
 @attrs.frozen
@@ -38,40 +38,40 @@
 
     Attributes:
       name: Of the reason.
-      keep: Returns the workers for which it does not hold.
+      select: Returns the workers for which it does not hold.
     """
 
     name: str
-    keep: Callable[[RequestProgress, Workers], Workers]
+    select: Callable[[RequestProgress, Workers], Workers]
 
 
 @attrs.frozen
-class Eligible:
+class EligibleWorkers:
     """Workers that may get a request.
 
     Attributes:
       workers: These.
-      left_out: How many others each reason kept from it.
+      excluded: How many others each reason kept from it.
     """
 
     workers: Workers
-    left_out: Mapping[str, int]
+    excluded: Mapping[str, int]
 
 
-def eligible(
+def filter_eligible(
     conditions: Sequence[Condition], course: RequestProgress, workers: Workers
-) -> Eligible:
+) -> EligibleWorkers:
     """Returns the workers for which no condition holds."""
-    left_out: dict[str, int] = {}
+    excluded: dict[str, int] = {}
     for condition in conditions:
-        kept = condition.keep(course, workers)
-        if len(kept) < len(workers):
-            left_out[condition.name] = len(workers) - len(kept)
-        workers = kept
-    return Eligible(workers, left_out)
+        selected = condition.select(course, workers)
+        if len(selected) < len(workers):
+            excluded[condition.name] = len(workers) - len(selected)
+        workers = selected
+    return EligibleWorkers(workers, excluded)
 
 
-def soonest_s(
+def min_wait_s(
     opens_in_s: Callable[[RegisteredWorker], float], workers: Workers
 ) -> float | None:
     """Returns the seconds until one of some closed workers opens.
@@ -96,10 +96,10 @@
     of them.
     """
     request = course.request
-    bounds = [request.route.regions]
+    allowed = [request.route.regions]
     if request.workspace is not None:
-        bounds.append(request.workspace.regions)
-    for regions in filter(None, bounds):
+        allowed.append(request.workspace.regions)
+    for regions in filter(None, allowed):
         workers = [
             each for each in workers if region_of.get(each.domain) in regions
         ]
@@ -113,9 +113,9 @@
     return [each for each in workers if each.id not in course.tried]
 
 
-def apart(
-    suspects: Callable[[str], bool],
-    suspects_at: Callable[[str], int],
+def separate_suspects(
+    is_suspect: Callable[[str], bool],
+    suspect_count: Callable[[str], int],
     course: RequestProgress,
     workers: Workers,
 ) -> Workers:
@@ -126,14 +126,14 @@
     that ended it are answered there, and only that one ends another.
 
     Args:
-      suspects: Says whether a worker ended under a content.
-      suspects_at: Returns the own requests at a worker that may end it.
+      is_suspect: Says whether a worker ended under a content.
+      suspect_count: Returns the own requests at a worker that may end it.
       course: How the request went so far.
       workers: To choose from.
     """
-    if not suspects(course.request.content):
+    if not is_suspect(course.request.content):
         return workers
-    counts = [suspects_at(worker.id) for worker in workers]
+    counts = [suspect_count(worker.id) for worker in workers]
     least = min(counts, default=0)
     return [
         worker
--- a/src/rattanpier/_internal/programs/relay_dispatch.py
+++ b/src/rattanpier/_internal/programs/relay_dispatch.py
@@ -104,7 +104,9 @@
         Condition(
             eligibility.KEPT_APART,
             functools.partial(
-                eligibility.apart, quarantine.suspects, loads.suspects
+                eligibility.separate_suspects,
+                quarantine.suspects,
+                loads.suspects,
             ),
         ),
     )
--- a/tests/placement/test_eligibility.py
+++ b/tests/placement/test_eligibility.py
@@ -9,9 +9,9 @@
 from rattanpier._internal.models.route_table import Workspace
 from rattanpier._internal.placement.eligibility import (
     Condition,
-    apart,
-    eligible,
+    filter_eligible,
     in_regions,
+    separate_suspects,
 )
 from rattanpier._internal.relay.exposure import ExposureBound
 from rattanpier._internal.relay.request_progress import (
@@ -73,16 +73,20 @@
         Condition("second", lambda _course, workers: workers),
         Condition("third", lambda _course, workers: workers[:0]),
     ]
-    found = eligible(conditions, make_course(), WORKERS)
+    found = filter_eligible(conditions, make_course(), WORKERS)
     assert found.workers == []
-    assert found.left_out == {"first": 1, "third": 2}
+    assert found.excluded == {"first": 1, "third": 2}
 
 
 def test_what_may_end_workers_is_kept_apart():
     counts = {"w1": 1, "w2": 0, "w3": 0}
-    keep = functools.partial(apart, lambda _content: True, counts.get)
+    keep = functools.partial(
+        separate_suspects, lambda _content: True, counts.get
+    )
     assert ids(keep(make_course(), WORKERS)) == ["w2", "w3"]
-    keep = functools.partial(apart, lambda _content: False, counts.get)
+    keep = functools.partial(
+        separate_suspects, lambda _content: False, counts.get
+    )
     assert ids(keep(make_course(), WORKERS)) == ["w1", "w2", "w3"]
 
 
