--- a/src/rattanpier/_internal/placement/eligibility.py
+++ b/src/rattanpier/_internal/placement/eligibility.py
@@ -1,8 +1,8 @@
-"""From the workers of a version to those that may get a request now.
+"""Filters the workers of a version to those that may get a request now.
 
-Each condition of a worker that keeps requests from it stands here once, by its
-name, which the log lines and the counters bear. Nothing is sent to a worker
-that has not passed all of them.
+Each condition that excludes workers is defined here once, under the name that
+log lines and counters use for it. A request is only sent to a worker that none
+of the conditions exclude.
 """
 
 from __future__ import annotations
@@ -26,19 +26,19 @@
 RESTING = "resting"
 AVOIDED = "avoided"
 KEPT_APART = "kept_apart"
-# Conditions that a worker's own word begins and ends.
+# Conditions that start and end with what a worker itself reports.
 WORKER_REPORTED = frozenset({RATE_LIMITED, RESTING})
-# Conditions of which it is known when a worker takes a request again.
+# Conditions with a known time at which a worker accepts requests again.
 TEMPORARY = frozenset({WARMING_UP, RATE_LIMITED, RESTING})
 
 
 @attrs.frozen
 class Condition:
-    """One reason for which workers get no request now.
+    """A reason for excluding workers from a choice.
 
     Attributes:
-      name: Of the reason.
-      select: Returns the workers for which it does not hold.
+      name: Name of the condition in log lines and counters.
+      select: Returns the workers that the condition does not exclude.
     """
 
     name: str
@@ -47,11 +47,11 @@
 
 @attrs.frozen
 class EligibleWorkers:
-    """Workers that may get a request.
+    """The result of filtering workers by all conditions.
 
     Attributes:
-      workers: These.
-      excluded: How many others each reason kept from it.
+      workers: Workers that may get the request.
+      excluded: Number of workers that each condition excluded, by its name.
     """
 
     workers: Workers
@@ -61,7 +61,10 @@
 def filter_eligible(
     conditions: Sequence[Condition], course: RequestProgress, workers: Workers
 ) -> EligibleWorkers:
-    """Returns the workers for which no condition holds."""
+    """Returns the workers that no condition excludes.
+
+    A worker is counted under the first condition that excludes it.
+    """
     excluded: dict[str, int] = {}
     for condition in conditions:
         selected = condition.select(course, workers)
@@ -74,14 +77,15 @@
 def min_wait_s(
     opens_in_s: Callable[[RegisteredWorker], float], workers: Workers
 ) -> float | None:
-    """Returns the seconds until one of some closed workers opens.
+    """Returns the seconds until the first unavailable worker is available.
 
     Args:
-      opens_in_s: Returns when a worker opens; 0: it is open.
-      workers: To choose from.
+      opens_in_s: Returns the seconds until a worker accepts a request; 0 if it
+        does now.
+      workers: The workers to consider.
 
     Returns:
-      None where all are open.
+      Seconds, or None if all workers accept requests now.
     """
     waits = filter(None, map(opens_in_s, workers))
     return min(waits, default=None)
@@ -90,10 +94,10 @@
 def in_regions(
     region_of: Mapping[str, str], course: RequestProgress, workers: Workers
 ) -> Workers:
-    """Returns the workers in a region that route and workspace allow.
+    """Returns the workers in the regions that route and workspace allow.
 
-    Where both name regions both bind. A domain of an unknown region is in none
-    of them.
+    If both name regions, both must allow the worker's region. A worker whose
+    failure domain has no known region is excluded if any regions are named.
     """
     request = course.request
     allowed = [request.route.regions]
@@ -107,7 +111,7 @@
 
 
 def untried(course: RequestProgress, workers: Workers) -> Workers:
-    """Returns the workers that the request was not sent to yet."""
+    """Returns the workers that the request has not been sent to yet."""
     if not course.tried:
         return workers
     return [each for each in workers if each.id not in course.tried]
@@ -119,17 +123,18 @@
     course: RequestProgress,
     workers: Workers,
 ) -> Workers:
-    """Returns the workers with fewest requests that may end them.
+    """Returns the workers with the fewest suspect requests.
 
-    All that ran at a worker that ended are sent on at the same moment, and
-    would go to the same next worker: kept apart, those that ran beside the one
-    that ended it are answered there, and only that one ends another.
+    All requests of a worker that crashed are retried at the same moment and
+    would reach the same next worker. Spread over workers, the innocent ones
+    are answered, and only the request that caused the crash can cause another.
 
     Args:
-      is_suspect: Says whether a worker ended under a content.
-      suspect_count: Returns the own requests at a worker that may end it.
-      course: How the request went so far.
-      workers: To choose from.
+      is_suspect: Returns whether a worker crashed while it ran a content.
+      suspect_count: Returns how many suspect requests of this entry a worker
+        is running.
+      course: State of the request so far.
+      workers: The workers to choose from.
     """
     if not is_suspect(course.request.content):
         return workers
