--- a/src/rattanpier/_internal/placement/rate_limits.py
+++ b/src/rattanpier/_internal/placement/rate_limits.py
@@ -44,7 +44,7 @@
     """Returns what all entries together may send to a worker.
 
     >>> bound_of(2.0)
-    RateBound(rate_per_s=2.0, most=17, window_s=4.0, senders=11, live_share=1.0)
+    RateBound(rate_per_s=2.0, cap=17, window_s=4.0, senders=11, live_share=1.0)
     """
     most = math.floor(OVERSHOOT * rate_per_s * WINDOW_S + SLACK)
     return RateBound(
@@ -131,7 +131,7 @@
             began = word.incarnation not in self.limited
             self.limited[word.incarnation] = word.rate_per_s
             if began:
-                self.shares.begin(
+                self.shares.start_bound(
                     word.worker, word.incarnation, bound_of(word.rate_per_s)
                 )
         if len(self.words) > MOST_WORDS:
@@ -213,4 +213,4 @@
     def note_send(self, worker: RegisteredWorker) -> None:
         """Takes in that this entry sends a request to a worker."""
         if worker.incarnation in self.limited:
-            self.shares.note_send(worker.incarnation)
+            self.shares.record_send(worker.incarnation)
--- a/src/rattanpier/_internal/placement/warm_up.py
+++ b/src/rattanpier/_internal/placement/warm_up.py
@@ -47,7 +47,7 @@
       slack: Requests that may reach it beyond that.
 
     >>> bound_of(WarmUp(3.0, 9.0), 1.5, 5.0)
-    RateBound(rate_per_s=9.0, most=18, window_s=1.0, senders=4, live_share=0.5)
+    RateBound(rate_per_s=9.0, cap=18, window_s=1.0, senders=4, live_share=0.5)
     """
     most = math.floor(warm_up.rate_per_s * overshoot + slack)
     return RateBound(warm_up.rate_per_s, most, WINDOW_S, SENDERS, LIVE_SHARE)
@@ -155,7 +155,7 @@
     def note_send(self, worker: RegisteredWorker) -> None:
         """Takes in that this entry sends a request to a worker."""
         if self.warms_up(worker):
-            self.shares.note_send(worker.incarnation)
+            self.shares.record_send(worker.incarnation)
             log.info(
                 "Sent to a worker that warms up.",
                 worker=worker.id,
--- a/tests/placement/test_warm_up.py
+++ b/tests/placement/test_warm_up.py
@@ -11,7 +11,7 @@
 import pytest
 
 from rattanpier._internal.models.route_table import WarmUp
-from rattanpier._internal.placement.shared_rates import SETTLED_S, divide
+from rattanpier._internal.placement.shared_rates import STARTUP_GRACE_S, divide
 from rattanpier._internal.placement.warm_up import NEWS_S, bound_of
 from tests.lib.clock import ManualClock
 from tests.lib.relay_parts import make_worker, make_workers
@@ -102,7 +102,7 @@
     entry.shares.started_at = 0.0
     entry.note_registered(worker, appeared=True)
     assert entry.open([worker]) == []
-    clock.now = SETTLED_S
+    clock.now = STARTUP_GRACE_S
     # By now it would know of others: it is the only one.
     assert entry.open([worker]) == [worker]
 
