--- a/src/rattanpier/_internal/placement/shared_rates.py
+++ b/src/rattanpier/_internal/placement/shared_rates.py
@@ -1,9 +1,10 @@
-"""How a bound on what all entries send to one worker is divided among them.
+"""Divides a bound on the requests to one worker among all entries.
 
-Entries that each hold their own late view cannot count together what they send.
-So a senders entries, found by a hash of the worker, may send to it, each with a
-pause between two sends; the others go elsewhere. The bound holds without talk,
-also while entries differ in whom they take to live.
+Entries cannot count their requests together, since each has its own, delayed
+view of the fleet. Instead a few entries, chosen by a hash of the worker, may
+send to it, each with a minimum interval between requests; the others use other
+workers. The bound holds without communication, also while entries disagree
+about which entries are alive.
 """
 
 from __future__ import annotations
@@ -18,30 +19,30 @@
 from rattanpier._internal.utils.clock import Clock
 from rattanpier._internal.utils.hashing import weight_for
 
-# Entries that are candidates for a worker, of which a bound names the first senders.
+# Candidate senders per worker; a bound uses the first of them.
 MAX_SENDERS = 16
-# A pause is so much longer than a whole part of a window: sends from one entry
-# arrive at intervals that differ by some ms.
+# Pauses are longer by this factor than an even share of the window, since the
+# intervals between requests from one entry vary by some ms on arrival.
 PAUSE_FACTOR = 1.05
-# An entry that has just started may not know of the others yet, and would take
-# itself for the only one.
+# An entry that has just started may not know its peers yet, and would conclude
+# that it is the only entry.
 STARTUP_GRACE_S = 3.0
 SEND_RETENTION_S = 60.0  # Longer than any pause.
-MAX_TRACKED_WORKERS = 1024  # Workers whose senders are remembered; 0.5 KB each.
+MAX_TRACKED_WORKERS = 1024  # Workers with stored senders; 0.5 KB each.
 
 
 @attrs.frozen
 class RateBound:
-    """What all entries together may send to a worker.
+    """Bound on the requests of all entries together to one worker.
 
     Attributes:
-      rate_per_s: Requests, in the long run.
-      cap: Requests within any window.
-      window_s: Its length.
-      senders: Entries that may ever send, whoever lives; with more of them each
-        has a longer pause.
-      live_share: Of these, the share that does, of those that live. What is not
-        1 leaves spares for those that are down.
+      rate_per_s: Requests per second in the long run.
+      cap: Most requests within any window.
+      window_s: Length of the window in seconds.
+      senders: Entries that may send, regardless of which are alive; more
+        senders mean a longer pause for each.
+      live_share: Share of the senders, among those alive, that do send. A value
+        below 1 leaves spares for senders that are down.
     """
 
     rate_per_s: float
@@ -53,12 +54,12 @@
 
 @attrs.frozen
 class SenderShares:
-    """How a bound is divided.
+    """How a bound is divided among entries.
 
     Attributes:
-      senders: Entries that may ever send, whoever lives.
-      live_senders: Of these, how many that live do.
-      pause_s: Seconds between two sends of one entry.
+      senders: Entries that may send, regardless of which are alive.
+      live_senders: How many of the senders that are alive do send.
+      pause_s: Minimum seconds between two requests of one entry.
     """
 
     senders: int
@@ -67,11 +68,14 @@
 
 
 def divide(bound: RateBound, entries: int) -> SenderShares | None:
-    """Returns how a worker's bound is divided; None: it may get nothing.
+    """Returns how a worker's bound is divided among entries.
 
     Args:
-      bound: What all entries together may send.
-      entries: Those that are known.
+      bound: The bound for all entries together.
+      entries: Number of known entries.
+
+    Returns:
+      The division, or None if the worker may get no requests.
 
     >>> divide(RateBound(9.0, 18, 1.0, 4, 0.5), entries=77)
     SenderShares(senders=4, live_senders=2, pause_s=0.2625)
@@ -88,17 +92,16 @@
 
 @attrs.define(eq=False, repr=False)
 class SharedRates:
-    """This entry's part of the bounds of workers.
-
-    Workers are known here by their incarnations.
+    """This entry's share of the bounds of workers.
 
     Attributes:
       fleet: The entries that share a bound.
-      sent_at: When this entry sent to a bound worker last, in monotonic
-        seconds.
-      candidates: The entries that may ever send to each, and the roster that they
-        were candidates from.
-      started_at: When this entry started.
+      clock: Source of monotonic time.
+      sent_at: By incarnation of a bounded worker, the time of this entry's last
+        request to it, in monotonic seconds.
+      candidates: By worker id, the entries that may send to it, with the number
+        of the roster from which they were chosen.
+      started_at: Start of this entry, in monotonic seconds.
     """
 
     fleet: Fleet
@@ -114,7 +117,7 @@
     def opens_in_s(self, worker: RegisteredWorker, bound: RateBound) -> float:
         """Returns the seconds until this entry may send to a worker.
 
-        Infinite for an entry that may not at all.
+        Infinite if this entry is not one of the worker's senders.
         """
         parts = divide(bound, self.fleet.size())
         if parts is None or not self.may_send(worker, parts):
@@ -123,7 +126,7 @@
         return max(0.0, sent_at + parts.pause_s - self.clock.monotonic())
 
     def may_send(self, worker: RegisteredWorker, parts: SenderShares) -> bool:
-        """Says whether this entry is one that may send to a worker."""
+        """Returns whether this entry is one of a worker's active senders."""
         now = self.clock.monotonic()
         if self.fleet.size() == 1 and now - self.started_at < STARTUP_GRACE_S:
             return False
@@ -137,10 +140,10 @@
         return me in live[: parts.live_senders]
 
     def candidate_senders(self, worker: str) -> list[str]:
-        """Returns the entries that may ever send to a worker.
+        """Returns the entries that may send to a worker, most preferred first.
 
-        They are candidates from all that are known, down or not, so that entries
-        that differ in whom they take to live find the same senders.
+        They are chosen from all known entries, including those that are down,
+        so that entries that disagree about liveness find the same senders.
         """
         roster, senders = self.candidates.get(worker, (-1, []))
         if roster != self.fleet.roster_version:
@@ -152,9 +155,9 @@
     def start_bound(
         self, worker: str, incarnation: str, bound: RateBound
     ) -> None:
-        """Takes in that a bound holds from now on.
+        """Records that a bound holds from now on.
 
-        The senders begin one after the other, over the length of a pause.
+        The senders' first requests are staggered over the length of a pause.
         """
         parts = divide(bound, self.fleet.size())
         me = self.fleet.me.member.name
@@ -168,14 +171,14 @@
         self.sent_at[incarnation] = max(sent_at, as_if_at)
 
     def record_send(self, incarnation: str) -> None:
-        """Takes in that this entry sends a request to a bound worker."""
+        """Records that this entry sends a request to a bounded worker."""
         now = self.clock.monotonic()
         self.sent_at[incarnation] = now
         if len(self.sent_at) > MAX_TRACKED_WORKERS:
             self.forget_before(now - SEND_RETENTION_S)
 
     def forget_before(self, oldest: float) -> None:
-        """Drops sends from before a monotonic time, and surplus draws."""
+        """Drops requests before a monotonic time, and surplus candidates."""
         for incarnation, at in list(self.sent_at.items()):
             if at < oldest:
                 del self.sent_at[incarnation]
