--- a/benchmarks/rate_limits.py
+++ b/benchmarks/rate_limits.py
@@ -22,8 +22,8 @@
 from benchmarks.saved_parts import SavedParts
 from benchmarks.warm_up import view_of_half
 from rattanpier._internal.placement.rate_limits import (
-    OVERSHOOT,
-    SLACK,
+    OVERSHOOT_RATIO,
+    SLACK_REQUESTS,
     WINDOW_S,
 )
 from tests.lib.relay_parts import make_workers
@@ -45,7 +45,7 @@
 
     def open(self, workers: list) -> list:
         """Returns the workers that this entry may send to."""
-        if not self.limits.limited:
+        if not self.limits.rates:
             return workers
         now = self.limits.clock.now
         rate = RATE_PER_S / self.limits.shares.fleet.size()
@@ -59,13 +59,15 @@
         """Takes in a send."""
         self.parts.spend(worker.id, self.limits.clock.now)
 
-    def hear(self, worker: object, rate: float | None, at: float) -> None:
+    def record_answer(
+        self, worker: object, rate: float | None, at: float
+    ) -> None:
         """Takes in an answer."""
-        self.limits.hear(worker, rate, at)
+        self.limits.record_answer(worker, rate, at)
 
-    def take(self, words: list) -> None:
+    def apply_limits(self, limits: list) -> None:
         """Takes in what another entry heard."""
-        self.limits.take(words)
+        self.limits.apply_limits(limits)
 
 
 def few_senders(limits: object, _rng: random.Random) -> object:
@@ -117,7 +119,9 @@
     """Prints the table."""
     quiet = structlog.make_filtering_bound_logger(logging.ERROR)
     structlog.configure(wrapper_class=quiet)
-    allowed = math.floor(OVERSHOOT * RATE_PER_S * WINDOW_S + SLACK)
+    allowed = math.floor(
+        OVERSHOOT_RATIO * RATE_PER_S * WINDOW_S + SLACK_REQUESTS
+    )
     print(f"allowed {allowed} in {WINDOW_S} s, limit {RATE_PER_S} a second")
     print("| way | entries | views | news | told | used | refused | idle |")
     print("|---|---|---|---|---|---|---|---|")
--- a/src/rattanpier/_internal/programs/relay_dispatch.py
+++ b/src/rattanpier/_internal/programs/relay_dispatch.py
@@ -66,7 +66,7 @@
     def hear(
         worker: RegisteredWorker, head: AnswerHead, asked_at: float
     ) -> None:
-        limits.hear(worker, head.rate_per_s, asked_at)
+        limits.record_answer(worker, head.rate_per_s, asked_at)
         if head.leaving:
             state.directory.hear_leaving(worker)
         if head.rest_s:
@@ -75,13 +75,13 @@
     def opens_in_s(worker: RegisteredWorker) -> float:
         return max(
             warm_ups.opens_in_s(worker),
-            limits.soonest_s(worker),
+            limits.any_entry_opens_in_s(worker),
             rests.opens_in_s(worker.incarnation),
         )
 
     def note_begun(worker: RegisteredWorker) -> None:
         warm_ups.note_send(worker)
-        limits.note_send(worker)
+        limits.record_send(worker)
 
     state.gone.subscribe(forget)
     # What must hold goes before what is preferred: avoidance leaves half of the
@@ -98,7 +98,9 @@
         ),
         Condition(eligibility.TRIED, eligibility.untried),
         Condition(eligibility.WARMING_UP, lambda _, some: warm_ups.open(some)),
-        Condition(eligibility.RATE_LIMITED, lambda _, some: limits.open(some)),
+        Condition(
+            eligibility.RATE_LIMITED, lambda _, some: limits.open_workers(some)
+        ),
         Condition(eligibility.RESTING, lambda _, some: rests.open(some)),
         Condition(eligibility.AVOIDED, lambda _, some: health.usable(some)),
         Condition(
--- a/src/rattanpier/_internal/programs/relay_workers.py
+++ b/src/rattanpier/_internal/programs/relay_workers.py
@@ -37,7 +37,7 @@
     ) -> None:
         if rate_per_s is not None:
             # The report is of some time ago: it narrows only.
-            limits.hear(worker, rate_per_s, -math.inf)
+            limits.record_answer(worker, rate_per_s, -math.inf)
         if leaving:
             directory.hear_leaving(worker)
 
--- a/tests/lib/warm_fleet.py
+++ b/tests/lib/warm_fleet.py
@@ -143,21 +143,21 @@
         entry = make_limits(
             make_fleet(number, known, self.clock, down), self.clock
         )
-        entry.tell = lambda word: self.spread(entry, word)
+        entry.publish = lambda word: self.spread(entry, word)
         self.entries[number] = entry
 
     def spread(self, sender, word):
         if self.news:
             for entry in self.entries.values():
                 if entry is not sender:
-                    entry.take([word])
+                    entry.apply_limits([word])
 
     def tell_all(self, workers, rate_per_s):
         """Each entry gets an answer of each worker at the same moment."""
         news, self.news = self.news, False
         for entry in self.entries.values():
             for worker in workers:
-                entry.hear(worker, rate_per_s, self.clock.now)
+                entry.record_answer(worker, rate_per_s, self.clock.now)
         self.news = news
 
     def play(self, workers, requests_per_s, seconds, rate_per_s=None):
@@ -194,7 +194,7 @@
         if rate_per_s is not None:
             self.told_at.setdefault(key, self.clock.now)
             rate_per_s -= self.rng.uniform(0.0, self.wobble)
-        entry.hear(worker, rate_per_s, self.clock.now)
+        entry.record_answer(worker, rate_per_s, self.clock.now)
 
     def most_told(self, window_s):
         """The most that a worker got in a window from those that it told."""
--- a/tests/placement/test_rate_limits.py
+++ b/tests/placement/test_rate_limits.py
@@ -6,8 +6,8 @@
 import pytest
 
 from rattanpier._internal.placement.rate_limits import (
-    OVERSHOOT,
-    SLACK,
+    OVERSHOOT_RATIO,
+    SLACK_REQUESTS,
     WINDOW_S,
     bound_of,
 )
@@ -36,56 +36,56 @@
 
 def rate(limits, worker=WORKER):
     """What is known that a worker takes."""
-    word = limits.words.get(worker.incarnation)
-    return None if word is None else word.rate_per_s
+    limit = limits.reported.get(worker.incarnation)
+    return None if limit is None else limit.rate_per_s
 
 
 # What answers say.
 
 
 def test_a_limit_holds_from_the_answer_that_names_it(limits, clock):
-    limits.hear(WORKER, None, clock.monotonic())
-    assert not limits.words
-    limits.hear(WORKER, 2.5, clock.monotonic())
+    limits.record_answer(WORKER, None, clock.monotonic())
+    assert not limits.reported
+    limits.record_answer(WORKER, 2.5, clock.monotonic())
     assert rate(limits) == 2.5
 
 
 def test_an_answer_to_an_older_request_does_not_end_a_limit(limits, clock):
     asked_at = clock.monotonic()
     clock.now += 1.0
-    limits.hear(WORKER, 2.5, clock.monotonic())
-    limits.hear(WORKER, None, asked_at)
+    limits.record_answer(WORKER, 2.5, clock.monotonic())
+    limits.record_answer(WORKER, None, asked_at)
     assert rate(limits) == 2.5
-    limits.hear(WORKER, 4.0, asked_at)
+    limits.record_answer(WORKER, 4.0, asked_at)
     assert rate(limits) == 2.5
     clock.now += 1.0
-    limits.hear(WORKER, None, clock.monotonic())
+    limits.record_answer(WORKER, None, clock.monotonic())
     assert rate(limits) is None
 
 
 def test_an_answer_to_an_older_request_may_narrow(limits, clock):
     asked_at = clock.monotonic()
     clock.now += 1.0
-    limits.hear(WORKER, 2.5, clock.monotonic())
-    limits.hear(WORKER, 1.5, asked_at)
+    limits.record_answer(WORKER, 2.5, clock.monotonic())
+    limits.record_answer(WORKER, 1.5, asked_at)
     assert rate(limits) == 1.5
 
 
 def test_a_new_start_under_the_same_id_is_not_bound(limits, clock):
     before = attrs.evolve(WORKER, born=1)
     after = attrs.evolve(WORKER, born=2)
-    limits.hear(before, 2.5, clock.monotonic())
+    limits.record_answer(before, 2.5, clock.monotonic())
     assert rate(limits, after) is None
     # An answer of the former start that comes late.
-    limits.hear(before, 1.0, clock.monotonic())
+    limits.record_answer(before, 1.0, clock.monotonic())
     assert rate(limits, after) is None
 
 
 def test_what_a_worker_that_is_gone_said_is_dropped(limits, clock):
-    limits.hear(WORKER, 2.5, clock.monotonic())
+    limits.record_answer(WORKER, 2.5, clock.monotonic())
     limits.forget(WORKER.id)
-    assert not limits.words
-    assert not limits.known_at
+    assert not limits.reported
+    assert not limits.received_at
 
 
 # Odd values.
@@ -122,7 +122,7 @@
 
 def allowed(rate_per_s):
     """What a worker may get within a window from entries that it told."""
-    return OVERSHOOT * rate_per_s * WINDOW_S + SLACK
+    return OVERSHOOT_RATIO * rate_per_s * WINDOW_S + SLACK_REQUESTS
 
 
 def make_limited(size, down_at=lambda _number: ()):
@@ -227,7 +227,7 @@
     used = sum(map(len, fleet.sends.values())) / PLAY_S / len(workers)
     assert used >= 0.5 * 2.3
     fleet.play(workers, 2 * REQUESTS_PER_S, PLAY_S, None)
-    assert all(not entry.limited for entry in fleet.entries.values())
+    assert all(not entry.rates for entry in fleet.entries.values())
 
 
 @pytest.mark.parametrize("rate_per_s", RATES_PER_S)
@@ -245,14 +245,16 @@
     assert not fleet.sends
     fleet.play(workers, REQUESTS_PER_S, 60.0, 0.0)
     assert fleet.sends.keys() == {worker.id for worker in workers}
-    assert fleet.most_told(WINDOW_S) <= SLACK
+    assert fleet.most_told(WINDOW_S) <= SLACK_REQUESTS
     fleet.play(workers, REQUESTS_PER_S, 30.0, None)
-    assert all(not entry.limited for entry in fleet.entries.values())
+    assert all(not entry.rates for entry in fleet.entries.values())
 
 
 @pytest.mark.parametrize("size", SIZES)
 def test_callers_are_told_when_some_entry_takes_a_request(size):
     fleet, (worker, *_) = make_limited(size)
     fleet.tell_all([worker], 2.3)
-    waits = [entry.soonest_s(worker) for entry in fleet.entries.values()]
+    waits = [
+        entry.any_entry_opens_in_s(worker) for entry in fleet.entries.values()
+    ]
     assert all(0.0 < wait_s <= 1.0 / 2.3 + 0.01 for wait_s in waits)
--- a/tests/relay/test_leaving_workers.py
+++ b/tests/relay/test_leaving_workers.py
@@ -79,7 +79,7 @@
     site.workers["w2"].limit = "0.5"
     await until(lambda: all(map(leaves, entries)))
     limits = [entry.edge.dispatcher.limits for entry in entries]
-    await until(lambda: all(each.limited == {"w2": 0.5} for each in limits))
+    await until(lambda: all(each.rates == {"w2": 0.5} for each in limits))
     assert not site.workers["w1"].runs + site.workers["w2"].runs
 
 
