--- a/src/rattanpier/_internal/placement/rate_limits.py
+++ b/src/rattanpier/_internal/placement/rate_limits.py
@@ -1,11 +1,13 @@
-"""How much workers in need say that they take, from all entries together.
+"""Rate limits that overloaded workers ask of all entries together.
 
-What a worker says is divided as `shared_rates` says. Entries tell each other of
-it: most of them send nothing there, and would not hear that it ended.
+A worker's limit is divided among the entries as in `shared_rates`. Entries
+publish limits to each other, since most of them send nothing to the worker and
+would not learn from its answers that a limit ended.
 
-Two answers may overlap, and come in another order than they were written. So
-what narrows counts at once; what widens counts only from an answer to a request
-that was sent after the limit in force was known, which is surely newer.
+Answers may overlap and arrive in another order than they were written. A lower
+limit therefore takes effect at once. A higher one takes effect only if its
+answer is to a request that was sent after the current limit was known, which
+proves that it is newer.
 """
 
 from __future__ import annotations
@@ -28,20 +30,23 @@
 
 log = structlog.get_logger(part="workers")
 
-OVERSHOOT_RATIO = 1.5  # Times the rate that may reach a worker in any window.
-SLACK_REQUESTS = 5.0  # Requests that may reach it beyond that.
+OVERSHOOT_RATIO = 1.5  # Times the limit that may arrive in any window.
+SLACK_REQUESTS = 5.0  # Requests per window that may arrive on top.
 WINDOW_S = 4.0
-# Each of so many senders for a request within a window may hold one back: what
-# is left is for senders of entries that know others.
+# Senders per request allowed within a window. Less than 1, as the rest is for
+# senders chosen by entries that know a different set of peers.
 SENDERS_SHARE = 2 / 3
-# Only an answer tells that a limit ended: so often a worker that takes nothing
-# is asked all the same.
+# Only an answer can tell that a limit ended, so a worker that accepts nothing
+# is still sent requests at this rate.
 MIN_RATE_PER_S = 0.1
-MAX_LIMITS = 1024  # Incarnations whose words are kept; 0.5 KB each.
+MAX_LIMITS = 1024  # Incarnations with stored limits; 0.5 KB each.
 
 
 def bound_of(rate_per_s: float) -> RateBound:
-    """Returns what all entries together may send to a worker.
+    """Returns the bound on all entries' requests to a worker.
+
+    Args:
+      rate_per_s: Limit that the worker named, in requests per second.
 
     >>> bound_of(2.0)
     RateBound(rate_per_s=2.0, cap=17, window_s=4.0, senders=11, live_share=1.0)
@@ -58,15 +63,17 @@
 
 @attrs.define(eq=False, repr=False)
 class RateLimits:
-    """The words in force, by incarnation.
+    """The limits that workers reported, by incarnation.
 
     Attributes:
-      shares: This entry's part of what a worker takes.
-      is_registered: Says whether an incarnation is in the directory.
-      publish: Tells all other entries of a limit.
-      reported: Also those of workers that take all again.
-      rates: Rates of those that don't.
-      received_at: When each limit was known here, in monotonic seconds.
+      shares: This entry's share of the limits.
+      clock: Source of monotonic time.
+      is_registered: Returns whether a worker id and incarnation are in the
+        directory.
+      publish: Broadcasts a limit to all peers.
+      reported: The newest limit of each worker, including limits that ended.
+      rates: Limits in force, in requests per second.
+      received_at: When each limit was received here, in monotonic seconds.
     """
 
     shares: SharedRates
@@ -79,7 +86,7 @@
     rates: dict[str, float] = attrs.Factory(dict)
     received_at: dict[str, float] = attrs.Factory(dict)
 
-    # What workers say.
+    # Limits that workers report.
 
     def record_answer(
         self,
@@ -87,12 +94,12 @@
         rate_per_s: float | None,
         asked_at: float,
     ) -> None:
-        """Takes in what a worker's answer says.
+        """Records the limit in a worker's answer.
 
         Args:
-          worker: Who answered.
-          rate_per_s: What it takes; None: it names no limit.
-          asked_at: When its request was sent, in monotonic seconds.
+          worker: The worker that answered.
+          rate_per_s: The limit in requests per second, or None without one.
+          asked_at: When the request was sent, in monotonic seconds.
         """
         known = self.reported.get(worker.incarnation)
         if known is None:
@@ -110,14 +117,14 @@
             self.publish_limit(reported)
 
     def publish_limit(self, limit: RateLimit) -> None:
-        """Puts a worker's own limit in force, and tells the others."""
+        """Puts a limit from a worker's answer into force and publishes it."""
         self.set_limit(limit, "answer")
         self.publish(limit)
 
     def apply_limits(self, limits: Iterable[RateLimit]) -> None:
-        """Takes in what another entry heard; of two words the newer counts.
+        """Applies limits from a peer; the newer of two limits is kept.
 
-        Of two that may be equally new the narrower does.
+        If both may be equally new, the lower one is kept.
         """
         for limit in limits:
             known = self.reported.get(limit.incarnation)
@@ -125,7 +132,7 @@
                 self.set_limit(limit, "peer")
 
     def set_limit(self, limit: RateLimit, source: str) -> None:
-        """Puts a limit in force."""
+        """Stores a limit and puts it into force."""
         previous = self.reported.get(limit.incarnation)
         self.reported[limit.incarnation] = limit
         self.received_at[limit.incarnation] = self.clock.monotonic()
@@ -150,18 +157,18 @@
         )
 
     def forget(self, worker: str) -> None:
-        """Drops what a worker that is gone said."""
+        """Drops the limits of a worker that was deregistered."""
         for incarnation, limit in list(self.reported.items()):
             if limit.worker == worker:
                 self.drop(incarnation)
 
     def drop(self, incarnation: str) -> None:
-        """Drops a limit."""
+        """Drops the limit of an incarnation."""
         del self.reported[incarnation]
         del self.received_at[incarnation]
         self.rates.pop(incarnation, None)
 
-    # What entries that know the same have in common.
+    # Synchronisation with peers.
 
     def registered_limits(self) -> list[RateLimit]:
         """Returns the limits of registered workers."""
@@ -172,7 +179,7 @@
         ]
 
     def digest(self) -> int:
-        """Returns a number that tells these words from others."""
+        """Returns a digest of the limits, to compare with peers."""
         total = 0
         for limit in self.registered_limits():
             total ^= stable_hash(
@@ -180,7 +187,7 @@
             )
         return total
 
-    # What may be sent.
+    # Requests to workers.
 
     def open_workers(
         self, workers: Sequence[RegisteredWorker]
@@ -191,9 +198,9 @@
         return [each for each in workers if self.opens_in_s(each) <= 0.0]
 
     def opens_in_s(self, worker: RegisteredWorker) -> float:
-        """Returns the seconds until a worker takes a request from this entry.
+        """Returns the seconds until this entry may send to a worker.
 
-        Infinite for an entry that may not send there.
+        Infinite if this entry is not one of the worker's senders.
         """
         rate_per_s = self.rates.get(worker.incarnation)
         if rate_per_s is None:
@@ -201,9 +208,9 @@
         return self.shares.opens_in_s(worker, bound_of(rate_per_s))
 
     def any_entry_opens_in_s(self, worker: RegisteredWorker) -> float:
-        """Returns the seconds until a worker takes a request from any entry.
+        """Returns the seconds until any entry may send to a worker.
 
-        Callers that come back ask any of them.
+        Callers that retry may reach any entry.
         """
         wait_s = self.opens_in_s(worker)
         if not wait_s:
@@ -215,6 +222,6 @@
         return min(wait_s, parts.pause_s / parts.senders)
 
     def record_send(self, worker: RegisteredWorker) -> None:
-        """Takes in that this entry sends a request to a worker."""
+        """Records that this entry sends a request to a worker."""
         if worker.incarnation in self.rates:
             self.shares.record_send(worker.incarnation)
