--- a/benchmarks/rate_limits.py
+++ b/benchmarks/rate_limits.py
@@ -43,7 +43,7 @@
     limits: object
     parts: SavedParts
 
-    def open(self, workers: list) -> list:
+    def open_workers(self, workers: list) -> list:
         """Returns the workers that this entry may send to."""
         if not self.limits.rates:
             return workers
@@ -55,7 +55,7 @@
             if self.parts.touch(each.id, rate, now) >= 1.0
         ]
 
-    def note_send(self, worker: object) -> None:
+    def record_send(self, worker: object) -> None:
         """Takes in a send."""
         self.parts.spend(worker.id, self.limits.clock.now)
 
@@ -95,7 +95,7 @@
     fleet, workers = make(way, size, differ, True)
     fleet.tell_all(workers, RATE_PER_S)
     for entry in fleet.entries.values():
-        entry.open(workers)
+        entry.open_workers(workers)
     fleet.clock.now += IDLE_S
     fleet.play(workers, REQUESTS_PER_S, WINDOW_S, RATE_PER_S)
     return max(map(len, fleet.sends.values()))
--- a/benchmarks/warm_up.py
+++ b/benchmarks/warm_up.py
@@ -34,7 +34,7 @@
     warm_ups: object
     parts: SavedParts
 
-    def open(self, workers: list) -> list:
+    def open_workers(self, workers: list) -> list:
         """Returns the workers that this entry may send to."""
         now = self.warm_ups.clock.now
         rate = WARM_UP.rate_per_s / self.warm_ups.shares.fleet.size()
@@ -44,7 +44,7 @@
             if self.parts.touch(each.id, rate, now) >= 1.0
         ]
 
-    def note_send(self, worker: object) -> None:
+    def record_send(self, worker: object) -> None:
         """Takes in a send."""
         self.parts.spend(worker.id, self.warm_ups.clock.now)
 
@@ -61,7 +61,7 @@
     rng: random.Random
     workers: int
 
-    def open(self, workers: list) -> list:
+    def open_workers(self, workers: list) -> list:
         """Returns the workers that this entry considers."""
         demand = REQUESTS_PER_S * self.warm_ups.shares.fleet.size()
         allowed = WARM_UP.rate_per_s * len(workers)
@@ -69,7 +69,7 @@
             return []
         return workers
 
-    def note_send(self, worker: object) -> None:
+    def record_send(self, worker: object) -> None:
         """Takes in a send."""
 
 
@@ -102,7 +102,7 @@
         fleet.add(number, range(size), down)
         entry = fleet.entries[number]
         for worker in workers:
-            entry.note_registered(worker, appeared=True)
+            entry.record_registration(worker, appeared=True)
         fleet.entries[number] = WAYS[way](entry, rng, len(workers))
     ask_all(fleet, workers)
     used = fleet.rate_per_s(workers, PLAY_S) / WARM_UP.rate_per_s
--- a/src/rattanpier/_internal/placement/warm_up.py
+++ b/src/rattanpier/_internal/placement/warm_up.py
@@ -28,9 +28,9 @@
 
 # The registration that tells of a warm-up is as old as one heartbeat of the
 # worker and the way through the store and a watcher.
-NEWS_S = 1.0
+PROPAGATION_S = 1.0
 # What is known of a worker is of use for as long as it warms up.
-KEPT_S = 60.0
+RETENTION_S = 60.0
 WINDOW_S = 1.0
 # Two entries send, and two more stand by: a warm-up is over before it would be
 # known everywhere that one is down.
@@ -49,8 +49,8 @@
     >>> bound_of(WarmUp(3.0, 9.0), 1.5, 5.0)
     RateBound(rate_per_s=9.0, cap=18, window_s=1.0, senders=4, live_share=0.5)
     """
-    most = math.floor(warm_up.rate_per_s * overshoot + slack)
-    return RateBound(warm_up.rate_per_s, most, WINDOW_S, SENDERS, LIVE_SHARE)
+    cap = math.floor(warm_up.rate_per_s * overshoot + slack)
+    return RateBound(warm_up.rate_per_s, cap, WINDOW_S, SENDERS, LIVE_SHARE)
 
 
 @attrs.define(eq=False, repr=False)
@@ -65,8 +65,8 @@
       overshoot: Times the rate that may reach one in any one second.
       slack: Requests that may reach one beyond that.
       heartbeat_s: Workers renew their registration this often.
-      told_until: Until when each says that it warms up, in monotonic seconds.
-      presumed_at: Since when each is taken to, whatever it says.
+      reported_until: Until when each says that it warms up, in monotonic seconds.
+      presumed_cold_at: Since when each is taken to, whatever it says.
     """
 
     shares: SharedRates
@@ -75,12 +75,14 @@
     overshoot: float = 1.0
     slack: float = 0.0
     heartbeat_s: float = 0.0
-    told_until: dict[str, float] = attrs.Factory(dict)
-    presumed_at: dict[str, float] = attrs.Factory(dict)
+    reported_until: dict[str, float] = attrs.Factory(dict)
+    presumed_cold_at: dict[str, float] = attrs.Factory(dict)
 
     # What is known of workers.
 
-    def note_registered(self, worker: RegisteredWorker, appeared: bool) -> None:
+    def record_registration(
+        self, worker: RegisteredWorker, appeared: bool
+    ) -> None:
         """Takes in a registration.
 
         Args:
@@ -89,28 +91,28 @@
         """
         if worker.warm_in_s > 0.0:
             until = self.clock.monotonic() + worker.warm_in_s
-            self.told_until[worker.incarnation] = until
+            self.reported_until[worker.incarnation] = until
         else:
-            self.told_until.pop(worker.incarnation, None)
+            self.reported_until.pop(worker.incarnation, None)
         if appeared:
-            self.presume([worker])
+            self.presume_cold([worker])
 
-    def presume(self, workers: Iterable[RegisteredWorker]) -> None:
+    def presume_cold(self, workers: Iterable[RegisteredWorker]) -> None:
         """Takes workers to warm up from now on, whatever they say.
 
         That holds for those that have just appeared, and for those whose domain
         gets requests again: they may have turned cold meanwhile, which their
         registrations tell a heartbeat later.
         """
-        self.forget_old()
+        self.drop_old()
         now = self.clock.monotonic()
         for worker in workers:
-            self.presumed_at[worker.incarnation] = now
+            self.presumed_cold_at[worker.incarnation] = now
 
-    def forget_old(self) -> None:
+    def drop_old(self) -> None:
         """Drops what was known of workers that are warm by now, or gone."""
-        oldest = self.clock.monotonic() - KEPT_S
-        for known in (self.told_until, self.presumed_at):
+        oldest = self.clock.monotonic() - RETENTION_S
+        for known in (self.reported_until, self.presumed_cold_at):
             for incarnation, at in list(known.items()):
                 if at < oldest:
                     del known[incarnation]
@@ -121,24 +123,25 @@
         warm_up = self.warm_up_of(worker.service)
         if warm_up is None:
             return 0.0
-        told = self.told_until.get(worker.incarnation, -math.inf)
-        presumed = self.presumed_at.get(worker.incarnation, -math.inf)
+        reported = self.reported_until.get(worker.incarnation, -math.inf)
+        presumed = self.presumed_cold_at.get(worker.incarnation, -math.inf)
         until = max(
-            told + NEWS_S, presumed + warm_up.start_s + self.heartbeat_s
+            reported + PROPAGATION_S,
+            presumed + warm_up.start_s + self.heartbeat_s,
         )
         return max(0.0, until - self.clock.monotonic())
 
-    def warms_up(self, worker: RegisteredWorker) -> bool:
+    def is_warming_up(self, worker: RegisteredWorker) -> bool:
         """Says whether a worker's bound holds for what it gets now."""
         return self.warm_in_s(worker) > 0.0
 
     # What may be sent.
 
-    def open(
+    def open_workers(
         self, workers: Sequence[RegisteredWorker]
     ) -> Sequence[RegisteredWorker]:
         """Returns the workers that this entry may send to now."""
-        if not self.told_until and not self.presumed_at:
+        if not self.reported_until and not self.presumed_cold_at:
             return workers
         return [each for each in workers if self.opens_in_s(each) <= 0.0]
 
@@ -152,9 +155,9 @@
         bound = bound_of(warm_up, self.overshoot, self.slack)
         return min(warm_in_s, self.shares.opens_in_s(worker, bound))
 
-    def note_send(self, worker: RegisteredWorker) -> None:
+    def record_send(self, worker: RegisteredWorker) -> None:
         """Takes in that this entry sends a request to a worker."""
-        if self.warms_up(worker):
+        if self.is_warming_up(worker):
             self.shares.record_send(worker.incarnation)
             log.info(
                 "Sent to a worker that warms up.",
--- a/src/rattanpier/_internal/programs/relay_dispatch.py
+++ b/src/rattanpier/_internal/programs/relay_dispatch.py
@@ -80,7 +80,7 @@
         )
 
     def note_begun(worker: RegisteredWorker) -> None:
-        warm_ups.note_send(worker)
+        warm_ups.record_send(worker)
         limits.record_send(worker)
 
     state.gone.subscribe(forget)
@@ -97,7 +97,9 @@
             functools.partial(eligibility.in_regions, settings.regions),
         ),
         Condition(eligibility.TRIED, eligibility.untried),
-        Condition(eligibility.WARMING_UP, lambda _, some: warm_ups.open(some)),
+        Condition(
+            eligibility.WARMING_UP, lambda _, some: warm_ups.open_workers(some)
+        ),
         Condition(
             eligibility.RATE_LIMITED, lambda _, some: limits.open_workers(some)
         ),
@@ -164,11 +166,11 @@
         heartbeat_s=settings.heartbeat_s,
     )
     directory = state.directory
-    directory.registered = warm_ups.note_registered
-    state.domains.on_undrained = lambda domain: warm_ups.presume(
+    directory.registered = warm_ups.record_registration
+    state.domains.on_undrained = lambda domain: warm_ups.presume_cold(
         directory.of_domain(domain)
     )
-    state.rollouts.warms_up = warm_ups.warms_up
+    state.rollouts.warms_up = warm_ups.is_warming_up
     return warm_ups
 
 
--- a/tests/lib/warm_fleet.py
+++ b/tests/lib/warm_fleet.py
@@ -77,7 +77,7 @@
         """Each entry gets requests at random and would use any cold worker."""
         for entry in self.entries.values():
             for worker in workers:
-                entry.note_registered(worker, appeared=True)
+                entry.record_registration(worker, appeared=True)
         chance = requests_per_s * STEP_S
         for _ in range(round(seconds / STEP_S)):
             self.clock.now += STEP_S
@@ -86,12 +86,12 @@
                     self.ask(entry, workers)
 
     def ask(self, entry, workers):
-        open_ones = entry.open(workers)
+        open_ones = entry.open_workers(workers)
         if not open_ones:
             self.refused += 1
             return
         worker = self.rng.choice(open_ones)
-        entry.note_send(worker)
+        entry.record_send(worker)
         self.sends[worker.id].append(self.clock.now)
 
     def most_in_a_second(self):
@@ -176,12 +176,12 @@
                         self.answer(entry, worker, rate_per_s)
 
     def ask(self, entry, workers):
-        open_ones = entry.open(workers)
+        open_ones = entry.open_workers(workers)
         if not open_ones:
             self.refused += 1
             return None
         worker = self.rng.choice(open_ones)
-        entry.note_send(worker)
+        entry.record_send(worker)
         self.sends[worker.id].append(self.clock.now)
         return worker
 
--- a/tests/placement/test_warm_up.py
+++ b/tests/placement/test_warm_up.py
@@ -12,7 +12,7 @@
 
 from rattanpier._internal.models.route_table import WarmUp
 from rattanpier._internal.placement.shared_rates import STARTUP_GRACE_S, divide
-from rattanpier._internal.placement.warm_up import NEWS_S, bound_of
+from rattanpier._internal.placement.warm_up import PROPAGATION_S, bound_of
 from tests.lib.clock import ManualClock
 from tests.lib.relay_parts import make_worker, make_workers
 from tests.lib.warm_fleet import (
@@ -100,22 +100,22 @@
     fleet = make_fleet(0, [], clock)
     entry = make_warm_ups(fleet, clock)
     entry.shares.started_at = 0.0
-    entry.note_registered(worker, appeared=True)
-    assert entry.open([worker]) == []
+    entry.record_registration(worker, appeared=True)
+    assert entry.open_workers([worker]) == []
     clock.now = STARTUP_GRACE_S
     # By now it would know of others: it is the only one.
-    assert entry.open([worker]) == [worker]
+    assert entry.open_workers([worker]) == [worker]
 
 
 def test_an_entry_pauses_between_its_sends(clock):
     worker = cold()
     entry = make_warm_ups(make_fleet(0, [], clock), clock)
-    entry.note_registered(worker, appeared=False)
-    entry.note_send(worker)
-    assert entry.open([worker]) == []
+    entry.record_registration(worker, appeared=False)
+    entry.record_send(worker)
+    assert entry.open_workers([worker]) == []
     wait_s = entry.opens_in_s(worker)
     clock.now += wait_s
-    assert entry.open([worker]) == [worker]
+    assert entry.open_workers([worker]) == [worker]
 
 
 def test_a_worker_that_bears_nothing_gets_nothing(clock):
@@ -124,8 +124,8 @@
         make_fleet(0, [], clock), clock, warm_up=WarmUp(3.0, 0.01)
     )
     entry.slack = 0.0
-    entry.note_registered(cold(), appeared=False)
-    assert entry.open([cold()]) == []
+    entry.record_registration(cold(), appeared=False)
+    assert entry.open_workers([cold()]) == []
 
 
 @pytest.mark.parametrize("rate_per_s", [0.5, 1.0, 3.0, 9.0, 40.0])
@@ -144,56 +144,56 @@
 def test_a_worker_that_appears_warms_up_whatever_it_says(clock):
     entry = make_warm_ups(make_fleet(0, [], clock), clock)
     worker = make_worker("w0", warm_in_s=0.0)
-    entry.note_registered(worker, appeared=True)
-    assert entry.warms_up(worker)
+    entry.record_registration(worker, appeared=True)
+    assert entry.is_warming_up(worker)
     clock.now += WARM_UP.start_s + HEARTBEAT_S
-    assert not entry.warms_up(worker)
+    assert not entry.is_warming_up(worker)
 
 
 def test_a_worker_that_stood_in_the_table_is_taken_at_its_word(clock):
     entry = make_warm_ups(make_fleet(0, [], clock), clock)
-    entry.note_registered(make_worker("w0"), appeared=False)
-    assert not entry.warms_up(make_worker("w0"))
-    entry.note_registered(cold(), appeared=False)
-    assert entry.warms_up(cold())
+    entry.record_registration(make_worker("w0"), appeared=False)
+    assert not entry.is_warming_up(make_worker("w0"))
+    entry.record_registration(cold(), appeared=False)
+    assert entry.is_warming_up(cold())
 
 
 def test_a_worker_turns_cold_at_any_moment(clock):
     entry = make_warm_ups(make_fleet(0, [], clock), clock)
-    entry.note_registered(cold(warm_in_s=1.0), appeared=False)
+    entry.record_registration(cold(warm_in_s=1.0), appeared=False)
     clock.now += 1.0
     # The news is as old as the way that it came.
-    assert entry.warms_up(cold())
-    clock.now += NEWS_S
-    assert not entry.warms_up(cold())
-    entry.note_registered(cold(warm_in_s=2.0), appeared=False)
-    assert entry.warms_up(cold())
-    entry.note_registered(cold(warm_in_s=0.0), appeared=False)
-    assert not entry.warms_up(cold())
+    assert entry.is_warming_up(cold())
+    clock.now += PROPAGATION_S
+    assert not entry.is_warming_up(cold())
+    entry.record_registration(cold(warm_in_s=2.0), appeared=False)
+    assert entry.is_warming_up(cold())
+    entry.record_registration(cold(warm_in_s=0.0), appeared=False)
+    assert not entry.is_warming_up(cold())
 
 
 def test_another_incarnation_under_the_same_id_warms_up(clock):
     entry = make_warm_ups(make_fleet(0, [], clock), clock)
     before = make_worker("w0", born=1)
-    entry.note_registered(before, appeared=False)
+    entry.record_registration(before, appeared=False)
     after = attrs.evolve(before, born=2)
-    entry.note_registered(after, appeared=True)
-    assert entry.warms_up(after)
-    assert not entry.warms_up(before)
+    entry.record_registration(after, appeared=True)
+    assert entry.is_warming_up(after)
+    assert not entry.is_warming_up(before)
 
 
 def test_workers_of_a_service_that_bears_all_are_open(clock):
     entry = make_warm_ups(make_fleet(0, [], clock), clock)
     plain = make_worker("w0", service="plain", warm_in_s=3.0)
-    entry.note_registered(plain, appeared=True)
-    assert entry.open([plain]) == [plain]
+    entry.record_registration(plain, appeared=True)
+    assert entry.open_workers([plain]) == [plain]
 
 
 def test_what_was_known_of_old_workers_is_dropped(clock):
     entry = make_warm_ups(make_fleet(0, [], clock), clock)
     for number in range(50):
-        entry.note_registered(cold(number), appeared=True)
-        entry.note_send(cold(number))
+        entry.record_registration(cold(number), appeared=True)
+        entry.record_send(cold(number))
         clock.now += 10.0
-    assert len(entry.presumed_at) < 10
+    assert len(entry.presumed_cold_at) < 10
     assert len(entry.shares.sent_at) < 10
