--- a/src/rattanpier/_internal/placement/warm_up.py
+++ b/src/rattanpier/_internal/placement/warm_up.py
@@ -1,11 +1,11 @@
-"""How much a worker gets while it warms up, over all entries together.
+"""Bounds on the requests of all entries together to a worker that warms up.
 
-A worker that has just started bears a few requests a second and ends under
-more. It also looks empty, so that all entries would choose it at the same
-moment. What it bears is divided as `shared_rates` says.
+A worker that has just started can handle a few requests per second and crashes
+under more. It also appears idle, so all entries would choose it at the same
+moment. The rate that it can handle is divided as in `shared_rates`.
 
-What is not known counts as warming up: a worker that appears, one whose domain
-comes back after it was drained.
+A worker in an unknown state is assumed to be warming up: one that has just
+appeared, or whose failure domain is back after it was drained.
 """
 
 from __future__ import annotations
@@ -26,25 +26,25 @@
 
 log = structlog.get_logger(part="workers")
 
-# The registration that tells of a warm-up is as old as one heartbeat of the
-# worker and the way through the store and a watcher.
+# Delay until a registration that reports a warm-up is known here: one heartbeat
+# of the worker and the way through the store and a watcher.
 PROPAGATION_S = 1.0
-# What is known of a worker is of use for as long as it warms up.
+# Warm-up state of a worker is only useful while it warms up.
 RETENTION_S = 60.0
 WINDOW_S = 1.0
-# Two entries send, and two more stand by: a warm-up is over before it would be
-# known everywhere that one is down.
+# Two entries send and two are spares: a warm-up ends before all entries would
+# learn that a sender is down.
 SENDERS = 4
 LIVE_SHARE = 0.5
 
 
 def bound_of(warm_up: WarmUp, overshoot: float, slack: float) -> RateBound:
-    """Returns what all entries together may send to a worker that warms up.
+    """Returns the bound on all entries' requests to a worker that warms up.
 
     Args:
-      warm_up: What the worker bears.
-      overshoot: Times the rate that may reach it in any one second.
-      slack: Requests that may reach it beyond that.
+      warm_up: Duration of the warm-up and the rate that a worker can handle.
+      overshoot: Multiple of the rate that may arrive within any one second.
+      slack: Requests per second that may arrive on top.
 
     >>> bound_of(WarmUp(3.0, 9.0), 1.5, 5.0)
     RateBound(rate_per_s=9.0, cap=18, window_s=1.0, senders=4, live_share=0.5)
@@ -55,18 +55,20 @@
 
 @attrs.define(eq=False, repr=False)
 class WarmUps:
-    """Workers that warm up, and what this entry may send them.
-
-    Workers are known here by their incarnations.
+    """Workers that warm up, and what this entry may send to them.
 
     Attributes:
-      shares: This entry's part of what a worker bears.
-      warm_up_of: What workers of a service bear; None where it is unbounded.
-      overshoot: Times the rate that may reach one in any one second.
-      slack: Requests that may reach one beyond that.
-      heartbeat_s: Workers renew their registration this often.
-      reported_until: Until when each says that it warms up, in monotonic seconds.
-      presumed_cold_at: Since when each is taken to, whatever it says.
+      shares: This entry's share of the bounds.
+      clock: Source of monotonic time.
+      warm_up_of: Returns the warm-up of a service's workers; None if they need
+        no bound.
+      overshoot: Multiple of the rate that may arrive within any one second.
+      slack: Requests per second that may arrive on top.
+      heartbeat_s: Interval at which workers renew their registration.
+      reported_until: By incarnation, the time until which the worker reports
+        that it warms up, in monotonic seconds.
+      presumed_cold_at: By incarnation, since when the worker is assumed to warm
+        up regardless of its report, in monotonic seconds.
     """
 
     shares: SharedRates
@@ -78,16 +80,16 @@
     reported_until: dict[str, float] = attrs.Factory(dict)
     presumed_cold_at: dict[str, float] = attrs.Factory(dict)
 
-    # What is known of workers.
+    # State of workers.
 
     def record_registration(
         self, worker: RegisteredWorker, appeared: bool
     ) -> None:
-        """Takes in a registration.
+        """Records a registration.
 
         Args:
-          worker: Who registered.
-          appeared: Its incarnation was not known before.
+          worker: The worker that registered.
+          appeared: Whether its incarnation was unknown before.
         """
         if worker.warm_in_s > 0.0:
             until = self.clock.monotonic() + worker.warm_in_s
@@ -98,11 +100,11 @@
             self.presume_cold([worker])
 
     def presume_cold(self, workers: Iterable[RegisteredWorker]) -> None:
-        """Takes workers to warm up from now on, whatever they say.
+        """Assumes from now on that workers warm up, whatever they report.
 
-        That holds for those that have just appeared, and for those whose domain
-        gets requests again: they may have turned cold meanwhile, which their
-        registrations tell a heartbeat later.
+        This applies to workers that have just appeared, and to workers whose
+        domain is no longer drained: they may have gone cold meanwhile, which
+        their registrations report up to one heartbeat later.
         """
         self.drop_old()
         now = self.clock.monotonic()
@@ -110,7 +112,7 @@
             self.presumed_cold_at[worker.incarnation] = now
 
     def drop_old(self) -> None:
-        """Drops what was known of workers that are warm by now, or gone."""
+        """Drops the state of workers that are warm by now or deregistered."""
         oldest = self.clock.monotonic() - RETENTION_S
         for known in (self.reported_until, self.presumed_cold_at):
             for incarnation, at in list(known.items()):
@@ -119,7 +121,7 @@
         self.shares.forget_before(oldest)
 
     def warm_in_s(self, worker: RegisteredWorker) -> float:
-        """Returns the seconds until a worker is surely warm; 0: it is."""
+        """Returns the seconds until a worker is surely warm; 0 if it is."""
         warm_up = self.warm_up_of(worker.service)
         if warm_up is None:
             return 0.0
@@ -132,10 +134,10 @@
         return max(0.0, until - self.clock.monotonic())
 
     def is_warming_up(self, worker: RegisteredWorker) -> bool:
-        """Says whether a worker's bound holds for what it gets now."""
+        """Returns whether the bound on a worker is in force now."""
         return self.warm_in_s(worker) > 0.0
 
-    # What may be sent.
+    # Requests to workers.
 
     def open_workers(
         self, workers: Sequence[RegisteredWorker]
@@ -156,11 +158,11 @@
         return min(warm_in_s, self.shares.opens_in_s(worker, bound))
 
     def record_send(self, worker: RegisteredWorker) -> None:
-        """Takes in that this entry sends a request to a worker."""
+        """Records that this entry sends a request to a worker."""
         if self.is_warming_up(worker):
             self.shares.record_send(worker.incarnation)
             log.info(
-                "Sent to a worker that warms up.",
+                "Sent to a worker that is warming up.",
                 worker=worker.id,
                 warm_in_s=round(self.warm_in_s(worker), 3),
                 entries=self.shares.fleet.size(),
