--- a/src/rattanpier/_internal/placement/rests.py
+++ b/src/rattanpier/_internal/placement/backoffs.py
@@ -20,62 +20,62 @@
 
 # Entries that were turned away at the same moment come back over so much more
 # of the time that was asked for.
-SPREAD_SHARE = 0.25
-MOST_REST_S = 60.0  # A worker that wants more is asked again then.
-MOST_KEPT = 1024  # Workers that are remembered; 0.2 KB each.
+JITTER_SHARE = 0.25
+MAX_BACKOFF_S = 60.0  # A worker that wants more is asked again then.
+MAX_BACKOFFS = 1024  # Workers that are remembered; 0.2 KB each.
 
 
 @attrs.define(eq=False, repr=False)
-class Rests:
+class Backoffs:
     """Until when workers want nothing from this entry.
 
     Attributes:
       rng: Spreads the ends.
       until: In monotonic seconds, by worker; where a worker's start is known,
         by its incarnation.
-      all_over_at: When the last of them ends.
+      last_ends_at: When the last of them ends.
     """
 
     clock: Clock
     rng: random.Random
     until: dict[str, float] = attrs.Factory(dict)
-    all_over_at: float = -math.inf
+    last_ends_at: float = -math.inf
 
-    def hear(self, worker: str, rest_s: float) -> None:
+    def record_backoff(self, worker: str, backoff_s: float) -> None:
         """Takes in that a worker asks for rest; the longest one counts."""
         now = self.clock.monotonic()
-        if len(self.until) >= MOST_KEPT:
-            self.forget_over(now)
-        spread_s = SPREAD_SHARE * rest_s * self.rng.random()
-        until = now + min(MOST_REST_S, rest_s + spread_s)
+        if len(self.until) >= MAX_BACKOFFS:
+            self.drop_expired(now)
+        jitter_s = JITTER_SHARE * backoff_s * self.rng.random()
+        until = now + min(MAX_BACKOFF_S, backoff_s + jitter_s)
         if until <= self.until.get(worker, -math.inf):
             return
         self.until[worker] = until
-        self.all_over_at = max(self.all_over_at, until)
+        self.last_ends_at = max(self.last_ends_at, until)
         log.info(
             "Worker asks for rest.",
             worker=worker,
-            rest_s=rest_s,
-            spread_s=round(spread_s, 3),
+            rest_s=backoff_s,
+            spread_s=round(jitter_s, 3),
         )
 
-    def forget_over(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Drops rests that ended."""
         self.until = {id: at for id, at in self.until.items() if at > now}
 
-    def open(
+    def open_workers(
         self, workers: Sequence[RegisteredWorker]
     ) -> Sequence[RegisteredWorker]:
         """Returns the workers that did not ask for rest."""
-        if self.all_over():
+        if self.none_active():
             return workers
         return [
             each for each in workers if self.opens_in_s(each.incarnation) <= 0.0
         ]
 
-    def all_over(self) -> bool:
+    def none_active(self) -> bool:
         """Says whether no worker wants rest."""
-        return self.clock.monotonic() >= self.all_over_at
+        return self.clock.monotonic() >= self.last_ends_at
 
     def opens_in_s(self, worker: str) -> float:
         """Returns the seconds until a worker takes requests again; 0: now."""
--- a/src/rattanpier/_internal/programs/relay_dispatch.py
+++ b/src/rattanpier/_internal/programs/relay_dispatch.py
@@ -10,9 +10,9 @@
 from rattanpier._internal.models.sending import AnswerHead
 from rattanpier._internal.models.worker import RegisteredWorker
 from rattanpier._internal.placement import eligibility
+from rattanpier._internal.placement.backoffs import Backoffs
 from rattanpier._internal.placement.eligibility import Condition
 from rattanpier._internal.placement.rate_limits import RateLimits
-from rattanpier._internal.placement.rests import Rests
 from rattanpier._internal.placement.shared_rates import SharedRates
 from rattanpier._internal.placement.warm_up import WarmUps
 from rattanpier._internal.platform import upstream
@@ -55,7 +55,7 @@
     shares = SharedRates(fleet, clock)
     warm_ups = make_warm_ups(settings, state, shares)
     limits = make_rate_limits(state, shares)
-    rests = Rests(clock, random.Random(settings.name))
+    rests = Backoffs(clock, random.Random(settings.name))
 
     def forget(worker: str) -> None:
         loads.forget(worker)
@@ -70,7 +70,7 @@
         if head.leaving:
             state.directory.hear_leaving(worker)
         if head.rest_s:
-            rests.hear(worker.incarnation, head.rest_s)
+            rests.record_backoff(worker.incarnation, head.rest_s)
 
     def opens_in_s(worker: RegisteredWorker) -> float:
         return max(
@@ -103,7 +103,9 @@
         Condition(
             eligibility.RATE_LIMITED, lambda _, some: limits.open_workers(some)
         ),
-        Condition(eligibility.RESTING, lambda _, some: rests.open(some)),
+        Condition(
+            eligibility.RESTING, lambda _, some: rests.open_workers(some)
+        ),
         Condition(eligibility.AVOIDED, lambda _, some: health.usable(some)),
         Condition(
             eligibility.KEPT_APART,
--- a/tests/placement/test_rests.py
+++ b/tests/placement/test_backoffs.py
@@ -5,11 +5,11 @@
 import attrs
 import pytest
 
-from rattanpier._internal.placement.rests import (
-    MOST_KEPT,
-    MOST_REST_S,
-    SPREAD_SHARE,
-    Rests,
+from rattanpier._internal.placement.backoffs import (
+    JITTER_SHARE,
+    MAX_BACKOFF_S,
+    MAX_BACKOFFS,
+    Backoffs,
 )
 from rattanpier._internal.platform.upstream import (
     UNREADABLE_REST_S,
@@ -28,30 +28,30 @@
 
 
 @pytest.fixture
-def rests(clock):
-    return Rests(clock, random.Random(1))
+def backoffs(clock):
+    return Backoffs(clock, random.Random(1))
 
 
-def test_a_worker_is_left_alone_for_as_long_as_it_asked(rests, clock):
-    rests.hear(WORKER.incarnation, 3.0)
+def test_a_worker_is_left_alone_for_as_long_as_it_asked(backoffs, clock):
+    backoffs.record_backoff(WORKER.incarnation, 3.0)
     clock.now += 2.99
-    assert rests.open([WORKER]) == []
-    clock.now += 0.02 + 3.0 * SPREAD_SHARE
-    assert rests.open([WORKER]) == [WORKER]
+    assert backoffs.open_workers([WORKER]) == []
+    clock.now += 0.02 + 3.0 * JITTER_SHARE
+    assert backoffs.open_workers([WORKER]) == [WORKER]
 
 
-def test_a_shorter_rest_that_comes_later_ends_no_longer_one(rests, clock):
-    rests.hear(WORKER.incarnation, 3.0)
-    rests.hear(WORKER.incarnation, 0.1)
+def test_a_shorter_rest_that_comes_later_ends_no_longer_one(backoffs, clock):
+    backoffs.record_backoff(WORKER.incarnation, 3.0)
+    backoffs.record_backoff(WORKER.incarnation, 0.1)
     clock.now += 2.9
-    assert rests.open([WORKER]) == []
+    assert backoffs.open_workers([WORKER]) == []
 
 
 def test_the_ends_of_rests_that_begin_together_are_spread(clock):
     ends = []
     for number in range(200):
-        entry = Rests(clock, random.Random(f"entry-{number}"))
-        entry.hear(WORKER.incarnation, 4.0)
+        entry = Backoffs(clock, random.Random(f"entry-{number}"))
+        entry.record_backoff(WORKER.incarnation, 4.0)
         ends.append(entry.opens_in_s(WORKER.incarnation))
     assert 4.0 <= min(ends) <= max(ends) <= 5.0
     in_a_tenth = max(
@@ -60,22 +60,22 @@
     assert in_a_tenth <= 0.2 * len(ends)
 
 
-def test_a_new_start_under_the_same_id_does_not_rest(rests):
-    rests.hear(attrs.evolve(WORKER, born=1).incarnation, 3.0)
+def test_a_new_start_under_the_same_id_does_not_rest(backoffs):
+    backoffs.record_backoff(attrs.evolve(WORKER, born=1).incarnation, 3.0)
     again = attrs.evolve(WORKER, born=2)
-    assert rests.open([again]) == [again]
+    assert backoffs.open_workers([again]) == [again]
 
 
-def test_no_rest_is_endless(rests):
-    rests.hear(WORKER.incarnation, 31536000.0)
-    assert rests.opens_in_s(WORKER.incarnation) <= MOST_REST_S
+def test_no_rest_is_endless(backoffs):
+    backoffs.record_backoff(WORKER.incarnation, 31536000.0)
+    assert backoffs.opens_in_s(WORKER.incarnation) <= MAX_BACKOFF_S
 
 
-def test_what_is_kept_is_bounded(rests, clock):
-    for worker in make_workers(4 * MOST_KEPT):
-        rests.hear(worker.incarnation, 0.001)
+def test_what_is_kept_is_bounded(backoffs, clock):
+    for worker in make_workers(4 * MAX_BACKOFFS):
+        backoffs.record_backoff(worker.incarnation, 0.001)
         clock.now += 0.01
-    assert len(rests.until) <= MOST_KEPT
+    assert len(backoffs.until) <= MAX_BACKOFFS
 
 
 @pytest.mark.parametrize(
