--- a/src/rattanpier/_internal/placement/backoffs.py
+++ b/src/rattanpier/_internal/placement/backoffs.py
@@ -1,7 +1,7 @@
-"""Workers that turned a request of this entry away, and asked for rest.
+"""Workers that refused a request of this entry and asked for a backoff.
 
-Load answered: a worker that turns all away looks idle, and would be chosen
-first, again and again.
+A worker that refuses all requests appears idle. Without a backoff it would be
+chosen first again and again.
 """
 
 from __future__ import annotations
@@ -18,22 +18,23 @@
 
 log = structlog.get_logger(part="workers")
 
-# Entries that were turned away at the same moment come back over so much more
-# of the time that was asked for.
+# Random extra time, as a share of the requested one, so that entries refused at
+# the same moment do not all return at once.
 JITTER_SHARE = 0.25
-MAX_BACKOFF_S = 60.0  # A worker that wants more is asked again then.
-MAX_BACKOFFS = 1024  # Workers that are remembered; 0.2 KB each.
+MAX_BACKOFF_S = 60.0  # Longer backoffs are cut to this.
+MAX_BACKOFFS = 1024  # Workers with stored backoffs; 0.2 KB each.
 
 
 @attrs.define(eq=False, repr=False)
 class Backoffs:
-    """Until when workers want nothing from this entry.
+    """The times until which workers accept no requests from this entry.
 
     Attributes:
-      rng: Spreads the ends.
-      until: In monotonic seconds, by worker; where a worker's start is known,
-        by its incarnation.
-      last_ends_at: When the last of them ends.
+      clock: Source of monotonic time.
+      rng: Source of the jitter.
+      until: End of each backoff in monotonic seconds, by worker; by incarnation
+        where that is known.
+      last_ends_at: End of the last backoff, in monotonic seconds.
     """
 
     clock: Clock
@@ -42,7 +43,12 @@
     last_ends_at: float = -math.inf
 
     def record_backoff(self, worker: str, backoff_s: float) -> None:
-        """Takes in that a worker asks for rest; the longest one counts."""
+        """Records a backoff that a worker asked for; the latest end counts.
+
+        Args:
+          worker: Worker or incarnation, as in `until`.
+          backoff_s: Time asked for, in seconds.
+        """
         now = self.clock.monotonic()
         if len(self.until) >= MAX_BACKOFFS:
             self.drop_expired(now)
@@ -53,20 +59,20 @@
         self.until[worker] = until
         self.last_ends_at = max(self.last_ends_at, until)
         log.info(
-            "Worker asks for rest.",
+            "Worker asked for a backoff.",
             worker=worker,
             rest_s=backoff_s,
             spread_s=round(jitter_s, 3),
         )
 
     def drop_expired(self, now: float) -> None:
-        """Drops rests that ended."""
+        """Drops backoffs that have ended."""
         self.until = {id: at for id, at in self.until.items() if at > now}
 
     def open_workers(
         self, workers: Sequence[RegisteredWorker]
     ) -> Sequence[RegisteredWorker]:
-        """Returns the workers that did not ask for rest."""
+        """Returns the workers without a backoff."""
         if self.none_active():
             return workers
         return [
@@ -74,11 +80,11 @@
         ]
 
     def none_active(self) -> bool:
-        """Says whether no worker wants rest."""
+        """Returns whether no backoff is active."""
         return self.clock.monotonic() >= self.last_ends_at
 
     def opens_in_s(self, worker: str) -> float:
-        """Returns the seconds until a worker takes requests again; 0: now."""
+        """Returns the seconds until a worker's backoff ends, 0 without one."""
         until = self.until.get(worker)
         if until is None:
             return 0.0
