--- a/src/rattanpier/_internal/programs/relay_dispatch.py
+++ b/src/rattanpier/_internal/programs/relay_dispatch.py
@@ -111,7 +111,7 @@
             eligibility.KEPT_APART,
             functools.partial(
                 eligibility.separate_suspects,
-                quarantine.suspects,
+                quarantine.is_suspect,
                 loads.suspects,
             ),
         ),
--- a/src/rattanpier/_internal/programs/relay_store.py
+++ b/src/rattanpier/_internal/programs/relay_store.py
@@ -91,7 +91,7 @@
         kernel.find("clock"),
         lambda: health.available,
     )
-    quarantine.changed = held.changed.put_nowait
+    quarantine.on_change = held.changed.put_nowait
     rows = EntryRows(
         kernel.find("store"),
         kernel.find("own_table"),
--- a/src/rattanpier/_internal/programs/relay_workers.py
+++ b/src/rattanpier/_internal/programs/relay_workers.py
@@ -62,7 +62,7 @@
             if worker.incarnation == incarnation:
                 dispatcher.ends.begin_check(worker)
 
-    dispatcher.quarantine.heard = look_at
+    dispatcher.quarantine.on_peer_crash = look_at
     looks = SecondLooks(
         dispatcher.quarantine,
         entry.state.directory,
--- a/src/rattanpier/_internal/relay/held_rows.py
+++ b/src/rattanpier/_internal/relay/held_rows.py
@@ -27,7 +27,7 @@
 from rattanpier._internal.relay.own_table import HELD, TABLE, rows_of
 from rattanpier._internal.relay.restoring import LostRow
 from rattanpier._internal.relay.store import RelayStore, StoreClock
-from rattanpier._internal.retries.quarantine import HOLD_S, Quarantine
+from rattanpier._internal.retries.quarantine import QUARANTINE_S, Quarantine
 from rattanpier._internal.utils.clock import Clock
 from rattanpier._internal.utils.codec import decode, encode
 
@@ -88,19 +88,19 @@
 
     def value_of(self, content: str) -> bytes | None:
         """Returns what a content's row holds, None if it is not held."""
-        held_s = self.quarantine.held_s(content)
+        held_s = self.quarantine.remaining_s(content)
         if not held_s:
             return None
         row = HeldRow(
-            sorted(self.quarantine.ends[content]),
-            self.store_clock.now_ms() - MS * (HOLD_S - held_s),
+            sorted(self.quarantine.crashes[content]),
+            self.store_clock.now_ms() - MS * (QUARANTINE_S - held_s),
         )
         return encode(row).encode()
 
     def lost(self, page: Page) -> Iterator[LostRow]:
         """Yields rows that the table lacks, or shows though they are gone."""
         standing = {row.key for row in rows_of(page, HELD)}
-        for content in self.quarantine.ends:
+        for content in self.quarantine.crashes:
             value = self.value_of(content)
             if value is not None and content not in standing:
                 yield LostRow(HELD + content, value)
@@ -139,6 +139,6 @@
             return
         age_s = max(0.0, (now_ms - held.ended_ms) / MS)
         ends = [WorkerEnd(content, worker, age_s) for worker in held.workers]
-        self.quarantine.take(QuarantineNews(ends))
-        if age_s >= HOLD_S:
+        self.quarantine.apply_update(QuarantineNews(ends))
+        if age_s >= QUARANTINE_S:
             self.changed.put_nowait(content)
--- a/src/rattanpier/_internal/relay/plain_answers.py
+++ b/src/rattanpier/_internal/relay/plain_answers.py
@@ -98,7 +98,7 @@
     dispatcher.record_result(course, worker, bad, None if bad else seconds)
     dispatcher.metrics.timing("relay.worker_s", seconds)
     if not bad:
-        dispatcher.quarantine.note_answered(request.content)
+        dispatcher.quarantine.record_answer(request.content)
         return found
     dispatcher.record_worker_failure(course, worker, found)
     return None
--- a/src/rattanpier/_internal/retries/quarantine.py
+++ b/src/rattanpier/_internal/retries/quarantine.py
@@ -37,20 +37,20 @@
 
 # Ended workers after which a request reaches no more. Those that ran beside it
 # share its first end and, sent on with it, may share the second.
-ENDS_TO_HOLD = 3
+CRASHES_TO_QUARANTINE = 3
 # Since the last end. Long against the pauses after which callers come again;
 # short enough that a mended worker serves the request within the hour.
-HOLD_S = 600.0
+QUARANTINE_S = 600.0
 # After a whole answer, ends count against something else. While workers crash
 # one after the other, a request that is sound goes on being answered by those
 # that are left; one that was answered and ends workers since counts after this.
-TRUSTED_S = 2.0
+ANSWER_GRACE_S = 2.0
 # Contents with ended workers that are remembered: a failure domain of 26
 # workers that run 16 requests each has 416. 0.3 KB each.
-MOST_SUSPECTS = 1024
-MOST_ANSWERED = 512  # An entry answers some ten a second; 0.2 KB each.
+MAX_SUSPECTS = 1024
+MAX_ANSWERED = 512  # An entry answers some ten a second; 0.2 KB each.
 # Two entries' times of one event differ by the way of the news.
-SAME_S = 0.5
+SAME_EVENT_S = 0.5
 NEVER = float("-inf")
 
 
@@ -59,22 +59,22 @@
     """What is known of requests under which workers ended.
 
     Attributes:
-      ends: When each worker ended, in monotonic seconds, by content.
+      crashes: When each worker ended, in monotonic seconds, by content.
       answered: When each content was answered whole here last.
       cleared: When each content that had ends was answered whole, anywhere.
       alive: When each worker that was said to have ended was found to live.
-      untold: What the others have to be told.
-      tell: Called when there is something to tell.
-      changed: Called with each content that is held now, or no longer.
-      heard: Called with the incarnation of each worker of which others tell
-        that it ended.
+      unsent: What the others have to be told.
+      on_update: Called when there is something to tell.
+      on_change: Called with each content that is held now, or no longer.
+      on_peer_crash: Called with the incarnation of each worker of which others
+        tell that it ended.
     """
 
     clock: Clock
-    tell: Callable[[], None] = lambda: None
-    changed: Callable[[str], None] = lambda _content: None
-    heard: Callable[[str], None] = lambda _worker: None
-    ends: dict[str, dict[str, float]] = attrs.Factory(dict)
+    on_update: Callable[[], None] = lambda: None
+    on_change: Callable[[str], None] = lambda _content: None
+    on_peer_crash: Callable[[str], None] = lambda _worker: None
+    crashes: dict[str, dict[str, float]] = attrs.Factory(dict)
     answered: collections.OrderedDict[str, float] = attrs.Factory(
         collections.OrderedDict
     )
@@ -84,99 +84,100 @@
     alive: collections.OrderedDict[str, float] = attrs.Factory(
         collections.OrderedDict
     )
-    untold: QuarantineNews = attrs.Factory(QuarantineNews)
+    unsent: QuarantineNews = attrs.Factory(QuarantineNews)
 
     # Verdicts.
 
-    def held_s(self, content: str) -> float:
+    def remaining_s(self, content: str) -> float:
         """Returns the seconds for which a content is refused, 0 if it isn't."""
-        trusted_until = self.answered.get(content, NEVER) + TRUSTED_S
-        ends = [
+        trusted_until = self.answered.get(content, NEVER) + ANSWER_GRACE_S
+        crashes = [
             at
-            for at in self.ends.get(content, {}).values()
+            for at in self.crashes.get(content, {}).values()
             if at >= trusted_until
         ]
-        if len(ends) < ENDS_TO_HOLD:
+        if len(crashes) < CRASHES_TO_QUARANTINE:
             return 0.0
-        age_s = self.clock.monotonic() - max(ends)
-        return max(0.0, HOLD_S - age_s)
+        age_s = self.clock.monotonic() - max(crashes)
+        return max(0.0, QUARANTINE_S - age_s)
 
-    def suspects(self, content: str) -> bool:
+    def is_suspect(self, content: str) -> bool:
         """Says whether a worker ended under a content."""
-        return content in self.ends
+        return content in self.crashes
 
-    def explains(self, worker: str) -> bool:
+    def explains_crash(self, worker: str) -> bool:
         """Says whether a worker ended under a content that ended another.
 
         Args:
           worker: Its incarnation.
         """
         return any(
-            worker in ends and len(ends) > 1 for ends in self.ends.values()
+            worker in crashes and len(crashes) > 1
+            for crashes in self.crashes.values()
         )
 
     # What entries see.
 
-    def note_end(self, content: str, worker: str) -> None:
+    def record_crash(self, content: str, worker: str) -> None:
         """Takes in that a worker ended while a content was under way there.
 
         Args:
           content: Digest of what the caller asks.
           worker: Its incarnation.
         """
-        end = WorkerEnd(content, worker)
-        if self.add(end):
-            self.untold.ends.append(end)
-            self.tell()
+        crash = WorkerEnd(content, worker)
+        if self.add_crash(crash):
+            self.unsent.ends.append(crash)
+            self.on_update()
 
-    def note_answered(self, content: str) -> None:
+    def record_answer(self, content: str) -> None:
         """Takes in that a content was answered whole."""
         now = self.clock.monotonic()
         self.answered[content] = now
         self.answered.move_to_end(content)
-        while len(self.answered) > MOST_ANSWERED:
+        while len(self.answered) > MAX_ANSWERED:
             self.answered.popitem(last=False)
-        if content in self.ends:
+        if content in self.crashes:
             self.clear(content, now)
-            self.untold.cleared.append(Cleared(content))
-            self.tell()
+            self.unsent.cleared.append(Cleared(content))
+            self.on_update()
 
-    def note_alive(self, worker: str, at: float) -> None:
+    def record_alive(self, worker: str, at: float) -> None:
         """Takes in that a worker that was said to have ended lives.
 
         Args:
           worker: Its incarnation.
           at: When it surely lived, in monotonic seconds.
         """
-        if self.refute(worker, at):
+        if self.refute_crashes(worker, at):
             age_s = self.clock.monotonic() - at
-            self.untold.alive.append(SeenAlive(worker, age_s))
-            self.tell()
+            self.unsent.alive.append(SeenAlive(worker, age_s))
+            self.on_update()
 
-    def told_ends(self) -> dict[str, float]:
+    def crash_times(self) -> dict[str, float]:
         """Returns the incarnations that are said to have ended, and when."""
-        told: dict[str, float] = {}
-        for ends in self.ends.values():
-            for worker, at in ends.items():
-                told[worker] = max(at, told.get(worker, NEVER))
-        return told
+        times: dict[str, float] = {}
+        for crashes in self.crashes.values():
+            for worker, at in crashes.items():
+                times[worker] = max(at, times.get(worker, NEVER))
+        return times
 
     # What entries tell each other.
 
-    def take_untold(self) -> QuarantineNews:
+    def pop_unsent(self) -> QuarantineNews:
         """Returns what the others have to be told, once."""
-        news, self.untold = self.untold, QuarantineNews()
-        return news
+        update, self.unsent = self.unsent, QuarantineNews()
+        return update
 
-    def all_news(self) -> QuarantineNews:
+    def full_update(self) -> QuarantineNews:
         """Returns all that is known, for an entry that missed some."""
-        self.forget_old()
+        self.drop_old()
         now = self.clock.monotonic()
         return QuarantineNews(
             [
                 WorkerEnd(content, worker, now - at)
-                for content, ends in self.ends.items()
-                for worker, at in ends.items()
+                for content, crashes in self.crashes.items()
+                for worker, at in crashes.items()
             ],
             [
                 Cleared(content, now - at)
@@ -185,60 +186,65 @@
             [SeenAlive(worker, now - at) for worker, at in self.alive.items()],
         )
 
-    def take(self, news: QuarantineNews) -> QuarantineNews:
+    def apply_update(self, update: QuarantineNews) -> QuarantineNews:
         """Takes in what another entry tells; returns what was new of it."""
         new = QuarantineNews()
         now = self.clock.monotonic()
-        for cleared in news.cleared:
+        for cleared in update.cleared:
             known = self.cleared.get(cleared.content, NEVER)
             at = now - cleared.age_s
-            if 0.0 <= cleared.age_s < HOLD_S and at > known + SAME_S:
+            if (
+                0.0 <= cleared.age_s < QUARANTINE_S
+                and at > known + SAME_EVENT_S
+            ):
                 self.clear(cleared.content, at)
                 new.cleared.append(cleared)
-        for seen in news.alive:
-            if 0.0 <= seen.age_s < HOLD_S and self.refute(
+        for seen in update.alive:
+            if 0.0 <= seen.age_s < QUARANTINE_S and self.refute_crashes(
                 seen.worker, now - seen.age_s
             ):
                 new.alive.append(seen)
-        for end in news.ends:
-            if 0.0 <= end.age_s < HOLD_S and self.add(end):
-                new.ends.append(end)
-        for worker in {end.worker for end in new.ends}:
-            self.heard(worker)
+        for crash in update.ends:
+            if 0.0 <= crash.age_s < QUARANTINE_S and self.add_crash(crash):
+                new.ends.append(crash)
+        for worker in {crash.worker for crash in new.ends}:
+            self.on_peer_crash(worker)
         return new
 
     def digest(self) -> int:
         """Returns what two entries that know the same have in common."""
-        self.forget_old()
+        self.drop_old()
         digest = 0
-        for content, ends in self.ends.items():
-            for worker in ends:
+        for content, crashes in self.crashes.items():
+            for worker in crashes:
                 digest ^= stable_hash(f"{content}/{worker}")
         return digest
 
     # Keeping.
 
-    def add(self, end: WorkerEnd) -> bool:
+    def add_crash(self, crash: WorkerEnd) -> bool:
         """Keeps an end; says whether it is new and counts."""
-        at = self.clock.monotonic() - end.age_s
-        if at < self.cleared.get(end.content, NEVER) + TRUSTED_S:
+        at = self.clock.monotonic() - crash.age_s
+        if at < self.cleared.get(crash.content, NEVER) + ANSWER_GRACE_S:
             return False
-        if at < self.alive.get(end.worker, NEVER) - SAME_S:
+        if at < self.alive.get(crash.worker, NEVER) - SAME_EVENT_S:
             return False
-        ends = self.ends.get(end.content, {})
-        if end.worker in ends:
+        crashes = self.crashes.get(crash.content, {})
+        if crash.worker in crashes:
             return False
-        ends[end.worker] = at
-        self.ends[end.content] = ends
-        self.drop_beyond(MOST_SUSPECTS)
-        if len(ends) == ENDS_TO_HOLD and self.held_s(end.content):
+        crashes[crash.worker] = at
+        self.crashes[crash.content] = crashes
+        self.limit_suspects(MAX_SUSPECTS)
+        if len(crashes) == CRASHES_TO_QUARANTINE and self.remaining_s(
+            crash.content
+        ):
             log.warning(
                 "Request held.",
-                content=end.content,
-                workers=sorted(ends),
-                hold_s=HOLD_S,
+                content=crash.content,
+                workers=sorted(crashes),
+                hold_s=QUARANTINE_S,
             )
-            self.changed(end.content)
+            self.on_change(crash.content)
         return True
 
     def clear(self, content: str, at: float) -> None:
@@ -249,57 +255,59 @@
         """
         self.cleared[content] = at
         self.cleared.move_to_end(content)
-        while len(self.cleared) > MOST_SUSPECTS:
+        while len(self.cleared) > MAX_SUSPECTS:
             self.cleared.popitem(last=False)
-        ends = self.ends.pop(content, None)
-        if ends is None:
+        crashes = self.crashes.pop(content, None)
+        if crashes is None:
             return
         later = {
-            worker: ended_at
-            for worker, ended_at in ends.items()
-            if ended_at >= at + TRUSTED_S
+            worker: crashed_at
+            for worker, crashed_at in crashes.items()
+            if crashed_at >= at + ANSWER_GRACE_S
         }
         if later:
-            self.ends[content] = later
-        log.info("Request cleared.", content=content, workers=len(ends))
-        if len(ends) >= ENDS_TO_HOLD:
-            self.changed(content)
+            self.crashes[content] = later
+        log.info("Request cleared.", content=content, workers=len(crashes))
+        if len(crashes) >= CRASHES_TO_QUARANTINE:
+            self.on_change(content)
 
-    def refute(self, worker: str, at: float) -> bool:
+    def refute_crashes(self, worker: str, at: float) -> bool:
         """Forgets the ends of a worker that lived later; says if that is news.
 
         An incarnation that ended does not come back, so that each end of it up
         to then was none. What was refuted stays known for as long as ends do.
         """
-        if at <= self.alive.get(worker, NEVER) + SAME_S:
+        if at <= self.alive.get(worker, NEVER) + SAME_EVENT_S:
             return False
         self.alive[worker] = at
         self.alive.move_to_end(worker)
-        while len(self.alive) > MOST_SUSPECTS:
+        while len(self.alive) > MAX_SUSPECTS:
             self.alive.popitem(last=False)
-        for content, ends in list(self.ends.items()):
-            if ends.get(worker, math.inf) < at - SAME_S:
-                self.drop_end(content, worker)
+        for content, crashes in list(self.crashes.items()):
+            if crashes.get(worker, math.inf) < at - SAME_EVENT_S:
+                self.drop_crash(content, worker)
         return True
 
-    def drop_end(self, content: str, worker: str) -> None:
+    def drop_crash(self, content: str, worker: str) -> None:
         """Drops one end of a content."""
-        ends = self.ends[content]
-        was_held = len(ends) >= ENDS_TO_HOLD
-        del ends[worker]
-        if not ends:
-            del self.ends[content]
-        log.info("End refuted.", content=content, worker=worker, left=len(ends))
-        if was_held and len(ends) < ENDS_TO_HOLD:
-            self.changed(content)
-
-    def forget_old(self) -> None:
+        crashes = self.crashes[content]
+        was_quarantined = len(crashes) >= CRASHES_TO_QUARANTINE
+        del crashes[worker]
+        if not crashes:
+            del self.crashes[content]
+        log.info(
+            "End refuted.", content=content, worker=worker, left=len(crashes)
+        )
+        if was_quarantined and len(crashes) < CRASHES_TO_QUARANTINE:
+            self.on_change(content)
+
+    def drop_old(self) -> None:
         """Drops contents whose last end is too old to count."""
-        oldest = self.clock.monotonic() - HOLD_S
+        oldest = self.clock.monotonic() - QUARANTINE_S
         self.drop(
             content
-            for content, ends in self.ends.items()
-            if max(ends.values()) <= oldest
+            for content, crashes in self.crashes.items()
+            if max(crashes.values()) <= oldest
         )
         for content, at in list(self.cleared.items()):
             if at <= oldest:
@@ -308,19 +316,19 @@
             if at <= oldest:
                 del self.alive[worker]
 
-    def drop_beyond(self, most: int) -> None:
+    def limit_suspects(self, max_count: int) -> None:
         """Keeps the contents that tell most, by their ends and their age."""
-        beyond = len(self.ends) - most
-        if beyond <= 0:
+        surplus = len(self.crashes) - max_count
+        if surplus <= 0:
             return
 
-        def weight(content: str) -> tuple[int, float]:
-            ends = self.ends[content]
-            return len(ends), max(ends.values())
+        def priority(content: str) -> tuple[int, float]:
+            crashes = self.crashes[content]
+            return len(crashes), max(crashes.values())
 
-        self.drop(sorted(self.ends, key=weight)[:beyond])
+        self.drop(sorted(self.crashes, key=priority)[:surplus])
 
     def drop(self, contents: Iterable[str]) -> None:
         """Drops contents."""
         for content in list(contents):
-            del self.ends[content]
+            del self.crashes[content]
--- a/src/rattanpier/_internal/retries/second_looks.py
+++ b/src/rattanpier/_internal/retries/second_looks.py
@@ -17,7 +17,7 @@
 from rattanpier._internal.models.worker import RegisteredWorker
 from rattanpier._internal.relay.directory import WorkerDirectory
 from rattanpier._internal.relay.fleet import Fleet
-from rattanpier._internal.retries.quarantine import SAME_S, Quarantine
+from rattanpier._internal.retries.quarantine import SAME_EVENT_S, Quarantine
 from rattanpier._internal.utils.clock import Clock
 
 LOOK_EVERY_S = 0.5
@@ -58,7 +58,7 @@
 
     async def round(self) -> None:
         """Looks once at each worker that it is time for."""
-        told = self.quarantine.told_ends()
+        told = self.quarantine.crash_times()
         if not (told or self.due):
             return
         now = self.clock.monotonic()
@@ -75,7 +75,8 @@
                 self.look(worker)
                 for incarnation, worker in registered.items()
                 if self.is_mine(incarnation)
-                and now > max(told[incarnation] + SAME_S, self.due_at(worker))
+                and now
+                > max(told[incarnation] + SAME_EVENT_S, self.due_at(worker))
             )
         )
 
@@ -98,4 +99,4 @@
         if await self.answers(worker, ASK_TIMEOUT_S):
             # It lived when it was asked, whenever the answer came.
             self.found_alive(incarnation, began)
-            self.quarantine.note_alive(incarnation, began)
+            self.quarantine.record_alive(incarnation, began)
--- a/tests/relay/test_cut_off_ends.py
+++ b/tests/relay/test_cut_off_ends.py
@@ -36,18 +36,18 @@
     """Lets an entry find that all workers ended."""
     directory = site.entries[name].state.directory
     for worker in directory.workers.values():
-        quarantine_of(site, name).note_end(CONTENT, worker.incarnation)
+        quarantine_of(site, name).record_crash(CONTENT, worker.incarnation)
 
 
 async def test_others_that_reach_the_workers_hold_nothing(site):
     await cut_off(site, "entry-0")
     other = quarantine_of(site, "entry-1")
-    await until(lambda: CONTENT in other.ends)
-    await until(lambda: not other.held_s(CONTENT), LOOKED_S)
+    await until(lambda: CONTENT in other.crashes)
+    await until(lambda: not other.remaining_s(CONTENT), LOOKED_S)
 
 
 async def test_an_entry_whose_cut_is_over_holds_nothing(site):
     await cut_off(site, "entry-0")
     first = quarantine_of(site, "entry-0")
-    assert first.held_s(CONTENT)
-    await until(lambda: not first.held_s(CONTENT), LOOKED_S)
+    assert first.remaining_s(CONTENT)
+    await until(lambda: not first.remaining_s(CONTENT), LOOKED_S)
--- a/tests/relay/test_held_rows.py
+++ b/tests/relay/test_held_rows.py
@@ -9,7 +9,7 @@
 from rattanpier._internal.relay.held_rows import HeldRow, HeldRows
 from rattanpier._internal.relay.own_table import HELD
 from rattanpier._internal.relay.store import StoreClock
-from rattanpier._internal.retries.quarantine import HOLD_S, Quarantine
+from rattanpier._internal.retries.quarantine import QUARANTINE_S, Quarantine
 from rattanpier._internal.utils.codec import decode, encode
 from tests.lib.clock import ManualClock
 from tests.lib.relay_parts import at
@@ -56,13 +56,13 @@
         clock,
         lambda: True,
     )
-    rows.quarantine.changed = rows.changed.put_nowait
+    rows.quarantine.on_change = rows.changed.put_nowait
     return rows
 
 
 def hold(rows):
     for number in range(3):
-        rows.quarantine.note_end(DEADLY, f"w{number}")
+        rows.quarantine.record_crash(DEADLY, f"w{number}")
 
 
 async def bring_up_to_date(rows):
@@ -96,7 +96,7 @@
     rows = make_rows(store)
     hold(rows)
     await bring_up_to_date(rows)
-    rows.quarantine.note_answered(DEADLY)
+    rows.quarantine.record_answer(DEADLY)
     await bring_up_to_date(rows)
     assert store.rows == {}
 
@@ -110,16 +110,16 @@
 def test_a_row_holds_for_what_is_left(age_s, held_s):
     rows = make_rows(FakeStore())
     rows.take(make_row(age_s), NOW_MS)
-    assert rows.quarantine.held_s(DEADLY) == held_s
+    assert rows.quarantine.remaining_s(DEADLY) == held_s
 
 
 @pytest.mark.parametrize(
-    "row", [make_row(HOLD_S), FeedRow(DEADLY, b"no row", at(1))]
+    "row", [make_row(QUARANTINE_S), FeedRow(DEADLY, b"no row", at(1))]
 )
 async def test_a_row_that_is_old_or_spoiled_is_removed(row):
     store = FakeStore(rows={HELD + row.key: row.value})
     rows = make_rows(store)
     rows.take(row, NOW_MS)
-    assert rows.quarantine.held_s(DEADLY) == 0.0
+    assert rows.quarantine.remaining_s(DEADLY) == 0.0
     await bring_up_to_date(rows)
     assert store.rows == {}
--- a/tests/relay/test_restoring.py
+++ b/tests/relay/test_restoring.py
@@ -50,7 +50,9 @@
     """Every entry knows of a request that ended three workers."""
     for entry in site.entries.values():
         for number in range(3):
-            entry.edge.dispatcher.quarantine.note_end(DEADLY, f"gone-{number}")
+            entry.edge.dispatcher.quarantine.record_crash(
+                DEADLY, f"gone-{number}"
+            )
 
 
 async def test_what_the_copy_lacks_is_written_again_by_one_entry():
@@ -86,7 +88,7 @@
         await until(lambda: HELD + DEADLY in own_rows(site.store))
         kept = site.store.keep_copy()
         for entry in site.entries.values():
-            entry.edge.dispatcher.quarantine.note_answered(DEADLY)
+            entry.edge.dispatcher.quarantine.record_answer(DEADLY)
         await until(lambda: HELD + DEADLY not in own_rows(site.store))
         async with away(site):
             site.store.come_back(kept)
--- a/tests/retries/test_quarantining.py
+++ b/tests/retries/test_quarantining.py
@@ -7,13 +7,16 @@
 
 from rattanpier._internal.dispatch.quarantining import (
     QuarantineSharing,
-    content_key,
+    content_of,
 )
 from rattanpier._internal.membership.ring import neighbours
 from rattanpier._internal.models.request import RouteRequest
 from rattanpier._internal.models.worker_end import QuarantineNews
 from rattanpier._internal.peers.proto import peer_pb2
-from rattanpier._internal.retries.quarantine import ENDS_TO_HOLD, Quarantine
+from rattanpier._internal.retries.quarantine import (
+    CRASHES_TO_QUARANTINE,
+    Quarantine,
+)
 from tests.lib.clock import ManualClock
 
 DEADLY = "deadly"
@@ -39,12 +42,12 @@
                 loop.call_soon(self.entries[other].receive, heard)
 
         sharing = QuarantineSharing(Quarantine(self.clock), spread)
-        sharing.quarantine.tell = sharing.schedule_publish
+        sharing.quarantine.on_update = sharing.tell_soon
         self.entries[name] = sharing
 
     def holding(self):
         return sum(
-            entry.quarantine.held_s(DEADLY) > 0.0
+            entry.quarantine.remaining_s(DEADLY) > 0.0
             for entry in self.entries.values()
         )
 
@@ -52,14 +55,14 @@
 @pytest.mark.parametrize("size", [2, 8, 80, 420])
 async def test_all_entries_hold_what_ended_workers_under_some(size):
     ring = Ring(size)
-    for number in range(ENDS_TO_HOLD):
+    for number in range(CRASHES_TO_QUARANTINE):
         entry = ring.entries[f"e{number % size}"]
-        entry.quarantine.note_end(DEADLY, f"w{number}")
+        entry.quarantine.record_crash(DEADLY, f"w{number}")
     async with asyncio.timeout(HUNG_S):
         while ring.holding() < size:
             await asyncio.sleep(0)
     # Each passes each end on once.
-    assert max(ring.sent.values()) <= ENDS_TO_HOLD
+    assert max(ring.sent.values()) <= CRASHES_TO_QUARANTINE
 
 
 async def test_a_notice_that_cannot_be_read_changes_nothing():
@@ -67,13 +70,13 @@
     rumors = peer_pb2.Rumors(text=b"no news")
     notice = peer_pb2.Notice(spread=peer_pb2.Spread(rumors=rumors))
     ring.entries["e0"].receive(notice)
-    assert ring.entries["e0"].quarantine.all_news() == QuarantineNews()
+    assert ring.entries["e0"].quarantine.full_update() == QuarantineNews()
     assert not ring.sent
 
 
 def test_the_content_of_a_chat_outlives_its_attempt():
     def content(workspace, key, digest):
-        return content_key(RouteRequest(workspace, key, digest=digest))
+        return content_of(RouteRequest(workspace, key, digest=digest))
 
     first = content("desk", "k1", "d")
     assert first == content("desk", "k2", "d")
@@ -86,12 +89,12 @@
     ring = Ring(size)
     first, *others = ring.entries.values()
     for entry in others:
-        entry.quarantine.note_answered(DEADLY)
-    first.quarantine.note_end(DEADLY, "w0")
+        entry.quarantine.record_answer(DEADLY)
+    first.quarantine.record_crash(DEADLY, "w0")
     for _ in range(20):
         await asyncio.sleep(0)
     for entry in others[:2]:
-        entry.quarantine.note_answered(DEADLY)
+        entry.quarantine.record_answer(DEADLY)
     for _ in range(200):
         await asyncio.sleep(0)
     # Each passes the end and the answers on once.
--- a/tests/retries/test_second_looks.py
+++ b/tests/retries/test_second_looks.py
@@ -12,9 +12,9 @@
 from rattanpier._internal.relay.directory import WorkerDirectory
 from rattanpier._internal.retries import second_looks as module
 from rattanpier._internal.retries.quarantine import (
-    ENDS_TO_HOLD,
-    HOLD_S,
-    SAME_S,
+    CRASHES_TO_QUARANTINE,
+    QUARANTINE_S,
+    SAME_EVENT_S,
     Quarantine,
 )
 from rattanpier._internal.retries.second_looks import LOOKERS, SecondLooks
@@ -27,7 +27,7 @@
 from tests.lib.warm_fleet import make_fleet
 
 CONTENT = "content"
-WORKERS = ENDS_TO_HOLD
+WORKERS = CRASHES_TO_QUARANTINE
 
 
 class Views:
@@ -62,7 +62,7 @@
     def end_all(self):
         for looks in self.looks:
             for number in range(WORKERS):
-                looks.quarantine.note_end(CONTENT, f"w{number}")
+                looks.quarantine.record_crash(CONTENT, f"w{number}")
 
     async def look(self, seconds):
         """Lets all entries look for some seconds."""
@@ -72,31 +72,31 @@
             await asyncio.gather(*(looks.round() for looks in self.looks))
 
     def held_s(self):
-        return [looks.quarantine.held_s(CONTENT) for looks in self.looks]
+        return [looks.quarantine.remaining_s(CONTENT) for looks in self.looks]
 
 
 async def test_a_worker_that_answers_has_not_ended():
     views = Views(living=["w0"])
     views.end_all()
-    assert views.held_s() == [HOLD_S]
+    assert views.held_s() == [QUARANTINE_S]
     await views.look(2.0)
     assert views.held_s() == [0.0]
     # The other two ends stand: one more holds it.
-    views.looks[0].quarantine.note_end(CONTENT, "w9")
-    assert views.held_s() == [HOLD_S]
+    views.looks[0].quarantine.record_crash(CONTENT, "w9")
+    assert views.held_s() == [QUARANTINE_S]
 
 
 async def test_ends_that_were_none_stay_away():
     views = Views(living=["w0", "w1", "w2"])
     views.end_all()
-    ends = views.looks[0].quarantine.all_news().ends
+    ends = views.looks[0].quarantine.full_update().ends
     await views.look(2.0)
     other = Quarantine(views.clock)
-    other.take(views.looks[0].quarantine.all_news())
+    other.apply_update(views.looks[0].quarantine.full_update())
     # An entry that was away tells of the same ends, later.
     aged = [attrs.evolve(end, age_s=views.clock.now) for end in ends]
-    other.take(QuarantineNews(aged))
-    assert other.held_s(CONTENT) == 0.0
+    other.apply_update(QuarantineNews(aged))
+    assert other.remaining_s(CONTENT) == 0.0
     assert other.digest() == Quarantine(views.clock).digest()
 
 
@@ -105,7 +105,7 @@
     views.end_all()
     await views.look(2.0)
     assert views.held_s() == [0.0]
-    views.clock.now += 2 * SAME_S
+    views.clock.now += 2 * SAME_EVENT_S
     views.living.clear()
     views.end_all()
     await views.look(5.0)
@@ -116,7 +116,7 @@
     views = Views()
     views.end_all()
     await views.look(60.0)
-    assert views.held_s()[0] > HOLD_S - 61.0
+    assert views.held_s()[0] > QUARANTINE_S - 61.0
     assert len(views.asked) <= WORKERS * (60.0 / module.MOST_PAUSE_S + 5)
 
 
