--- a/src/rattanpier/_internal/retries/quarantine.py
+++ b/src/rattanpier/_internal/retries/quarantine.py
@@ -1,18 +1,20 @@
-"""Requests that end the workers that run them, kept from further workers.
-
-Load answered: a request that crashes each worker that begins to run it, and
-that comes again, from its caller or another, at any entry. Put down to workers
-alone, each crash sends it on to the next worker, along with all that ran beside
-it: one such request ended 16 workers in 50 s, of a pool of nine that came back.
-
-A worker's end counts against all contents that were under way there. One that
-three workers ended under is refused until its last end is old enough, by all
-entries: they tell each other of each end. What restricts needs no store. A
-content that is answered whole is no such request: its ends are forgotten. So is
-the end of a worker that is found to live: an entry that is cut off takes each
-worker that it does not reach for one that ended.
-
-Code without a network: ends and answers go in, a verdict comes out.
+"""Quarantine of requests that crash the workers that run them.
+
+Some requests crash every worker that runs them, and come again from the same
+or another caller, at any entry. If crashes were attributed to workers alone,
+each crash would send the request to the next worker, along with all requests
+that ran beside it: one such request crashed 16 workers within 50 s, in a pool
+of nine that restarted.
+
+A worker's crash counts against all contents that it was running. A content
+under which three workers crashed is refused by all entries until its last
+crash is old enough; the entries publish each crash to each other, which needs
+no store. When a content is answered completely, its crashes are dropped. So is
+a crash of a worker that is found alive, since a partitioned entry takes every
+worker that it cannot reach for crashed.
+
+The module does no input or output: crashes and answers go in, a verdict comes
+out.
 """
 
 from __future__ import annotations
@@ -35,39 +37,43 @@
 
 log = structlog.get_logger(part="quarantine")
 
-# Ended workers after which a request reaches no more. Those that ran beside it
-# share its first end and, sent on with it, may share the second.
+# Crashed workers after which a content is quarantined. Requests that ran beside
+# it share its first crash and, retried together, may share the second.
 CRASHES_TO_QUARANTINE = 3
-# Since the last end. Long against the pauses after which callers come again;
-# short enough that a mended worker serves the request within the hour.
+# Since the last crash. Long compared to the pauses between callers' retries;
+# short enough that a fixed worker serves the request within the hour.
 QUARANTINE_S = 600.0
-# After a whole answer, ends count against something else. While workers crash
-# one after the other, a request that is sound goes on being answered by those
-# that are left; one that was answered and ends workers since counts after this.
+# Crashes up to this long after a complete answer are not attributed to the
+# content. While workers crash one after the other, a harmless request is still
+# answered by the remaining ones. Later crashes count again, for a content that
+# has begun to crash workers since.
 ANSWER_GRACE_S = 2.0
-# Contents with ended workers that are remembered: a failure domain of 26
-# workers that run 16 requests each has 416. 0.3 KB each.
+# Contents with stored crashes, 0.3 KB each. A failure domain of 26 workers that
+# run 16 requests each has 416.
 MAX_SUSPECTS = 1024
 MAX_ANSWERED = 512  # An entry answers some ten a second; 0.2 KB each.
-# Two entries' times of one event differ by the way of the news.
+# Two entries' times of one event differ by the latency of the update.
 SAME_EVENT_S = 0.5
 NEVER = float("-inf")
 
 
 @attrs.define(eq=False, repr=False)
 class Quarantine:
-    """What is known of requests under which workers ended.
+    """Contents that workers crashed under. All times are monotonic seconds.
 
     Attributes:
-      crashes: When each worker ended, in monotonic seconds, by content.
-      answered: When each content was answered whole here last.
-      cleared: When each content that had ends was answered whole, anywhere.
-      alive: When each worker that was said to have ended was found to live.
-      unsent: What the others have to be told.
-      on_update: Called when there is something to tell.
-      on_change: Called with each content that is held now, or no longer.
-      on_peer_crash: Called with the incarnation of each worker of which others
-        tell that it ended.
+      clock: Source of monotonic time.
+      on_update: Called when there is an update to publish.
+      on_change: Called with each content whose quarantine starts or ends early.
+      on_peer_crash: Called with the incarnation of each worker that a peer
+        reports as crashed.
+      crashes: Time of each crash, by content and incarnation.
+      answered: Time of the last complete answer here, by content.
+      cleared: Time of the complete answer, here or at a peer, of each content
+        that had crashes.
+      alive: Time at which each worker reported as crashed was found alive, by
+        incarnation.
+      unsent: Update that has not been published yet.
     """
 
     clock: Clock
@@ -89,7 +95,7 @@
     # Verdicts.
 
     def remaining_s(self, content: str) -> float:
-        """Returns the seconds for which a content is refused, 0 if it isn't."""
+        """Returns the seconds that a quarantine still lasts, 0 without one."""
         trusted_until = self.answered.get(content, NEVER) + ANSWER_GRACE_S
         crashes = [
             at
@@ -102,28 +108,28 @@
         return max(0.0, QUARANTINE_S - age_s)
 
     def is_suspect(self, content: str) -> bool:
-        """Says whether a worker ended under a content."""
+        """Returns whether a worker crashed while it ran a content."""
         return content in self.crashes
 
     def explains_crash(self, worker: str) -> bool:
-        """Says whether a worker ended under a content that ended another.
+        """Returns whether a worker crashed under a content that crashed others.
 
         Args:
-          worker: Its incarnation.
+          worker: Incarnation of the worker.
         """
         return any(
             worker in crashes and len(crashes) > 1
             for crashes in self.crashes.values()
         )
 
-    # What entries see.
+    # Observations of this entry.
 
     def record_crash(self, content: str, worker: str) -> None:
-        """Takes in that a worker ended while a content was under way there.
+        """Records that a worker crashed while it ran a content.
 
         Args:
-          content: Digest of what the caller asks.
-          worker: Its incarnation.
+          content: Digest of the caller's request.
+          worker: Incarnation of the worker.
         """
         crash = WorkerEnd(content, worker)
         if self.add_crash(crash):
@@ -131,7 +137,7 @@
             self.on_update()
 
     def record_answer(self, content: str) -> None:
-        """Takes in that a content was answered whole."""
+        """Records that a content was answered completely."""
         now = self.clock.monotonic()
         self.answered[content] = now
         self.answered.move_to_end(content)
@@ -143,11 +149,11 @@
             self.on_update()
 
     def record_alive(self, worker: str, at: float) -> None:
-        """Takes in that a worker that was said to have ended lives.
+        """Records that a worker reported as crashed was found alive.
 
         Args:
-          worker: Its incarnation.
-          at: When it surely lived, in monotonic seconds.
+          worker: Incarnation of the worker.
+          at: When it was alive, in monotonic seconds.
         """
         if self.refute_crashes(worker, at):
             age_s = self.clock.monotonic() - at
@@ -155,22 +161,22 @@
             self.on_update()
 
     def crash_times(self) -> dict[str, float]:
-        """Returns the incarnations that are said to have ended, and when."""
+        """Returns the last crash of each incarnation, in monotonic seconds."""
         times: dict[str, float] = {}
         for crashes in self.crashes.values():
             for worker, at in crashes.items():
                 times[worker] = max(at, times.get(worker, NEVER))
         return times
 
-    # What entries tell each other.
+    # Synchronisation with peers.
 
     def pop_unsent(self) -> QuarantineNews:
-        """Returns what the others have to be told, once."""
+        """Returns the update to publish, and resets it."""
         update, self.unsent = self.unsent, QuarantineNews()
         return update
 
     def full_update(self) -> QuarantineNews:
-        """Returns all that is known, for an entry that missed some."""
+        """Returns the whole state, for a peer that missed updates."""
         self.drop_old()
         now = self.clock.monotonic()
         return QuarantineNews(
@@ -187,7 +193,7 @@
         )
 
     def apply_update(self, update: QuarantineNews) -> QuarantineNews:
-        """Takes in what another entry tells; returns what was new of it."""
+        """Applies an update from a peer; returns the part that was new."""
         new = QuarantineNews()
         now = self.clock.monotonic()
         for cleared in update.cleared:
@@ -212,7 +218,7 @@
         return new
 
     def digest(self) -> int:
-        """Returns what two entries that know the same have in common."""
+        """Returns a digest of the crashes, to compare with peers."""
         self.drop_old()
         digest = 0
         for content, crashes in self.crashes.items():
@@ -220,10 +226,10 @@
                 digest ^= stable_hash(f"{content}/{worker}")
         return digest
 
-    # Keeping.
+    # Stored state.
 
     def add_crash(self, crash: WorkerEnd) -> bool:
-        """Keeps an end; says whether it is new and counts."""
+        """Stores a crash; returns whether it is new and counts."""
         at = self.clock.monotonic() - crash.age_s
         if at < self.cleared.get(crash.content, NEVER) + ANSWER_GRACE_S:
             return False
@@ -239,7 +245,7 @@
             crash.content
         ):
             log.warning(
-                "Request held.",
+                "Request quarantined.",
                 content=crash.content,
                 workers=sorted(crashes),
                 hold_s=QUARANTINE_S,
@@ -248,10 +254,10 @@
         return True
 
     def clear(self, content: str, at: float) -> None:
-        """Forgets the ends of a content up to its whole answer and just after.
+        """Drops the crashes of a content up to just after a complete answer.
 
-        What was cleared stays known for as long as ends do: news of an end that
-        come after it, from entries that heard of it later, don't bring it back.
+        The time of the answer is kept for as long as crashes are, so that late
+        updates from peers do not bring a dropped crash back.
         """
         self.cleared[content] = at
         self.cleared.move_to_end(content)
@@ -267,15 +273,22 @@
         }
         if later:
             self.crashes[content] = later
-        log.info("Request cleared.", content=content, workers=len(crashes))
+        log.info(
+            "Quarantine record cleared by a complete answer.",
+            content=content,
+            workers=len(crashes),
+        )
         if len(crashes) >= CRASHES_TO_QUARANTINE:
             self.on_change(content)
 
     def refute_crashes(self, worker: str, at: float) -> bool:
-        """Forgets the ends of a worker that lived later; says if that is news.
+        """Drops the crashes of a worker that was alive later.
+
+        An incarnation that crashed does not come back, so each earlier report
+        of its crash was wrong. The time is kept for as long as crashes are.
 
-        An incarnation that ended does not come back, so that each end of it up
-        to then was none. What was refuted stays known for as long as ends do.
+        Returns:
+          Whether this was not known before.
         """
         if at <= self.alive.get(worker, NEVER) + SAME_EVENT_S:
             return False
@@ -289,20 +302,23 @@
         return True
 
     def drop_crash(self, content: str, worker: str) -> None:
-        """Drops one end of a content."""
+        """Drops one crash of a content."""
         crashes = self.crashes[content]
         was_quarantined = len(crashes) >= CRASHES_TO_QUARANTINE
         del crashes[worker]
         if not crashes:
             del self.crashes[content]
         log.info(
-            "End refuted.", content=content, worker=worker, left=len(crashes)
+            "Crash report refuted.",
+            content=content,
+            worker=worker,
+            left=len(crashes),
         )
         if was_quarantined and len(crashes) < CRASHES_TO_QUARANTINE:
             self.on_change(content)
 
     def drop_old(self) -> None:
-        """Drops contents whose last end is too old to count."""
+        """Drops contents whose last crash is too old to count."""
         oldest = self.clock.monotonic() - QUARANTINE_S
         self.drop(
             content
@@ -317,7 +333,7 @@
                 del self.alive[worker]
 
     def limit_suspects(self, max_count: int) -> None:
-        """Keeps the contents that tell most, by their ends and their age."""
+        """Drops the contents with the fewest, then oldest, crashes."""
         surplus = len(self.crashes) - max_count
         if surplus <= 0:
             return
@@ -329,6 +345,6 @@
         self.drop(sorted(self.crashes, key=priority)[:surplus])
 
     def drop(self, contents: Iterable[str]) -> None:
-        """Drops contents."""
+        """Drops the crashes of contents."""
         for content in list(contents):
             del self.crashes[content]
