--- a/src/rattanpier/_internal/programs/relay_workers.py
+++ b/src/rattanpier/_internal/programs/relay_workers.py
@@ -15,7 +15,7 @@
 from rattanpier._internal.programs.relay_listen import RelayEntry
 from rattanpier._internal.relay.prompt_updates import PromptUpdates
 from rattanpier._internal.relay.queue_watch import QueueWatch
-from rattanpier._internal.retries.second_looks import SecondLooks
+from rattanpier._internal.retries.liveness_checks import LivenessChecks
 
 
 def add_worker_news(entry: RelayEntry) -> None:
@@ -63,7 +63,7 @@
                 dispatcher.ends.begin_check(worker)
 
     dispatcher.quarantine.on_peer_crash = look_at
-    looks = SecondLooks(
+    looks = LivenessChecks(
         dispatcher.quarantine,
         entry.state.directory,
         entry.fleet,
--- a/src/rattanpier/_internal/retries/second_looks.py
+++ b/src/rattanpier/_internal/retries/liveness_checks.py
@@ -3,7 +3,7 @@
 An entry that is cut off so that connections are refused takes all workers that
 it tries for ended, tells so, and three of them hold a sound request for all.
 So a few entries, found by a hash of the worker, ask it who it is for as long as
-it is registered: the incarnation that answers has not ended. A worker that
+it is registered: the incarnation that is_alive has not ended. A worker that
 ended refuses connections, and its successor names itself otherwise.
 """
 
@@ -20,83 +20,88 @@
 from rattanpier._internal.retries.quarantine import SAME_EVENT_S, Quarantine
 from rattanpier._internal.utils.clock import Clock
 
-LOOK_EVERY_S = 0.5
+CHECK_INTERVAL_S = 0.5
 # One that is registered, listens and never says who it is, is asked less often.
-MOST_PAUSE_S = 8.0
-ASK_TIMEOUT_S = 0.4
+MAX_INTERVAL_S = 8.0
+CHECK_TIMEOUT_S = 0.4
 # So that one of them is not cut off; each asks a worker once in a while.
-LOOKERS = 3
+CHECKERS_PER_WORKER = 3
 
 
 @attrs.define(eq=False, repr=False)
-class SecondLooks:
+class LivenessChecks:
     """Which workers this entry looks at again, and when.
 
     Attributes:
-      answers: Asks a worker within some seconds whether it is the incarnation
+      is_alive: Asks a worker within some seconds whether it is the incarnation
         that is registered; False says nothing.
-      found_alive: Told of the incarnation of each that is, and since when it
+      on_alive: Told of the incarnation of each that is, and since when it
         surely was, in monotonic seconds.
-      pauses: Until the next look at each, in seconds, by incarnation.
-      due: When that is, in monotonic seconds.
+      intervals_s: Until the next look at each, in seconds, by incarnation.
+      due_at: When that is, in monotonic seconds.
     """
 
     quarantine: Quarantine
     directory: WorkerDirectory
     fleet: Fleet
     clock: Clock
-    answers: Callable[[RegisteredWorker, float], Awaitable[bool]]
-    found_alive: Callable[[str, float], None]
-    pauses: dict[str, float] = attrs.Factory(dict)
-    due: dict[str, float] = attrs.Factory(dict)
+    is_alive: Callable[[RegisteredWorker, float], Awaitable[bool]]
+    on_alive: Callable[[str, float], None]
+    intervals_s: dict[str, float] = attrs.Factory(dict)
+    due_at: dict[str, float] = attrs.Factory(dict)
 
     async def run(self) -> None:
         """Looks again and again."""
         while True:
-            await self.clock.sleep(LOOK_EVERY_S)
-            await self.round()
+            await self.clock.sleep(CHECK_INTERVAL_S)
+            await self.check_due()
 
-    async def round(self) -> None:
+    async def check_due(self) -> None:
         """Looks once at each worker that it is time for."""
-        told = self.quarantine.crash_times()
-        if not (told or self.due):
+        crash_times = self.quarantine.crash_times()
+        if not (crash_times or self.due_at):
             return
         now = self.clock.monotonic()
         registered = {
             worker.incarnation: worker
             for worker in self.directory.workers.values()
-            if worker.incarnation in told
+            if worker.incarnation in crash_times
         }
-        for known in (self.pauses, self.due):
+        for known in (self.intervals_s, self.due_at):
             for incarnation in known.keys() - registered.keys():
                 del known[incarnation]
         await asyncio.gather(
             *(
-                self.look(worker)
+                self.check(worker)
                 for incarnation, worker in registered.items()
-                if self.is_mine(incarnation)
+                if self.is_assigned(incarnation)
                 and now
-                > max(told[incarnation] + SAME_EVENT_S, self.due_at(worker))
+                > max(
+                    crash_times[incarnation] + SAME_EVENT_S,
+                    self.next_check_at(worker),
+                )
             )
         )
 
-    def due_at(self, worker: RegisteredWorker) -> float:
+    def next_check_at(self, worker: RegisteredWorker) -> float:
         """Returns when a worker is to be looked at, in monotonic seconds."""
-        return self.due.get(worker.incarnation, float("-inf"))
+        return self.due_at.get(worker.incarnation, float("-inf"))
 
-    def is_mine(self, incarnation: str) -> bool:
+    def is_assigned(self, incarnation: str) -> bool:
         """Says whether this entry looks at a worker, by what all know."""
-        drawn = self.fleet.preferred(f"look/{incarnation}", LOOKERS)
-        return self.fleet.me.member.name in drawn
+        checkers = self.fleet.preferred(
+            f"look/{incarnation}", CHECKERS_PER_WORKER
+        )
+        return self.fleet.me.member.name in checkers
 
-    async def look(self, worker: RegisteredWorker) -> None:
+    async def check(self, worker: RegisteredWorker) -> None:
         """Asks a worker who it is."""
         incarnation = worker.incarnation
         began = self.clock.monotonic()
-        pause_s = self.pauses.get(incarnation, LOOK_EVERY_S)
-        self.pauses[incarnation] = min(MOST_PAUSE_S, 2 * pause_s)
-        self.due[incarnation] = began + pause_s
-        if await self.answers(worker, ASK_TIMEOUT_S):
+        interval_s = self.intervals_s.get(incarnation, CHECK_INTERVAL_S)
+        self.intervals_s[incarnation] = min(MAX_INTERVAL_S, 2 * interval_s)
+        self.due_at[incarnation] = began + interval_s
+        if await self.is_alive(worker, CHECK_TIMEOUT_S):
             # It lived when it was asked, whenever the answer came.
-            self.found_alive(incarnation, began)
+            self.on_alive(incarnation, began)
             self.quarantine.record_alive(incarnation, began)
--- a/tests/retries/test_second_looks.py
+++ b/tests/retries/test_liveness_checks.py
@@ -10,14 +10,17 @@
 from rattanpier._internal.platform.identity import identifier
 from rattanpier._internal.platform.reports import report_reader
 from rattanpier._internal.relay.directory import WorkerDirectory
-from rattanpier._internal.retries import second_looks as module
+from rattanpier._internal.retries import liveness_checks as module
+from rattanpier._internal.retries.liveness_checks import (
+    CHECKERS_PER_WORKER,
+    LivenessChecks,
+)
 from rattanpier._internal.retries.quarantine import (
     CRASHES_TO_QUARANTINE,
     QUARANTINE_S,
     SAME_EVENT_S,
     Quarantine,
 )
-from rattanpier._internal.retries.second_looks import LOOKERS, SecondLooks
 from rattanpier._internal.standin.platform_worker import (
     HEALTH,
     PlatformWorkerServer,
@@ -46,7 +49,7 @@
     def make_looks(self, fleet):
         directory = WorkerDirectory(self.clock)
         directory.replace(make_workers(WORKERS), after_outage=False)
-        return SecondLooks(
+        return LivenessChecks(
             Quarantine(self.clock),
             directory,
             fleet,
@@ -68,8 +71,8 @@
         """Lets all entries look for some seconds."""
         end = self.clock.now + seconds
         while self.clock.now < end:
-            self.clock.now += module.LOOK_EVERY_S
-            await asyncio.gather(*(looks.round() for looks in self.looks))
+            self.clock.now += module.CHECK_INTERVAL_S
+            await asyncio.gather(*(looks.check_due() for looks in self.looks))
 
     def held_s(self):
         return [looks.quarantine.remaining_s(CONTENT) for looks in self.looks]
@@ -117,7 +120,7 @@
     views.end_all()
     await views.look(60.0)
     assert views.held_s()[0] > QUARANTINE_S - 61.0
-    assert len(views.asked) <= WORKERS * (60.0 / module.MOST_PAUSE_S + 5)
+    assert len(views.asked) <= WORKERS * (60.0 / module.MAX_INTERVAL_S + 5)
 
 
 async def test_a_worker_that_is_no_longer_registered_is_not_asked():
@@ -134,7 +137,7 @@
     views = Views(entries)
     views.end_all()
     await views.look(1.5)
-    assert 0 < len(views.asked) <= WORKERS * LOOKERS * 2
+    assert 0 < len(views.asked) <= WORKERS * CHECKERS_PER_WORKER * 2
 
 
 @pytest.mark.parametrize(
