--- a/src/rattanpier/_internal/retries/liveness_checks.py
+++ b/src/rattanpier/_internal/retries/liveness_checks.py
@@ -1,10 +1,11 @@
-"""Looks again at workers that are said to have ended.
+"""Liveness checks of workers that were reported as crashed.
 
-An entry that is cut off so that connections are refused takes all workers that
-it tries for ended, tells so, and three of them hold a sound request for all.
-So a few entries, found by a hash of the worker, ask it who it is for as long as
-it is registered: the incarnation that is_alive has not ended. A worker that
-ended refuses connections, and its successor names itself otherwise.
+A partitioned entry whose connections are refused reports all workers that it
+tries as crashed, and three such reports quarantine a harmless request at all
+entries. So a few entries, chosen by a hash of the worker, ask it for its
+identity as long as it is registered: an incarnation that answers has not
+crashed. A crashed worker refuses connections, and its successor reports another
+incarnation.
 """
 
 from __future__ import annotations
@@ -21,24 +22,30 @@
 from rattanpier._internal.utils.clock import Clock
 
 CHECK_INTERVAL_S = 0.5
-# One that is registered, listens and never says who it is, is asked less often.
+# Upper bound of the back-off for a worker that is registered and listens, but
+# never reports its identity.
 MAX_INTERVAL_S = 8.0
 CHECK_TIMEOUT_S = 0.4
-# So that one of them is not cut off; each asks a worker once in a while.
+# Several, so that one of them is not partitioned; each asks a worker rarely.
 CHECKERS_PER_WORKER = 3
 
 
 @attrs.define(eq=False, repr=False)
 class LivenessChecks:
-    """Which workers this entry looks at again, and when.
+    """Schedule and execution of this entry's liveness checks.
 
     Attributes:
-      is_alive: Asks a worker within some seconds whether it is the incarnation
-        that is registered; False says nothing.
-      on_alive: Told of the incarnation of each that is, and since when it
-        surely was, in monotonic seconds.
-      intervals_s: Until the next look at each, in seconds, by incarnation.
-      due_at: When that is, in monotonic seconds.
+      quarantine: Source of the reported crashes.
+      directory: The registered workers.
+      fleet: The entries that share the checks.
+      clock: Source of monotonic time.
+      is_alive: Asks a worker, with a timeout in seconds, whether it is the
+        registered incarnation; False proves nothing.
+      on_alive: Called with each incarnation that is alive and a time in
+        monotonic seconds at which it was.
+      intervals_s: Interval that the next check will schedule, in seconds,
+        by incarnation.
+      due_at: Time of the next check in monotonic seconds, by incarnation.
     """
 
     quarantine: Quarantine
@@ -51,13 +58,13 @@
     due_at: dict[str, float] = attrs.Factory(dict)
 
     async def run(self) -> None:
-        """Looks again and again."""
+        """Runs due checks until it is cancelled."""
         while True:
             await self.clock.sleep(CHECK_INTERVAL_S)
             await self.check_due()
 
     async def check_due(self) -> None:
-        """Looks once at each worker that it is time for."""
+        """Checks each worker that is due and assigned to this entry."""
         crash_times = self.quarantine.crash_times()
         if not (crash_times or self.due_at):
             return
@@ -84,24 +91,24 @@
         )
 
     def next_check_at(self, worker: RegisteredWorker) -> float:
-        """Returns when a worker is to be looked at, in monotonic seconds."""
+        """Returns when to check a worker next, in monotonic seconds."""
         return self.due_at.get(worker.incarnation, float("-inf"))
 
     def is_assigned(self, incarnation: str) -> bool:
-        """Says whether this entry looks at a worker, by what all know."""
+        """Returns whether this entry is to check a worker."""
         checkers = self.fleet.preferred(
             f"look/{incarnation}", CHECKERS_PER_WORKER
         )
         return self.fleet.me.member.name in checkers
 
     async def check(self, worker: RegisteredWorker) -> None:
-        """Asks a worker who it is."""
+        """Checks one worker and schedules its next check."""
         incarnation = worker.incarnation
         began = self.clock.monotonic()
         interval_s = self.intervals_s.get(incarnation, CHECK_INTERVAL_S)
         self.intervals_s[incarnation] = min(MAX_INTERVAL_S, 2 * interval_s)
         self.due_at[incarnation] = began + interval_s
         if await self.is_alive(worker, CHECK_TIMEOUT_S):
-            # It lived when it was asked, whenever the answer came.
+            # It was alive when asked, however late the answer came.
             self.on_alive(incarnation, began)
             self.quarantine.record_alive(incarnation, began)
