--- a/src/rattanpier/_internal/programs/common.py
+++ b/src/rattanpier/_internal/programs/common.py
@@ -157,7 +157,7 @@
     """Adds the brakes and takes the peers' notices."""
     brakes = Brakes(
         configuration=kernel.find("follower").current,
-        me=members.me.name,
+        own_name=members.me.name,
         peers=lambda: members.live.value,
         links=kernel.find("links"),
         clock=kernel.find("clock"),
--- a/src/rattanpier/_internal/routing/brakes.py
+++ b/src/rattanpier/_internal/routing/brakes.py
@@ -27,8 +27,10 @@
 
 log = structlog.get_logger(part="brakes")
 
-FAN_OUT = 3  # Peers that a notice is passed on to.
-REPEAT_S = 1.0  # Pause between repeats, for peers that missed a notice.
+FANOUT = 3  # Peers that a notice is passed on to.
+RESEND_INTERVAL_S = (
+    1.0  # Pause between repeats, for peers that missed a notice.
+)
 
 
 @attrs.frozen
@@ -58,10 +60,12 @@
     It changes when the version's state or one of its roll-outs changes, and
     not when an operator changes something else.
     """
-    return stable_hash("\x1f".join(decisions(configuration, version)))
+    return stable_hash("\x1f".join(describe_decisions(configuration, version)))
 
 
-def decisions(configuration: Configuration, version: str) -> Iterator[str]:
+def describe_decisions(
+    configuration: Configuration, version: str
+) -> Iterator[str]:
     """Yields what a configuration says of a version."""
     known = configuration.versions.get(version)
     yield known.state.value if known else "unknown"
@@ -76,14 +80,14 @@
 
     Attributes:
       configuration: Emits each configuration that comes into force.
-      me: Own member name.
+      own_name: Own member name.
       peers: Returns the live members by name.
       active: Brakes by version.
       changed: Emits the braked versions whenever they change.
     """
 
     configuration: BehaviorSubject[Configuration]
-    me: str
+    own_name: str
     peers: Callable[[], dict[str, Member]]
     links: Links
     clock: Clock
@@ -96,7 +100,7 @@
 
     def __attrs_post_init__(self) -> None:
         """Follows the configuration."""
-        self.configuration.subscribe(lambda _: self.drop_decided())
+        self.configuration.subscribe(lambda _: self.drop_superseded())
 
     def __contains__(self, version: object) -> bool:
         """Says whether a version is braked."""
@@ -121,21 +125,21 @@
           origin: Who brakes.
           rollout: The roll-out that it belongs to, or empty.
         """
-        present = self.configuration.value
+        current = self.configuration.value
         record = BrakeRecord(
             version=version,
             reason=reason,
             origin=origin,
             rollout=rollout,
-            sequence=present.revision,
-            decision=decision_digest(present, version),
+            sequence=current.revision,
+            decision=decision_digest(current, version),
         )
-        self.take(record)
+        self.apply_record(record)
         return self.active.get(version, record)
 
-    def take(self, record: BrakeRecord) -> None:
+    def apply_record(self, record: BrakeRecord) -> None:
         """Takes in a brake; passes it on if it is new."""
-        if self.is_decided(record):
+        if self.is_superseded(record):
             return
         known = self.active.get(record.version)
         if known is not None and known.sequence >= record.sequence:
@@ -150,39 +154,41 @@
                 origin=record.origin,
             )
         self.publish()
-        self.tell([record])
+        self.send([record])
 
-    def is_decided(self, record: BrakeRecord) -> bool:
+    def is_superseded(self, record: BrakeRecord) -> bool:
         """Says whether a newer revision has decided on the version."""
-        present = self.configuration.value
-        if present.revision <= record.sequence:
+        current = self.configuration.value
+        if current.revision <= record.sequence:
             return False
-        return decision_digest(present, record.version) != record.decision
+        return decision_digest(current, record.version) != record.decision
 
-    def drop_decided(self) -> None:
+    def drop_superseded(self) -> None:
         """Drops the brakes that the configuration in force has decided."""
-        decided = [
-            record for record in self.active.values() if self.is_decided(record)
+        superseded = [
+            record
+            for record in self.active.values()
+            if self.is_superseded(record)
         ]
-        for record in decided:
+        for record in superseded:
             del self.active[record.version]
             log.info("Brake ends with a revision.", version=record.version)
-        if decided:
+        if superseded:
             self.publish()
 
     def publish(self) -> None:
         """Emits the braked versions."""
         self.changed.on_next(frozenset(self.active))
 
-    def tell(self, records: Collection[BrakeRecord]) -> None:
+    def send(self, records: Collection[BrakeRecord]) -> None:
         """Sends brakes to a few peers."""
-        others = [
+        peers = [
             member
             for name, member in sorted(self.peers().items())
-            if name != self.me
+            if name != self.own_name
         ]
-        chosen = self.rng.sample(others, min(FAN_OUT, len(others)))
-        for member in chosen:
+        targets = self.rng.sample(peers, min(FANOUT, len(peers)))
+        for member in targets:
             for record in records:
                 brake = peer_pb2.Brake(**attrs.asdict(record))
                 self.links.to(member).notify(peer_pb2.Notice(brake=brake))
@@ -190,16 +196,16 @@
 
     def receive(self, notice: peer_pb2.Notice) -> None:
         """Takes in a peer's notice."""
-        self.take(record_of(notice.brake))
+        self.apply_record(decode_brake(notice.brake))
 
     async def run(self, kernel: Kernel) -> None:
         """Repeats what stands, for peers that missed it or are new."""
         while not kernel.stopping.is_set():
-            self.tell(list(self.active.values()))
-            await self.clock.sleep(REPEAT_S)
+            self.send(list(self.active.values()))
+            await self.clock.sleep(RESEND_INTERVAL_S)
 
 
-def record_of(brake: Any) -> BrakeRecord:
+def decode_brake(brake: Any) -> BrakeRecord:
     """Returns a brake from its message."""
     return BrakeRecord(
         version=brake.version,
--- a/tests/lib/rollouts.py
+++ b/tests/lib/rollouts.py
@@ -139,7 +139,7 @@
         self.metrics = Metrics()
         self.brakes = Brakes(
             configuration=self.follower.current,
-            me=name,
+            own_name=name,
             peers=lambda: self.live.value,
             links=world.network,
             clock=world.clock,
--- a/tests/unit/test_plan_brakes.py
+++ b/tests/unit/test_plan_brakes.py
@@ -109,7 +109,7 @@
     _, other = build_brakes(
         attrs.evolve(configuration, revision=6, rollouts={"r": halted})
     )
-    other.take(record)
+    other.apply_record(record)
     assert list(other) == []
 
 
@@ -118,5 +118,5 @@
     _, brakes = build_brakes(configuration)
     record = brakes.apply(CANDIDATE, "errors", "control-1")
     _, stale = build_brakes(attrs.evolve(configuration, revision=4))
-    stale.take(record)
+    stale.apply_record(record)
     assert list(stale) == [CANDIDATE]
