--- a/src/rattanpier/_internal/routing/brakes.py
+++ b/src/rattanpier/_internal/routing/brakes.py
@@ -1,8 +1,8 @@
 """Brakes: versions that this node stopped using ahead of the configuration.
 
-A brake narrows what runs, so it acts at once and spreads from peer to peer
-without the store. It stands until a newer configuration revision decides on
-the version. Nothing here widens: a brake is lifted by a revision alone.
+A brake only restricts what may run, so it takes effect at once and spreads from
+peer to peer without the store. It remains until a newer configuration revision
+decides on the version; only a revision can lift it.
 """
 
 from __future__ import annotations
@@ -27,10 +27,8 @@
 
 log = structlog.get_logger(part="brakes")
 
-FANOUT = 3  # Peers that a notice is passed on to.
-RESEND_INTERVAL_S = (
-    1.0  # Pause between repeats, for peers that missed a notice.
-)
+FANOUT = 3  # Peers that each notice is sent to.
+RESEND_INTERVAL_S = 1.0  # For peers that missed a notice.
 
 
 @attrs.frozen
@@ -39,11 +37,11 @@
 
     Attributes:
       version: The version.
-      reason: One sentence.
-      origin: Who braked: a process or an operator.
+      reason: One sentence, for logs and operators.
+      origin: Who set the brake: a process or an operator.
       rollout: The roll-out it belongs to, or empty.
       sequence: Configuration revision in force at the origin.
-      decision: Digest of what that revision decides on the version.
+      decision: Digest of that revision's decisions on the version.
     """
 
     version: str
@@ -55,7 +53,7 @@
 
 
 def decision_digest(configuration: Configuration, version: str) -> int:
-    """Returns a digest of what a configuration decides on a version.
+    """Returns a digest of a configuration's decisions on a version.
 
     It changes when the version's state or one of its roll-outs changes, and
     not when an operator changes something else.
@@ -66,7 +64,7 @@
 def describe_decisions(
     configuration: Configuration, version: str
 ) -> Iterator[str]:
-    """Yields what a configuration says of a version."""
+    """Yields a text for each decision of a configuration on a version."""
     known = configuration.versions.get(version)
     yield known.state.value if known else "unknown"
     for name, rollout in sorted(configuration.rollouts.items()):
@@ -79,9 +77,13 @@
     """The brakes that this node knows; a collection of versions.
 
     Attributes:
-      configuration: Emits each configuration that comes into force.
-      own_name: Own member name.
+      configuration: Emits each configuration that takes effect.
+      own_name: Member name of this node.
       peers: Returns the live members by name.
+      links: Connections to peers.
+      clock: Source of time for the pause between notices.
+      metrics: Counts brakes applied and sent.
+      rng: Chooses the peers that get a notice.
       active: Brakes by version.
       changed: Emits the braked versions whenever they change.
     """
@@ -99,11 +101,11 @@
     )
 
     def __attrs_post_init__(self) -> None:
-        """Follows the configuration."""
+        """Subscribes to configuration changes."""
         self.configuration.subscribe(lambda _: self.drop_superseded())
 
     def __contains__(self, version: object) -> bool:
-        """Says whether a version is braked."""
+        """Returns whether a version is braked."""
         return version in self.active
 
     def __iter__(self) -> Iterator[str]:
@@ -117,12 +119,12 @@
     def apply(
         self, version: str, reason: str, origin: str, rollout: str = ""
     ) -> BrakeRecord:
-        """Brakes a version here and tells peers.
+        """Brakes a version here and notifies peers.
 
         Args:
           version: The version to stop.
           reason: One sentence, for logs and operators.
-          origin: Who brakes.
+          origin: Who sets the brake.
           rollout: The roll-out that it belongs to, or empty.
         """
         current = self.configuration.value
@@ -138,7 +140,7 @@
         return self.active.get(version, record)
 
     def apply_record(self, record: BrakeRecord) -> None:
-        """Takes in a brake; passes it on if it is new."""
+        """Applies a brake, and forwards it to peers if it is new."""
         if self.is_superseded(record):
             return
         known = self.active.get(record.version)
@@ -157,14 +159,14 @@
         self.send([record])
 
     def is_superseded(self, record: BrakeRecord) -> bool:
-        """Says whether a newer revision has decided on the version."""
+        """Returns whether a newer revision has decided on the version."""
         current = self.configuration.value
         if current.revision <= record.sequence:
             return False
         return decision_digest(current, record.version) != record.decision
 
     def drop_superseded(self) -> None:
-        """Drops the brakes that the configuration in force has decided."""
+        """Drops the brakes that the current configuration supersedes."""
         superseded = [
             record
             for record in self.active.values()
@@ -172,7 +174,9 @@
         ]
         for record in superseded:
             del self.active[record.version]
-            log.info("Brake ends with a revision.", version=record.version)
+            log.info(
+                "Brake lifted by a newer revision.", version=record.version
+            )
         if superseded:
             self.publish()
 
@@ -181,7 +185,7 @@
         self.changed.on_next(frozenset(self.active))
 
     def send(self, records: Collection[BrakeRecord]) -> None:
-        """Sends brakes to a few peers."""
+        """Sends brakes to a few random peers."""
         peers = [
             member
             for name, member in sorted(self.peers().items())
@@ -195,18 +199,18 @@
                 self.metrics.count("brakes.sent")
 
     def receive(self, notice: peer_pb2.Notice) -> None:
-        """Takes in a peer's notice."""
+        """Applies the brake in a notice from a peer."""
         self.apply_record(decode_brake(notice.brake))
 
     async def run(self, kernel: Kernel) -> None:
-        """Repeats what stands, for peers that missed it or are new."""
+        """Resends active brakes, for peers that missed them or are new."""
         while not kernel.stopping.is_set():
             self.send(list(self.active.values()))
             await self.clock.sleep(RESEND_INTERVAL_S)
 
 
 def decode_brake(brake: Any) -> BrakeRecord:
-    """Returns a brake from its message."""
+    """Returns a brake decoded from its message."""
     return BrakeRecord(
         version=brake.version,
         reason=brake.reason,
