--- a/src/rattanpier/_internal/routing/placement.py
+++ b/src/rattanpier/_internal/routing/placement.py
@@ -22,8 +22,8 @@
 from rattanpier._internal.utils.hashing import rendezvous
 from rattanpier._internal.utils.turns import in_turns
 
-SUBSET = 64  # Workers of a version that an entry uses, if there are more.
-ENTRIES_PER_WORKER = 32  # At least so many on average; fewer load unevenly.
+SUBSET_SIZE = 64  # Workers of a version that an entry uses, if there are more.
+MIN_ENTRIES_PER_WORKER = 32  # At least so many on average; fewer load unevenly.
 
 
 @attrs.frozen
@@ -51,14 +51,14 @@
     """The workers of one version or service that an entry uses.
 
     Attributes:
-      home: What the configuration in force gives.
-      spare: In use while most of `home` gets nothing new.
-      whole: True if `home` has all workers, so that there are no others.
+      primary: What the configuration in force gives.
+      fallback: In use while most of `primary` gets nothing new.
+      is_complete: True if `primary` has all workers, so that there are no others.
     """
 
-    home: list[Target]
-    spare: list[Target]
-    whole: bool
+    primary: list[Target]
+    fallback: list[Target]
+    is_complete: bool
 
 
 @attrs.define
@@ -91,7 +91,7 @@
           tried: Workers that the request was sent to before.
         """
         key = (UpstreamKind.ENGINE, version)
-        return self.find(configuration, key, leaving, tried)
+        return self.find_targets(configuration, key, leaving, tried)
 
     def of_service(
         self,
@@ -102,9 +102,9 @@
     ) -> list[Target]:
         """Returns the workers that may get new work for a plain service."""
         key = (UpstreamKind.PLAIN, service)
-        return self.find(configuration, key, leaving, tried)
+        return self.find_targets(configuration, key, leaving, tried)
 
-    def find(
+    def find_targets(
         self,
         configuration: Configuration,
         key: tuple[UpstreamKind, str],
@@ -117,25 +117,27 @@
             self.subsets.clear()
         subset = self.subsets.get(key)
         if subset is None:
-            subset = self.subsets[key] = self.make(key)
-        enough = 1 if subset.whole else (len(subset.home) + 1) // 2
-        usable = usable_of(subset.home, leaving, tried)
-        if len(usable) >= enough or subset.whole:
+            subset = self.subsets[key] = self.make_subset(key)
+        enough = 1 if subset.is_complete else (len(subset.primary) + 1) // 2
+        usable = usable_targets(subset.primary, leaving, tried)
+        if len(usable) >= enough or subset.is_complete:
             return usable
-        usable = usable_of(subset.spare, leaving, tried)
+        usable = usable_targets(subset.fallback, leaving, tried)
         if len(usable) >= enough:
             return usable
-        everywhere = targets_of(configuration, key)
-        subset.spare = self.choose(usable_of(everywhere, leaving, tried))
-        return list(subset.spare)
+        all_targets = targets_of(configuration, key)
+        subset.fallback = self.choose_targets(
+            usable_targets(all_targets, leaving, tried)
+        )
+        return list(subset.fallback)
 
-    def make(self, key: tuple[UpstreamKind, str]) -> Subset:
+    def make_subset(self, key: tuple[UpstreamKind, str]) -> Subset:
         """Returns the subset that the configuration gives."""
-        everywhere = list(targets_of(self.configuration, key))
-        home = self.choose(everywhere)
-        return Subset(home, [], len(home) == len(everywhere))
+        all_targets = list(targets_of(self.configuration, key))
+        primary = self.choose_targets(all_targets)
+        return Subset(primary, [], len(primary) == len(all_targets))
 
-    def choose(self, targets: list[Target]) -> list[Target]:
+    def choose_targets(self, targets: list[Target]) -> list[Target]:
         """Returns this entry's part of some workers."""
         size = subset_size(len(targets), self.configuration.fleet.size)
         return choose_subset(self.entry, targets, size)
@@ -150,8 +152,8 @@
     >>> subset_size(9, 8), subset_size(600, 420), subset_size(600, 60)
     (9, 64, 320)
     """
-    shared = -(-workers * ENTRIES_PER_WORKER // max(1, entries))
-    return min(workers, max(SUBSET, shared))
+    fair_share = -(-workers * MIN_ENTRIES_PER_WORKER // max(1, entries))
+    return min(workers, max(SUBSET_SIZE, fair_share))
 
 
 def choose_subset(
@@ -172,7 +174,7 @@
     return list(itertools.islice(in_turns(domains.values()), size))
 
 
-def usable_of(
+def usable_targets(
     targets: Iterable[Target],
     leaving: Collection[str],
     tried: Collection[str],
@@ -189,14 +191,16 @@
     configuration: Configuration, key: tuple[UpstreamKind, str]
 ) -> Iterator[Target]:
     """Yields all workers of a version or service that are not draining."""
-    kind, wanted = key
+    kind, wanted_name = key
     for name, upstream in configuration.upstreams.items():
         if upstream.draining or upstream.kind is not kind:
             continue
-        if kind is UpstreamKind.PLAIN and name != wanted:
+        if kind is UpstreamKind.PLAIN and name != wanted_name:
             continue
         for worker_name, worker in upstream.workers.items():
-            serves = kind is UpstreamKind.PLAIN or wanted in worker.versions
+            serves = (
+                kind is UpstreamKind.PLAIN or wanted_name in worker.versions
+            )
             if serves and not worker.draining:
                 yield Target(name, worker_name, worker)
 
@@ -213,10 +217,10 @@
     """
     if not targets:
         return None
-    pair = rng.sample(targets, min(2, len(targets)))
+    candidates = rng.sample(targets, min(2, len(targets)))
 
     def cost(target: Target) -> tuple[float, bool]:
-        used = load.outstanding[target.name] / target.worker.slots
-        return used, target.worker.domain != domain
+        utilization = load.outstanding[target.name] / target.worker.slots
+        return utilization, target.worker.domain != domain
 
-    return min(pair, key=cost)
+    return min(candidates, key=cost)
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -6,7 +6,7 @@
 import pytest
 
 from rattanpier._internal.models.configuration import UpstreamKind
-from rattanpier._internal.routing.placement import SUBSET, Placement
+from rattanpier._internal.routing.placement import SUBSET_SIZE, Placement
 from tests.lib.builders import SMALL
 from tests.lib.pools import DOMAINS, pool_of
 
@@ -41,10 +41,10 @@
     configuration = pool_of(workers, 420)
     leaving = Watched()
     found = placement.of_version(configuration, SMALL, leaving)
-    assert len(found) == SUBSET
-    assert leaving.asked == SUBSET
+    assert len(found) == SUBSET_SIZE
+    assert leaving.asked == SUBSET_SIZE
     counts = collections.Counter(target.worker.domain for target in found)
-    assert counts == dict.fromkeys(DOMAINS, SUBSET // len(DOMAINS))
+    assert counts == dict.fromkeys(DOMAINS, SUBSET_SIZE // len(DOMAINS))
 
 
 @pytest.mark.parametrize(
@@ -76,16 +76,16 @@
     before = names(placement.of_version(configuration, SMALL, ()))
     leaving = Watched(before)
     spare = names(placement.of_version(configuration, SMALL, leaving))
-    assert len(spare) == SUBSET
+    assert len(spare) == SUBSET_SIZE
     assert not spare & before
     # The replacement is kept: the pool is not searched for each request.
     leaving.asked = 0
     assert names(placement.of_version(configuration, SMALL, leaving)) == spare
-    assert leaving.asked == 2 * SUBSET
+    assert leaving.asked == 2 * SUBSET_SIZE
     # It is replaced as well.
     leaving |= spare
     third = names(placement.of_version(configuration, SMALL, leaving))
-    assert len(third) == SUBSET
+    assert len(third) == SUBSET_SIZE
     assert not third & leaving
     assert names(placement.of_version(configuration, SMALL, ())) == before
 
@@ -94,7 +94,7 @@
     configuration = pool_of(600, 420)
     lost = in_domain(configuration, "a", "b", "c")
     found = Placement("e1").of_version(configuration, SMALL, lost)
-    assert len(found) == SUBSET
+    assert len(found) == SUBSET_SIZE
     assert names(found) <= in_domain(configuration, "d")
 
 
@@ -132,7 +132,7 @@
     )
     found = names(placement.of_version(new, SMALL, ()))
     assert drained not in found
-    assert len(found & names(before)) == SUBSET - 1
+    assert len(found & names(before)) == SUBSET_SIZE - 1
     whole = attrs.evolve(
         new, upstreams={"pool": attrs.evolve(pool, draining=True)}
     )
@@ -142,7 +142,7 @@
 def test_services_and_versions_are_kept_apart():
     placement = Placement("e1")
     plain = pool_of(200, 420, kind=UpstreamKind.PLAIN)
-    assert len(placement.of_service(plain, "pool", ())) == SUBSET
+    assert len(placement.of_service(plain, "pool", ())) == SUBSET_SIZE
     assert not placement.of_version(plain, SMALL, ())
     engines = pool_of(200, 420)
     assert not placement.of_service(engines, "pool", ())
