--- a/src/rattanpier/_internal/routing/plan.py
+++ b/src/rattanpier/_internal/routing/plan.py
@@ -18,7 +18,7 @@
 from rattanpier._internal.routing.rules import first_match
 from rattanpier._internal.utils.hashing import stable_hash
 
-SPLIT_STEPS = 10_000  # Fineness of a roll-out's share.
+SPLIT_RESOLUTION = 10_000  # Fineness of a roll-out's share.
 
 
 def make_plan(
@@ -71,9 +71,10 @@
 ) -> Plan | Refusal:
     """Plans the use of versions."""
     workspace = configuration.workspaces[request.workspace]
-    steps = list(wanted_steps(configuration, then))
+    steps = list(rule_versions(configuration, then))
     steps = [
-        split(configuration, request, step, workspace, braked) for step in steps
+        apply_rollouts(configuration, request, step, workspace, braked)
+        for step in steps
     ]
     steps = [step for step in steps if step in workspace.versions]
     if not steps:
@@ -100,7 +101,7 @@
     return Plan(rule, steps, pin_lost=pinned)
 
 
-def wanted_steps(configuration: Configuration, then: Then) -> Iterator[str]:
+def rule_versions(configuration: Configuration, then: Then) -> Iterator[str]:
     """Yields the versions that a rule names."""
     if then.version is not None:
         yield then.version
@@ -108,7 +109,7 @@
         yield from configuration.cascades[then.cascade].steps
 
 
-def split(
+def apply_rollouts(
     configuration: Configuration,
     request: RouteRequest,
     version: str,
@@ -125,9 +126,9 @@
         if rollout.stable != version or not is_open(rollout):
             continue
         unit = request.session or f"{request.workspace}/{request.key}"
-        point = stable_hash(f"{name}\x1f{unit}") % SPLIT_STEPS
+        bucket = stable_hash(f"{name}\x1f{unit}") % SPLIT_RESOLUTION
         candidate = rollout.candidate
-        if point < rollout.share * SPLIT_STEPS and may_serve(
+        if bucket < rollout.share * SPLIT_RESOLUTION and may_serve(
             configuration, workspace, candidate, False, braked
         ):
             return candidate
