--- a/src/rattanpier/_internal/routing/rules.py
+++ b/src/rattanpier/_internal/routing/rules.py
@@ -12,7 +12,7 @@
 Condition = Callable[[When, RouteRequest], bool]
 
 
-def one_of(names: list[str] | None, name: str) -> bool:
+def matches_name(names: list[str] | None, name: str) -> bool:
     """Says whether a condition on a name holds; None always does."""
     return names is None or name in names
 
@@ -23,27 +23,29 @@
     return all(request.labels.get(name) == wanted[name] for name in wanted)
 
 
-def long_enough(when: When, request: RouteRequest) -> bool:
+def meets_min_tokens(when: When, request: RouteRequest) -> bool:
     """Says whether the prompt has enough tokens."""
-    least = when.min_prompt_tokens
-    return least is None or request.prompt_tokens >= least
+    min_tokens = when.min_prompt_tokens
+    return min_tokens is None or request.prompt_tokens >= min_tokens
 
 
-def short_enough(when: When, request: RouteRequest) -> bool:
+def meets_max_tokens(when: When, request: RouteRequest) -> bool:
     """Says whether the prompt has few enough tokens."""
-    most = when.max_prompt_tokens
-    return most is None or request.prompt_tokens <= most
+    max_tokens = when.max_prompt_tokens
+    return max_tokens is None or request.prompt_tokens <= max_tokens
 
 
 CONDITIONS: dict[str, Condition] = {
-    "workspaces": lambda when, request: one_of(
+    "workspaces": lambda when, request: matches_name(
         when.workspaces, request.workspace
     ),
-    "models": lambda when, request: one_of(when.models, request.model),
-    "services": lambda when, request: one_of(when.services, request.service),
+    "models": lambda when, request: matches_name(when.models, request.model),
+    "services": lambda when, request: matches_name(
+        when.services, request.service
+    ),
     "labels": labels_match,
-    "min_prompt_tokens": long_enough,
-    "max_prompt_tokens": short_enough,
+    "min_prompt_tokens": meets_min_tokens,
+    "max_prompt_tokens": meets_max_tokens,
     "stream": lambda when, request: when.stream in (None, request.stream),
     "non_idempotent": lambda when, request: (
         when.non_idempotent in (None, not request.idempotent)
