--- a/src/rattanpier/_internal/routing/placement.py
+++ b/src/rattanpier/_internal/routing/placement.py
@@ -1,8 +1,8 @@
-"""Which worker of a version gets a request.
+"""Placement: choice of the worker of a version that gets a request.
 
-An entry does not use all workers of a large pool but a subset of a bounded
-size, so that what it keeps and does for a request, and the connections that a
-worker holds, do not grow with the fleet.
+An entry uses only a subset of bounded size of a large pool of workers, so that
+its memory, its work per request and the connections of a worker do not grow
+with the fleet.
 """
 
 from __future__ import annotations
@@ -22,13 +22,19 @@
 from rattanpier._internal.utils.hashing import rendezvous
 from rattanpier._internal.utils.turns import in_turns
 
-SUBSET_SIZE = 64  # Workers of a version that an entry uses, if there are more.
-MIN_ENTRIES_PER_WORKER = 32  # At least so many on average; fewer load unevenly.
+SUBSET_SIZE = 64  # Workers per version that an entry uses of a larger pool.
+MIN_ENTRIES_PER_WORKER = 32  # On average; with fewer, load gets uneven.
 
 
 @attrs.frozen
 class Target:
-    """A worker, by name, with its upstream."""
+    """A worker with its name and its upstream.
+
+    Attributes:
+      upstream: Name of the upstream.
+      name: Name of the worker.
+      worker: Its configuration.
+    """
 
     upstream: str
     name: str
@@ -37,10 +43,10 @@
 
 @attrs.define
 class Load:
-    """What this entry has under way.
+    """Requests of this entry that are in progress.
 
     Attributes:
-      outstanding: Requests sent and not ended, by worker name.
+      outstanding: Number of unfinished requests, by worker name.
     """
 
     outstanding: collections.Counter[str] = attrs.Factory(collections.Counter)
@@ -51,9 +57,9 @@
     """The workers of one version or service that an entry uses.
 
     Attributes:
-      primary: What the configuration in force gives.
-      fallback: In use while most of `primary` gets nothing new.
-      is_complete: True if `primary` has all workers, so that there are no others.
+      primary: Workers chosen from the current configuration.
+      fallback: Workers used while less than half of `primary` are usable.
+      is_complete: Whether `primary` contains all workers.
     """
 
     primary: list[Target]
@@ -63,12 +69,12 @@
 
 @attrs.define
 class Placement:
-    """This entry's workers, found once for each configuration.
+    """This entry's subsets of workers, computed once per configuration.
 
     Attributes:
-      entry: Name of this entry, which its subsets follow from.
-      configuration: The one that the subsets were made from.
-      subsets: By version, and by service with its upstream's kind.
+      entry: Name of this entry, which determines its subsets.
+      configuration: The configuration that the subsets were computed from.
+      subsets: By the kind of upstream and the name of the version or service.
     """
 
     entry: str
@@ -82,13 +88,13 @@
         leaving: Collection[str],
         tried: Collection[str] = (),
     ) -> list[Target]:
-        """Returns the workers that may get new work for a version.
+        """Returns the workers that may get new requests for a version.
 
         Args:
-          configuration: The one in force.
+          configuration: The current configuration.
           version: Name of the version.
-          leaving: Workers that get nothing new, asked at each call.
-          tried: Workers that the request was sent to before.
+          leaving: Workers that get no new requests; evaluated at each call.
+          tried: Workers that the request was already sent to.
         """
         key = (UpstreamKind.ENGINE, version)
         return self.find_targets(configuration, key, leaving, tried)
@@ -100,7 +106,7 @@
         leaving: Collection[str],
         tried: Collection[str] = (),
     ) -> list[Target]:
-        """Returns the workers that may get new work for a plain service."""
+        """Returns the workers that may get new requests for a plain service."""
         key = (UpstreamKind.PLAIN, service)
         return self.find_targets(configuration, key, leaving, tried)
 
@@ -111,7 +117,7 @@
         leaving: Collection[str],
         tried: Collection[str],
     ) -> list[Target]:
-        """Returns the usable part of a subset, or of the one in its place."""
+        """Returns the usable workers of a subset or of its fallback."""
         if configuration is not self.configuration:
             self.configuration = configuration
             self.subsets.clear()
@@ -132,22 +138,22 @@
         return list(subset.fallback)
 
     def make_subset(self, key: tuple[UpstreamKind, str]) -> Subset:
-        """Returns the subset that the configuration gives."""
+        """Returns the subset for the current configuration."""
         all_targets = list(targets_of(self.configuration, key))
         primary = self.choose_targets(all_targets)
         return Subset(primary, [], len(primary) == len(all_targets))
 
     def choose_targets(self, targets: list[Target]) -> list[Target]:
-        """Returns this entry's part of some workers."""
+        """Returns this entry's subset of some workers."""
         size = subset_size(len(targets), self.configuration.fleet.size)
         return choose_subset(self.entry, targets, size)
 
 
 def subset_size(workers: int, entries: int) -> int:
-    """Returns how many of some workers an entry uses.
+    """Returns how many of a number of workers an entry uses.
 
-    Few entries before many workers have to use more, or some workers would
-    get much less than others, or nothing.
+    If there are few entries for many workers, each entry has to use more of
+    them, or some workers would get far fewer requests than others, or none.
 
     >>> subset_size(9, 8), subset_size(600, 420), subset_size(600, 60)
     (9, 64, 320)
@@ -159,11 +165,12 @@
 def choose_subset(
     entry: str, targets: Iterable[Target], size: int
 ) -> list[Target]:
-    """Returns workers for an entry, from each failure domain in turn.
+    """Returns the subset of an entry, from each failure domain in turn.
 
-    A worker that comes or goes changes the subsets of few entries only.
+    Rendezvous hashing is used, so that a worker that is added or removed
+    changes the subsets of few entries only.
     """
-    # Two pools may each have a worker of the same name.
+    # Workers of two pools may have the same name.
     by_name = {f"{target.upstream}/{target.name}": target for target in targets}
     if len(by_name) <= size:
         return list(by_name.values())
@@ -179,7 +186,7 @@
     leaving: Collection[str],
     tried: Collection[str],
 ) -> list[Target]:
-    """Returns the workers that a request may be sent to."""
+    """Returns the targets that a request may be sent to."""
     return [
         target
         for target in targets
@@ -211,9 +218,10 @@
     domain: str,
     rng: random.Random,
 ) -> Target | None:
-    """Returns the less loaded of two random workers.
+    """Returns the less loaded of two random targets, or None without any.
 
-    Between equals the one in the entry's own failure domain is taken.
+    Of two equally loaded ones, one in the entry's own failure domain is
+    preferred.
     """
     if not targets:
         return None
