--- a/src/rattanpier/_internal/routing/plan.py
+++ b/src/rattanpier/_internal/routing/plan.py
@@ -1,4 +1,4 @@
-"""From a request and a configuration to the versions that may answer."""
+"""Planning: selects the versions that may answer a request."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from rattanpier._internal.routing.rules import first_match
 from rattanpier._internal.utils.hashing import stable_hash
 
-SPLIT_RESOLUTION = 10_000  # Fineness of a roll-out's share.
+SPLIT_RESOLUTION = 10_000  # Resolution of a roll-out's share.
 
 
 def make_plan(
@@ -29,9 +29,9 @@
     """Decides which versions may answer a request, and in which order.
 
     Args:
-      configuration: The configuration in force.
+      configuration: The current configuration.
       request: The request.
-      braked: Versions that peers stopped using ahead of the configuration.
+      braked: Versions stopped by brakes ahead of the configuration.
 
     Returns:
       A plan with at least one step or a service, or a refusal.
@@ -52,7 +52,7 @@
 def plan_service(
     rule: str, service: str, workspace: Workspace
 ) -> Plan | Refusal:
-    """Plans the use of a plain service."""
+    """Returns a plan for a plain service, or a refusal."""
     if service not in workspace.services:
         return Refusal(
             RefusalCode.SERVICE_NOT_ALLOWED,
@@ -69,7 +69,7 @@
     then: Then,
     braked: Collection[str],
 ) -> Plan | Refusal:
-    """Plans the use of versions."""
+    """Returns a plan with the versions of a rule, or a refusal."""
     workspace = configuration.workspaces[request.workspace]
     steps = list(rule_versions(configuration, then))
     steps = [
@@ -102,7 +102,7 @@
 
 
 def rule_versions(configuration: Configuration, then: Then) -> Iterator[str]:
-    """Yields the versions that a rule names."""
+    """Yields the versions that a rule names, in order."""
     if then.version is not None:
         yield then.version
     if then.cascade is not None:
@@ -116,11 +116,11 @@
     workspace: Workspace,
     braked: Collection[str],
 ) -> str:
-    """Returns the version that a roll-out puts in a version's place.
+    """Returns the version that a roll-out substitutes for a version.
 
-    The same session falls on the same side while the share stands, and a
-    wider share only moves sessions from stable to candidate. A candidate
-    that can't take the request leaves it with the stable version.
+    A session stays with the same version as long as the share is unchanged,
+    and a larger share only moves sessions from stable to candidate. If the
+    candidate may not serve the request, it stays with the stable version.
     """
     for name, rollout in configuration.rollouts.items():
         if rollout.stable != version or not is_open(rollout):
@@ -136,7 +136,7 @@
 
 
 def is_open(rollout: Rollout) -> bool:
-    """Says whether a roll-out sends traffic to its candidate."""
+    """Returns whether a roll-out sends traffic to its candidate."""
     return rollout.state is not RolloutState.HALTED
 
 
@@ -147,9 +147,9 @@
     pinned: bool,
     braked: Collection[str] = (),
 ) -> bool:
-    """Says whether a version may get new work of a workspace now.
+    """Returns whether a version may get new requests of a workspace now.
 
-    Asked again at the last moment before each dispatch.
+    This is checked again immediately before each dispatch.
     """
     if version not in workspace.versions or version in braked:
         return False
