--- a/src/rattanpier/_internal/routing/rules.py
+++ b/src/rattanpier/_internal/routing/rules.py
@@ -1,4 +1,4 @@
-"""Ordered when-then rules: the first that matches decides."""
+"""Ordered when-then rules, of which the first that matches applies."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 
 
 def matches_name(names: list[str] | None, name: str) -> bool:
-    """Says whether a condition on a name holds; None always does."""
+    """Returns whether a name is in a list; None matches every name."""
     return names is None or name in names
 
 
 def labels_match(when: When, request: RouteRequest) -> bool:
-    """Says whether every wanted label has its value."""
+    """Returns whether the request has all labels with their values."""
     wanted = when.labels or {}
     return all(request.labels.get(name) == wanted[name] for name in wanted)
 
 
 def meets_min_tokens(when: When, request: RouteRequest) -> bool:
-    """Says whether the prompt has enough tokens."""
+    """Returns whether the prompt has at least the required tokens."""
     min_tokens = when.min_prompt_tokens
     return min_tokens is None or request.prompt_tokens >= min_tokens
 
 
 def meets_max_tokens(when: When, request: RouteRequest) -> bool:
-    """Says whether the prompt has few enough tokens."""
+    """Returns whether the prompt has at most the allowed tokens."""
     max_tokens = when.max_prompt_tokens
     return max_tokens is None or request.prompt_tokens <= max_tokens
 
@@ -55,11 +55,11 @@
 
 @attrs.frozen
 class RuleCheck:
-    """How a rule fared.
+    """Result of matching a request against a rule.
 
     Attributes:
       rule: The rule.
-      failed: Names of the conditions that did not hold; none: it matches.
+      failed: Names of the conditions that did not hold; empty if it matches.
     """
 
     rule: Rule
@@ -69,7 +69,7 @@
 def check_rules(
     rules: list[Rule], request: RouteRequest
 ) -> Iterator[RuleCheck]:
-    """Yields how each rule fared, up to the first that matches."""
+    """Yields the result for each rule, up to the first that matches."""
     for rule in rules:
         failed = [
             name
