--- a/benchmarks/rate_limits.py
+++ b/benchmarks/rate_limits.py
@@ -20,7 +20,7 @@
 import structlog
 
 from benchmarks.saved_parts import SavedParts
-from benchmarks.warm_up import view_of_half
+from benchmarks.warm_up import half_down
 from rattanpier._internal.placement.rate_limits import (
     OVERSHOOT_RATIO,
     SLACK_REQUESTS,
@@ -32,12 +32,12 @@
 SIZES = (8, 77, 200, 420)
 RATE_PER_S = 2.3
 REQUESTS_PER_S = 5.0  # At one entry.
-PLAY_S = 12.0
+RUN_S = 12.0
 IDLE_S = 600.0
 
 
 @attrs.define
-class Bucket:
+class EvenShares:
     """Each entry has an even part of the limit, and saves up one request."""
 
     limits: object
@@ -70,48 +70,51 @@
         self.limits.apply_limits(limits)
 
 
-def few_senders(limits: object, _rng: random.Random) -> object:
-    """Returns the product's way: a few entries, drawn by a hash."""
+def use_few_senders(limits: object, _rng: random.Random) -> object:
+    """Returns the product's strategy: a few entries, drawn by a hash."""
     return limits
 
 
-def even_parts(limits: object, rng: random.Random) -> object:
-    """Returns the other way: an even part for each entry."""
-    return Bucket(limits, SavedParts(rng))
+def use_even_shares(limits: object, rng: random.Random) -> object:
+    """Returns the other strategy: an even part for each entry."""
+    return EvenShares(limits, SavedParts(rng))
 
 
-WAYS: dict[str, Callable] = {"few senders": few_senders, "parts": even_parts}
+STRATEGIES: dict[str, Callable] = {
+    "few senders": use_few_senders,
+    "parts": use_even_shares,
+}
 
 
-def play(way: str, size: int, differ: bool, news: bool) -> LimitedFleet:
+def run(strategy: str, size: int, differ: bool, news: bool) -> LimitedFleet:
     """Plays a fleet that nobody has told yet."""
-    fleet, workers = make(way, size, differ, news)
-    fleet.play(workers, REQUESTS_PER_S, PLAY_S, RATE_PER_S)
+    fleet, workers = make(strategy, size, differ, news)
+    fleet.run(workers, REQUESTS_PER_S, RUN_S, RATE_PER_S)
     return fleet
 
 
-def play_after_idling(way: str, size: int, differ: bool) -> int:
+def run_after_idling(strategy: str, size: int, differ: bool) -> int:
     """Returns the most in a window once a fleet that was told has work."""
-    fleet, workers = make(way, size, differ, True)
-    fleet.tell_all(workers, RATE_PER_S)
+    fleet, workers = make(strategy, size, differ, True)
+    fleet.inform_all(workers, RATE_PER_S)
     for entry in fleet.entries.values():
         entry.open_workers(workers)
     fleet.clock.now += IDLE_S
-    fleet.play(workers, REQUESTS_PER_S, WINDOW_S, RATE_PER_S)
+    fleet.run(workers, REQUESTS_PER_S, WINDOW_S, RATE_PER_S)
     return max(map(len, fleet.sends.values()))
 
 
 def make(
-    way: str, size: int, differ: bool, news: bool
+    strategy: str, size: int, differ: bool, news: bool
 ) -> tuple[LimitedFleet, list]:
     """Returns a fleet, and workers for it to choose from."""
     fleet = LimitedFleet()
-    fleet.news = news
+    fleet.publishing = news
     rng = random.Random(size)
     for number in range(size):
-        down = view_of_half(number, range(size)) if differ else ()
+        down = half_down(number, range(size)) if differ else ()
         fleet.add(number, range(size), down)
-        fleet.entries[number] = WAYS[way](fleet.entries[number], rng)
+        fleet.entries[number] = STRATEGIES[strategy](fleet.entries[number], rng)
     return fleet, make_workers(9 + size // 3)
 
 
@@ -125,27 +128,27 @@
     print(f"allowed {allowed} in {WINDOW_S} s, limit {RATE_PER_S} a second")
     print("| way | entries | views | news | told | used | refused | idle |")
     print("|---|---|---|---|---|---|---|---|")
-    for way in WAYS:
+    for strategy in STRATEGIES:
         for size in SIZES:
             for differ, news in ((False, True), (True, True), (False, False)):
-                fleet = play(way, size, differ, news)
-                print_row(fleet, way, size, differ, news)
+                fleet = run(strategy, size, differ, news)
+                print_row(fleet, strategy, size, differ, news)
 
 
 def print_row(
-    fleet: LimitedFleet, way: str, size: int, differ: bool, news: bool
+    fleet: LimitedFleet, strategy: str, size: int, differ: bool, news: bool
 ) -> None:
     """Prints what came of one play."""
     sent = sum(map(len, fleet.sends.values()))
     cells = (
-        way,
+        strategy,
         size,
         "differ" if differ else "alike",
         "yes" if news else "no",
-        fleet.most_told(WINDOW_S),
-        f"{sent / PLAY_S / len(fleet.sends) / RATE_PER_S:.2f}",
+        fleet.max_from_informed(WINDOW_S),
+        f"{sent / RUN_S / len(fleet.sends) / RATE_PER_S:.2f}",
         f"{fleet.refused / (fleet.refused + sent):.2f}",
-        play_after_idling(way, size, differ),
+        run_after_idling(strategy, size, differ),
     )
     print("|", " | ".join(map(str, cells)), "|", flush=True)
 
--- a/benchmarks/warm_up.py
+++ b/benchmarks/warm_up.py
@@ -24,11 +24,11 @@
 
 SIZES = (8, 77, 200, 420)
 REQUESTS_PER_S = 5.0  # At one entry, with larger models' answers.
-PLAY_S = 2.5
+RUN_S = 2.5
 
 
 @attrs.define
-class Bucket:
+class EvenShares:
     """Way 2: each entry has an even part of the rate, and saves it up."""
 
     warm_ups: object
@@ -50,7 +50,7 @@
 
 
 @attrs.define
-class Thinned:
+class RandomThinning:
     """Way 3: each entry takes a worker into account by chance.
 
     The chance is the worker's rate against what all entries would send, taking
@@ -73,46 +73,48 @@
         """Takes in a send."""
 
 
-def few_senders(warm_ups: object, _rng: random.Random, _count: int) -> object:
+def use_few_senders(
+    warm_ups: object, _rng: random.Random, _count: int
+) -> object:
     """Way 1, the product's: a few entries, drawn by a hash of the worker."""
     return warm_ups
 
 
-WAYS: dict[str, Callable] = {
-    "few senders": few_senders,
-    "parts saved up": lambda warm_ups, rng, _count: Bucket(
+STRATEGIES: dict[str, Callable] = {
+    "few senders": use_few_senders,
+    "parts saved up": lambda warm_ups, rng, _count: EvenShares(
         warm_ups, SavedParts(rng)
     ),
-    "by chance": Thinned,
+    "by chance": RandomThinning,
 }
 
 
-def view_of_half(number: int, everybody: range) -> set[int]:
+def half_down(number: int, everybody: range) -> set[int]:
     """Returns whom an entry takes to be down while half restart."""
     return {other for other in everybody if (other * 7 + number) % 2} - {number}
 
 
-def play(way: str, size: int, views_differ: bool) -> tuple[int, float]:
+def run(strategy: str, size: int, views_differ: bool) -> tuple[int, float]:
     """Returns the most in a second and the share of the rate that was used."""
     fleet = WarmFleet()
     workers = make_workers(2 + size // 30)
     rng = random.Random(size)
     for number in range(size):
-        down = view_of_half(number, range(size)) if views_differ else ()
+        down = half_down(number, range(size)) if views_differ else ()
         fleet.add(number, range(size), down)
         entry = fleet.entries[number]
         for worker in workers:
             entry.record_registration(worker, appeared=True)
-        fleet.entries[number] = WAYS[way](entry, rng, len(workers))
+        fleet.entries[number] = STRATEGIES[strategy](entry, rng, len(workers))
     ask_all(fleet, workers)
-    used = fleet.rate_per_s(workers, PLAY_S) / WARM_UP.rate_per_s
-    return fleet.most_in_a_second(), used
+    used = fleet.rate_per_s(workers, RUN_S) / WARM_UP.rate_per_s
+    return fleet.max_in_a_second(), used
 
 
 def ask_all(fleet: WarmFleet, workers: list) -> None:
     """Lets every entry ask at random for a while."""
     step_s = 0.01
-    for _ in range(round(PLAY_S / step_s)):
+    for _ in range(round(RUN_S / step_s)):
         fleet.clock.now += step_s
         for entry in fleet.entries.values():
             if fleet.rng.random() < REQUESTS_PER_S * step_s:
@@ -127,12 +129,14 @@
     print(f"bound {bound} in a second, steady rate {WARM_UP.rate_per_s:.0f}/s")
     print("| way | entries | views | most in 1 s | rate used |")
     print("|---|---|---|---|---|")
-    for way in WAYS:
+    for strategy in STRATEGIES:
         for size in SIZES:
             for differ in (False, True):
-                most, used = play(way, size, differ)
+                most, used = run(strategy, size, differ)
                 views = "differ" if differ else "alike"
-                print(f"| {way} | {size} | {views} | {most} | {used:.2f} |")
+                print(
+                    f"| {strategy} | {size} | {views} | {most} | {used:.2f} |"
+                )
 
 
 if __name__ == "__main__":
--- a/tests/lib/warm_fleet.py
+++ b/tests/lib/warm_fleet.py
@@ -11,7 +11,7 @@
 from rattanpier._internal.placement.rate_limits import RateLimits
 from rattanpier._internal.placement.shared_rates import SharedRates
 from rattanpier._internal.placement.warm_up import WarmUps
-from rattanpier._internal.relay.fleet import EntryState, Fleet
+from rattanpier._internal.relay.fleet import Fleet, EntryState
 from tests.lib.clock import ManualClock
 
 WARM_UP = WarmUp(start_s=3.0, rate_per_s=9.0)
@@ -20,10 +20,10 @@
 STEP_S = 0.01
 WINDOW_S = 1.0
 SERVICE = "s"
-TOLD_S = 0.5  # An answer that was passed on counts from then on.
+INFORMED_AFTER_S = 0.5  # An answer that was passed on counts from then on.
 
 
-def make_news(number, **more):
+def make_state(number, **more):
     """An entry's state."""
     name = f"entry-{number:03}"
     member = Member(name, "i", Role.ENTRY, f"zone-{number % 4}", "r", "", "", 0)
@@ -32,9 +32,9 @@
 
 def make_fleet(number, known, clock, down=()):
     """What an entry knows of some others."""
-    fleet = Fleet(make_news(number), clock)
+    fleet = Fleet(make_state(number), clock)
     fleet.apply_states(
-        make_news(other, down=other in down)
+        make_state(other, down=other in down)
         for other in known
         if other != number
     )
@@ -73,7 +73,7 @@
         fleet = make_fleet(number, known, self.clock, down)
         self.entries[number] = make_warm_ups(fleet, self.clock)
 
-    def play(self, workers, requests_per_s, seconds):
+    def run(self, workers, requests_per_s, seconds):
         """Each entry gets requests at random and would use any cold worker."""
         for entry in self.entries.values():
             for worker in workers:
@@ -86,17 +86,17 @@
                     self.ask(entry, workers)
 
     def ask(self, entry, workers):
-        open_ones = entry.open_workers(workers)
-        if not open_ones:
+        open_workers = entry.open_workers(workers)
+        if not open_workers:
             self.refused += 1
             return
-        worker = self.rng.choice(open_ones)
+        worker = self.rng.choice(open_workers)
         entry.record_send(worker)
         self.sends[worker.id].append(self.clock.now)
 
-    def most_in_a_second(self):
+    def max_in_a_second(self):
         """The most requests that reached one worker within any second."""
-        return max(map(most_within, self.sends.values()), default=0)
+        return max(map(max_within, self.sends.values()), default=0)
 
     def rate_per_s(self, workers, seconds):
         """Mean requests a second at one worker."""
@@ -104,16 +104,16 @@
         return total / seconds / len(workers)
 
 
-def most_within(times, window_s=WINDOW_S):
+def max_within(times, window_s=WINDOW_S):
     """The most of some ordered times within any window."""
     recent = collections.deque()
-    most = 0
+    highest = 0
     for at in times:
         recent.append(at)
         while recent[0] < at - window_s:
             recent.popleft()
-        most = max(most, len(recent))
-    return most
+        highest = max(highest, len(recent))
+    return highest
 
 
 def make_limits(fleet, clock):
@@ -127,40 +127,42 @@
     """Entries before workers that name a limit.
 
     Attributes:
-      told_at: When each entry was told by a worker's answer, by both.
-      told_sends: When each worker was sent a request by an entry that it had
+      informed_at: When each entry was told by a worker's answer, by both.
+      sends_by_informed: When each worker was sent a request by an entry that it had
         told some time before, by its id.
-      news: Entries tell each other.
-      wobble: How much less a worker may name in one answer than in another.
+      publishing: Entries tell each other.
+      variation: How much less a worker may name in one answer than in another.
     """
 
-    told_at: dict = attrs.Factory(dict)
-    told_sends: dict = attrs.Factory(lambda: collections.defaultdict(list))
-    news: bool = True
-    wobble: float = 0.0
+    informed_at: dict = attrs.Factory(dict)
+    sends_by_informed: dict = attrs.Factory(
+        lambda: collections.defaultdict(list)
+    )
+    publishing: bool = True
+    variation: float = 0.0
 
     def add(self, number, known, down=()):
         entry = make_limits(
             make_fleet(number, known, self.clock, down), self.clock
         )
-        entry.publish = lambda word: self.spread(entry, word)
+        entry.publish = lambda limit: self.publish(entry, limit)
         self.entries[number] = entry
 
-    def spread(self, sender, word):
-        if self.news:
+    def publish(self, sender, limit):
+        if self.publishing:
             for entry in self.entries.values():
                 if entry is not sender:
-                    entry.apply_limits([word])
+                    entry.apply_limits([limit])
 
-    def tell_all(self, workers, rate_per_s):
+    def inform_all(self, workers, rate_per_s):
         """Each entry gets an answer of each worker at the same moment."""
-        news, self.news = self.news, False
+        publishing, self.publishing = self.publishing, False
         for entry in self.entries.values():
             for worker in workers:
                 entry.record_answer(worker, rate_per_s, self.clock.now)
-        self.news = news
+        self.publishing = publishing
 
-    def play(self, workers, requests_per_s, seconds, rate_per_s=None):
+    def run(self, workers, requests_per_s, seconds, rate_per_s=None):
         """Each entry gets requests at random and would use any worker.
 
         Args:
@@ -176,11 +178,11 @@
                         self.answer(entry, worker, rate_per_s)
 
     def ask(self, entry, workers):
-        open_ones = entry.open_workers(workers)
-        if not open_ones:
+        open_workers = entry.open_workers(workers)
+        if not open_workers:
             self.refused += 1
             return None
-        worker = self.rng.choice(open_ones)
+        worker = self.rng.choice(open_workers)
         entry.record_send(worker)
         self.sends[worker.id].append(self.clock.now)
         return worker
@@ -188,15 +190,17 @@
     def answer(self, entry, worker, rate_per_s):
         """An entry gets the answer to what it has just sent."""
         key = id(entry), worker.id
-        told_at = self.told_at.get(key, math.inf)
-        if self.clock.now - told_at >= TOLD_S:
-            self.told_sends[worker.id].append(self.clock.now)
+        informed_at = self.informed_at.get(key, math.inf)
+        if self.clock.now - informed_at >= INFORMED_AFTER_S:
+            self.sends_by_informed[worker.id].append(self.clock.now)
         if rate_per_s is not None:
-            self.told_at.setdefault(key, self.clock.now)
-            rate_per_s -= self.rng.uniform(0.0, self.wobble)
+            self.informed_at.setdefault(key, self.clock.now)
+            rate_per_s -= self.rng.uniform(0.0, self.variation)
         entry.record_answer(worker, rate_per_s, self.clock.now)
 
-    def most_told(self, window_s):
+    def max_from_informed(self, window_s):
         """The most that a worker got in a window from those that it told."""
-        counts = (most_within(at, window_s) for at in self.told_sends.values())
+        counts = (
+            max_within(at, window_s) for at in self.sends_by_informed.values()
+        )
         return max(counts, default=0)
--- a/tests/placement/test_backoffs.py
+++ b/tests/placement/test_backoffs.py
@@ -32,7 +32,7 @@
     return Backoffs(clock, random.Random(1))
 
 
-def test_a_worker_is_left_alone_for_as_long_as_it_asked(backoffs, clock):
+def test_worker_gets_no_requests_during_its_backoff(backoffs, clock):
     backoffs.record_backoff(WORKER.incarnation, 3.0)
     clock.now += 2.99
     assert backoffs.open_workers([WORKER]) == []
@@ -40,14 +40,14 @@
     assert backoffs.open_workers([WORKER]) == [WORKER]
 
 
-def test_a_shorter_rest_that_comes_later_ends_no_longer_one(backoffs, clock):
+def test_later_shorter_backoff_does_not_end_longer_one(backoffs, clock):
     backoffs.record_backoff(WORKER.incarnation, 3.0)
     backoffs.record_backoff(WORKER.incarnation, 0.1)
     clock.now += 2.9
     assert backoffs.open_workers([WORKER]) == []
 
 
-def test_the_ends_of_rests_that_begin_together_are_spread(clock):
+def test_backoffs_that_start_together_end_at_different_times(clock):
     ends = []
     for number in range(200):
         entry = Backoffs(clock, random.Random(f"entry-{number}"))
@@ -60,18 +60,18 @@
     assert in_a_tenth <= 0.2 * len(ends)
 
 
-def test_a_new_start_under_the_same_id_does_not_rest(backoffs):
+def test_backoff_does_not_apply_to_new_incarnation(backoffs):
     backoffs.record_backoff(attrs.evolve(WORKER, born=1).incarnation, 3.0)
     again = attrs.evolve(WORKER, born=2)
     assert backoffs.open_workers([again]) == [again]
 
 
-def test_no_rest_is_endless(backoffs):
+def test_backoff_is_capped(backoffs):
     backoffs.record_backoff(WORKER.incarnation, 31536000.0)
     assert backoffs.opens_in_s(WORKER.incarnation) <= MAX_BACKOFF_S
 
 
-def test_what_is_kept_is_bounded(backoffs, clock):
+def test_number_of_stored_backoffs_is_bounded(backoffs, clock):
     for worker in make_workers(4 * MAX_BACKOFFS):
         backoffs.record_backoff(worker.incarnation, 0.001)
         clock.now += 0.01
@@ -94,6 +94,6 @@
         (200, ["3"], 0.0),
     ],
 )
-def test_odd_times_have_a_safe_meaning(status, texts, found):
+def test_malformed_retry_after_is_read_safely(status, texts, found):
     headers = tuple(("retry-after", text) for text in texts)
     assert decode_rest(WireHead(status, headers, True)) == found
--- a/tests/placement/test_drained_domains.py
+++ b/tests/placement/test_drained_domains.py
@@ -26,7 +26,7 @@
 from tests.lib.relay_parts import at, make_worker
 
 # Where the entries themselves stand: its workers would be preferred.
-DRAIN = "evacuate/zone-a"
+DRAIN_KEY = "evacuate/zone-a"
 
 
 # What counts, without a network.
@@ -36,7 +36,7 @@
     return DomainOrder(domain, True, at(revision))
 
 
-def test_an_order_counts_until_its_end_was_seen():
+def test_order_stays_in_force_until_its_removal_is_seen():
     domains = DrainedDomains()
     workers = [make_worker("w1", domain="a"), make_worker("w2", domain="b")]
     assert domains.open_workers(workers) == workers
@@ -46,7 +46,7 @@
     assert domains.open_workers(workers) == workers
 
 
-def test_an_older_end_lifts_no_newer_order():
+def test_older_removal_does_not_end_newer_order():
     domains = DrainedDomains()
     domains.apply_order(drained("b", 9), "peer")
     domains.apply_order(DomainOrder("b", False, at(8)), "snapshot")
@@ -54,7 +54,7 @@
     assert domains.drained == {"b"}
 
 
-def test_a_peer_that_knows_less_drains_nothing_anew():
+def test_outdated_peer_does_not_drain_domain_again():
     domains = DrainedDomains()
     domains.apply_order(drained("b", 7), "store")
     domains.apply_order(DomainOrder("b", False, at(9)), "store")
@@ -62,7 +62,7 @@
     assert not domains.drained
 
 
-def test_a_whole_table_without_an_order_ends_it():
+def test_full_read_without_order_ends_it():
     returned = []
     domains = DrainedDomains(returned.append)
     domains.apply_order(drained("a", 5), "store")
@@ -72,7 +72,7 @@
     assert returned == ["b"]
 
 
-def test_an_order_again_right_after_its_end_counts():
+def test_order_right_after_removal_takes_effect():
     domains = DrainedDomains()
     for revision, order in enumerate([True, False, True], start=1):
         domains.apply_order(DomainOrder("b", order, at(revision)), "store")
@@ -95,7 +95,7 @@
     return domains
 
 
-def test_an_order_that_the_copy_lacks_counts_until_it_is_written_again(
+def test_order_missing_from_restored_store_stays_until_reissued(
     restored, clock
 ):
     restored.apply_order(drained("b", 9), "store")
@@ -110,7 +110,9 @@
     assert not restored.drained
 
 
-def test_an_order_that_is_not_written_again_ends(restored, clock):
+def test_order_missing_from_restored_store_ends_after_grace_period(
+    restored, clock
+):
     restored.apply_order(drained("b", 9), "store")
     restored.replace([], at(4, era=2))
     clock.now += REISSUE_GRACE_S
@@ -121,7 +123,7 @@
     assert not restored.drained
 
 
-def test_an_order_that_ended_stays_ended_though_the_copy_shows_it(restored):
+def test_ended_order_in_restored_store_stays_ended(restored):
     restored.apply_order(drained("b", 3), "store")
     restored.apply_order(DomainOrder("b", False, at(9)), "store")
     restored.replace([DomainOrder("b", True, at(3, era=2))], at(4, era=2))
@@ -132,7 +134,9 @@
     assert restored.drained == {"b"}
 
 
-def test_an_order_that_is_shown_for_long_counts(restored, clock):
+def test_ended_order_in_restored_store_counts_after_grace_period(
+    restored, clock
+):
     """Operators may have ordered anew just before the copy took over."""
     restored.apply_order(drained("b", 3), "store")
     restored.apply_order(DomainOrder("b", False, at(9)), "store")
@@ -144,7 +148,7 @@
     assert not restored.drained
 
 
-def test_an_order_that_stands_in_the_copy_ends_by_its_removal(restored):
+def test_order_kept_by_restored_store_ends_with_its_removal(restored):
     restored.apply_order(drained("b", 3), "store")
     restored.replace([DomainOrder("b", True, at(3, era=2))], at(4, era=2))
     assert restored.drained == {"b"}
@@ -152,7 +156,7 @@
     assert not restored.drained
 
 
-def test_a_peer_tells_a_newcomer_of_an_order_that_the_copy_lacks(
+def test_peer_reports_order_missing_from_restored_store_to_new_entry(
     restored, clock
 ):
     restored.replace([], at(4, era=2))
@@ -163,7 +167,7 @@
     assert not restored.drained
 
 
-def test_an_order_has_as_long_to_be_written_again_in_each_era(restored, clock):
+def test_each_era_restarts_the_grace_period(restored, clock):
     restored.apply_order(drained("b", 9), "store")
     restored.replace([], at(4, era=2))
     clock.now += REISSUE_GRACE_S - 0.1
@@ -173,7 +177,7 @@
     assert restored.drained == {"b"}
 
 
-def test_a_second_return_within_seconds_lifts_nothing(restored, clock):
+def test_second_restore_within_seconds_ends_no_order(restored, clock):
     restored.apply_order(drained("b", 9), "store")
     restored.replace([], at(4, era=2))
     clock.now += REISSUE_GRACE_S / 2
@@ -199,16 +203,16 @@
         yield made
 
 
-def drains(entry, *domains):
+def has_drained(entry, *domains):
     return lambda: entry.state.domains.drained == set(domains)
 
 
-def forget_runs(site):
+def clear_runs(site):
     for worker in site.workers.values():
         worker.runs.clear()
 
 
-def runs_there(site):
+def runs_in_zone_a(site):
     return [
         run
         for name in ("a1", "e-a1")
@@ -217,7 +221,7 @@
     ]
 
 
-async def ask_much(site, entry="entry-1"):
+async def send_requests(site, entry="entry-1"):
     """Plain requests and streams; returns their statuses."""
     answers = [await site.ask(entry=entry) for _ in range(8)]
     answers += [await site.ask("/unsafe/x", entry=entry) for _ in range(4)]
@@ -225,63 +229,63 @@
     return {answer.status for answer in answers}
 
 
-async def test_nothing_is_sent_to_a_drained_domain_until_it_is_back(site):
+async def test_drained_domain_gets_no_requests_until_undrained(site):
     entry = await site.add_entry()
-    await ask_much(site)
-    assert runs_there(site)
-    site.store.put("op", DRAIN, {})
-    await until(drains(entry, "zone-a"))
-    forget_runs(site)
-    assert await ask_much(site) == {200}
-    assert runs_there(site) == []
-    site.store.remove("op", DRAIN)
-    await until(drains(entry))
-    await ask_much(site)
-    assert runs_there(site)
-
-
-async def test_larger_models_and_repeats_go_there_neither(site):
+    await send_requests(site)
+    assert runs_in_zone_a(site)
+    site.store.put("op", DRAIN_KEY, {})
+    await until(has_drained(entry, "zone-a"))
+    clear_runs(site)
+    assert await send_requests(site) == {200}
+    assert runs_in_zone_a(site) == []
+    site.store.remove("op", DRAIN_KEY)
+    await until(has_drained(entry))
+    await send_requests(site)
+    assert runs_in_zone_a(site)
+
+
+async def test_drained_domain_gets_no_escalations_or_retries(site):
     for name in ("e-a1", "e-b1"):
         site.workers[name].confidence = {"small": 1.0, "large": 90.0}
     # The one outside fails its first answers, so that all are sent again.
     site.workers["b1"].fault = WorkerFault.RESET
     site.workers["b1"].count = 4
     entry = await site.add_entry()
-    site.store.put("op", DRAIN, {})
-    await until(drains(entry, "zone-a"))
-    await ask_much(site)
-    assert runs_there(site) == []
+    site.store.put("op", DRAIN_KEY, {})
+    await until(has_drained(entry, "zone-a"))
+    await send_requests(site)
+    assert runs_in_zone_a(site) == []
 
 
-async def test_an_order_whose_value_is_spoiled_is_obeyed(site):
+async def test_order_with_unreadable_value_takes_effect(site):
     entry = await site.add_entry()
     site.store.version += 1
     # Base64 of bytes that are no JSON text.
-    site.store.rows["op", DRAIN] = StoredRow("/wD+", site.store.version)
+    site.store.rows["op", DRAIN_KEY] = StoredRow("/wD+", site.store.version)
     site.store.tell()
-    await until(drains(entry, "zone-a"))
-    assert await ask_much(site) == {200}
-    assert runs_there(site) == []
+    await until(has_drained(entry, "zone-a"))
+    assert await send_requests(site) == {200}
+    assert runs_in_zone_a(site) == []
 
 
-async def test_a_stream_that_runs_there_ends_whole(site):
+async def test_running_streams_finish_when_domain_is_drained(site):
     for name in ("e-a1", "e-b1"):
         site.workers[name].event_gap_s = 0.1
     entry = await site.add_entry()
     streams = [asyncio.ensure_future(site.chat()) for _ in range(6)]
-    await until(lambda: runs_there(site))
-    site.store.put("op", DRAIN, {})
-    await until(drains(entry, "zone-a"))
+    await until(lambda: runs_in_zone_a(site))
+    site.store.put("op", DRAIN_KEY, {})
+    await until(has_drained(entry, "zone-a"))
     for answer in await asyncio.gather(*streams):
         assert answer.whole
         assert events(answer.body) == [1, 2, 3, 4, 5]
 
 
-async def test_with_all_domains_drained_requests_are_refused_at_once(site):
+async def test_requests_are_refused_at_once_if_all_domains_are_drained(site):
     entry = await site.add_entry()
     site.store.put("op", "evacuate/zone-b", {})
-    site.store.put("op", DRAIN, {})
-    await until(drains(entry, "zone-a", "zone-b"))
+    site.store.put("op", DRAIN_KEY, {})
+    await until(has_drained(entry, "zone-a", "zone-b"))
     began = time.monotonic()
     answer = await site.ask()
     assert answer.status == 503
@@ -289,15 +293,15 @@
     assert time.monotonic() - began < 0.3
     assert (await site.chat()).status == 503
     site.store.remove("op", "evacuate/zone-b")
-    await until(drains(entry, "zone-a"))
+    await until(has_drained(entry, "zone-a"))
     assert (await site.ask()).status == 200
-    assert runs_there(site) == []
+    assert runs_in_zone_a(site) == []
 
 
-async def test_a_store_that_is_away_or_forgets_lifts_nothing(site):
+async def test_store_outage_or_compaction_does_not_end_order(site):
     entry = await site.add_entry()
-    site.store.put("op", DRAIN, {})
-    await until(drains(entry, "zone-a"))
+    site.store.put("op", DRAIN_KEY, {})
+    await until(has_drained(entry, "zone-a"))
     site.store.set_fault(StoreFault.BUSY)
     await until(lambda: not entry.state.health.available)
     site.store.compact()
@@ -306,24 +310,24 @@
     calls = len(site.store.calls)
     await until(lambda: "rows-get" in site.store.calls[calls:])
     assert entry.state.domains.drained == {"zone-a"}
-    assert await ask_much(site) == {200}
-    assert runs_there(site) == []
+    assert await send_requests(site) == {200}
+    assert runs_in_zone_a(site) == []
 
 
-async def test_an_end_during_an_outage_is_seen_after_it(site):
+async def test_removal_during_store_outage_takes_effect_after_it(site):
     entry = await site.add_entry()
-    site.store.put("op", DRAIN, {})
-    await until(drains(entry, "zone-a"))
+    site.store.put("op", DRAIN_KEY, {})
+    await until(has_drained(entry, "zone-a"))
     site.store.set_fault(StoreFault.BUSY)
     await until(lambda: not entry.state.health.available)
-    site.store.remove("op", DRAIN)
+    site.store.remove("op", DRAIN_KEY)
     site.store.compact()
     assert entry.state.domains.drained == {"zone-a"}
     site.store.set_fault(StoreFault.NONE)
-    await until(drains(entry))
+    await until(has_drained(entry))
 
 
-async def test_entries_that_the_store_turns_away_obey_and_end_it(site):
+async def test_entries_without_store_access_follow_order_and_removal(site):
     door = Door()
     first = await site.add_entry("entry-1")
     address = await site.add_door(door)
@@ -333,27 +337,29 @@
     door.closed = True
     site.store.tell()
     await until(lambda: not second.state.health.available)
-    site.store.put("op", DRAIN, {})
+    site.store.put("op", DRAIN_KEY, {})
     for entry in (first, second):
-        await until(drains(entry, "zone-a"))
-    assert await ask_much(site, "entry-2") == {200}
-    assert runs_there(site) == []
-    site.store.remove("op", DRAIN)
+        await until(has_drained(entry, "zone-a"))
+    assert await send_requests(site, "entry-2") == {200}
+    assert runs_in_zone_a(site) == []
+    site.store.remove("op", DRAIN_KEY)
     for entry in (first, second):
-        await until(drains(entry))
+        await until(has_drained(entry))
 
 
-async def test_a_start_in_an_outage_learns_of_it_before_callers_come(site):
+async def test_entry_started_in_store_outage_learns_of_order_before_serving(
+    site,
+):
     first = await site.add_entry("entry-1")
-    site.store.put("op", DRAIN, {})
-    await until(drains(first, "zone-a"))
+    site.store.put("op", DRAIN_KEY, {})
+    await until(has_drained(first, "zone-a"))
     site.store.set_fault(StoreFault.BUSY)
     second = await site.add_entry(
         "entry-2", seeds=[str(first.settings.peers)], ready=True
     )
     assert second.state.domains.drained == {"zone-a"}
-    forget_runs(site)
-    assert await ask_much(site, "entry-2") == {200}
-    assert runs_there(site) == []
+    clear_runs(site)
+    assert await send_requests(site, "entry-2") == {200}
+    assert runs_in_zone_a(site) == []
     await close(site.entries.pop("entry-1"))
     assert second.state.domains.drained == {"zone-a"}
--- a/tests/placement/test_eligibility.py
+++ b/tests/placement/test_eligibility.py
@@ -62,12 +62,12 @@
         (["nowhere"], None, []),
     ],
 )
-def test_regions_of_route_and_workspace_both_bind(route, workspace, allowed):
+def test_regions_of_route_and_workspace_both_apply(route, workspace, allowed):
     course = make_course(route, workspace)
     assert ids(in_regions(REGIONS, course, WORKERS)) == allowed
 
 
-def test_each_condition_tells_how_many_it_left_out():
+def test_each_condition_counts_the_workers_it_excluded():
     conditions = [
         Condition("first", lambda _course, workers: workers[1:]),
         Condition("second", lambda _course, workers: workers),
@@ -78,19 +78,19 @@
     assert found.excluded == {"first": 1, "third": 2}
 
 
-def test_what_may_end_workers_is_kept_apart():
+def test_suspect_requests_are_spread_over_workers():
     counts = {"w1": 1, "w2": 0, "w3": 0}
-    keep = functools.partial(
+    separate = functools.partial(
         separate_suspects, lambda _content: True, counts.get
     )
-    assert ids(keep(make_course(), WORKERS)) == ["w2", "w3"]
-    keep = functools.partial(
+    assert ids(separate(make_course(), WORKERS)) == ["w2", "w3"]
+    separate = functools.partial(
         separate_suspects, lambda _content: False, counts.get
     )
-    assert ids(keep(make_course(), WORKERS)) == ["w1", "w2", "w3"]
+    assert ids(separate(make_course(), WORKERS)) == ["w1", "w2", "w3"]
 
 
-def test_a_refusal_says_which_conditions_left_no_worker():
+def test_refusal_names_the_conditions_that_excluded_workers():
     course = make_course()
     course.excluded = {"drained_domain": 2, "warming_up": 1}
     course.available_in_s = 0.2
@@ -105,7 +105,7 @@
 ORDER = RolloutOrder(7, "s", "v2", 24.0)
 
 
-async def test_no_session_begins_at_a_version_that_warms_up_yet():
+async def test_no_session_starts_at_a_version_that_is_warming_up():
     clock = ManualClock()
     rollouts = Rollouts(ExposureBound(0.15, 30.0), Bounds().session_s, clock)
     cold = True
@@ -133,7 +133,7 @@
 # Real entries.
 
 
-async def test_a_route_is_answered_in_its_regions_only():
+async def test_route_is_served_only_in_its_regions():
     document = changed_route("safe", allowedRegions=["region-b"])
     async with platform_site(document) as site:
         for name, domain in (("w1", "zone-a"), ("w2", "zone-b")):
@@ -158,7 +158,9 @@
         (["elsewhere"], "nowhere", {"entry-1", "entry-2"}),
     ],
 )
-async def test_the_directory_names_entries_in_reach(regions, region, names):
+async def test_directory_lists_entries_in_allowed_regions(
+    regions, region, names
+):
     document = manifest()
     for each in document["routes"]:
         each["allowedRegions"] = regions
@@ -176,7 +178,7 @@
         }
 
 
-async def test_a_workspace_is_answered_in_its_regions_only():
+async def test_workspace_is_served_only_in_its_regions():
     document = manifest()
     document["tenants"][0]["allowedRegions"] = ["region-a"]
     async with platform_site(document) as site:
--- a/tests/placement/test_rate_limits.py
+++ b/tests/placement/test_rate_limits.py
@@ -43,14 +43,14 @@
 # What answers say.
 
 
-def test_a_limit_holds_from_the_answer_that_names_it(limits, clock):
+def test_limit_takes_effect_with_the_answer_that_names_it(limits, clock):
     limits.record_answer(WORKER, None, clock.monotonic())
     assert not limits.reported
     limits.record_answer(WORKER, 2.5, clock.monotonic())
     assert rate(limits) == 2.5
 
 
-def test_an_answer_to_an_older_request_does_not_end_a_limit(limits, clock):
+def test_answer_to_older_request_does_not_raise_or_end_limit(limits, clock):
     asked_at = clock.monotonic()
     clock.now += 1.0
     limits.record_answer(WORKER, 2.5, clock.monotonic())
@@ -63,7 +63,7 @@
     assert rate(limits) is None
 
 
-def test_an_answer_to_an_older_request_may_narrow(limits, clock):
+def test_answer_to_older_request_may_lower_limit(limits, clock):
     asked_at = clock.monotonic()
     clock.now += 1.0
     limits.record_answer(WORKER, 2.5, clock.monotonic())
@@ -71,7 +71,7 @@
     assert rate(limits) == 1.5
 
 
-def test_a_new_start_under_the_same_id_is_not_bound(limits, clock):
+def test_limit_does_not_apply_to_new_incarnation(limits, clock):
     before = attrs.evolve(WORKER, born=1)
     after = attrs.evolve(WORKER, born=2)
     limits.record_answer(before, 2.5, clock.monotonic())
@@ -81,7 +81,7 @@
     assert rate(limits, after) is None
 
 
-def test_what_a_worker_that_is_gone_said_is_dropped(limits, clock):
+def test_limits_of_deregistered_worker_are_dropped(limits, clock):
     limits.record_answer(WORKER, 2.5, clock.monotonic())
     limits.forget(WORKER.id)
     assert not limits.reported
@@ -108,7 +108,7 @@
         (["Thu, 01 Jan 2026 00:00:00 GMT"], UNREADABLE_RATE_PER_S),
     ],
 )
-def test_odd_limits_have_a_safe_meaning(texts, found):
+def test_malformed_limits_are_read_safely(texts, found):
     assert decode_rate_limit(texts) == found
 
 
@@ -117,15 +117,15 @@
 SIZES = [8, 77, 200, 420]
 RATES_PER_S = [0.3, 9.0]
 REQUESTS_PER_S = 5.0  # At one entry.
-PLAY_S = 8.0
+RUN_S = 8.0
 
 
-def allowed(rate_per_s):
+def max_requests(rate_per_s):
     """What a worker may get within a window from entries that it told."""
     return OVERSHOOT_RATIO * rate_per_s * WINDOW_S + SLACK_REQUESTS
 
 
-def make_limited(size, down_at=lambda _number: ()):
+def make_limited_fleet(size, down_at=lambda _number: ()):
     """A fleet, and as many workers as there are for it to choose from."""
     fleet = LimitedFleet()
     for number in range(size):
@@ -135,15 +135,15 @@
 
 @pytest.mark.parametrize("size", SIZES)
 @pytest.mark.parametrize("rate_per_s", RATES_PER_S)
-def test_all_that_were_told_at_once_keep_within_a_limit(size, rate_per_s):
-    fleet, workers = make_limited(size)
-    fleet.tell_all(workers, rate_per_s)
-    fleet.play(workers, REQUESTS_PER_S, PLAY_S, rate_per_s)
+def test_entries_informed_at_once_stay_within_limit(size, rate_per_s):
+    fleet, workers = make_limited_fleet(size)
+    fleet.inform_all(workers, rate_per_s)
+    fleet.run(workers, REQUESTS_PER_S, RUN_S, rate_per_s)
     assert fleet.sends
-    assert fleet.most_told(WINDOW_S) <= allowed(rate_per_s)
+    assert fleet.max_from_informed(WINDOW_S) <= max_requests(rate_per_s)
     # Each that sends was told, so that all sends count.
     most = [most_in_window(at) for at in fleet.sends.values()]
-    assert max(most) <= allowed(rate_per_s)
+    assert max(most) <= max_requests(rate_per_s)
 
 
 def most_in_window(times):
@@ -155,105 +155,107 @@
 
 @pytest.mark.parametrize("size", SIZES)
 @pytest.mark.parametrize("rate_per_s", RATES_PER_S)
-def test_entries_that_hear_of_a_limit_later_keep_within_it(size, rate_per_s):
-    fleet, workers = make_limited(size)
-    fleet.news = False
+def test_entries_informed_later_stay_within_limit(size, rate_per_s):
+    fleet, workers = make_limited_fleet(size)
+    fleet.publishing = False
     late = [fleet.entries.pop(number) for number in range(size // 2)]
-    fleet.tell_all(workers, rate_per_s)
-    fleet.play(workers, REQUESTS_PER_S, 1.0, rate_per_s)
+    fleet.inform_all(workers, rate_per_s)
+    fleet.run(workers, REQUESTS_PER_S, 1.0, rate_per_s)
     fleet.entries.update(enumerate(late))
-    fleet.play(workers, REQUESTS_PER_S, PLAY_S, rate_per_s)
-    assert fleet.most_told(WINDOW_S) <= allowed(rate_per_s)
+    fleet.run(workers, REQUESTS_PER_S, RUN_S, rate_per_s)
+    assert fleet.max_from_informed(WINDOW_S) <= max_requests(rate_per_s)
 
 
 @pytest.mark.parametrize("size", SIZES)
 @pytest.mark.parametrize("rate_per_s", RATES_PER_S)
-def test_entries_that_differ_in_who_lives_keep_within_a_limit(size, rate_per_s):
+def test_entries_with_different_liveness_views_stay_within_limit(
+    size, rate_per_s
+):
     def down_at(number):
         others = range(size)
         return {each for each in others if (each * 7 + number) % 2} - {number}
 
-    fleet, workers = make_limited(size, down_at)
-    fleet.tell_all(workers, rate_per_s)
-    fleet.play(workers, REQUESTS_PER_S, PLAY_S, rate_per_s)
-    assert fleet.most_told(WINDOW_S) <= allowed(rate_per_s)
+    fleet, workers = make_limited_fleet(size, down_at)
+    fleet.inform_all(workers, rate_per_s)
+    fleet.run(workers, REQUESTS_PER_S, RUN_S, rate_per_s)
+    assert fleet.max_from_informed(WINDOW_S) <= max_requests(rate_per_s)
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_entries_that_are_cut_off_or_thawed_keep_within_a_limit(size):
+def test_partitioned_or_resumed_entries_stay_within_limit(size):
     def down_at(number):
         return set(range(size)) - {number} if number % 6 == 0 else ()
 
-    fleet, workers = make_limited(size, down_at)
-    fleet.tell_all(workers, 2.3)
-    fleet.play(workers, REQUESTS_PER_S, PLAY_S / 2, 2.3)
+    fleet, workers = make_limited_fleet(size, down_at)
+    fleet.inform_all(workers, 2.3)
+    fleet.run(workers, REQUESTS_PER_S, RUN_S / 2, 2.3)
     frozen = [fleet.entries.pop(number) for number in range(0, size, 5)]
-    fleet.play(workers, REQUESTS_PER_S, PLAY_S, 2.3)
+    fleet.run(workers, REQUESTS_PER_S, RUN_S, 2.3)
     fleet.entries.update(enumerate(frozen, start=size))
-    fleet.play(workers, REQUESTS_PER_S, PLAY_S, 2.3)
-    assert fleet.most_told(WINDOW_S) <= allowed(2.3)
+    fleet.run(workers, REQUESTS_PER_S, RUN_S, 2.3)
+    assert fleet.max_from_informed(WINDOW_S) <= max_requests(2.3)
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_newcomers_that_not_all_know_keep_within_a_limit(size):
-    fleet, workers = make_limited(size)
+def test_new_entries_unknown_to_some_peers_stay_within_limit(size):
+    fleet, workers = make_limited_fleet(size)
     newcomers = max(1, size // 8)
     for number in range(size, size + newcomers):
         fleet.add(number, range(size + newcomers))
-    fleet.tell_all(workers, 2.3)
-    fleet.play(workers, REQUESTS_PER_S, PLAY_S, 2.3)
-    assert fleet.most_told(WINDOW_S) <= allowed(2.3)
+    fleet.inform_all(workers, 2.3)
+    fleet.run(workers, REQUESTS_PER_S, RUN_S, 2.3)
+    assert fleet.max_from_informed(WINDOW_S) <= max_requests(2.3)
 
 
 @pytest.mark.parametrize("size", SIZES[:2])
-@pytest.mark.parametrize("wobble", [0.01, 2.0])
-def test_a_limit_that_differs_in_each_answer_is_kept(size, wobble):
-    fleet, workers = make_limited(size)
-    fleet.wobble = wobble
-    fleet.tell_all(workers, 2.3)
-    fleet.play(workers, 2 * REQUESTS_PER_S, 2 * PLAY_S, 2.3)
-    assert fleet.most_told(WINDOW_S) <= allowed(2.3)
+@pytest.mark.parametrize("variation", [0.01, 2.0])
+def test_limit_that_varies_between_answers_is_respected(size, variation):
+    fleet, workers = make_limited_fleet(size)
+    fleet.variation = variation
+    fleet.inform_all(workers, 2.3)
+    fleet.run(workers, 2 * REQUESTS_PER_S, 2 * RUN_S, 2.3)
+    assert fleet.max_from_informed(WINDOW_S) <= max_requests(2.3)
     # Most of what the least of its words allows is used.
-    used = sum(map(len, fleet.sends.values())) / 2 / PLAY_S / len(workers)
-    assert used >= 0.5 * (2.3 - wobble)
+    used = sum(map(len, fleet.sends.values())) / 2 / RUN_S / len(workers)
+    assert used >= 0.5 * (2.3 - variation)
     assert used <= 2.3
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_a_limit_is_used_and_all_hear_of_its_end(size):
-    fleet, workers = make_limited(size)
-    fleet.tell_all(workers, 2.3)
-    fleet.play(workers, 2 * REQUESTS_PER_S, PLAY_S, 2.3)
-    used = sum(map(len, fleet.sends.values())) / PLAY_S / len(workers)
+def test_limit_is_used_and_its_end_reaches_all_entries(size):
+    fleet, workers = make_limited_fleet(size)
+    fleet.inform_all(workers, 2.3)
+    fleet.run(workers, 2 * REQUESTS_PER_S, RUN_S, 2.3)
+    used = sum(map(len, fleet.sends.values())) / RUN_S / len(workers)
     assert used >= 0.5 * 2.3
-    fleet.play(workers, 2 * REQUESTS_PER_S, PLAY_S, None)
+    fleet.run(workers, 2 * REQUESTS_PER_S, RUN_S, None)
     assert all(not entry.rates for entry in fleet.entries.values())
 
 
 @pytest.mark.parametrize("rate_per_s", RATES_PER_S)
 @pytest.mark.parametrize("entries", [1, 2, 3, 8, 420])
-def test_the_parts_of_all_senders_are_within_a_limit(rate_per_s, entries):
+def test_shares_of_all_senders_add_up_within_limit(rate_per_s, entries):
     parts = divide(bound_of(rate_per_s), entries)
     each = math.floor(WINDOW_S / parts.pause_s) + 1
-    assert parts.senders * each <= allowed(rate_per_s)
+    assert parts.senders * each <= max_requests(rate_per_s)
 
 
-def test_a_worker_that_takes_nothing_is_asked_now_and_then():
-    fleet, workers = make_limited(8)
-    fleet.tell_all(workers, 0.0)
-    fleet.play(workers, REQUESTS_PER_S, PLAY_S, 0.0)
+def test_worker_with_limit_zero_is_still_probed():
+    fleet, workers = make_limited_fleet(8)
+    fleet.inform_all(workers, 0.0)
+    fleet.run(workers, REQUESTS_PER_S, RUN_S, 0.0)
     assert not fleet.sends
-    fleet.play(workers, REQUESTS_PER_S, 60.0, 0.0)
+    fleet.run(workers, REQUESTS_PER_S, 60.0, 0.0)
     assert fleet.sends.keys() == {worker.id for worker in workers}
-    assert fleet.most_told(WINDOW_S) <= SLACK_REQUESTS
-    fleet.play(workers, REQUESTS_PER_S, 30.0, None)
+    assert fleet.max_from_informed(WINDOW_S) <= SLACK_REQUESTS
+    fleet.run(workers, REQUESTS_PER_S, 30.0, None)
     assert all(not entry.rates for entry in fleet.entries.values())
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_callers_are_told_when_some_entry_takes_a_request(size):
-    fleet, (worker, *_) = make_limited(size)
-    fleet.tell_all([worker], 2.3)
+def test_wait_covers_the_first_entry_that_may_send(size):
+    fleet, (worker, *_) = make_limited_fleet(size)
+    fleet.inform_all([worker], 2.3)
     waits = [
         entry.any_entry_opens_in_s(worker) for entry in fleet.entries.values()
     ]
--- a/tests/placement/test_warm_up.py
+++ b/tests/placement/test_warm_up.py
@@ -28,7 +28,7 @@
 BOUND = math.floor(WARM_UP.rate_per_s * OVERSHOOT + SLACK)
 SIZES = [8, 77, 200, 420]
 ENGINE_REQUESTS_PER_S = 5.0  # At one entry; with larger models' answers.
-PLAY_S = 2.5  # Shorter than a warm-up.
+RUN_S = 2.5  # Shorter than a warm-up.
 
 
 @pytest.fixture
@@ -44,20 +44,20 @@
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_the_bound_holds_over_all_entries(size):
+def test_bound_holds_over_all_entries(size):
     workers = make_workers(2 + size // 30)
     fleet = WarmFleet()
     for number in range(size):
         fleet.add(number, range(size))
-    fleet.play(workers, 4 * ENGINE_REQUESTS_PER_S, PLAY_S)
-    assert fleet.most_in_a_second() <= BOUND
+    fleet.run(workers, 4 * ENGINE_REQUESTS_PER_S, RUN_S)
+    assert fleet.max_in_a_second() <= BOUND
     # Requests that go elsewhere are paid for by the warm workers: at this load
     # half of what the workers bear is used at least.
-    assert fleet.rate_per_s(workers, PLAY_S) >= 0.5 * WARM_UP.rate_per_s
+    assert fleet.rate_per_s(workers, RUN_S) >= 0.5 * WARM_UP.rate_per_s
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_the_bound_holds_while_half_restart_and_views_differ(size):
+def test_bound_holds_with_different_liveness_views(size):
     workers = make_workers(2 + size // 30)
     fleet = WarmFleet()
     everybody = range(size)
@@ -65,25 +65,25 @@
         # Each takes another half of the others to be down.
         down = {other for other in everybody if (other * 7 + number) % 2}
         fleet.add(number, everybody, down - {number})
-    fleet.play(workers, 8 * ENGINE_REQUESTS_PER_S, PLAY_S)
-    assert fleet.most_in_a_second() <= BOUND
+    fleet.run(workers, 8 * ENGINE_REQUESTS_PER_S, RUN_S)
+    assert fleet.max_in_a_second() <= BOUND
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_the_bound_holds_with_entries_that_are_cut_off(size):
+def test_bound_holds_with_partitioned_entries(size):
     workers = make_workers(2 + size // 30)
     fleet = WarmFleet()
     everybody = range(size)
-    cut_off = range(0, size, 6)
+    partitioned = range(0, size, 6)
     for number in everybody:
-        alone = set(everybody) - {number} if number in cut_off else ()
+        alone = set(everybody) - {number} if number in partitioned else ()
         fleet.add(number, everybody, alone)
-    fleet.play(workers, 8 * ENGINE_REQUESTS_PER_S, PLAY_S)
-    assert fleet.most_in_a_second() <= BOUND
+    fleet.run(workers, 8 * ENGINE_REQUESTS_PER_S, RUN_S)
+    assert fleet.max_in_a_second() <= BOUND
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_the_bound_holds_beside_newcomers_that_not_all_know(size):
+def test_bound_holds_with_new_entries_unknown_to_some_peers(size):
     workers = make_workers(2 + size // 30)
     fleet = WarmFleet()
     newcomers = max(1, size // 8)
@@ -91,11 +91,11 @@
         fleet.add(number, range(size))
     for number in range(size, size + newcomers):
         fleet.add(number, range(size + newcomers))
-    fleet.play(workers, 8 * ENGINE_REQUESTS_PER_S, PLAY_S)
-    assert fleet.most_in_a_second() <= BOUND
+    fleet.run(workers, 8 * ENGINE_REQUESTS_PER_S, RUN_S)
+    assert fleet.max_in_a_second() <= BOUND
 
 
-def test_one_that_has_just_started_and_knows_nobody_sends_nothing(clock):
+def test_recently_started_entry_without_known_peers_sends_nothing(clock):
     worker = cold()
     fleet = make_fleet(0, [], clock)
     entry = make_warm_ups(fleet, clock)
@@ -107,7 +107,7 @@
     assert entry.open_workers([worker]) == [worker]
 
 
-def test_an_entry_pauses_between_its_sends(clock):
+def test_entry_pauses_between_requests(clock):
     worker = cold()
     entry = make_warm_ups(make_fleet(0, [], clock), clock)
     entry.record_registration(worker, appeared=False)
@@ -118,7 +118,7 @@
     assert entry.open_workers([worker]) == [worker]
 
 
-def test_a_worker_that_bears_nothing_gets_nothing(clock):
+def test_worker_without_capacity_gets_no_requests(clock):
     assert divide(bound_of(WarmUp(3.0, 0.2), 1.5, 0.0), entries=8) is None
     entry = make_warm_ups(
         make_fleet(0, [], clock), clock, warm_up=WarmUp(3.0, 0.01)
@@ -130,7 +130,7 @@
 
 @pytest.mark.parametrize("rate_per_s", [0.5, 1.0, 3.0, 9.0, 40.0])
 @pytest.mark.parametrize("entries", [1, 2, 3, 8, 420])
-def test_the_parts_of_all_senders_are_within_the_bound(rate_per_s, entries):
+def test_shares_of_all_senders_add_up_within_bound(rate_per_s, entries):
     most = rate_per_s * OVERSHOOT + SLACK
     parts = divide(bound_of(WarmUp(3.0, rate_per_s), OVERSHOOT, SLACK), entries)
     each = math.floor(1.0 / parts.pause_s) + 1
@@ -141,7 +141,7 @@
 # Who warms up.
 
 
-def test_a_worker_that_appears_warms_up_whatever_it_says(clock):
+def test_new_worker_is_assumed_cold_whatever_it_reports(clock):
     entry = make_warm_ups(make_fleet(0, [], clock), clock)
     worker = make_worker("w0", warm_in_s=0.0)
     entry.record_registration(worker, appeared=True)
@@ -150,7 +150,7 @@
     assert not entry.is_warming_up(worker)
 
 
-def test_a_worker_that_stood_in_the_table_is_taken_at_its_word(clock):
+def test_report_of_known_worker_is_trusted(clock):
     entry = make_warm_ups(make_fleet(0, [], clock), clock)
     entry.record_registration(make_worker("w0"), appeared=False)
     assert not entry.is_warming_up(make_worker("w0"))
@@ -158,7 +158,7 @@
     assert entry.is_warming_up(cold())
 
 
-def test_a_worker_turns_cold_at_any_moment(clock):
+def test_worker_may_go_cold_again_at_any_time(clock):
     entry = make_warm_ups(make_fleet(0, [], clock), clock)
     entry.record_registration(cold(warm_in_s=1.0), appeared=False)
     clock.now += 1.0
@@ -172,7 +172,7 @@
     assert not entry.is_warming_up(cold())
 
 
-def test_another_incarnation_under_the_same_id_warms_up(clock):
+def test_new_incarnation_is_assumed_cold(clock):
     entry = make_warm_ups(make_fleet(0, [], clock), clock)
     before = make_worker("w0", born=1)
     entry.record_registration(before, appeared=False)
@@ -182,14 +182,14 @@
     assert not entry.is_warming_up(before)
 
 
-def test_workers_of_a_service_that_bears_all_are_open(clock):
+def test_service_without_warm_up_is_not_bounded(clock):
     entry = make_warm_ups(make_fleet(0, [], clock), clock)
     plain = make_worker("w0", service="plain", warm_in_s=3.0)
     entry.record_registration(plain, appeared=True)
     assert entry.open_workers([plain]) == [plain]
 
 
-def test_what_was_known_of_old_workers_is_dropped(clock):
+def test_state_of_old_workers_is_dropped(clock):
     entry = make_warm_ups(make_fleet(0, [], clock), clock)
     for number in range(50):
         entry.record_registration(cold(number), appeared=True)
--- a/tests/soak/judge.py
+++ b/tests/soak/judge.py
@@ -1,7 +1,7 @@
 """Whether the promises were kept, from what callers and workers saw."""
 
 from tests.lib.platform_site import KEY, events
-from tests.lib.warm_fleet import most_within
+from tests.lib.warm_fleet import max_within
 
 PROMISES = (408, 421, 429, 503)
 EVENTS = 5
@@ -99,7 +99,7 @@
             continue
         times = run.ran_at(worker)
         known = [when for when in times if since + 1.0 < when < until]
-        most = most_within(known)
+        most = max_within(known)
         if most > COLD_BOUND:
             yield f"{worker} got {most} requests in a second while cold"
 
@@ -110,7 +110,7 @@
             continue
         times = run.ran_at(worker)
         known = [when for when in times if since + NEWS_S < when < until]
-        most = most_within(known, LIMIT_WINDOW_S)
+        most = max_within(known, LIMIT_WINDOW_S)
         if most > LIMIT_BOUND:
             yield f"{worker} got {most} requests while it named a limit"
 
