--- a/tests/retries/test_liveness_checks.py
+++ b/tests/retries/test_liveness_checks.py
@@ -33,20 +33,20 @@
 WORKERS = CRASHES_TO_QUARANTINE
 
 
-class Views:
+class CheckingFleet:
     """Entries that know the same fleet, workers and ends."""
 
-    def __init__(self, entries=1, living=()):
+    def __init__(self, entries=1, alive_ids=()):
         self.clock = ManualClock()
-        self.living = set(living)
+        self.alive_ids = set(alive_ids)
         self.asked = []
         known = range(entries)
-        self.looks = [
-            self.make_looks(make_fleet(number, known, self.clock))
+        self.checks = [
+            self.make_checks(make_fleet(number, known, self.clock))
             for number in known
         ]
 
-    def make_looks(self, fleet):
+    def make_checks(self, fleet):
         directory = WorkerDirectory(self.clock)
         directory.replace(make_workers(WORKERS), after_outage=False)
         return LivenessChecks(
@@ -60,84 +60,88 @@
 
     async def answers(self, worker, _limit_s):
         self.asked.append(worker.id)
-        return worker.incarnation in self.living
+        return worker.incarnation in self.alive_ids
 
-    def end_all(self):
-        for looks in self.looks:
+    def crash_all(self):
+        for checks in self.checks:
             for number in range(WORKERS):
-                looks.quarantine.record_crash(CONTENT, f"w{number}")
+                checks.quarantine.record_crash(CONTENT, f"w{number}")
 
-    async def look(self, seconds):
+    async def run_checks(self, seconds):
         """Lets all entries look for some seconds."""
         end = self.clock.now + seconds
         while self.clock.now < end:
             self.clock.now += module.CHECK_INTERVAL_S
-            await asyncio.gather(*(looks.check_due() for looks in self.looks))
+            await asyncio.gather(
+                *(checks.check_due() for checks in self.checks)
+            )
 
-    def held_s(self):
-        return [looks.quarantine.remaining_s(CONTENT) for looks in self.looks]
+    def remaining_s(self):
+        return [
+            checks.quarantine.remaining_s(CONTENT) for checks in self.checks
+        ]
 
 
-async def test_a_worker_that_answers_has_not_ended():
-    views = Views(living=["w0"])
-    views.end_all()
-    assert views.held_s() == [QUARANTINE_S]
-    await views.look(2.0)
-    assert views.held_s() == [0.0]
+async def test_crash_of_worker_that_answers_is_refuted():
+    fleet = CheckingFleet(alive_ids=["w0"])
+    fleet.crash_all()
+    assert fleet.remaining_s() == [QUARANTINE_S]
+    await fleet.run_checks(2.0)
+    assert fleet.remaining_s() == [0.0]
     # The other two ends stand: one more holds it.
-    views.looks[0].quarantine.record_crash(CONTENT, "w9")
-    assert views.held_s() == [QUARANTINE_S]
+    fleet.checks[0].quarantine.record_crash(CONTENT, "w9")
+    assert fleet.remaining_s() == [QUARANTINE_S]
 
 
-async def test_ends_that_were_none_stay_away():
-    views = Views(living=["w0", "w1", "w2"])
-    views.end_all()
-    ends = views.looks[0].quarantine.full_update().ends
-    await views.look(2.0)
-    other = Quarantine(views.clock)
-    other.apply_update(views.looks[0].quarantine.full_update())
+async def test_refuted_crashes_do_not_come_back():
+    fleet = CheckingFleet(alive_ids=["w0", "w1", "w2"])
+    fleet.crash_all()
+    ends = fleet.checks[0].quarantine.full_update().ends
+    await fleet.run_checks(2.0)
+    other = Quarantine(fleet.clock)
+    other.apply_update(fleet.checks[0].quarantine.full_update())
     # An entry that was away tells of the same ends, later.
-    aged = [attrs.evolve(end, age_s=views.clock.now) for end in ends]
+    aged = [attrs.evolve(end, age_s=fleet.clock.now) for end in ends]
     other.apply_update(QuarantineNews(aged))
     assert other.remaining_s(CONTENT) == 0.0
-    assert other.digest() == Quarantine(views.clock).digest()
+    assert other.digest() == Quarantine(fleet.clock).digest()
 
 
-async def test_a_worker_that_ends_after_it_was_found_alive_counts():
-    views = Views(living=["w0", "w1", "w2"])
-    views.end_all()
-    await views.look(2.0)
-    assert views.held_s() == [0.0]
-    views.clock.now += 2 * SAME_EVENT_S
-    views.living.clear()
-    views.end_all()
-    await views.look(5.0)
-    assert views.held_s()[0] > 0.0
+async def test_crash_after_worker_was_found_alive_counts():
+    fleet = CheckingFleet(alive_ids=["w0", "w1", "w2"])
+    fleet.crash_all()
+    await fleet.run_checks(2.0)
+    assert fleet.remaining_s() == [0.0]
+    fleet.clock.now += 2 * SAME_EVENT_S
+    fleet.alive_ids.clear()
+    fleet.crash_all()
+    await fleet.run_checks(5.0)
+    assert fleet.remaining_s()[0] > 0.0
 
 
-async def test_what_ended_stays_held_and_is_asked_less_and_less_often():
-    views = Views()
-    views.end_all()
-    await views.look(60.0)
-    assert views.held_s()[0] > QUARANTINE_S - 61.0
-    assert len(views.asked) <= WORKERS * (60.0 / module.MAX_INTERVAL_S + 5)
+async def test_crashed_worker_stays_suspect_and_is_checked_less_often():
+    fleet = CheckingFleet()
+    fleet.crash_all()
+    await fleet.run_checks(60.0)
+    assert fleet.remaining_s()[0] > QUARANTINE_S - 61.0
+    assert len(fleet.asked) <= WORKERS * (60.0 / module.MAX_INTERVAL_S + 5)
 
 
-async def test_a_worker_that_is_no_longer_registered_is_not_asked():
-    views = Views(living=["w0", "w1", "w2"])
-    views.end_all()
-    views.looks[0].directory.replace([], after_outage=False)
-    await views.look(2.0)
-    assert views.asked == []
-    assert views.held_s()[0] > 0.0
+async def test_deregistered_worker_is_not_checked():
+    fleet = CheckingFleet(alive_ids=["w0", "w1", "w2"])
+    fleet.crash_all()
+    fleet.checks[0].directory.replace([], after_outage=False)
+    await fleet.run_checks(2.0)
+    assert fleet.asked == []
+    assert fleet.remaining_s()[0] > 0.0
 
 
 @pytest.mark.parametrize("entries", [8, 77, 420])
-async def test_few_entries_ask_however_many_there_are(entries):
-    views = Views(entries)
-    views.end_all()
-    await views.look(1.5)
-    assert 0 < len(views.asked) <= WORKERS * CHECKERS_PER_WORKER * 2
+async def test_few_entries_check_a_worker_in_any_fleet(entries):
+    fleet = CheckingFleet(entries)
+    fleet.crash_all()
+    await fleet.run_checks(1.5)
+    assert 0 < len(fleet.asked) <= WORKERS * CHECKERS_PER_WORKER * 2
 
 
 @pytest.mark.parametrize(
@@ -150,7 +154,7 @@
         ("w1", 8, HEALTH, False),  # It started again under its id.
     ],
 )
-async def test_only_the_incarnation_itself_counts(
+async def test_only_the_registered_incarnation_counts_as_alive(
     http_session, told, born, path, alive
 ):
     server = PlatformWorkerServer(told, born=7 if born else None)
--- a/tests/retries/test_quarantine.py
+++ b/tests/retries/test_quarantine.py
@@ -6,10 +6,7 @@
 from rattanpier._internal.models.refusal import RefusalCode
 from rattanpier._internal.models.relay_answer import AnswerRefused, WholeAnswer
 from rattanpier._internal.models.worker_end import QuarantineNews, WorkerEnd
-from rattanpier._internal.relay.request_progress import (
-    RequestProgress,
-    final_answer,
-)
+from rattanpier._internal.relay.request_progress import RequestProgress, final_answer
 from rattanpier._internal.retries import quarantine as module
 from rattanpier._internal.retries.quarantine import (
     ANSWER_GRACE_S,
@@ -21,50 +18,50 @@
 from tests.lib.clock import ManualClock
 from tests.lib.relay_parts import make_request, make_worker
 
-DEADLY, USUAL = "deadly", "usual"
+DEADLY, HARMLESS = "deadly", "usual"
 
 
 def make_quarantine(clock=None):
     return Quarantine(clock or ManualClock())
 
 
-def end_some(quarantine, content, count, first=0):
+def crash_workers(quarantine, content, count, first=0):
     for number in range(first, first + count):
         quarantine.record_crash(content, f"w{number}")
 
 
-def tell(sender, receiver):
+def send_update(sender, receiver):
     """Tells as between two processes."""
     text = encode(sender.pop_unsent())
     receiver.apply_update(decode(QuarantineNews, text))
 
 
-def test_a_content_is_held_from_the_third_end_on():
+def test_third_crash_quarantines_content():
     quarantine = make_quarantine()
-    end_some(quarantine, DEADLY, CRASHES_TO_QUARANTINE - 1)
+    crash_workers(quarantine, DEADLY, CRASHES_TO_QUARANTINE - 1)
     assert quarantine.remaining_s(DEADLY) == 0.0
-    end_some(quarantine, DEADLY, 1, first=CRASHES_TO_QUARANTINE)
+    crash_workers(quarantine, DEADLY, 1, first=CRASHES_TO_QUARANTINE)
     assert quarantine.remaining_s(DEADLY) == QUARANTINE_S
-    assert quarantine.remaining_s(USUAL) == 0.0
+    assert quarantine.remaining_s(HARMLESS) == 0.0
 
 
-def test_many_attempts_at_one_worker_count_once():
+def test_repeated_crashes_of_one_incarnation_count_once():
     quarantine = make_quarantine()
     for _ in range(5):
-        end_some(quarantine, DEADLY, 1)
+        crash_workers(quarantine, DEADLY, 1)
     assert quarantine.remaining_s(DEADLY) == 0.0
 
 
-def test_starts_under_one_id_count_each():
+def test_crash_of_each_incarnation_of_a_worker_counts():
     quarantine = make_quarantine()
     for born in range(CRASHES_TO_QUARANTINE):
         quarantine.record_crash(DEADLY, make_worker("w", born=born).incarnation)
     assert quarantine.remaining_s(DEADLY) == QUARANTINE_S
 
 
-def test_it_is_held_until_the_last_end_is_old():
+def test_quarantine_ends_when_last_crash_is_old():
     quarantine = make_quarantine()
-    end_some(quarantine, DEADLY, CRASHES_TO_QUARANTINE)
+    crash_workers(quarantine, DEADLY, CRASHES_TO_QUARANTINE)
     quarantine.clock.now = QUARANTINE_S - 1.0
     assert quarantine.remaining_s(DEADLY) == 1.0
     quarantine.clock.now = QUARANTINE_S
@@ -73,24 +70,24 @@
     assert not quarantine.is_suspect(DEADLY)
 
 
-def test_a_whole_answer_clears_and_ends_just_after_it_do_not_count():
+def test_complete_answer_clears_crashes_up_to_just_after_it():
     quarantine = make_quarantine()
-    end_some(quarantine, USUAL, CRASHES_TO_QUARANTINE - 1)
-    quarantine.record_answer(USUAL)
-    end_some(quarantine, USUAL, CRASHES_TO_QUARANTINE)
-    assert quarantine.remaining_s(USUAL) == 0.0
+    crash_workers(quarantine, HARMLESS, CRASHES_TO_QUARANTINE - 1)
+    quarantine.record_answer(HARMLESS)
+    crash_workers(quarantine, HARMLESS, CRASHES_TO_QUARANTINE)
+    assert quarantine.remaining_s(HARMLESS) == 0.0
     quarantine.clock.now = ANSWER_GRACE_S
-    end_some(quarantine, USUAL, CRASHES_TO_QUARANTINE)
-    assert quarantine.remaining_s(USUAL) == QUARANTINE_S
+    crash_workers(quarantine, HARMLESS, CRASHES_TO_QUARANTINE)
+    assert quarantine.remaining_s(HARMLESS) == QUARANTINE_S
 
 
-def test_entries_add_up_what_each_saw():
+def test_crashes_seen_by_different_entries_add_up():
     clock = ManualClock()
     first, second = make_quarantine(clock), make_quarantine(clock)
-    end_some(first, DEADLY, 2)
-    end_some(second, DEADLY, 2, first=1)  # One of them is the same worker.
-    tell(first, second)
-    tell(second, first)
+    crash_workers(first, DEADLY, 2)
+    crash_workers(second, DEADLY, 2, first=1)  # One of them is the same worker.
+    send_update(first, second)
+    send_update(second, first)
     for each in (first, second):
         assert each.remaining_s(DEADLY) == QUARANTINE_S
         assert len(each.crashes[DEADLY]) == 3
@@ -98,48 +95,48 @@
     assert first.pop_unsent() == QuarantineNews()
 
 
-def test_news_may_come_twice_and_in_any_order():
+def test_updates_may_repeat_and_come_in_any_order():
     clock = ManualClock()
     first, second = make_quarantine(clock), make_quarantine(clock)
-    end_some(first, DEADLY, CRASHES_TO_QUARANTINE)
+    crash_workers(first, DEADLY, CRASHES_TO_QUARANTINE)
     news = first.full_update()
     second.apply_update(attrs.evolve(news, ends=news.ends[::-1]))
     second.apply_update(news)
     assert second.crashes == first.crashes
 
 
-def test_one_that_answers_a_content_tells_so_to_those_that_hold_it():
+def test_complete_answer_lifts_quarantine_at_peers():
     clock = ManualClock()
     first, second = make_quarantine(clock), make_quarantine(clock)
-    first.record_answer(USUAL)
-    end_some(second, USUAL, CRASHES_TO_QUARANTINE)
-    assert second.remaining_s(USUAL) == QUARANTINE_S
-    tell(second, first)
-    assert first.remaining_s(USUAL) == 0.0
-    first.record_answer(USUAL)
-    tell(first, second)
-    assert first.remaining_s(USUAL) == second.remaining_s(USUAL) == 0.0
+    first.record_answer(HARMLESS)
+    crash_workers(second, HARMLESS, CRASHES_TO_QUARANTINE)
+    assert second.remaining_s(HARMLESS) == QUARANTINE_S
+    send_update(second, first)
+    assert first.remaining_s(HARMLESS) == 0.0
+    first.record_answer(HARMLESS)
+    send_update(first, second)
+    assert first.remaining_s(HARMLESS) == second.remaining_s(HARMLESS) == 0.0
     assert first.digest() == second.digest()
 
 
-def test_late_news_of_an_end_do_not_undo_that_it_was_cleared():
+def test_late_update_does_not_bring_cleared_crashes_back():
     clock = ManualClock()
     first, second = make_quarantine(clock), make_quarantine(clock)
-    end_some(first, USUAL, CRASHES_TO_QUARANTINE)
+    crash_workers(first, HARMLESS, CRASHES_TO_QUARANTINE)
     late = first.full_update()
     second.apply_update(late)
-    first.record_answer(USUAL)
-    tell(first, second)
+    first.record_answer(HARMLESS)
+    send_update(first, second)
     clock.now = 60.0
     aged = [attrs.evolve(end, age_s=60.0) for end in late.ends]
     assert second.apply_update(QuarantineNews(aged)) == QuarantineNews()
-    assert second.remaining_s(USUAL) == 0.0
+    assert second.remaining_s(HARMLESS) == 0.0
 
 
-def test_a_newcomer_hears_of_all_with_their_ages():
+def test_new_entry_gets_all_crashes_with_their_ages():
     clock = ManualClock()
     first, second = make_quarantine(clock), make_quarantine(clock)
-    end_some(first, DEADLY, CRASHES_TO_QUARANTINE)
+    crash_workers(first, DEADLY, CRASHES_TO_QUARANTINE)
     clock.now = 100.0
     second.apply_update(first.full_update())
     assert (
@@ -152,30 +149,30 @@
 @pytest.mark.parametrize(
     "age_s", [-1.0, QUARANTINE_S, float("inf"), float("nan")]
 )
-def test_ends_of_no_proper_age_do_not_count(age_s):
+def test_crashes_with_invalid_age_are_ignored(age_s):
     quarantine = make_quarantine()
     ends = [WorkerEnd(DEADLY, f"w{number}", age_s) for number in range(3)]
     quarantine.apply_update(QuarantineNews(ends))
     assert quarantine.crashes == {}
 
 
-def test_what_is_kept_has_a_bound_and_the_held_stay(monkeypatch):
+def test_stored_state_is_bounded_and_keeps_quarantined_contents(monkeypatch):
     monkeypatch.setattr(module, "MAX_SUSPECTS", 20)
     monkeypatch.setattr(module, "MAX_ANSWERED", 20)
     quarantine = make_quarantine()
-    end_some(quarantine, DEADLY, CRASHES_TO_QUARANTINE)
+    crash_workers(quarantine, DEADLY, CRASHES_TO_QUARANTINE)
     for number in range(100):
         quarantine.clock.now += 0.1
-        end_some(quarantine, f"beside {number}", 1, first=number)
+        crash_workers(quarantine, f"beside {number}", 1, first=number)
         quarantine.record_answer(f"answered {number}")
     assert len(quarantine.crashes) == len(quarantine.answered) == 20
     assert quarantine.remaining_s(DEADLY) > 0.0
     assert "beside 99" in quarantine.crashes
 
 
-def test_a_worker_s_end_is_put_down_to_a_content_that_ended_another():
+def test_crash_is_explained_by_content_that_crashed_another_worker():
     quarantine = make_quarantine()
-    quarantine.record_crash(USUAL, "w1")
+    quarantine.record_crash(HARMLESS, "w1")
     quarantine.record_crash(DEADLY, "w1")
     assert not quarantine.explains_crash("w1")
     quarantine.record_crash(DEADLY, "w2")
@@ -185,12 +182,10 @@
 
 
 def make_course(**more):
-    return RequestProgress(
-        make_request(), 10.0, "s", quarantined_s=500.0, **more
-    )
+    return RequestProgress(make_request(), 10.0, "s", quarantined_s=500.0, **more)
 
 
-def test_a_held_request_is_refused_with_when_to_come_back():
+def test_quarantined_request_is_refused_with_retry_after():
     found = final_answer(make_course(), 5.0)
     assert isinstance(found, AnswerRefused)
     assert (found.status, found.refusal.code) == (503, RefusalCode.QUARANTINED)
@@ -198,14 +193,14 @@
     assert found.refusal.retry_after_s == 500.0
 
 
-def test_a_held_request_that_may_have_run_is_promised_nothing():
+def test_quarantined_request_that_may_have_run_gets_no_retry_after():
     found = final_answer(make_course(sent=3, may_have_run=True), 5.0)
     assert isinstance(found, AnswerRefused)
     assert (found.status, found.refusal.not_run) == (502, False)
     assert found.refusal.retry_after_s is None
 
 
-def test_a_worker_s_own_failure_is_still_passed_on():
+def test_failure_response_of_worker_is_still_forwarded():
     failure = WholeAnswer(500, (), b"")
     course = make_course(sent=1, may_have_run=True, failure=failure)
     assert final_answer(course, 5.0) is failure
--- a/tests/retries/test_quarantining.py
+++ b/tests/retries/test_quarantining.py
@@ -20,7 +20,7 @@
 from tests.lib.clock import ManualClock
 
 DEADLY = "deadly"
-HUNG_S = 30.0
+TIMEOUT_S = 30.0
 
 
 class Ring:
@@ -37,15 +37,17 @@
         def spread(notice):
             self.sent[name] += 1
             for other in neighbours(self.entries, name):
-                heard = peer_pb2.Notice.FromString(notice.SerializeToString())
+                received = peer_pb2.Notice.FromString(
+                    notice.SerializeToString()
+                )
                 loop = asyncio.get_running_loop()
-                loop.call_soon(self.entries[other].receive, heard)
+                loop.call_soon(self.entries[other].receive, received)
 
         sharing = QuarantineSharing(Quarantine(self.clock), spread)
         sharing.quarantine.on_update = sharing.tell_soon
         self.entries[name] = sharing
 
-    def holding(self):
+    def quarantining_entries(self):
         return sum(
             entry.quarantine.remaining_s(DEADLY) > 0.0
             for entry in self.entries.values()
@@ -53,19 +55,19 @@
 
 
 @pytest.mark.parametrize("size", [2, 8, 80, 420])
-async def test_all_entries_hold_what_ended_workers_under_some(size):
+async def test_crashes_seen_by_some_entries_quarantine_at_all(size):
     ring = Ring(size)
     for number in range(CRASHES_TO_QUARANTINE):
         entry = ring.entries[f"e{number % size}"]
         entry.quarantine.record_crash(DEADLY, f"w{number}")
-    async with asyncio.timeout(HUNG_S):
-        while ring.holding() < size:
+    async with asyncio.timeout(TIMEOUT_S):
+        while ring.quarantining_entries() < size:
             await asyncio.sleep(0)
     # Each passes each end on once.
     assert max(ring.sent.values()) <= CRASHES_TO_QUARANTINE
 
 
-async def test_a_notice_that_cannot_be_read_changes_nothing():
+async def test_unreadable_notice_changes_nothing():
     ring = Ring(2)
     rumors = peer_pb2.Rumors(text=b"no news")
     notice = peer_pb2.Notice(spread=peer_pb2.Spread(rumors=rumors))
@@ -74,7 +76,7 @@
     assert not ring.sent
 
 
-def test_the_content_of_a_chat_outlives_its_attempt():
+def test_content_is_the_same_for_each_attempt_of_a_chat():
     def content(workspace, key, digest):
         return content_of(RouteRequest(workspace, key, digest=digest))
 
@@ -85,7 +87,7 @@
 
 
 @pytest.mark.parametrize("size", [3, 80])
-async def test_news_of_a_request_that_goes_on_being_answered_die_out(size):
+async def test_updates_on_an_answered_request_die_out(size):
     ring = Ring(size)
     first, *others = ring.entries.values()
     for entry in others:
@@ -99,6 +101,6 @@
         await asyncio.sleep(0)
     # Each passes the end and the answers on once.
     assert max(ring.sent.values()) <= 4
-    assert ring.holding() == 0
+    assert ring.quarantining_entries() == 0
     digests = {entry.quarantine.digest() for entry in ring.entries.values()}
     assert digests == {0}
