--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -11,7 +11,7 @@
 from tests.lib.pools import DOMAINS, pool_of
 
 
-class Watched(set):
+class CountingSet(set):
     """A set of leaving workers that counts how often it is asked."""
 
     asked = 0
@@ -30,16 +30,16 @@
     return {name for name, it in workers.items() if it.domain in domains}
 
 
-def test_a_small_pool_is_used_whole():
+def test_small_pool_is_used_completely():
     found = Placement("e1").of_version(pool_of(9, 8), SMALL, ())
     assert len(found) == 9
 
 
 @pytest.mark.parametrize("workers", [120, 600])
-def test_what_a_request_looks_at_does_not_grow_with_the_pool(workers):
+def test_work_per_request_does_not_grow_with_the_pool(workers):
     placement = Placement("e1")
     configuration = pool_of(workers, 420)
-    leaving = Watched()
+    leaving = CountingSet()
     found = placement.of_version(configuration, SMALL, leaving)
     assert len(found) == SUBSET_SIZE
     assert leaving.asked == SUBSET_SIZE
@@ -50,7 +50,7 @@
 @pytest.mark.parametrize(
     ("entries", "workers"), [(2, 40), (8, 120), (60, 600), (420, 600)]
 )
-def test_no_worker_is_left_without_an_entry(entries, workers):
+def test_every_worker_is_used_by_some_entry(entries, workers):
     configuration = pool_of(workers, entries)
     used = set()
     for number in range(entries):
@@ -59,7 +59,7 @@
     assert len(used) == workers
 
 
-def test_a_worker_that_leaves_is_left_out_at_once():
+def test_leaving_worker_is_excluded_at_once():
     placement = Placement("e1")
     configuration = pool_of(600, 420)
     before = names(placement.of_version(configuration, SMALL, ()))
@@ -70,11 +70,11 @@
     assert names(placement.of_version(configuration, SMALL, ())) == before
 
 
-def test_a_subset_that_is_gone_is_replaced_and_taken_up_again():
+def test_lost_subset_is_replaced_and_used_again_later():
     placement = Placement("e1")
     configuration = pool_of(600, 420)
     before = names(placement.of_version(configuration, SMALL, ()))
-    leaving = Watched(before)
+    leaving = CountingSet(before)
     spare = names(placement.of_version(configuration, SMALL, leaving))
     assert len(spare) == SUBSET_SIZE
     assert not spare & before
@@ -90,7 +90,7 @@
     assert names(placement.of_version(configuration, SMALL, ())) == before
 
 
-def test_the_last_domain_takes_over_from_three_lost_ones():
+def test_last_domain_replaces_three_lost_domains():
     configuration = pool_of(600, 420)
     lost = in_domain(configuration, "a", "b", "c")
     found = Placement("e1").of_version(configuration, SMALL, lost)
@@ -98,7 +98,7 @@
     assert names(found) <= in_domain(configuration, "d")
 
 
-def test_one_worker_left_of_many_is_found():
+def test_last_remaining_worker_of_a_large_pool_is_found():
     configuration = pool_of(600, 420)
     for left in ("w0", "w599"):
         leaving = in_domain(configuration, *DOMAINS) - {left}
@@ -106,7 +106,7 @@
         assert names(found) == {left}
 
 
-def test_a_worker_that_was_tried_is_not_given_again():
+def test_tried_worker_is_not_returned_again():
     placement = Placement("e1")
     configuration = pool_of(600, 420)
     tried = set()
@@ -117,7 +117,7 @@
         tried.add(min(found))
 
 
-def test_a_new_configuration_counts_at_once():
+def test_new_configuration_takes_effect_at_once():
     placement = Placement("e1")
     configuration = pool_of(600, 420)
     before = placement.of_version(configuration, SMALL, ())
@@ -139,7 +139,7 @@
     assert not placement.of_version(whole, SMALL, ())
 
 
-def test_services_and_versions_are_kept_apart():
+def test_services_and_versions_do_not_share_workers():
     placement = Placement("e1")
     plain = pool_of(200, 420, kind=UpstreamKind.PLAIN)
     assert len(placement.of_service(plain, "pool", ())) == SUBSET_SIZE
--- a/tests/unit/test_plan_brakes.py
+++ b/tests/unit/test_plan_brakes.py
@@ -73,7 +73,7 @@
     assert plan == Plan("all", [SMALL])
 
 
-def test_brake_of_every_version_refuses():
+def test_request_is_refused_if_every_version_is_braked():
     configuration = build_rollout(rollouts={})
     _, brakes = build_brakes(configuration)
     brakes.apply(SMALL, "errors", "control-1")
@@ -101,7 +101,7 @@
     assert list(brakes) == []
 
 
-def test_late_notice_of_a_decided_brake_does_nothing():
+def test_late_notice_of_a_superseded_brake_is_ignored():
     configuration = build_rollout()
     _, brakes = build_brakes(configuration)
     record = brakes.apply(CANDIDATE, "errors", "control-1")
@@ -113,7 +113,7 @@
     assert list(other) == []
 
 
-def test_brake_from_a_newer_revision_acts_on_a_stale_node():
+def test_brake_from_a_newer_revision_applies_at_a_stale_node():
     configuration = build_rollout()
     _, brakes = build_brakes(configuration)
     record = brakes.apply(CANDIDATE, "errors", "control-1")
