--- a/tests/placement/test_backoffs.py
+++ b/tests/placement/test_backoffs.py
@@ -1,4 +1,4 @@
-"""Workers that asked this entry for rest."""
+"""Backoffs that workers asked this entry for."""
 
 import random
 
--- a/tests/placement/test_drained_domains.py
+++ b/tests/placement/test_drained_domains.py
@@ -1,7 +1,7 @@
-"""A failure domain that operators drain gets nothing new until it is back.
+"""Drained failure domains get no new requests until they are undrained.
 
-What was seen: entries knew nothing of such orders; 798 requests reached the
-workers of a drained domain.
+Guards against entries that do not know of drain orders: 798 requests reached
+the workers of a drained domain.
 """
 
 import asyncio
@@ -25,11 +25,11 @@
 from tests.lib.platform_site import events, platform_site, until
 from tests.lib.relay_parts import at, make_worker
 
-# Where the entries themselves stand: its workers would be preferred.
+# The domain of the entries themselves, whose workers would be preferred.
 DRAIN_KEY = "evacuate/zone-a"
 
 
-# What counts, without a network.
+# Orders without a network.
 
 
 def drained(domain, revision):
@@ -79,7 +79,7 @@
     assert domains.drained == {"b"}
 
 
-# A store that came back from an older copy.
+# A store that was restored from a backup.
 
 
 @pytest.fixture
@@ -89,7 +89,7 @@
 
 @pytest.fixture
 def restored(clock):
-    """Orders of the first era; the store is about to begin the second."""
+    """Orders in the first era of the store, just before the second."""
     domains = DrainedDomains(clock=clock)
     domains.replace([], at(1))
     return domains
@@ -118,7 +118,7 @@
     clock.now += REISSUE_GRACE_S
     restored.expire_grace_periods()
     assert not restored.drained
-    # What a peer still tells of the earlier era brings it back no more.
+    # A late report from a peer, of the earlier era, does not restore it.
     restored.apply_peer_orders([drained("b", 9)])
     assert not restored.drained
 
@@ -137,7 +137,7 @@
 def test_ended_order_in_restored_store_counts_after_grace_period(
     restored, clock
 ):
-    """Operators may have ordered anew just before the copy took over."""
+    """Operators may have drained it again just before the restore."""
     restored.apply_order(drained("b", 3), "store")
     restored.apply_order(DomainOrder("b", False, at(9)), "store")
     restored.replace([DomainOrder("b", True, at(3, era=2))], at(4, era=2))
@@ -222,7 +222,7 @@
 
 
 async def send_requests(site, entry="entry-1"):
-    """Plain requests and streams; returns their statuses."""
+    """Sends plain requests and streams; returns their statuses."""
     answers = [await site.ask(entry=entry) for _ in range(8)]
     answers += [await site.ask("/unsafe/x", entry=entry) for _ in range(4)]
     answers += [await site.chat(entry=entry) for _ in range(8)]
@@ -247,7 +247,7 @@
 async def test_drained_domain_gets_no_escalations_or_retries(site):
     for name in ("e-a1", "e-b1"):
         site.workers[name].confidence = {"small": 1.0, "large": 90.0}
-    # The one outside fails its first answers, so that all are sent again.
+    # The worker outside the domain fails its first answers to force retries.
     site.workers["b1"].fault = WorkerFault.RESET
     site.workers["b1"].count = 4
     entry = await site.add_entry()
@@ -260,7 +260,7 @@
 async def test_order_with_unreadable_value_takes_effect(site):
     entry = await site.add_entry()
     site.store.version += 1
-    # Base64 of bytes that are no JSON text.
+    # Base64 of bytes that are not JSON.
     site.store.rows["op", DRAIN_KEY] = StoredRow("/wD+", site.store.version)
     site.store.tell()
     await until(has_drained(entry, "zone-a"))
--- a/tests/placement/test_eligibility.py
+++ b/tests/placement/test_eligibility.py
@@ -1,4 +1,4 @@
-"""One way from all workers of a version to those that may get a request."""
+"""Filtering of workers to those that may get a request."""
 
 import functools
 
@@ -100,7 +100,7 @@
     assert "drained_domain 2, warming_up 1" in refusal.message
 
 
-# Versions go before conditions.
+# The version is chosen before conditions are applied.
 
 ORDER = RolloutOrder(7, "s", "v2", 24.0)
 
@@ -125,7 +125,7 @@
     assert rollouts.phase(ORDER) is RolloutPhase.TRYING
     assert new_ones(names) == []
     cold = False
-    # Those that began at the old version stay there.
+    # Sessions that started at the old version stay there.
     assert new_ones(names) == []
     assert new_ones([f"later-{number}" for number in range(400)])
 
--- a/tests/placement/test_rate_limits.py
+++ b/tests/placement/test_rate_limits.py
@@ -1,4 +1,4 @@
-"""What workers in need say that they take."""
+"""Rate limits that overloaded workers ask for."""
 
 import math
 
@@ -35,12 +35,12 @@
 
 
 def rate(limits, worker=WORKER):
-    """What is known that a worker takes."""
+    """The limit known for a worker, in requests per second."""
     limit = limits.reported.get(worker.incarnation)
     return None if limit is None else limit.rate_per_s
 
 
-# What answers say.
+# Limits in answers.
 
 
 def test_limit_takes_effect_with_the_answer_that_names_it(limits, clock):
@@ -76,7 +76,7 @@
     after = attrs.evolve(WORKER, born=2)
     limits.record_answer(before, 2.5, clock.monotonic())
     assert rate(limits, after) is None
-    # An answer of the former start that comes late.
+    # A late answer of the earlier incarnation.
     limits.record_answer(before, 1.0, clock.monotonic())
     assert rate(limits, after) is None
 
@@ -88,7 +88,7 @@
     assert not limits.received_at
 
 
-# Odd values.
+# Malformed values.
 
 
 @pytest.mark.parametrize(
@@ -112,7 +112,7 @@
     assert decode_rate_limit(texts) == found
 
 
-# What all entries together send.
+# The requests of all entries together.
 
 SIZES = [8, 77, 200, 420]
 RATES_PER_S = [0.3, 9.0]
@@ -121,12 +121,12 @@
 
 
 def max_requests(rate_per_s):
-    """What a worker may get within a window from entries that it told."""
+    """Most requests within a window from entries that know the limit."""
     return OVERSHOOT_RATIO * rate_per_s * WINDOW_S + SLACK_REQUESTS
 
 
 def make_limited_fleet(size, down_at=lambda _number: ()):
-    """A fleet, and as many workers as there are for it to choose from."""
+    """A fleet and the workers that it may choose from."""
     fleet = LimitedFleet()
     for number in range(size):
         fleet.add(number, range(size), down_at(number))
@@ -141,13 +141,13 @@
     fleet.run(workers, REQUESTS_PER_S, RUN_S, rate_per_s)
     assert fleet.sends
     assert fleet.max_from_informed(WINDOW_S) <= max_requests(rate_per_s)
-    # Each that sends was told, so that all sends count.
+    # All entries know the limit, so all requests count.
     most = [most_in_window(at) for at in fleet.sends.values()]
     assert max(most) <= max_requests(rate_per_s)
 
 
 def most_in_window(times):
-    """The most of some ordered times within a window."""
+    """The highest number of times within any window."""
     return max(
         sum(at - WINDOW_S <= other <= at for other in times) for at in times
     )
@@ -215,7 +215,7 @@
     fleet.inform_all(workers, 2.3)
     fleet.run(workers, 2 * REQUESTS_PER_S, 2 * RUN_S, 2.3)
     assert fleet.max_from_informed(WINDOW_S) <= max_requests(2.3)
-    # Most of what the least of its words allows is used.
+    # Most of what the lowest of the named limits allows is used.
     used = sum(map(len, fleet.sends.values())) / 2 / RUN_S / len(workers)
     assert used >= 0.5 * (2.3 - variation)
     assert used <= 2.3
--- a/tests/placement/test_warm_up.py
+++ b/tests/placement/test_warm_up.py
@@ -1,8 +1,9 @@
-"""Workers that warm up get no more than they bear, over all entries together.
+"""Workers that warm up get no more requests than they can handle.
 
-What was seen: of 60 engines 15 came back cold at once. They looked empty, 77
-entries with views of their own chose them at the same moment, and one got 22
-requests in a second where 18 are borne.
+Guards against entries overloading cold workers together: 15 of 60 engines
+restarted at once and appeared idle. 77 entries, each with its own view, chose
+them at the same moment, and one got 22 requests in a second where it can handle
+18.
 """
 
 import math
@@ -40,7 +41,7 @@
     return make_worker(f"w{number}", warm_in_s=warm_in_s)
 
 
-# The bound, over all entries.
+# The bound over all entries.
 
 
 @pytest.mark.parametrize("size", SIZES)
@@ -51,8 +52,8 @@
         fleet.add(number, range(size))
     fleet.run(workers, 4 * ENGINE_REQUESTS_PER_S, RUN_S)
     assert fleet.max_in_a_second() <= BOUND
-    # Requests that go elsewhere are paid for by the warm workers: at this load
-    # half of what the workers bear is used at least.
+    # Requests that go elsewhere load the warm workers, so at this load at least
+    # half of the cold workers' rate has to be used.
     assert fleet.rate_per_s(workers, RUN_S) >= 0.5 * WARM_UP.rate_per_s
 
 
@@ -62,7 +63,7 @@
     fleet = WarmFleet()
     everybody = range(size)
     for number in everybody:
-        # Each takes another half of the others to be down.
+        # Each entry considers a different half of its peers down.
         down = {other for other in everybody if (other * 7 + number) % 2}
         fleet.add(number, everybody, down - {number})
     fleet.run(workers, 8 * ENGINE_REQUESTS_PER_S, RUN_S)
@@ -103,7 +104,7 @@
     entry.record_registration(worker, appeared=True)
     assert entry.open_workers([worker]) == []
     clock.now = STARTUP_GRACE_S
-    # By now it would know of others: it is the only one.
+    # By now it would know of peers, so it is the only entry.
     assert entry.open_workers([worker]) == [worker]
 
 
@@ -138,7 +139,7 @@
     assert parts.live_senders / parts.pause_s <= rate_per_s
 
 
-# Who warms up.
+# Which workers warm up.
 
 
 def test_new_worker_is_assumed_cold_whatever_it_reports(clock):
@@ -162,7 +163,7 @@
     entry = make_warm_ups(make_fleet(0, [], clock), clock)
     entry.record_registration(cold(warm_in_s=1.0), appeared=False)
     clock.now += 1.0
-    # The news is as old as the way that it came.
+    # The report is as old as the time that it took to arrive.
     assert entry.is_warming_up(cold())
     clock.now += PROPAGATION_S
     assert not entry.is_warming_up(cold())
