--- a/tests/retries/test_liveness_checks.py
+++ b/tests/retries/test_liveness_checks.py
@@ -1,4 +1,4 @@
-"""Workers that are said to have ended are looked at again."""
+"""Liveness checks of workers that were reported as crashed."""
 
 import asyncio
 
@@ -34,7 +34,7 @@
 
 
 class CheckingFleet:
-    """Entries that know the same fleet, workers and ends."""
+    """Entries that know the same fleet, workers and crashes."""
 
     def __init__(self, entries=1, alive_ids=()):
         self.clock = ManualClock()
@@ -68,7 +68,7 @@
                 checks.quarantine.record_crash(CONTENT, f"w{number}")
 
     async def run_checks(self, seconds):
-        """Lets all entries look for some seconds."""
+        """Runs the checks of all entries for some seconds."""
         end = self.clock.now + seconds
         while self.clock.now < end:
             self.clock.now += module.CHECK_INTERVAL_S
@@ -88,7 +88,7 @@
     assert fleet.remaining_s() == [QUARANTINE_S]
     await fleet.run_checks(2.0)
     assert fleet.remaining_s() == [0.0]
-    # The other two ends stand: one more holds it.
+    # The other two crashes remain, so one more quarantines it.
     fleet.checks[0].quarantine.record_crash(CONTENT, "w9")
     assert fleet.remaining_s() == [QUARANTINE_S]
 
@@ -100,7 +100,7 @@
     await fleet.run_checks(2.0)
     other = Quarantine(fleet.clock)
     other.apply_update(fleet.checks[0].quarantine.full_update())
-    # An entry that was away tells of the same ends, later.
+    # An entry that was unreachable reports the same crashes later.
     aged = [attrs.evolve(end, age_s=fleet.clock.now) for end in ends]
     other.apply_update(QuarantineNews(aged))
     assert other.remaining_s(CONTENT) == 0.0
@@ -148,10 +148,10 @@
     ("told", "born", "path", "alive"),
     [
         ("w1", None, HEALTH, True),
-        ("w1", None, "", False),  # Nobody says where it answers.
+        ("w1", None, "", False),  # Its health path is unknown.
         ("w2", None, HEALTH, False),  # Its successor.
         ("w1", 7, HEALTH, True),
-        ("w1", 8, HEALTH, False),  # It started again under its id.
+        ("w1", 8, HEALTH, False),  # It restarted under the same id.
     ],
 )
 async def test_only_the_registered_incarnation_counts_as_alive(
--- a/tests/retries/test_quarantine.py
+++ b/tests/retries/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Which requests are kept from workers, and what entries tell of them."""
+"""Quarantine of requests, and the updates on it between entries."""
 
 import attrs
 import pytest
@@ -31,7 +31,7 @@
 
 
 def send_update(sender, receiver):
-    """Tells as between two processes."""
+    """Sends an update as between two processes."""
     text = encode(sender.pop_unsent())
     receiver.apply_update(decode(QuarantineNews, text))
 
--- a/tests/retries/test_quarantining.py
+++ b/tests/retries/test_quarantining.py
@@ -1,4 +1,4 @@
-"""How entries of the chat interface tell each other of ends."""
+"""Updates on crashes between entries of the chat interface."""
 
 import asyncio
 import collections
@@ -24,7 +24,7 @@
 
 
 class Ring:
-    """Entries whose notices reach each other in the next turn of the loop."""
+    """Entries that get each other's notices in the next loop iteration."""
 
     def __init__(self, count):
         self.clock = ManualClock()
@@ -63,7 +63,7 @@
     async with asyncio.timeout(TIMEOUT_S):
         while ring.quarantining_entries() < size:
             await asyncio.sleep(0)
-    # Each passes each end on once.
+    # Each entry forwards each crash once.
     assert max(ring.sent.values()) <= CRASHES_TO_QUARANTINE
 
 
@@ -99,7 +99,7 @@
         entry.quarantine.record_answer(DEADLY)
     for _ in range(200):
         await asyncio.sleep(0)
-    # Each passes the end and the answers on once.
+    # Each entry forwards the crash and the answers once.
     assert max(ring.sent.values()) <= 4
     assert ring.quarantining_entries() == 0
     digests = {entry.quarantine.digest() for entry in ring.entries.values()}
