--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -1,4 +1,4 @@
-"""Which workers an entry uses."""
+"""Subsets of workers that an entry uses."""
 
 import collections
 
@@ -12,7 +12,7 @@
 
 
 class CountingSet(set):
-    """A set of leaving workers that counts how often it is asked."""
+    """A set of leaving workers that counts its membership tests."""
 
     asked = 0
 
@@ -78,11 +78,11 @@
     spare = names(placement.of_version(configuration, SMALL, leaving))
     assert len(spare) == SUBSET_SIZE
     assert not spare & before
-    # The replacement is kept: the pool is not searched for each request.
+    # The replacement is stored; the pool is not searched for each request.
     leaving.asked = 0
     assert names(placement.of_version(configuration, SMALL, leaving)) == spare
     assert leaving.asked == 2 * SUBSET_SIZE
-    # It is replaced as well.
+    # The replacement is replaced as well.
     leaving |= spare
     third = names(placement.of_version(configuration, SMALL, leaving))
     assert len(third) == SUBSET_SIZE
--- a/tests/unit/test_plan_brakes.py
+++ b/tests/unit/test_plan_brakes.py
@@ -1,4 +1,4 @@
-"""Brakes act at once, spread, and end only with a newer decision."""
+"""Brakes apply at once, spread, and end only with a newer decision."""
 
 import random
 
