--- a/tests/lib/warm_fleet.py
+++ b/tests/lib/warm_fleet.py
@@ -1,4 +1,4 @@
-"""Entries that share the bounds of workers, in virtual time."""
+"""Simulated entries that share the bounds of workers, in virtual time."""
 
 import collections
 import math
@@ -20,7 +20,7 @@
 STEP_S = 0.01
 WINDOW_S = 1.0
 SERVICE = "s"
-INFORMED_AFTER_S = 0.5  # An answer that was passed on counts from then on.
+INFORMED_AFTER_S = 0.5  # Delay until an answer counts as known.
 
 
 def make_state(number, **more):
@@ -31,7 +31,7 @@
 
 
 def make_fleet(number, known, clock, down=()):
-    """What an entry knows of some others."""
+    """The fleet as one entry knows it."""
     fleet = Fleet(make_state(number), clock)
     fleet.apply_states(
         make_state(other, down=other in down)
@@ -42,7 +42,7 @@
 
 
 def make_warm_ups(fleet, clock, warm_up=WARM_UP):
-    """What bounds the sends of one entry, which started long ago."""
+    """The warm-up bounds of one entry that started long ago."""
     return WarmUps(
         SharedRates(fleet, clock, started_at=-100.0),
         clock,
@@ -55,12 +55,14 @@
 
 @attrs.define
 class WarmFleet:
-    """Entries, each with its own view, before workers that are all cold.
+    """Entries with their own views, and workers that are all cold.
 
     Attributes:
       entries: By number.
-      sends: When each worker was sent a request, by its id.
-      refused: Requests for which no worker was open.
+      clock: Virtual time, shared by all entries.
+      rng: Source of the load and of the choices.
+      sends: Times of the requests to each worker, by its id.
+      refused: Number of requests for which no worker was available.
     """
 
     clock: ManualClock = attrs.Factory(ManualClock)
@@ -74,7 +76,7 @@
         self.entries[number] = make_warm_ups(fleet, self.clock)
 
     def run(self, workers, requests_per_s, seconds):
-        """Each entry gets requests at random and would use any cold worker."""
+        """Sends random requests to each entry, which may use any worker."""
         for entry in self.entries.values():
             for worker in workers:
                 entry.record_registration(worker, appeared=True)
@@ -99,13 +101,13 @@
         return max(map(max_within, self.sends.values()), default=0)
 
     def rate_per_s(self, workers, seconds):
-        """Mean requests a second at one worker."""
+        """Mean requests per second at one worker."""
         total = sum(map(len, self.sends.values()))
         return total / seconds / len(workers)
 
 
 def max_within(times, window_s=WINDOW_S):
-    """The most of some ordered times within any window."""
+    """The highest number of ordered times within any window."""
     recent = collections.deque()
     highest = 0
     for at in times:
@@ -117,21 +119,21 @@
 
 
 def make_limits(fleet, clock):
-    """What keeps one entry within the limits that workers name."""
+    """The rate limits of one entry that started long ago."""
     shares = SharedRates(fleet, clock, started_at=-100.0)
     return RateLimits(shares, clock)
 
 
 @attrs.define
 class LimitedFleet(WarmFleet):
-    """Entries before workers that name a limit.
+    """Entries, and workers that name a limit in their answers.
 
     Attributes:
-      informed_at: When each entry was told by a worker's answer, by both.
-      sends_by_informed: When each worker was sent a request by an entry that it had
-        told some time before, by its id.
-      publishing: Entries tell each other.
-      variation: How much less a worker may name in one answer than in another.
+      informed_at: When each entry first got a limit from each worker.
+      sends_by_informed: Times of the requests to each worker, by its id, from
+        entries that it had informed at least `INFORMED_AFTER_S` before.
+      publishing: Whether entries publish limits to each other.
+      variation: Range in which a worker's limit varies between answers.
     """
 
     informed_at: dict = attrs.Factory(dict)
@@ -155,7 +157,7 @@
                     entry.apply_limits([limit])
 
     def inform_all(self, workers, rate_per_s):
-        """Each entry gets an answer of each worker at the same moment."""
+        """Gives each entry an answer of each worker at the same moment."""
         publishing, self.publishing = self.publishing, False
         for entry in self.entries.values():
             for worker in workers:
@@ -163,10 +165,10 @@
         self.publishing = publishing
 
     def run(self, workers, requests_per_s, seconds, rate_per_s=None):
-        """Each entry gets requests at random and would use any worker.
+        """Sends random requests to each entry, which may use any worker.
 
         Args:
-          rate_per_s: What workers name in their answers from now on.
+          rate_per_s: Limit in the workers' answers from now on.
         """
         chance = requests_per_s * STEP_S
         for _ in range(round(seconds / STEP_S)):
@@ -188,7 +190,7 @@
         return worker
 
     def answer(self, entry, worker, rate_per_s):
-        """An entry gets the answer to what it has just sent."""
+        """Gives an entry the answer to the request that it just sent."""
         key = id(entry), worker.id
         informed_at = self.informed_at.get(key, math.inf)
         if self.clock.now - informed_at >= INFORMED_AFTER_S:
@@ -199,7 +201,7 @@
         entry.record_answer(worker, rate_per_s, self.clock.now)
 
     def max_from_informed(self, window_s):
-        """The most that a worker got in a window from those that it told."""
+        """The most requests to a worker in a window from informed entries."""
         counts = (
             max_within(at, window_s) for at in self.sends_by_informed.values()
         )
