--- a/benchmarks/placement_cost.py
+++ b/benchmarks/placement_cost.py
@@ -1,10 +1,10 @@
-"""What choosing a worker costs, and how evenly subsets load the workers.
+"""Measures the cost of choosing a worker and how evenly subsets load workers.
 
 Run: python -m benchmarks.placement_cost
 
-The cost is this process's processor time for one choice, by the size of the
-pool. The evenness is simulated: seeded arrivals at 420 entries, each of which
-chooses by the production code among its own subset, before 600 workers.
+The cost is the processor time of one choice, by size of the pool. The evenness
+is simulated with seeded arrivals at 420 entries and 600 workers; each entry
+chooses from its own subset with the production code.
 """
 
 from __future__ import annotations
@@ -43,8 +43,8 @@
 WORKERS = 600
 POOLS = (9, 60, 200, 600)
 SIZES = (8, 16, 32, 64, 600)
-RATE = 3700.0  # Requests a second.
-SERVICE_S = 2.0  # Mean seconds of a request at a worker.
+RATE = 3700.0  # Requests per second.
+SERVICE_S = 2.0  # Mean duration of a request at a worker.
 SLOTS = 16
 WARM_UP_S = 10.0
 SEEDS = (1, 2, 3)
@@ -61,7 +61,7 @@
 
 
 def listing_us(workers: int, calls: int = 200) -> float:
-    """Returns the same where all workers are listed for each request."""
+    """Returns the same if all workers are listed for each request."""
     configuration = pool_of(workers, ENTRIES)
     leaving: set[str] = set()
     return cost_us(
@@ -75,7 +75,7 @@
 
 
 def revision_us(workers: int, calls: int = 20) -> float:
-    """Returns the cost of the first choice after a change."""
+    """Returns the cost of the first choice after a configuration change."""
     configurations = [pool_of(workers, ENTRIES) for _ in range(2)]
     placement = Placement("entry-1")
 
@@ -87,7 +87,7 @@
 
 
 def admission_us(workers: int, calls: int = 300) -> float:
-    """Returns the cost of being let through to a pool."""
+    """Returns the cost of admission to a pool, in microseconds."""
     configuration = pool_of(workers, 1)
     gates = Gates(lambda: configuration, lambda: 1, SystemClock(), Metrics())
     request = build_request(deadline=float("inf"))
@@ -104,7 +104,7 @@
 
 
 def cost_us(work, calls: int) -> float:
-    """Returns the processor time of a call and a choice among its targets."""
+    """Returns the microseconds of a call and a choice among its targets."""
     load, rng = Load(), random.Random(1)
     best = float("inf")
     for _ in range(5):
@@ -117,11 +117,11 @@
 
 @attrs.frozen
 class Evenness:
-    """How evenly the workers were loaded.
+    """How evenly the workers are loaded.
 
     Attributes:
-      spread: Standard deviation of the workers' mean load, by their mean.
-      highest: The highest mean load, by their mean.
+      spread: Standard deviation of the workers' loads, relative to the mean.
+      highest: The highest load of a worker, relative to the mean.
       over: Share of requests that found no free slot.
     """
 
@@ -142,14 +142,14 @@
 def simulate(
     size: int, seed: int, seconds: float, reported: bool = False
 ) -> Evenness:
-    """Runs seeded arrivals and returns how evenly they were spread.
+    """Simulates seeded arrivals and returns the evenness of the load.
 
     Args:
       size: Workers in a subset.
-      seed: For the arrivals.
-      seconds: Simulated seconds that count.
-      reported: True to choose by the workers' own counts without any lag, in
-        place of what the entry itself has under way.
+      seed: Seed of the arrivals.
+      seconds: Simulated seconds that are measured.
+      reported: Whether to choose by the workers' own counts without any lag,
+        instead of the requests that the entry itself has in progress.
     """
     rng = random.Random(seed)
     subsets = list(subsets_of(pool_of(WORKERS, ENTRIES), size))
@@ -189,7 +189,7 @@
     """Prints the cost of a choice and the evenness of subsets.
 
     Args:
-      seconds: Simulated seconds of arrivals that count.
+      seconds: Simulated seconds of arrivals that are measured.
     """
     print("us of processor | all listed | subset | first | admission")
     for workers in POOLS:
--- a/benchmarks/rate_limits.py
+++ b/benchmarks/rate_limits.py
@@ -1,10 +1,10 @@
-"""Ways to keep within a limit that workers name, over all entries.
+"""Compares strategies for keeping all entries within workers' rate limits.
 
-Plays entries before workers that all name the same limit. Prints, for each way
-and size, the most requests that reached one worker in a window from entries
-that it had told, the share of its limit that was used, and the share of
-requests that found no worker open. In the last column all were told, had
-nothing to do for a while, and then get requests at the same moment.
+Simulates entries and workers that all name the same limit. Prints, for each
+strategy and size, the most requests that reached one worker in a window from
+entries that know its limit, the share of the limit that was used, and the share
+of requests that found no worker available. In the last column all entries know
+the limit, were idle for a while, and then get requests at the same moment.
 
     PYTHONPATH=. python -m benchmarks.rate_limits
 """
@@ -38,7 +38,7 @@
 
 @attrs.define
 class EvenShares:
-    """Each entry has an even part of the limit, and saves up one request."""
+    """Gives each entry an even share of the limit, saving up one request."""
 
     limits: object
     parts: SavedParts
@@ -56,27 +56,27 @@
         ]
 
     def record_send(self, worker: object) -> None:
-        """Takes in a send."""
+        """Records a request."""
         self.parts.spend(worker.id, self.limits.clock.now)
 
     def record_answer(
         self, worker: object, rate: float | None, at: float
     ) -> None:
-        """Takes in an answer."""
+        """Records the limit in an answer."""
         self.limits.record_answer(worker, rate, at)
 
     def apply_limits(self, limits: list) -> None:
-        """Takes in what another entry heard."""
+        """Applies limits from a peer."""
         self.limits.apply_limits(limits)
 
 
 def use_few_senders(limits: object, _rng: random.Random) -> object:
-    """Returns the product's strategy: a few entries, drawn by a hash."""
+    """Returns the production strategy: a few entries, chosen by a hash."""
     return limits
 
 
 def use_even_shares(limits: object, rng: random.Random) -> object:
-    """Returns the other strategy: an even part for each entry."""
+    """Returns the alternative: an even share for each entry."""
     return EvenShares(limits, SavedParts(rng))
 
 
@@ -87,14 +87,14 @@
 
 
 def run(strategy: str, size: int, differ: bool, news: bool) -> LimitedFleet:
-    """Plays a fleet that nobody has told yet."""
+    """Simulates a fleet that does not know the limit at first."""
     fleet, workers = make(strategy, size, differ, news)
     fleet.run(workers, REQUESTS_PER_S, RUN_S, RATE_PER_S)
     return fleet
 
 
 def run_after_idling(strategy: str, size: int, differ: bool) -> int:
-    """Returns the most in a window once a fleet that was told has work."""
+    """Returns the most requests in a window after an idle period."""
     fleet, workers = make(strategy, size, differ, True)
     fleet.inform_all(workers, RATE_PER_S)
     for entry in fleet.entries.values():
@@ -138,7 +138,7 @@
 def print_row(
     fleet: LimitedFleet, strategy: str, size: int, differ: bool, news: bool
 ) -> None:
-    """Prints what came of one play."""
+    """Prints the results of one simulation."""
     sent = sum(map(len, fleet.sends.values()))
     cells = (
         strategy,
--- a/benchmarks/warm_up.py
+++ b/benchmarks/warm_up.py
@@ -1,9 +1,9 @@
-"""Ways to divide what a worker bears while it warms up over all entries.
+"""Compares strategies for dividing a cold worker's rate among all entries.
 
-Plays entries, each with its own view of who lives, before cold workers that
-all would use. Prints, for each way and size, the most requests that reached one
-worker within a second (18 are borne), and the share of the steady rate that was
-used: what is left unused goes to warm workers, which are slower for it.
+Simulates entries, each with its own view of liveness, and cold workers that all
+of them would use. Prints, for each strategy and size, the most requests that
+reached one worker within a second (it can handle 18), and the share of the
+steady rate that was used. The unused rest goes to warm workers and slows them.
 
     PYTHONPATH=. python -m benchmarks.warm_up
 """
@@ -23,13 +23,13 @@
 from tests.lib.warm_fleet import OVERSHOOT, SLACK, WARM_UP, WarmFleet
 
 SIZES = (8, 77, 200, 420)
-REQUESTS_PER_S = 5.0  # At one entry, with larger models' answers.
+REQUESTS_PER_S = 5.0  # At one entry, including escalations to larger models.
 RUN_S = 2.5
 
 
 @attrs.define
 class EvenShares:
-    """Way 2: each entry has an even part of the rate, and saves it up."""
+    """Strategy 2: an even share of the rate for each entry, saved up."""
 
     warm_ups: object
     parts: SavedParts
@@ -45,16 +45,16 @@
         ]
 
     def record_send(self, worker: object) -> None:
-        """Takes in a send."""
+        """Records a request."""
         self.parts.spend(worker.id, self.warm_ups.clock.now)
 
 
 @attrs.define
 class RandomThinning:
-    """Way 3: each entry takes a worker into account by chance.
+    """Strategy 3: each entry considers cold workers at random.
 
-    The chance is the worker's rate against what all entries would send, taking
-    the others to get as many requests as this one.
+    The probability is the workers' rate divided by the requests of all entries,
+    assuming that peers get as many requests as this entry.
     """
 
     warm_ups: object
@@ -70,13 +70,13 @@
         return workers
 
     def record_send(self, worker: object) -> None:
-        """Takes in a send."""
+        """Records a request."""
 
 
 def use_few_senders(
     warm_ups: object, _rng: random.Random, _count: int
 ) -> object:
-    """Way 1, the product's: a few entries, drawn by a hash of the worker."""
+    """Strategy 1, in production: a few entries, chosen by a hash."""
     return warm_ups
 
 
@@ -90,12 +90,12 @@
 
 
 def half_down(number: int, everybody: range) -> set[int]:
-    """Returns whom an entry takes to be down while half restart."""
+    """Returns the peers that an entry considers down while half restart."""
     return {other for other in everybody if (other * 7 + number) % 2} - {number}
 
 
 def run(strategy: str, size: int, views_differ: bool) -> tuple[int, float]:
-    """Returns the most in a second and the share of the rate that was used."""
+    """Returns the most requests in a second and the used share of the rate."""
     fleet = WarmFleet()
     workers = make_workers(2 + size // 30)
     rng = random.Random(size)
@@ -112,7 +112,7 @@
 
 
 def ask_all(fleet: WarmFleet, workers: list) -> None:
-    """Lets every entry ask at random for a while."""
+    """Sends random requests to every entry for a while."""
     step_s = 0.01
     for _ in range(round(RUN_S / step_s)):
         fleet.clock.now += step_s
