--- a/benchmarks/placement_cost.py
+++ b/benchmarks/placement_cost.py
@@ -122,21 +122,21 @@
     Attributes:
       spread: Standard deviation of the workers' loads, relative to the mean.
       highest: The highest load of a worker, relative to the mean.
-      over: Share of requests that found no free slot.
+      over_capacity: Share of requests that found no free slot.
     """
 
     spread: float
     highest: float
-    over: float
+    over_capacity: float
 
 
 def subsets_of(
     configuration: Configuration, size: int
 ) -> Iterator[list[Target]]:
     """Yields the subset of each entry."""
-    everywhere = list(targets_of(configuration, KEY))
+    all_targets = list(targets_of(configuration, KEY))
     for number in range(ENTRIES):
-        yield choose_subset(f"entry-{number}", everywhere, size)
+        yield choose_subset(f"entry-{number}", all_targets, size)
 
 
 def simulate(
@@ -154,11 +154,11 @@
     rng = random.Random(seed)
     subsets = list(subsets_of(pool_of(WORKERS, ENTRIES), size))
     at_worker: collections.Counter[str] = collections.Counter()
-    whole = Load(at_worker)
+    reported_load = Load(at_worker)
     loads = [Load() for _ in range(ENTRIES)]
     busy_s: collections.Counter[str] = collections.Counter()
     ends: list[tuple[float, int, str]] = []
-    now, arrived, over = 0.0, 0, 0
+    now, arrived, over_capacity = 0.0, 0, 0
     while now < WARM_UP_S + seconds:
         now += rng.expovariate(RATE)
         while ends and ends[0][0] <= now:
@@ -167,21 +167,23 @@
             at_worker[name] -= 1
         entry = rng.randrange(ENTRIES)
         domain = DOMAINS[entry % len(DOMAINS)]
-        load = whole if reported else loads[entry]
+        load = reported_load if reported else loads[entry]
         target = two_choices(subsets[entry], load, domain, rng)
         assert target is not None
-        took = rng.expovariate(1 / SERVICE_S)
+        duration_s = rng.expovariate(1 / SERVICE_S)
         if now > WARM_UP_S:
             arrived += 1
-            over += at_worker[target.name] >= SLOTS
-            busy_s[target.name] += took
+            over_capacity += at_worker[target.name] >= SLOTS
+            busy_s[target.name] += duration_s
         loads[entry].outstanding[target.name] += 1
         at_worker[target.name] += 1
-        heapq.heappush(ends, (now + took, entry, target.name))
+        heapq.heappush(ends, (now + duration_s, entry, target.name))
     values = [busy_s[f"w{number}"] for number in range(WORKERS)]
     mean = statistics.fmean(values)
     return Evenness(
-        statistics.pstdev(values) / mean, max(values) / mean, over / arrived
+        statistics.pstdev(values) / mean,
+        max(values) / mean,
+        over_capacity / arrived,
     )
 
 
@@ -210,7 +212,7 @@
                 f"subset {size:3}: spread"
                 f" {statistics.fmean(r.spread for r in runs):5.3f}, highest"
                 f" {max(r.highest for r in runs):5.2f} of the mean, no free"
-                f" slot {statistics.fmean(r.over for r in runs):6.4f}"
+                f" slot {statistics.fmean(r.over_capacity for r in runs):6.4f}"
             )
 
 
