--- a/src/rattanpier/_internal/programs/relay.py
+++ b/src/rattanpier/_internal/programs/relay.py
@@ -78,8 +78,8 @@
     gossip = await add_peers(
         kernel, settings, fleet, state, shared_state, clock
     )
-    shared_state.quarantine.tell = gossip.schedule_quarantine_broadcast
-    shared_state.limits.tell = gossip.broadcast_limit
+    shared_state.quarantine.on_update = gossip.schedule_quarantine_broadcast
+    shared_state.limits.publish = gossip.broadcast_limit
     shared_state.directory.tell_leaving = gossip.broadcast_leaving
     entry = RelayEntry(
         kernel, settings, state, fleet, drain, metrics, edge, gossip
--- a/src/rattanpier/_internal/programs/relay_workers.py
+++ b/src/rattanpier/_internal/programs/relay_workers.py
@@ -88,7 +88,7 @@
         engines=state.engines,
         read=read_report,
         on_restart=lambda worker: state.forget([worker]),
-        open_workers=state.domains.open,
+        open_workers=state.domains.open_workers,
         in_backoff=lambda worker: rests.opens_in_s(worker.incarnation) > 0.0,
     )
     state.gone.subscribe(
--- a/src/rattanpier/_internal/relay/gossip.py
+++ b/src/rattanpier/_internal/relay/gossip.py
@@ -262,7 +262,7 @@
     def broadcast_quarantine(self) -> None:
         """Starts a broadcast of the worker crashes recorded so far."""
         self.quarantine_timer = None
-        untold = self.shared_state.quarantine.take_untold()
+        untold = self.shared_state.quarantine.pop_unsent()
         self.broadcast(StateUpdate(quarantine=untold))
 
     def broadcast_limit(self, limit: RateLimit) -> None:
--- a/src/rattanpier/_internal/relay/shared_state.py
+++ b/src/rattanpier/_internal/relay/shared_state.py
@@ -62,9 +62,9 @@
         for order in update.stopped:
             self.rollouts.stop(order, "told by a peer")
         self.rollouts.sessions.take(update.held)
-        self.quarantine.take(update.quarantine)
-        self.domains.take_standing(update.drained)
-        self.limits.take(update.limits)
+        self.quarantine.apply_update(update.quarantine)
+        self.domains.apply_peer_orders(update.drained)
+        self.limits.apply_limits(update.limits)
         self.directory.take_leaving(update.leaving)
         for worker in self.directory.take_departures(update.departed):
             self.on_deregistered(worker)
@@ -80,9 +80,9 @@
             records=list(self.rollouts.records.values()),
             stopped=sorted(self.rollouts.stopped),
             held=self.rollouts.sessions.all_news(),
-            quarantine=self.quarantine.all_news(),
-            drained=self.domains.standing(),
-            limits=self.limits.standing(),
+            quarantine=self.quarantine.full_update(),
+            drained=self.domains.active_orders(),
+            limits=self.limits.registered_limits(),
             leaving=self.directory.known_to_leave(),
             departed=self.directory.departures.disputed(),
             orders=self.rollouts.known_orders.unconfirmed(),
@@ -95,8 +95,8 @@
 
     def has_unsummarized_state(self) -> bool:
         """Returns whether there is state that summaries do not cover."""
-        held = self.quarantine.ends or self.quarantine.cleared
-        said = self.limits.words or self.directory.known_to_leave()
+        held = self.quarantine.crashes or self.quarantine.cleared
+        said = self.limits.reported or self.directory.known_to_leave()
         disputed = self.directory.departures.held_back
         lost = self.rollouts.known_orders.unconfirmed()
         return bool(held or said or disputed or lost or self.domains.drained)
--- a/tests/lib/ring.py
+++ b/tests/lib/ring.py
@@ -154,10 +154,10 @@
             ),
             refresh_own_state=lambda: False,
         )
-        gossip.shared_state.quarantine.tell = (
+        gossip.shared_state.quarantine.on_update = (
             gossip.schedule_quarantine_broadcast
         )
-        gossip.shared_state.limits.tell = gossip.broadcast_limit
+        gossip.shared_state.limits.publish = gossip.broadcast_limit
         gossip.shared_state.directory.tell_leaving = gossip.broadcast_leaving
         entry = Entry(fleet, broadcaster, gossip)
         broadcaster.handlers["rumors"] = gossip.receive_rumors
--- a/tests/lib/warm_fleet.py
+++ b/tests/lib/warm_fleet.py
@@ -11,7 +11,7 @@
 from rattanpier._internal.placement.rate_limits import RateLimits
 from rattanpier._internal.placement.shared_rates import SharedRates
 from rattanpier._internal.placement.warm_up import WarmUps
-from rattanpier._internal.relay.fleet import Fleet, EntryState
+from rattanpier._internal.relay.fleet import EntryState, Fleet
 from tests.lib.clock import ManualClock
 
 WARM_UP = WarmUp(start_s=3.0, rate_per_s=9.0)
--- a/tests/relay/test_spread.py
+++ b/tests/relay/test_spread.py
@@ -234,7 +234,7 @@
 
 def count_quarantined(ring, content):
     return sum(
-        entry.gossip.shared_state.quarantine.held_s(content) > 0.0
+        entry.gossip.shared_state.quarantine.remaining_s(content) > 0.0
         for entry in ring.live()
     )
 
@@ -247,7 +247,7 @@
         entry = ring.entries[f"e{number:03}"]
         worker = f"w{number}"
         for content in ("deadly", f"beside {number}"):
-            entry.gossip.shared_state.quarantine.note_end(content, worker)
+            entry.gossip.shared_state.quarantine.record_crash(content, worker)
     # A request under which workers crash moves to the next within 0.2 s.
     await ring.clock.sleep(0.05)
     assert count_quarantined(ring, "deadly") == size
@@ -261,7 +261,7 @@
     partitioned = {f"e{number:03}" for number in range(1, 80, 8)}
     ring.partitioned = partitioned
     for number in range(3):
-        ring.entries["e000"].gossip.shared_state.quarantine.note_end(
+        ring.entries["e000"].gossip.shared_state.quarantine.record_crash(
             "deadly", f"w{number}"
         )
     await ring.clock.sleep(1.0)
@@ -274,7 +274,7 @@
 
 
 def count_limited(ring):
-    return sum(bool(e.gossip.shared_state.limits.limited) for e in ring.live())
+    return sum(bool(e.gossip.shared_state.limits.rates) for e in ring.live())
 
 
 def count_leaving(ring):
@@ -289,13 +289,15 @@
     ring = make_ring(size)
     worker = make_worker("w1")
     informed = ring.entries["e001"].gossip.shared_state
-    informed.limits.hear(worker, 2.5, 0.0)
+    informed.limits.record_answer(worker, 2.5, 0.0)
     informed.directory.hear_leaving(worker)
     await ring.clock.sleep(0.05)
     assert count_limited(ring) == count_leaving(ring) == size
     # Another entry learns that the limit ended.
     now = ring.clock.monotonic()
-    ring.entries["e002"].gossip.shared_state.limits.hear(worker, None, now)
+    ring.entries["e002"].gossip.shared_state.limits.record_answer(
+        worker, None, now
+    )
     await ring.clock.sleep(0.05)
     assert count_limited(ring) == 0
     most, mean = ring.max_and_mean("messages")
@@ -311,7 +313,7 @@
     for entry in ring.entries.values():
         entry.gossip.shared_state.directory.put(worker)
     informed = ring.entries["e000"].gossip.shared_state
-    informed.limits.hear(worker, 2.5, 0.0)
+    informed.limits.record_answer(worker, 2.5, 0.0)
     informed.directory.hear_leaving(worker)
     await ring.clock.sleep(1.0)
     assert count_limited(ring) == count_leaving(ring) == 80 - len(partitioned)
