--- a/src/rattanpier/_internal/placement/backoffs.py
+++ b/src/rattanpier/_internal/placement/backoffs.py
@@ -76,14 +76,16 @@
         if self.none_active():
             return workers
         return [
-            each for each in workers if self.opens_in_s(each.incarnation) <= 0.0
+            each
+            for each in workers
+            if self.available_in_s(each.incarnation) <= 0.0
         ]
 
     def none_active(self) -> bool:
         """Returns whether no backoff is active."""
         return self.clock.monotonic() >= self.last_ends_at
 
-    def opens_in_s(self, worker: str) -> float:
+    def available_in_s(self, worker: str) -> float:
         """Returns the seconds until a worker's backoff ends, 0 without one."""
         until = self.until.get(worker)
         if until is None:
--- a/src/rattanpier/_internal/placement/eligibility.py
+++ b/src/rattanpier/_internal/placement/eligibility.py
@@ -75,19 +75,19 @@
 
 
 def min_wait_s(
-    opens_in_s: Callable[[RegisteredWorker], float], workers: Workers
+    available_in_s: Callable[[RegisteredWorker], float], workers: Workers
 ) -> float | None:
     """Returns the seconds until the first unavailable worker is available.
 
     Args:
-      opens_in_s: Returns the seconds until a worker accepts a request; 0 if it
-        does now.
+      available_in_s: Returns the seconds until a worker accepts a request; 0 if
+        it does now.
       workers: The workers to consider.
 
     Returns:
       Seconds, or None if all workers accept requests now.
     """
-    waits = filter(None, map(opens_in_s, workers))
+    waits = filter(None, map(available_in_s, workers))
     return min(waits, default=None)
 
 
--- a/src/rattanpier/_internal/placement/rate_limits.py
+++ b/src/rattanpier/_internal/placement/rate_limits.py
@@ -195,9 +195,9 @@
         """Returns the workers that this entry may send to now."""
         if not self.rates:
             return workers
-        return [each for each in workers if self.opens_in_s(each) <= 0.0]
+        return [each for each in workers if self.available_in_s(each) <= 0.0]
 
-    def opens_in_s(self, worker: RegisteredWorker) -> float:
+    def available_in_s(self, worker: RegisteredWorker) -> float:
         """Returns the seconds until this entry may send to a worker.
 
         Infinite if this entry is not one of the worker's senders.
@@ -205,14 +205,14 @@
         rate_per_s = self.rates.get(worker.incarnation)
         if rate_per_s is None:
             return 0.0
-        return self.shares.opens_in_s(worker, bound_of(rate_per_s))
+        return self.shares.available_in_s(worker, bound_of(rate_per_s))
 
-    def any_entry_opens_in_s(self, worker: RegisteredWorker) -> float:
+    def any_entry_available_in_s(self, worker: RegisteredWorker) -> float:
         """Returns the seconds until any entry may send to a worker.
 
         Callers that retry may reach any entry.
         """
-        wait_s = self.opens_in_s(worker)
+        wait_s = self.available_in_s(worker)
         if not wait_s:
             return 0.0
         bound = bound_of(self.rates[worker.incarnation])
--- a/src/rattanpier/_internal/placement/shared_rates.py
+++ b/src/rattanpier/_internal/placement/shared_rates.py
@@ -114,7 +114,9 @@
         )
     )
 
-    def opens_in_s(self, worker: RegisteredWorker, bound: RateBound) -> float:
+    def available_in_s(
+        self, worker: RegisteredWorker, bound: RateBound
+    ) -> float:
         """Returns the seconds until this entry may send to a worker.
 
         Infinite if this entry is not one of the worker's senders.
--- a/src/rattanpier/_internal/placement/warm_up.py
+++ b/src/rattanpier/_internal/placement/warm_up.py
@@ -145,9 +145,9 @@
         """Returns the workers that this entry may send to now."""
         if not self.reported_until and not self.presumed_cold_at:
             return workers
-        return [each for each in workers if self.opens_in_s(each) <= 0.0]
+        return [each for each in workers if self.available_in_s(each) <= 0.0]
 
-    def opens_in_s(self, worker: RegisteredWorker) -> float:
+    def available_in_s(self, worker: RegisteredWorker) -> float:
         """Returns the seconds until this entry may send to a worker."""
         warm_in_s = self.warm_in_s(worker)
         if warm_in_s <= 0.0:
@@ -155,7 +155,7 @@
         warm_up = self.warm_up_of(worker.service)
         assert warm_up is not None
         bound = bound_of(warm_up, self.overshoot, self.slack)
-        return min(warm_in_s, self.shares.opens_in_s(worker, bound))
+        return min(warm_in_s, self.shares.available_in_s(worker, bound))
 
     def record_send(self, worker: RegisteredWorker) -> None:
         """Records that this entry sends a request to a worker."""
--- a/src/rattanpier/_internal/programs/relay_dispatch.py
+++ b/src/rattanpier/_internal/programs/relay_dispatch.py
@@ -74,9 +74,9 @@
 
     def opens_in_s(worker: RegisteredWorker) -> float:
         return max(
-            warm_ups.opens_in_s(worker),
-            limits.any_entry_opens_in_s(worker),
-            rests.opens_in_s(worker.incarnation),
+            warm_ups.available_in_s(worker),
+            limits.any_entry_available_in_s(worker),
+            rests.available_in_s(worker.incarnation),
         )
 
     def note_begun(worker: RegisteredWorker) -> None:
--- a/src/rattanpier/_internal/programs/relay_workers.py
+++ b/src/rattanpier/_internal/programs/relay_workers.py
@@ -89,7 +89,9 @@
         read=read_report,
         on_restart=lambda worker: state.forget([worker]),
         open_workers=state.domains.open_workers,
-        in_backoff=lambda worker: rests.opens_in_s(worker.incarnation) > 0.0,
+        in_backoff=lambda worker: (
+            rests.available_in_s(worker.incarnation) > 0.0
+        ),
     )
     state.gone.subscribe(
         lambda worker: queues.reported_starts.pop(worker, None)
--- a/tests/placement/test_backoffs.py
+++ b/tests/placement/test_backoffs.py
@@ -52,7 +52,7 @@
     for number in range(200):
         entry = Backoffs(clock, random.Random(f"entry-{number}"))
         entry.record_backoff(WORKER.incarnation, 4.0)
-        ends.append(entry.opens_in_s(WORKER.incarnation))
+        ends.append(entry.available_in_s(WORKER.incarnation))
     assert 4.0 <= min(ends) <= max(ends) <= 5.0
     in_a_tenth = max(
         sum(at <= other < at + 0.1 for other in ends) for at in ends
@@ -68,7 +68,7 @@
 
 def test_backoff_is_capped(backoffs):
     backoffs.record_backoff(WORKER.incarnation, 31536000.0)
-    assert backoffs.opens_in_s(WORKER.incarnation) <= MAX_BACKOFF_S
+    assert backoffs.available_in_s(WORKER.incarnation) <= MAX_BACKOFF_S
 
 
 def test_number_of_stored_backoffs_is_bounded(backoffs, clock):
--- a/tests/placement/test_rate_limits.py
+++ b/tests/placement/test_rate_limits.py
@@ -257,6 +257,7 @@
     fleet, (worker, *_) = make_limited_fleet(size)
     fleet.inform_all([worker], 2.3)
     waits = [
-        entry.any_entry_opens_in_s(worker) for entry in fleet.entries.values()
+        entry.any_entry_available_in_s(worker)
+        for entry in fleet.entries.values()
     ]
     assert all(0.0 < wait_s <= 1.0 / 2.3 + 0.01 for wait_s in waits)
--- a/tests/placement/test_warm_up.py
+++ b/tests/placement/test_warm_up.py
@@ -114,7 +114,7 @@
     entry.record_registration(worker, appeared=False)
     entry.record_send(worker)
     assert entry.open_workers([worker]) == []
-    wait_s = entry.opens_in_s(worker)
+    wait_s = entry.available_in_s(worker)
     clock.now += wait_s
     assert entry.open_workers([worker]) == [worker]
 
