--- a/src/rattanpier/_internal/placement/shared_rates.py
+++ b/src/rattanpier/_internal/placement/shared_rates.py
@@ -149,7 +149,7 @@
         """
         roster, senders = self.candidates.get(worker, (-1, []))
         if roster != self.fleet.roster_version:
-            known = [news.member.name for news in self.fleet.all_states()]
+            known = [state.member.name for state in self.fleet.all_states()]
             senders = heapq.nlargest(MAX_SENDERS, known, key=weight_for(worker))
             self.candidates[worker] = self.fleet.roster_version, senders
         return senders
