--- a/src/rattanpier/_internal/relay/dispatch.py
+++ b/src/rattanpier/_internal/relay/dispatch.py
@@ -20,18 +20,18 @@
 from rattanpier._internal.models.relay_request import Prompt, RelayRequest
 from rattanpier._internal.models.sending import Sending
 from rattanpier._internal.models.worker import RegisteredWorker
+from rattanpier._internal.placement.backoffs import Backoffs
 from rattanpier._internal.placement.eligibility import (
     DRAINED_DOMAIN,
     LEAVING,
-    OWN_WORDS,
-    TIMED,
+    TEMPORARY,
+    WORKER_REPORTED,
     Condition,
-    Eligible,
-    eligible,
-    soonest_s,
+    EligibleWorkers,
+    filter_eligible,
+    min_wait_s,
 )
 from rattanpier._internal.placement.rate_limits import RateLimits
-from rattanpier._internal.placement.rests import Rests
 from rattanpier._internal.relay.budgets import ServiceRetryBudget
 from rattanpier._internal.relay.directory import WorkerDirectory
 from rattanpier._internal.relay.exchange import (
@@ -104,7 +104,7 @@
     available_in_s: Callable[[RegisteredWorker], float]
     on_request_started: Callable[[RegisteredWorker], None]
     limits: RateLimits
-    rests: Rests
+    rests: Backoffs
     quarantine: Quarantine
     rollouts: Rollouts
     budgets: Mapping[str, ServiceRetryBudget]
@@ -151,12 +151,14 @@
         if leaving:
             self.count_excluded(progress, LEAVING, leaving)
         for group in (split.first, split.otherwise):
-            found = eligible(self.conditions, progress, group)
+            found = filter_eligible(self.conditions, progress, group)
             self.record_excluded(progress, group, found)
             choice = self.chooser.choose(request, found.workers, model)
             if choice is not None:
                 return choice
-            if request.session and not OWN_WORDS.isdisjoint(found.left_out):
+            if request.session and not WORKER_REPORTED.isdisjoint(
+                found.excluded
+            ):
                 # The session's version accepts requests again soon.
                 return None
         return None
@@ -165,14 +167,14 @@
         self,
         progress: RequestProgress,
         group: Sequence[RegisteredWorker],
-        found: Eligible,
+        found: EligibleWorkers,
     ) -> None:
         """Records which conditions excluded workers of a version."""
-        for name, count in found.left_out.items():
+        for name, count in found.excluded.items():
             self.count_excluded(progress, name, count)
-        if not TIMED.isdisjoint(found.left_out):
+        if not TEMPORARY.isdisjoint(found.excluded):
             progress.available_in_s = self.retry_after_s(group)
-        elif DRAINED_DOMAIN in found.left_out:
+        elif DRAINED_DOMAIN in found.excluded:
             progress.available_in_s = DRAINED_RETRY_AFTER_S
 
     def count_excluded(
@@ -194,7 +196,7 @@
         Returns:
           None if all workers accept requests now.
         """
-        wait_s = soonest_s(self.available_in_s, workers)
+        wait_s = min_wait_s(self.available_in_s, workers)
         if wait_s is None:
             return None
         return wait_s * (1.0 + self.chooser.rng.random())
@@ -209,7 +211,7 @@
           worker: Where it is sent.
           read_s: Estimated seconds in which the worker reads its prompt.
         """
-        suspect = self.quarantine.suspects(progress.request.content)
+        suspect = self.quarantine.is_suspect(progress.request.content)
         return self.loads.begin(worker.id, read_s, suspect)
 
     def may_send(self, progress: RequestProgress) -> bool:
@@ -218,7 +220,7 @@
         An additional upstream request is taken from the retry budget.
         """
         request = progress.request
-        progress.quarantined_s = self.quarantine.held_s(request.content)
+        progress.quarantined_s = self.quarantine.remaining_s(request.content)
         if progress.quarantined_s:
             self.metrics.count("relay.held")
             progress.reason = "workers ended under this request"
@@ -337,7 +339,7 @@
             content=request.content,
             worker=worker.id,
         )
-        self.quarantine.note_end(request.content, worker.incarnation)
+        self.quarantine.record_crash(request.content, worker.incarnation)
 
     def record_result(
         self,
@@ -357,7 +359,7 @@
         """
         peers = self.directory.of_service(worker.service)
         self.health.record_result(worker, bad, peers)
-        if bad and self.quarantine.explains(worker.incarnation):
+        if bad and self.quarantine.explains_crash(worker.incarnation):
             # A request that crashes any worker is no evidence against a
             # version.
             return
--- a/src/rattanpier/_internal/relay/stream_answers.py
+++ b/src/rattanpier/_internal/relay/stream_answers.py
@@ -116,7 +116,7 @@
                 course.head_delivered = True
                 yield AnswerBegun(head.status, copied_headers(head))
         dispatcher.record_result(course, worker, bad=False, relative_s=took)
-        dispatcher.quarantine.note_answered(request.content)
+        dispatcher.quarantine.record_answer(request.content)
         dispatcher.chooser.timings.record_stream(
             model,
             request.prompt.expected_output,
--- a/tests/relay/test_rate_limits.py
+++ b/tests/relay/test_rate_limits.py
@@ -74,7 +74,7 @@
 
 
 def limits_of(entry):
-    return entry.edge.dispatcher.limits.limited
+    return entry.edge.dispatcher.limits.rates
 
 
 async def test_a_limit_and_its_end_reach_all_entries(site):
--- a/tests/relay/test_resting_workers.py
+++ b/tests/relay/test_resting_workers.py
@@ -65,7 +65,7 @@
     assert (await site.ask()).status == 503
     rests = entry.edge.dispatcher.rests
     await until(
-        lambda: rests.open(list(entry.state.directory.workers.values()))
+        lambda: rests.open_workers(list(entry.state.directory.workers.values()))
     )
     assert (await site.ask()).status == 200
 
@@ -102,7 +102,7 @@
     workers = entry.state.directory.workers
     split = Split([workers["new"]], [workers["old"]])
     dispatcher.rollouts = types.SimpleNamespace(split=lambda *_: split)
-    dispatcher.rests.hear(workers["new"].incarnation, BACKOFF_S)
+    dispatcher.rests.record_backoff(workers["new"].incarnation, BACKOFF_S)
     course = RequestProgress(make_request(session=session), 1e9, "plain")
     choice = dispatcher.find_worker(course, "")
     assert (choice and choice.worker.id) == found
--- a/tests/retries/test_quarantine.py
+++ b/tests/retries/test_quarantine.py
@@ -6,7 +6,10 @@
 from rattanpier._internal.models.refusal import RefusalCode
 from rattanpier._internal.models.relay_answer import AnswerRefused, WholeAnswer
 from rattanpier._internal.models.worker_end import QuarantineNews, WorkerEnd
-from rattanpier._internal.relay.request_progress import RequestProgress, final_answer
+from rattanpier._internal.relay.request_progress import (
+    RequestProgress,
+    final_answer,
+)
 from rattanpier._internal.retries import quarantine as module
 from rattanpier._internal.retries.quarantine import (
     ANSWER_GRACE_S,
@@ -182,7 +185,9 @@
 
 
 def make_course(**more):
-    return RequestProgress(make_request(), 10.0, "s", quarantined_s=500.0, **more)
+    return RequestProgress(
+        make_request(), 10.0, "s", quarantined_s=500.0, **more
+    )
 
 
 def test_quarantined_request_is_refused_with_retry_after():
