--- a/src/rattanpier/_internal/dispatch/quarantining.py
+++ b/src/rattanpier/_internal/dispatch/quarantining.py
@@ -79,7 +79,7 @@
     def publish(self) -> None:
         """Publishes the updates that were not yet published."""
         self.scheduled = None
-        self.publish_update(self.quarantine.take_untold())
+        self.publish_update(self.quarantine.pop_unsent())
 
     def publish_update(self, update: QuarantineNews) -> None:
         """Sends an update to neighbouring entries."""
@@ -93,6 +93,6 @@
         except UnreadableError as error:
             log.warning("Notice can't be read.", error=error.message)
             return
-        unseen = self.quarantine.take(update)
+        unseen = self.quarantine.apply_update(update)
         if unseen != QuarantineNews():
             self.publish_update(unseen)
--- a/src/rattanpier/_internal/dispatch/service_dispatch.py
+++ b/src/rattanpier/_internal/dispatch/service_dispatch.py
@@ -52,7 +52,7 @@
         ran_before = attempt.record_dispatch()
         try:
             answer = await send_to_worker(dispatcher, attempt, target, call)
-            dispatcher.quarantine.note_answered(content_key(attempt.request))
+            dispatcher.quarantine.record_answer(content_key(attempt.request))
             return answer
         except UpstreamError as error:
             await dispatcher.record_failure(attempt, target, error, ran_before)
--- a/src/rattanpier/_internal/dispatch/upstream_dispatcher.py
+++ b/src/rattanpier/_internal/dispatch/upstream_dispatcher.py
@@ -42,7 +42,7 @@
 )
 from rattanpier._internal.models.configuration import Configuration
 from rattanpier._internal.models.request import RouteRequest
-from rattanpier._internal.placement.rests import Rests
+from rattanpier._internal.placement.backoffs import Backoffs
 from rattanpier._internal.retries.quarantine import Quarantine
 from rattanpier._internal.routing.placement import (
     Load,
@@ -97,7 +97,7 @@
     budget: RetryBudget
     placement: Placement
     quarantine: Quarantine
-    backoffs: Rests
+    backoffs: Backoffs
     load: Load = attrs.Factory(Load)
     leaving: Collection[str] = ()
     announced_leaving: Callable[[], Collection[str]] = tuple
@@ -147,7 +147,7 @@
                         if not is_already_released(chunk, released):
                             released.append(chunk)
                             yield chunk
-                self.quarantine.note_answered(content_key(attempt.request))
+                self.quarantine.record_answer(content_key(attempt.request))
                 return
             except UpstreamError as error:
                 await self.record_failure(attempt, target, error, ran_before)
@@ -165,7 +165,7 @@
 
     async def check_claim(self, attempt: Attempt) -> None:
         """Raises DispatchError if the attempt may not dispatch any more."""
-        held_s = self.quarantine.held_s(content_key(attempt.request))
+        held_s = self.quarantine.remaining_s(content_key(attempt.request))
         if held_s:
             self.metrics.count("dispatch.held")
             raise request_quarantined(held_s)
@@ -193,12 +193,14 @@
         """
         self.on_failure(target.name, error)
         if error.retry_after_s:
-            self.backoffs.hear(target.name, error.retry_after_s)
+            self.backoffs.record_backoff(target.name, error.retry_after_s)
         if error.not_run:
             attempt.may_have_run = ran_before
         elif await has_terminated(target):
             self.metrics.count("dispatch.worker_ended")
-            self.quarantine.note_end(content_key(attempt.request), target.name)
+            self.quarantine.record_crash(
+                content_key(attempt.request), target.name
+            )
 
     def choose(self, targets: list[Target]) -> Target | None:
         """Returns the worker to use among `targets`, or None if it is empty."""
@@ -279,9 +281,11 @@
     def without_backoff(self, targets: list[Target]) -> list[Target]:
         """Returns the workers that are not in backoff."""
         backoffs = self.backoffs
-        if backoffs.all_over():
+        if backoffs.none_active():
             return targets
-        return [each for each in targets if not backoffs.opens_in_s(each.name)]
+        return [
+            each for each in targets if not backoffs.available_in_s(each.name)
+        ]
 
     def session_for(self, request: RouteRequest) -> aiohttp.ClientSession:
         """Returns the HTTP session to send a request with."""
--- a/src/rattanpier/_internal/programs/entry.py
+++ b/src/rattanpier/_internal/programs/entry.py
@@ -33,7 +33,7 @@
 from rattanpier._internal.membership.workers import Workers
 from rattanpier._internal.models.member import Member, Role
 from rattanpier._internal.models.settings import Settings
-from rattanpier._internal.placement.rests import Rests
+from rattanpier._internal.placement.backoffs import Backoffs
 from rattanpier._internal.programs.common import add_base, add_membership
 from rattanpier._internal.retries.quarantine import Quarantine
 from rattanpier._internal.rollout.collect import Collector
@@ -214,7 +214,7 @@
         budget=RetryBudget(clock),
         placement=Placement(settings.node.name),
         quarantine=add_quarantine(kernel, settings),
-        backoffs=Rests(clock, random.Random(settings.node.name)),
+        backoffs=Backoffs(clock, random.Random(settings.node.name)),
         current=kernel.find("currency").is_current,
     )
     runner = Runner(
@@ -247,7 +247,7 @@
     sharing = QuarantineSharing(
         quarantine, ring_spread(settings.node.name, entries, links)
     )
-    quarantine.tell = sharing.schedule_publish
+    quarantine.on_update = sharing.schedule_publish
     kernel.find("peer_server").on_notice("spread", sharing.receive)
     return quarantine
 
--- a/tests/lib/dispatch.py
+++ b/tests/lib/dispatch.py
@@ -19,7 +19,7 @@
     Worker,
 )
 from rattanpier._internal.models.outcomes import ClaimOutcome, SettleOutcome
-from rattanpier._internal.placement.rests import Rests
+from rattanpier._internal.placement.backoffs import Backoffs
 from rattanpier._internal.retries.quarantine import Quarantine
 from rattanpier._internal.routing.placement import Placement
 from rattanpier._internal.utils.metrics import Metrics
@@ -101,7 +101,7 @@
         )
         dispatcher = UpstreamDispatcher(
             quarantine=Quarantine(self.clock),
-            backoffs=Rests(self.clock, random.Random(1)),
+            backoffs=Backoffs(self.clock, random.Random(1)),
             session=self.session,
             unpooled_session=self.session,
             configuration=lambda: self.configuration,
--- a/tests/relay/test_crashing_requests.py
+++ b/tests/relay/test_crashing_requests.py
@@ -27,7 +27,7 @@
 from rattanpier._internal.relay import worker_ends
 from rattanpier._internal.relay.own_table import HELD
 from rattanpier._internal.relay.rollouts import Rollouts
-from rattanpier._internal.retries.quarantine import HOLD_S
+from rattanpier._internal.retries.quarantine import QUARANTINE_S
 from tests.lib.crashes import CRASHING_BODY, start_crashing_pool
 from tests.lib.platform_site import events, platform_site, until
 
@@ -160,10 +160,10 @@
     await close(entry)
     del site.entries["entry-1"]
     entry = await site.add_entry()
-    await until(lambda: entry.edge.dispatcher.quarantine.ends)
+    await until(lambda: entry.edge.dispatcher.quarantine.crashes)
     answer = await ask_plain(site, "/unsafe/x", "entry-1", CRASHING_BODY)
     assert answer.status == 503
-    assert 500.0 < float(answer.headers["Retry-After"]) <= HOLD_S
+    assert 500.0 < float(answer.headers["Retry-After"]) <= QUARANTINE_S
     assert len(pool.crash_times) == 3
 
 
@@ -223,5 +223,5 @@
     await looking.wait()
     leaving.cancel()
     quarantine = entry.edge.dispatcher.quarantine
-    await until(lambda: quarantine.ends)
-    assert [len(ends) for ends in quarantine.ends.values()] == [1]
+    await until(lambda: quarantine.crashes)
+    assert [len(ends) for ends in quarantine.crashes.values()] == [1]
--- a/tests/retries/test_quarantining.py
+++ b/tests/retries/test_quarantining.py
@@ -7,7 +7,7 @@
 
 from rattanpier._internal.dispatch.quarantining import (
     QuarantineSharing,
-    content_of,
+    content_key,
 )
 from rattanpier._internal.membership.ring import neighbours
 from rattanpier._internal.models.request import RouteRequest
@@ -44,7 +44,7 @@
                 loop.call_soon(self.entries[other].receive, received)
 
         sharing = QuarantineSharing(Quarantine(self.clock), spread)
-        sharing.quarantine.on_update = sharing.tell_soon
+        sharing.quarantine.on_update = sharing.schedule_publish
         self.entries[name] = sharing
 
     def quarantining_entries(self):
@@ -78,7 +78,7 @@
 
 def test_content_is_the_same_for_each_attempt_of_a_chat():
     def content(workspace, key, digest):
-        return content_of(RouteRequest(workspace, key, digest=digest))
+        return content_key(RouteRequest(workspace, key, digest=digest))
 
     first = content("desk", "k1", "d")
     assert first == content("desk", "k2", "d")
