--- a/benchmarks/restored_store.py
+++ b/benchmarks/restored_store.py
@@ -29,7 +29,7 @@
 SIZES = (8, 77, 200, 420)
 # Seconds to wait for what watchers tell, and the longest table that is told.
 WAYS = {
-    "told by two watchers": (watch.TOLD_WITHIN_S, watch.MAX_TOLD_BYTES),
+    "told by two watchers": (watch.ERA_UPDATE_WAIT_S, watch.MAX_UPDATE_BYTES),
     "each reads for itself": (0.0, 100),
 }
 TABLE = "servers"
@@ -139,9 +139,9 @@
         health=health,
         store_clock=StoreClock(clock),
         table=TABLE,
-        take=take,
+        on_page=take,
         rank=lambda: watch.watch_rank(entry.fleet),
-        tell=entry.gossip.broadcast_store_news,
+        publish=entry.gossip.broadcast_store_news,
         history=history,
     )
     entry.gossip.followers[TABLE] = follower
@@ -190,8 +190,8 @@
     )
     print(f"{'way':<24}{'entries':>8}{'calls':>7}{'in 1 s':>8}{'known s':>9}")
     for way, (told_within_s, most_bytes) in WAYS.items():
-        watch.TOLD_WITHIN_S = told_within_s
-        watch.MAX_TOLD_BYTES = most_bytes
+        watch.ERA_UPDATE_WAIT_S = told_within_s
+        watch.MAX_UPDATE_BYTES = most_bytes
         for size in SIZES:
             calls, most, known_s = run_virtual(play(size))
             print(f"{way:<24}{size:>8}{calls:>7}{most:>8}{known_s:>9.2f}")
--- a/src/rattanpier/_internal/programs/relay_store.py
+++ b/src/rattanpier/_internal/programs/relay_store.py
@@ -164,9 +164,9 @@
             health=state.health,
             store_clock=kernel.find("store_clock"),
             table=table,
-            take=take,
+            on_page=take,
             rank=lambda: watch_rank(entry.fleet),
-            tell=entry.gossip.broadcast_store_news,
+            publish=entry.gossip.broadcast_store_news,
             history=kernel.find("history"),
         )
         entry.gossip.followers[table] = follower
--- a/src/rattanpier/_internal/relay/gossip.py
+++ b/src/rattanpier/_internal/relay/gossip.py
@@ -40,8 +40,8 @@
 )
 from rattanpier._internal.relay.watch import (
     TableFollower,
-    TableNews,
-    pack_news,
+    TableUpdate,
+    pack_update,
 )
 from rattanpier._internal.utils.clock import Clock
 from rattanpier._internal.utils.codec import decode, encode, pack, unpack
@@ -135,7 +135,7 @@
         )
         if len(self.fleet.live()) == 1:
             await self.join()
-        covered = all(each.covered() for each in self.followers.values())
+        covered = all(each.is_up_to_date() for each in self.followers.values())
         if not covered or self.shared_state.has_older_table():
             await self.snapshots.request_if_needed()
         return any(lost)
@@ -413,9 +413,9 @@
 
     # Pages that watchers read from the store.
 
-    def broadcast_store_news(self, update: TableNews) -> None:
+    def broadcast_store_news(self, update: TableUpdate) -> None:
         """Starts a broadcast of a page that this watcher read."""
-        message = peer_pb2.StoreNews(packed=pack_news(update))
+        message = peer_pb2.StoreNews(packed=pack_update(update))
         self.broadcaster.start_sending(
             peer_pb2.Spread(store_news=message), self.fleet.ring()
         )
@@ -426,10 +426,10 @@
         Raises:
           UnreadableError: The page can't be unpacked.
         """
-        update = unpack(TableNews, message.packed)
+        update = unpack(TableUpdate, message.packed)
         follower = self.followers.get(update.table)
         if follower is not None:
-            follower.hear(update)
+            follower.apply_update(update)
 
 
 def seed_member(seed: Address) -> Member:
--- a/src/rattanpier/_internal/relay/watch.py
+++ b/src/rattanpier/_internal/relay/watch.py
@@ -39,41 +39,43 @@
 
 log = structlog.get_logger(part="store")
 
-WATCHERS = 2  # One may fail at any moment without a change coming late.
+WATCHER_COUNT = 2  # One may fail at any moment without a change coming late.
 # A feed answers at least every `FEED_WAIT_S`; half a second for the way.
-COVERED_S = FEED_WAIT_S + 0.5
-POLL_S = 0.2  # Between looks at whether to watch; a tenth of what is allowed.
+WATCHER_TIMEOUT_S = FEED_WAIT_S + 0.5
+POLL_INTERVAL_S = (
+    0.2  # Between looks at whether to watch; a tenth of what is allowed.
+)
 # Longer news, compressed, are fetched by each entry itself. An entry passes
 # news on to eight others: so many bytes take a fifth of a second on a link of
 # 5 Mbit/s. A table of a few hundred workers, which all entries need when the
 # store loses its history, is shorter.
-MAX_TOLD_BYTES = 16384
+MAX_UPDATE_BYTES = 16384
 # An entry that has just started knows of no other that reaches the store, and
 # would watch. Within this time, two rounds of heartbeats, it hears of those
 # that do.
-SETTLED_S = 1.0
+STARTUP_GRACE_S = 1.0
 # Entries that fetch a change do so within this time of each other, so that
 # changes in quick succession cost one call.
-FETCH_SPREAD_S = 0.3
+FETCH_JITTER_S = 0.3
 # When a new era begins the watchers read all at once and tell it. The others
 # wait so long for that: a reading and the way, with room for a long table.
-TOLD_WITHIN_S = 0.4
+ERA_UPDATE_WAIT_S = 0.4
 # An entry that does not watch asks this often whether the store is back: in an
 # outage of the whole store it hears of its return from those that watch, and
 # one that the store turns away hears all changes from them.
-RETRY_S = 2.0
-COVERED_RETRY_S = 5.0
+RETRY_INTERVAL_S = 2.0
+UP_TO_DATE_RETRY_INTERVAL_S = 5.0
 # After a change a watcher lets more gather before it asks again: calls and what
 # is told cost the same for one change or for many. A sixth of the shortest time
 # within which operators want a change in force.
-GATHER_S = 0.3
+BATCH_DELAY_S = 0.3
 # The second watcher waits so long for the first one's news, which may just let
 # changes gather, and the way between two entries.
-BACKUP_S = GATHER_S + 0.1
+BACKUP_DELAY_S = BATCH_DELAY_S + 0.1
 
 
 @attrs.frozen
-class TableNews:
+class TableUpdate:
     """One answer of a feed.
 
     Attributes:
@@ -97,14 +99,14 @@
 
 def watch_rank(fleet: Fleet) -> int | None:
     """Returns an entry's place among those that watch the store, or None."""
-    watchers = fleet.preferred("watch", WATCHERS)
+    watchers = fleet.preferred("watch", WATCHER_COUNT)
     name = fleet.me.member.name
     return watchers.index(name) if name in watchers else None
 
 
-def make_news(
+def make_update(
     table: str, before: Revision | None, page: Page, settling: bool
-) -> TableNews:
+) -> TableUpdate:
     """Returns what is told of an answer.
 
     Args:
@@ -113,7 +115,7 @@
       page: The answer.
       settling: The store was away until just now.
     """
-    return TableNews(
+    return TableUpdate(
         table=table,
         since=page.revision if before is None else before,
         revision=page.revision,
@@ -148,77 +150,83 @@
     health: StoreHealth
     store_clock: StoreClock
     table: str
-    take: Callable[[Page, bool], None]
+    on_page: Callable[[Page, bool], None]
     rank: Callable[[], int | None]
-    tell: Callable[[TableNews], None]
+    publish: Callable[[TableUpdate], None]
     history: StoreHistory
     since: Revision | None = None
     backoff_s: float = 0.0
-    told_at: float = float("-inf")
-    told_of: Revision = Revision()
-    behind: bool = False
-    asked_at: float = float("-inf")
+    received_at: float = float("-inf")
+    received_revision: Revision = Revision()
+    fetch_pending: bool = False
+    requested_at: float = float("-inf")
     first_read_at: float = float("-inf")
 
     async def run(self) -> None:
         """Follows the table until cancelled."""
         while True:
-            if self.rests():
-                await self.clock.sleep(POLL_S)
+            if self.should_wait():
+                await self.clock.sleep(POLL_INTERVAL_S)
             else:
                 await self.step()
 
-    def watches(self) -> bool:
+    def is_watcher(self) -> bool:
         """Says whether this entry is one that watches."""
         return self.rank() is not None
 
-    def covered(self) -> bool:
+    def is_up_to_date(self) -> bool:
         """Says whether this entry knows all, by what watchers tell."""
-        fresh = self.clock.monotonic() - self.told_at < COVERED_S
-        if self.outdated():
+        fresh = self.clock.monotonic() - self.received_at < WATCHER_TIMEOUT_S
+        if self.is_outdated():
             return False
-        return fresh and self.knows(self.told_of)
+        return fresh and self.has_applied(self.received_revision)
 
-    def knows(self, revision: Revision) -> bool:
+    def has_applied(self, revision: Revision) -> bool:
         """Says whether all is known up to a revision."""
         return self.since is not None and self.since >= revision
 
-    def outdated(self) -> bool:
+    def is_outdated(self) -> bool:
         """Says whether what is known is of an earlier era."""
         return self.since is not None and self.since.era < self.history.era
 
-    def rests(self) -> bool:
+    def should_wait(self) -> bool:
         """Says whether there is no reason to ask the store now."""
-        if self.behind:
+        if self.fetch_pending:
             # A watcher told of more: it reaches the store.
             return False
         now = self.clock.monotonic()
-        if self.outdated():
+        if self.is_outdated():
             if (
-                not self.watches()
-                and now - self.history.began_at < TOLD_WITHIN_S
+                not self.is_watcher()
+                and now - self.history.began_at < ERA_UPDATE_WAIT_S
             ):
                 return True
-        elif now - self.first_read_at < SETTLED_S:
+        elif now - self.first_read_at < STARTUP_GRACE_S:
             return True
-        if self.watches():
+        if self.is_watcher():
             return False
         if not self.health.available:
-            retry_s = COVERED_RETRY_S if self.covered() else RETRY_S
-            return now - self.asked_at < retry_s
-        return self.covered()
+            retry_s = (
+                UP_TO_DATE_RETRY_INTERVAL_S
+                if self.is_up_to_date()
+                else RETRY_INTERVAL_S
+            )
+            return now - self.requested_at < retry_s
+        return self.is_up_to_date()
 
     async def step(self) -> None:
         """Asks the store once."""
-        watching = self.watches()
-        if (self.behind or self.outdated()) and not watching:
-            await self.clock.sleep(random.uniform(0.0, FETCH_SPREAD_S))
-        self.behind = False
-        self.asked_at = self.clock.monotonic()
+        was_watcher = self.is_watcher()
+        if (self.fetch_pending or self.is_outdated()) and not was_watcher:
+            await self.clock.sleep(random.uniform(0.0, FETCH_JITTER_S))
+        self.fetch_pending = False
+        self.requested_at = self.clock.monotonic()
         try:
             # The first answer after an outage is wanted at once: it tells the
             # era, and a feed may have nothing to tell behind an old version.
-            wait = self.health.available and (watching or not self.covered())
+            wait = self.health.available and (
+                was_watcher or not self.is_up_to_date()
+            )
             page = await self.read(wait)
         except HistoryGoneError:
             # What was missed can't be told from what came back meanwhile.
@@ -239,7 +247,7 @@
         before = self.since
         if math.isinf(self.first_read_at):
             # All is known as of now, as if a watcher had told it.
-            self.first_read_at = self.told_at = self.clock.monotonic()
+            self.first_read_at = self.received_at = self.clock.monotonic()
         settling = self.health.settling()
         if not self.accept(page, settling):
             if page.whole:
@@ -249,32 +257,34 @@
         # While entries come back from an outage the places of those that watch
         # change. One that got its place during the call tells as well: the one
         # before may have rested, and nobody else heard of a change for 2.5 s.
-        if not (watching or self.watches()):
+        if not (was_watcher or self.is_watcher()):
             return
-        await self.pass_on(make_news(self.table, before, page, settling))
+        await self.publish_update(
+            make_update(self.table, before, page, settling)
+        )
         if page.rows and not page.whole:
-            await self.clock.sleep(GATHER_S)
+            await self.clock.sleep(BATCH_DELAY_S)
 
-    async def pass_on(self, news: TableNews) -> None:
+    async def publish_update(self, update: TableUpdate) -> None:
         """Tells the others of an answer, unless the first watcher did."""
         if self.rank() != 0:
-            await self.clock.sleep(BACKUP_S)
-            told = self.told_at >= self.asked_at
-            if told and self.told_of >= news.revision:
+            await self.clock.sleep(BACKUP_DELAY_S)
+            received = self.received_at >= self.requested_at
+            if received and self.received_revision >= update.revision:
                 return
-        self.tell(news)
+        self.publish(update)
 
     async def read(self, wait: bool) -> Page | None:
         """Returns the next page, None if a new era began meanwhile."""
-        if self.since is None or self.outdated():
+        if self.since is None or self.is_outdated():
             return await self.store.scan(self.table)
         wait_s = FEED_WAIT_S if wait else 0.0
         changes = self.store.changes(self.table, self.since, wait_s)
-        return await self.until_begun(asyncio.ensure_future(changes))
+        return await self.wait_in_era(asyncio.ensure_future(changes))
 
-    async def until_begun(self, call: asyncio.Future[Page]) -> Page | None:
+    async def wait_in_era(self, call: asyncio.Future[Page]) -> Page | None:
         """Waits for an answer, None if a new era begins before it comes."""
-        watch = self.history.begun.subscribe(lambda _era: call.cancel())
+        subscription = self.history.begun.subscribe(lambda _era: call.cancel())
         try:
             return await call
         except asyncio.CancelledError:
@@ -283,7 +293,7 @@
                 raise
             return None
         finally:
-            watch.dispose()
+            subscription.dispose()
 
     def accept(self, page: Page, settling: bool) -> bool:
         """Takes a page in; says whether it did.
@@ -296,41 +306,43 @@
             self.since is None or page.revision.era != self.since.era
         )
         if older or of_other_era or page.revision.era < self.history.era:
-            self.note_left_out("page", len(page.rows), page.revision)
+            self.log_ignored("page", len(page.rows), page.revision)
             return False
         self.store_clock.note(page.now_ms, page.revision.era)
         self.since = page.revision
-        self.take(page, settling)
+        self.on_page(page, settling)
         return True
 
-    def hear(self, news: TableNews) -> None:
+    def apply_update(self, update: TableUpdate) -> None:
         """Takes in what a watcher tells."""
         self.health.note_alive()
-        if news.revision.era < self.history.note(news.revision.era, "peer"):
-            self.note_left_out("news", len(news.rows or ()), news.revision)
+        if update.revision.era < self.history.note(update.revision.era, "peer"):
+            self.log_ignored("news", len(update.rows or ()), update.revision)
             return
-        if not news.whole and (self.since is None or self.outdated()):
-            self.behind = True
+        if not update.whole and (self.since is None or self.is_outdated()):
+            self.fetch_pending = True
             return
-        self.told_at = self.clock.monotonic()
-        self.told_of = max(self.told_of, news.revision)
-        if self.knows(news.revision):
-            if news.rows:
-                self.note_left_out("news", len(news.rows), news.revision)
+        self.received_at = self.clock.monotonic()
+        self.received_revision = max(self.received_revision, update.revision)
+        if self.has_applied(update.revision):
+            if update.rows:
+                self.log_ignored("news", len(update.rows), update.revision)
             return
-        if news.rows is None or not (news.whole or self.knows(news.since)):
-            self.behind = True
+        if update.rows is None or not (
+            update.whole or self.has_applied(update.since)
+        ):
+            self.fetch_pending = True
             return
-        rows = news.rows
-        if not news.whole:
-            rows = [row for row in rows if not self.knows(row.revision)]
-            if len(rows) < len(news.rows):
-                left_out = len(news.rows) - len(rows)
-                self.note_left_out("rows", left_out, news.revision)
-        page = Page(rows, news.revision, news.now_ms, news.whole)
-        self.accept(page, news.settling and self.health.settling())
-
-    def note_left_out(self, what: str, rows: int, revision: Revision) -> None:
+        rows = update.rows
+        if not update.whole:
+            rows = [row for row in rows if not self.has_applied(row.revision)]
+            if len(rows) < len(update.rows):
+                ignored = len(update.rows) - len(rows)
+                self.log_ignored("rows", ignored, update.revision)
+        page = Page(rows, update.revision, update.now_ms, update.whole)
+        self.accept(page, update.settling and self.health.settling())
+
+    def log_ignored(self, what: str, rows: int, revision: Revision) -> None:
         """Logs that something told nothing new, by its revision."""
         log.info(
             "Left out as known.",
@@ -342,9 +354,9 @@
         )
 
 
-def pack_news(news: TableNews) -> bytes:
+def pack_update(update: TableUpdate) -> bytes:
     """Returns news as they are sent; rows that are too long are left out."""
-    packed = pack(news)
-    if len(packed) > MAX_TOLD_BYTES:
-        return pack_news(attrs.evolve(news, rows=None))
+    packed = pack(update)
+    if len(packed) > MAX_UPDATE_BYTES:
+        return pack_update(attrs.evolve(update, rows=None))
     return packed
--- a/tests/lib/restored_fleet.py
+++ b/tests/lib/restored_fleet.py
@@ -96,9 +96,9 @@
                 health=health,
                 store_clock=StoreClock(self.clock),
                 table=table,
-                take=take,
+                on_page=take,
                 rank=lambda: 0 if self.watches else None,
-                tell=self.tell,
+                publish=self.tell,
                 history=self.history,
             )
 
@@ -270,7 +270,7 @@
     def deliver_message(self, number):
         if self.messages:
             entry, news = self.messages.pop(number % len(self.messages))
-            entry.followers[news.table].hear(news)
+            entry.followers[news.table].apply_update(news)
 
     async def ask_store(self, number):
         entry = self.entries[number % 3]
--- a/tests/relay/test_rows.py
+++ b/tests/relay/test_rows.py
@@ -30,7 +30,7 @@
     StateDiff,
     StateUpdate,
 )
-from rattanpier._internal.relay.watch import TableNews
+from rattanpier._internal.relay.watch import TableUpdate
 from rattanpier._internal.utils.codec import decode, unpack
 from rattanpier._internal.utils.metrics import Metrics
 from tests.lib.clock import ManualClock
@@ -283,7 +283,7 @@
 @given(MESSAGE_PACK)
 def test_any_packed_document_is_read_or_refused(document):
     packed = zlib.compress(msgpack.packb(document))
-    for kind in (Snapshot, TableNews, KnownStates, StateDiff, QueueUpdate):
+    for kind in (Snapshot, TableUpdate, KnownStates, StateDiff, QueueUpdate):
         try:
             assert isinstance(unpack(kind, packed), kind)
         except UnreadableError as error:
@@ -299,7 +299,7 @@
         Snapshot,
         Evidence,
         RolloutRecord,
-        TableNews,
+        TableUpdate,
     )
     for kind in (*kinds, QueueUpdate):
         for read in (
--- a/tests/relay/test_watch.py
+++ b/tests/relay/test_watch.py
@@ -12,13 +12,13 @@
     StoreHealth,
 )
 from rattanpier._internal.relay.watch import (
-    COVERED_S,
-    SETTLED_S,
-    TOLD_WITHIN_S,
-    WATCHERS,
+    ERA_UPDATE_WAIT_S,
+    STARTUP_GRACE_S,
+    WATCHER_COUNT,
+    WATCHER_TIMEOUT_S,
     TableFollower,
-    TableNews,
-    pack_news,
+    TableUpdate,
+    pack_update,
 )
 from rattanpier._internal.standin.platform_store import Door, StoreFault
 from rattanpier._internal.utils.codec import unpack
@@ -59,15 +59,17 @@
         await until(lambda entry=entry: knows_all(entry, count))
     for table in ("op", "servers"):
         for each in followers(site, table):
-            await until(lambda each=each: each.watches() or each.covered())
+            await until(
+                lambda each=each: each.is_watcher() or each.is_up_to_date()
+            )
 
 
 async def test_two_watch_and_the_others_make_no_calls(site):
     await all_covered(site)
-    watching = [each for each in followers(site) if each.watches()]
-    assert len(watching) == WATCHERS
-    resting = [each for each in followers(site) if not each.watches()]
-    assert all(each.rests() for each in resting)
+    watching = [each for each in followers(site) if each.is_watcher()]
+    assert len(watching) == WATCHER_COUNT
+    resting = [each for each in followers(site) if not each.is_watcher()]
+    assert all(each.should_wait() for each in resting)
 
 
 async def test_a_change_reaches_all(site):
@@ -94,14 +96,16 @@
 
 def test_news_that_are_too_long_say_so_without_their_rows():
     text = "".join(f"{number * 7919:x}" for number in range(9000)).encode()
-    news = TableNews("t", at(1), at(2), 3.0, [FeedRow("k", text, at(2))], False)
-    told = unpack(TableNews, pack_news(news))
+    news = TableUpdate(
+        "t", at(1), at(2), 3.0, [FeedRow("k", text, at(2))], False
+    )
+    told = unpack(TableUpdate, pack_update(news))
     assert told.rows is None
     assert (told.since, told.revision) == (at(1), at(2))
-    short = TableNews(
+    short = TableUpdate(
         "t", at(1), at(2), 3.0, [FeedRow("k", b"v", at(2))], False
     )
-    assert unpack(TableNews, pack_news(short)) == short
+    assert unpack(TableUpdate, pack_update(short)) == short
 
 
 async def test_after_the_history_is_gone_all_know_what_is(site):
@@ -115,9 +119,9 @@
 
 async def test_an_entry_that_hears_nothing_watches_for_itself(site):
     await all_covered(site)
-    deaf = next(each for each in followers(site) if not each.watches())
-    deaf.told_at -= COVERED_S
-    assert not deaf.rests()
+    deaf = next(each for each in followers(site) if not each.is_watcher())
+    deaf.received_at -= WATCHER_TIMEOUT_S
+    assert not deaf.should_wait()
 
 
 def test_a_whole_table_is_taken_from_a_watcher(clock):
@@ -125,21 +129,21 @@
     rows = [FeedRow("w1", b"v", at(4)), FeedRow("w2", b"v", at(9))]
     for since in (None, at(5)):
         follower, _ = make_follower(clock, None, lambda: None, since)
-        follower.take = lambda page, _settling: taken.append(page)
-        follower.hear(
-            TableNews("op", at(9), at(9), 1.0, rows, False, whole=True)
+        follower.on_page = lambda page, _settling: taken.append(page)
+        follower.apply_update(
+            TableUpdate("op", at(9), at(9), 1.0, rows, False, whole=True)
         )
         assert follower.since == at(9)
-        assert follower.covered()
-        assert not follower.behind
+        assert follower.is_up_to_date()
+        assert not follower.fetch_pending
     assert [(page.rows, page.whole) for page in taken] == [(rows, True)] * 2
 
 
 def test_changes_behind_what_is_known_are_fetched(clock):
     follower, _ = make_follower(clock, None, lambda: None, at(5))
     rows = [FeedRow("w2", b"v", at(9))]
-    follower.hear(TableNews("op", at(7), at(9), 1.0, rows, False))
-    assert follower.behind
+    follower.apply_update(TableUpdate("op", at(7), at(9), 1.0, rows, False))
+    assert follower.fetch_pending
     assert follower.since == at(5)
 
 
@@ -149,9 +153,9 @@
     follower.health.note_answer()
     follower.store.answer.set()
     await follower.step()
-    assert follower.rests()
-    clock.now += COVERED_S
-    assert not follower.rests()
+    assert follower.should_wait()
+    clock.now += WATCHER_TIMEOUT_S
+    assert not follower.should_wait()
 
 
 async def test_one_that_reads_all_again_does_not_wait_for_watchers(clock):
@@ -160,11 +164,11 @@
     follower.health.note_answer()
     follower.store.answer.set()
     await follower.step()
-    clock.now += COVERED_S
+    clock.now += WATCHER_TIMEOUT_S
     # The store lost its history, and nobody tells anything.
     follower.since = None
     await follower.step()
-    assert not follower.rests()
+    assert not follower.should_wait()
 
 
 async def test_one_that_starts_does_not_watch_before_it_knows_the_others(clock):
@@ -174,15 +178,15 @@
     follower.store.answer.set()
     step = asyncio.create_task(follower.step())
     await until(lambda: follower.since == at(9))
-    assert follower.rests()
-    clock.now += SETTLED_S
-    assert not follower.rests()
+    assert follower.should_wait()
+    clock.now += STARTUP_GRACE_S
+    assert not follower.should_wait()
     step.cancel()
 
 
 async def test_a_lost_history_costs_the_watchers_calls_alone(site):
     await all_covered(site)
-    await asyncio.sleep(SETTLED_S)
+    await asyncio.sleep(STARTUP_GRACE_S)
     site.store.calls.clear()
     site.store.put("op", "config", manifest(version=8))
     site.store.compact()
@@ -224,9 +228,9 @@
         health=StoreHealth(clock),
         store_clock=StoreClock(clock),
         table="op",
-        take=lambda _page, _settling: None,
+        on_page=lambda _page, _settling: None,
         rank=rank,
-        tell=told.append,
+        publish=told.append,
         history=StoreHistory(clock, Metrics()),
         since=since,
     )
@@ -268,17 +272,17 @@
 async def test_one_that_hears_of_more_than_it_knows_asks_at_once(site):
     await all_covered(site)
     for each in followers(site):
-        if each.watches():
+        if each.is_watcher():
             continue
         # It lost the store, missed a change, and hears that there was one.
         each.health.available = False
-        each.asked_at = each.clock.monotonic()
-        assert each.rests()
-        each.hear(
-            TableNews("op", later(each, 5), later(each, 6), 1.0, [], False)
+        each.requested_at = each.clock.monotonic()
+        assert each.should_wait()
+        each.apply_update(
+            TableUpdate("op", later(each, 5), later(each, 6), 1.0, [], False)
         )
-        assert not each.rests()
-        assert not each.covered()
+        assert not each.should_wait()
+        assert not each.is_up_to_date()
 
 
 async def test_a_store_that_turned_one_entry_away_was_not_away(clock):
@@ -312,12 +316,14 @@
     hearer = next(
         entry
         for entry in site.entries.values()
-        if not entry.gossip.followers["servers"].watches()
+        if not entry.gossip.followers["servers"].is_watcher()
     )
     follower = hearer.gossip.followers["servers"]
     since, then = follower.since, later(follower, 1)
     gone = FeedRow("w1", b"", then, deleted=True)
-    follower.hear(TableNews("servers", since, then, 1.0, [gone], settling=True))
+    follower.apply_update(
+        TableUpdate("servers", since, then, 1.0, [gone], settling=True)
+    )
     assert not hearer.state.directory.workers
 
 
@@ -334,12 +340,12 @@
         first = next(
             name
             for name, entry in site.entries.items()
-            if entry.gossip.followers["op"].watches()
+            if entry.gossip.followers["op"].is_watcher()
         )
         doors[first].closed = True
         site.store.tell()
         entry = site.entries[first]
-        await until(lambda: not entry.gossip.followers["op"].watches())
+        await until(lambda: not entry.gossip.followers["op"].is_watcher())
         site.store.put("op", "config", manifest(version=8))
         for other in site.entries.values():
             await until(lambda other=other: other.state.table_version == 8)
@@ -369,11 +375,11 @@
         if rank is None:
             continue
 
-        def count(news, rank=rank, tell=each.tell):
+        def count(news, rank=rank, tell=each.publish):
             told[rank] += 1
             tell(news)
 
-        each.tell = count
+        each.publish = count
     for version in (8, 9, 10):
         site.store.put("op", "config", manifest(version=version))
         for entry in site.entries.values():
@@ -421,39 +427,41 @@
 
 def new_era_news(rows, whole=False, version=3):
     since = at(version - 1, era=2)
-    return TableNews("op", since, at(version, 2), 1.0, rows, False, whole)
+    return TableUpdate("op", since, at(version, 2), 1.0, rows, False, whole)
 
 
 def test_a_lower_version_of_a_new_era_is_news(clock):
     taken = []
     follower, _ = make_follower(clock, None, lambda: None, at(9))
-    follower.take = lambda page, _settling: taken.append(page)
+    follower.on_page = lambda page, _settling: taken.append(page)
     rows = [FeedRow("w1", b"v", at(3, era=2))]
-    follower.hear(new_era_news(rows, whole=True))
+    follower.apply_update(new_era_news(rows, whole=True))
     assert follower.since == at(3, era=2)
-    assert follower.covered()
+    assert follower.is_up_to_date()
     assert [page.rows for page in taken] == [rows]
 
 
 @pytest.mark.parametrize("version", [3, 10, 12])
 def test_changes_of_a_new_era_follow_nothing_of_the_one_before(clock, version):
     follower, _ = make_follower(clock, None, lambda: None, at(9))
-    follower.told_at = clock.monotonic()
-    assert follower.covered()
-    follower.hear(new_era_news([], version=version))
+    follower.received_at = clock.monotonic()
+    assert follower.is_up_to_date()
+    follower.apply_update(new_era_news([], version=version))
     assert follower.since == at(9)
-    assert not follower.covered()
-    assert not follower.rests()
+    assert not follower.is_up_to_date()
+    assert not follower.should_wait()
 
 
 def test_what_is_told_of_an_era_before_counts_for_nothing(clock):
     follower, _ = make_follower(clock, None, lambda: None, at(3, era=2))
     follower.history.note(2, "store")
     rows = [FeedRow("w1", b"v", at(10))]
-    follower.hear(TableNews("op", at(9), at(10), 1.0, rows, False))
-    follower.hear(TableNews("op", at(9), at(10), 1.0, rows, False, whole=True))
+    follower.apply_update(TableUpdate("op", at(9), at(10), 1.0, rows, False))
+    follower.apply_update(
+        TableUpdate("op", at(9), at(10), 1.0, rows, False, whole=True)
+    )
     assert follower.since == at(3, era=2)
-    assert not follower.covered()
+    assert not follower.is_up_to_date()
     assert not follower.accept(Page(rows, at(10), 1.0, whole=True), False)
 
 
@@ -467,7 +475,7 @@
     follower.history.note(2, "peer")
     await step
     assert follower.since == at(9)
-    assert not follower.rests()
+    assert not follower.should_wait()
     follower.store.answer.set()
     step = asyncio.create_task(follower.step())
     await until(lambda: follower.since == at(4, era=2))
@@ -495,18 +503,18 @@
     follower.health.note_answer()
     follower.history.note(1, "store")
     follower.history.note(2, "peer")
-    assert follower.rests()
-    clock.now += TOLD_WITHIN_S
-    assert not follower.rests()
+    assert follower.should_wait()
+    clock.now += ERA_UPDATE_WAIT_S
+    assert not follower.should_wait()
     # One that the store turns away does not ask it again and again.
     follower.health.note_silence(TimeoutError())
-    follower.asked_at = clock.monotonic()
-    assert follower.rests()
+    follower.requested_at = clock.monotonic()
+    assert follower.should_wait()
 
 
 async def test_all_know_a_new_era_by_the_calls_of_those_that_watch(site):
     await all_covered(site)
-    await asyncio.sleep(SETTLED_S)
+    await asyncio.sleep(STARTUP_GRACE_S)
     kept = site.store.keep_copy()
     site.store.put("op", "config", manifest(version=8))
     for each in followers(site):
@@ -518,7 +526,7 @@
         await until(lambda entry=entry: entry.state.table_version == 9)
     tables = len(site.entries["entry-0"].gossip.followers)
     readings = [call for call in site.store.calls if "get" in call]
-    assert len(readings) <= WATCHERS * tables
+    assert len(readings) <= WATCHER_COUNT * tables
 
 
 @pytest.mark.parametrize("step_ms", [-7000.0, 0.0, 30_000.0])
