--- a/src/rattanpier/_internal/relay/watch.py
+++ b/src/rattanpier/_internal/relay/watch.py
@@ -1,11 +1,11 @@
-"""Who reads the store's feeds, and how the others hear of it.
-
-Calls to the store are paid for, so that not every entry watches every table.
-A few watch; each answer of a feed goes on to all others at once, empty ones
-too: they show that nothing was missed. The first watcher tells, the second one
-tells what it did not hear from the first. An entry that hears nothing for a
-while watches for itself, so that the watchers save calls and no promise rests
-on them alone.
+"""Follows tables of the store, directly or by updates from watchers.
+
+Calls to the store are billed, so only a few entries, the watchers, read the
+feed of a table. They publish each answer to all peers at once, also an empty
+one, which shows that nothing was missed. The first watcher publishes; the
+second one publishes only what it has not received from the first. An entry that
+receives no update for a while reads the feed itself: the watchers save calls,
+but no guarantee depends on them alone.
 """
 
 from __future__ import annotations
@@ -39,53 +39,55 @@
 
 log = structlog.get_logger(part="store")
 
-WATCHER_COUNT = 2  # One may fail at any moment without a change coming late.
-# A feed answers at least every `FEED_WAIT_S`; half a second for the way.
+WATCHER_COUNT = 2  # If one fails, changes still arrive in time.
+# A feed answers at least every `FEED_WAIT_S`; allows 0.5 s for delivery.
 WATCHER_TIMEOUT_S = FEED_WAIT_S + 0.5
-POLL_INTERVAL_S = (
-    0.2  # Between looks at whether to watch; a tenth of what is allowed.
-)
-# Longer news, compressed, are fetched by each entry itself. An entry passes
-# news on to eight others: so many bytes take a fifth of a second on a link of
-# 5 Mbit/s. A table of a few hundred workers, which all entries need when the
-# store loses its history, is shorter.
+# Interval at which an idle follower checks whether it has to read; a tenth of
+# the allowed delay.
+POLL_INTERVAL_S = 0.2
+# Size limit of an update after compression; each entry fetches a longer change
+# from the store itself. An entry forwards an update to eight peers, which takes
+# 0.2 s at this size on a link of 5 Mbit/s. A table of a few hundred workers,
+# which all entries need when the store loses its history, is shorter.
 MAX_UPDATE_BYTES = 16384
-# An entry that has just started knows of no other that reaches the store, and
-# would watch. Within this time, two rounds of heartbeats, it hears of those
-# that do.
+# An entry that has just started knows of no peer that reaches the store, so it
+# would become a watcher. Within this time, two rounds of heartbeats, it learns
+# which peers do.
 STARTUP_GRACE_S = 1.0
-# Entries that fetch a change do so within this time of each other, so that
+# Upper bound of the random delay before a non-watcher fetches a change, so that
 # changes in quick succession cost one call.
 FETCH_JITTER_S = 0.3
-# When a new era begins the watchers read all at once and tell it. The others
-# wait so long for that: a reading and the way, with room for a long table.
+# When a new era begins, the watchers read the whole table at once and publish
+# it. Other entries wait this long for it: the time of a full read and of the
+# delivery, with a margin for a long table.
 ERA_UPDATE_WAIT_S = 0.4
-# An entry that does not watch asks this often whether the store is back: in an
-# outage of the whole store it hears of its return from those that watch, and
-# one that the store turns away hears all changes from them.
+# Intervals at which a non-watcher checks whether the store is available again.
+# They may be long: after an outage of the whole store it learns of the recovery
+# from the watchers, and an entry that alone is rejected by the store receives
+# all changes from them.
 RETRY_INTERVAL_S = 2.0
 UP_TO_DATE_RETRY_INTERVAL_S = 5.0
-# After a change a watcher lets more gather before it asks again: calls and what
-# is told cost the same for one change or for many. A sixth of the shortest time
-# within which operators want a change in force.
+# Time for which a watcher collects further changes after one, before it reads
+# again: a call and an update cost the same for one change or for many. It is a
+# sixth of the shortest time within which operators want a change in force.
 BATCH_DELAY_S = 0.3
-# The second watcher waits so long for the first one's news, which may just let
-# changes gather, and the way between two entries.
+# Time for which the second watcher waits for the first one's update: the first
+# may be collecting changes, and 0.1 s allows for the delivery.
 BACKUP_DELAY_S = BATCH_DELAY_S + 0.1
 
 
 @attrs.frozen
 class TableUpdate:
-    """One answer of a feed.
+    """An answer of a feed, as watchers publish it.
 
     Attributes:
-      table: Its table.
-      since: The revision behind which it tells the changes.
-      revision: The revision up to which it tells them.
-      now_ms: The store's steady clock, in ms.
-      rows: The changes, None if they are too long to be told.
-      settling: The store was away until just now.
-      whole: The rows are all of the table, not only what changed.
+      table: Name of the table.
+      since: Revision after which the changes begin.
+      revision: Revision up to which the changes are complete.
+      now_ms: The store's monotonic clock, in ms.
+      rows: The changed rows, or None if they exceed `MAX_UPDATE_BYTES`.
+      settling: Whether the store has just recovered from an outage.
+      whole: Whether the rows are the whole table rather than changes.
     """
 
     table: str
@@ -98,7 +100,7 @@
 
 
 def watch_rank(fleet: Fleet) -> int | None:
-    """Returns an entry's place among those that watch the store, or None."""
+    """Returns this entry's position among the watchers, None if it is none."""
     watchers = fleet.preferred("watch", WATCHER_COUNT)
     name = fleet.me.member.name
     return watchers.index(name) if name in watchers else None
@@ -107,13 +109,13 @@
 def make_update(
     table: str, before: Revision | None, page: Page, settling: bool
 ) -> TableUpdate:
-    """Returns what is told of an answer.
+    """Returns the update that publishes an answer of a feed.
 
     Args:
-      table: Its name.
-      before: The revision up to which all was known before, or None.
+      table: Name of the table.
+      before: Revision that was applied before the answer, or None.
       page: The answer.
-      settling: The store was away until just now.
+      settling: Whether the store has just recovered from an outage.
     """
     return TableUpdate(
         table=table,
@@ -128,21 +130,28 @@
 
 @attrs.define(eq=False, repr=False)
 class TableFollower:
-    """Keeps up with one table, by its feed or by what watchers tell.
+    """Follows one table, by its feed or by the watchers' updates.
 
     Attributes:
-      table: Its name.
-      take: Called with each page, and whether the store was away before it.
-      rank: This entry's place among those that watch, or None.
-      tell: Tells the others of an answer of the feed.
-      history: Which era is the newest one. What is known of an earlier one
-        counts for nothing but itself: the table is read whole again.
-      since: Revision up to which all is known, None before the first scan.
-      told_at: When a watcher's news came last, in monotonic seconds.
-      told_of: Up to which revision they told.
-      behind: A change was told of that has to be fetched.
-      asked_at: When the store was asked last, in monotonic seconds.
-      first_read_at: When the whole table was read first.
+      store: Where the table is read.
+      clock: Monotonic clock.
+      health: Whether this entry reaches the store.
+      store_clock: Updated with the time that each page reports.
+      table: Name of the table.
+      on_page: Called with each applied page and with whether the store has just
+        recovered from an outage.
+      rank: Returns this entry's position among the watchers, or None.
+      publish: Sends an update to all peers.
+      history: Tracks the newest era. State of an earlier era can't be continued
+        in a later one, so the whole table is read again.
+      since: Revision up to which all changes are applied, None before the first
+        full read.
+      backoff_s: Current delay after a failed call, in seconds.
+      received_at: When the last update of a watcher came, in monotonic seconds.
+      received_revision: Newest revision that the updates reported.
+      fetch_pending: Whether an update reported a change that has to be fetched.
+      requested_at: When the store was last called, in monotonic seconds.
+      first_read_at: When the first full read ended, in monotonic seconds.
     """
 
     store: RelayStore
@@ -171,28 +180,28 @@
                 await self.step()
 
     def is_watcher(self) -> bool:
-        """Says whether this entry is one that watches."""
+        """Returns whether this entry is one of the watchers."""
         return self.rank() is not None
 
     def is_up_to_date(self) -> bool:
-        """Says whether this entry knows all, by what watchers tell."""
+        """Returns whether recent updates of watchers are all applied."""
         fresh = self.clock.monotonic() - self.received_at < WATCHER_TIMEOUT_S
         if self.is_outdated():
             return False
         return fresh and self.has_applied(self.received_revision)
 
     def has_applied(self, revision: Revision) -> bool:
-        """Says whether all is known up to a revision."""
+        """Returns whether all changes up to a revision are applied."""
         return self.since is not None and self.since >= revision
 
     def is_outdated(self) -> bool:
-        """Says whether what is known is of an earlier era."""
+        """Returns whether the applied state belongs to an earlier era."""
         return self.since is not None and self.since.era < self.history.era
 
     def should_wait(self) -> bool:
-        """Says whether there is no reason to ask the store now."""
+        """Returns whether there is no reason to call the store now."""
         if self.fetch_pending:
-            # A watcher told of more: it reaches the store.
+            # A watcher reported a newer change, so it reaches the store.
             return False
         now = self.clock.monotonic()
         if self.is_outdated():
@@ -215,22 +224,23 @@
         return self.is_up_to_date()
 
     async def step(self) -> None:
-        """Asks the store once."""
+        """Reads from the store once and publishes the answer if due."""
         was_watcher = self.is_watcher()
         if (self.fetch_pending or self.is_outdated()) and not was_watcher:
             await self.clock.sleep(random.uniform(0.0, FETCH_JITTER_S))
         self.fetch_pending = False
         self.requested_at = self.clock.monotonic()
         try:
-            # The first answer after an outage is wanted at once: it tells the
-            # era, and a feed may have nothing to tell behind an old version.
+            # After an outage the first call must not wait for a change: its
+            # answer carries the era, and a feed of an older copy may have no
+            # change after the requested version.
             wait = self.health.available and (
                 was_watcher or not self.is_up_to_date()
             )
             page = await self.read(wait)
         except HistoryGoneError:
-            # What was missed can't be told from what came back meanwhile.
-            log.info("History is gone, reading all.", table=self.table)
+            # The missed changes can't be told apart from those that came since.
+            log.info("Change history expired, reading all.", table=self.table)
             self.since = None
             return
         except StoreUnavailableError as error:
@@ -246,17 +256,19 @@
         self.health.note_answer()
         before = self.since
         if math.isinf(self.first_read_at):
-            # All is known as of now, as if a watcher had told it.
+            # A full read is as current as an update of a watcher.
             self.first_read_at = self.received_at = self.clock.monotonic()
         settling = self.health.settling()
         if not self.accept(page, settling):
             if page.whole:
-                # A store that still tells an earlier era is not asked in a row.
+                # Avoids a busy loop while the store still answers with an
+                # earlier era.
                 await self.clock.sleep(FIRST_BACKOFF_S)
             return
-        # While entries come back from an outage the places of those that watch
-        # change. One that got its place during the call tells as well: the one
-        # before may have rested, and nobody else heard of a change for 2.5 s.
+        # The set of watchers changes while entries recover from an outage. An
+        # entry that became a watcher during the call publishes too: the former
+        # watcher may be idle already, so that a change would reach no peer for
+        # 2.5 s.
         if not (was_watcher or self.is_watcher()):
             return
         await self.publish_update(
@@ -266,7 +278,7 @@
             await self.clock.sleep(BATCH_DELAY_S)
 
     async def publish_update(self, update: TableUpdate) -> None:
-        """Tells the others of an answer, unless the first watcher did."""
+        """Publishes an update, unless the first watcher has done so."""
         if self.rank() != 0:
             await self.clock.sleep(BACKUP_DELAY_S)
             received = self.received_at >= self.requested_at
@@ -275,7 +287,7 @@
         self.publish(update)
 
     async def read(self, wait: bool) -> Page | None:
-        """Returns the next page, None if a new era began meanwhile."""
+        """Returns the next page, or None if a new era began meanwhile."""
         if self.since is None or self.is_outdated():
             return await self.store.scan(self.table)
         wait_s = FEED_WAIT_S if wait else 0.0
@@ -283,7 +295,7 @@
         return await self.wait_in_era(asyncio.ensure_future(changes))
 
     async def wait_in_era(self, call: asyncio.Future[Page]) -> Page | None:
-        """Waits for an answer, None if a new era begins before it comes."""
+        """Returns a call's result, None if a new era cancels the call."""
         subscription = self.history.begun.subscribe(lambda _era: call.cancel())
         try:
             return await call
@@ -296,10 +308,10 @@
             subscription.dispose()
 
     def accept(self, page: Page, settling: bool) -> bool:
-        """Takes a page in; says whether it did.
+        """Applies a page unless it is outdated; returns whether it did.
 
-        Something newer may have come meanwhile. Changes that are of another era
-        than what they should follow leave out what was lost between the two.
+        A newer page may have been applied meanwhile. Changes of another era
+        than the applied state don't include what was lost between the two.
         """
         older = self.since is not None and page.revision < self.since
         of_other_era = not page.whole and (
@@ -314,7 +326,7 @@
         return True
 
     def apply_update(self, update: TableUpdate) -> None:
-        """Takes in what a watcher tells."""
+        """Applies an update of a watcher, or marks its change as pending."""
         self.health.note_alive()
         if update.revision.era < self.history.note(update.revision.era, "peer"):
             self.log_ignored("news", len(update.rows or ()), update.revision)
@@ -343,9 +355,9 @@
         self.accept(page, update.settling and self.health.settling())
 
     def log_ignored(self, what: str, rows: int, revision: Revision) -> None:
-        """Logs that something told nothing new, by its revision."""
+        """Logs that received data was ignored because of its revision."""
         log.info(
-            "Left out as known.",
+            "Ignored outdated data.",
             table=self.table,
             what=what,
             rows=rows,
@@ -355,7 +367,7 @@
 
 
 def pack_update(update: TableUpdate) -> bytes:
-    """Returns news as they are sent; rows that are too long are left out."""
+    """Returns an encoded update; rows over the size limit become None."""
     packed = pack(update)
     if len(packed) > MAX_UPDATE_BYTES:
         return pack_update(attrs.evolve(update, rows=None))
