--- a/benchmarks/restored_store.py
+++ b/benchmarks/restored_store.py
@@ -132,7 +132,7 @@
             knowing.setdefault(name, clock.monotonic())
 
     health = StoreHealth(clock)
-    health.note_answer()
+    health.record_answer()
     follower = watch.TableFollower(
         store=EntryStore(store, history),
         clock=clock,
--- a/src/rattanpier/_internal/relay/rollout_driver.py
+++ b/src/rattanpier/_internal/relay/rollout_driver.py
@@ -194,7 +194,7 @@
                     await self.step()
             except (StoreUnavailableError, HistoryGoneError) as error:
                 log.info("Roll-outs can't be driven.", error=str(error))
-                self.health.note_silence(error)
+                self.health.record_failure(error)
                 await asyncio.sleep(AWAY_RETRY_S)
             await asyncio.sleep(DRIVE_EVERY_S)
 
@@ -322,6 +322,6 @@
         )
         if isinstance(outcome, NotRun):
             # Others are to know at once that this entry can't drive.
-            self.health.note_silence(StoreUnavailableError(outcome.reason))
+            self.health.record_failure(StoreUnavailableError(outcome.reason))
         # Someone else wrote, or it is not known: read before anything else.
         self.loaded = False
--- a/src/rattanpier/_internal/relay/store.py
+++ b/src/rattanpier/_internal/relay/store.py
@@ -27,12 +27,12 @@
 FIRST_BACKOFF_S = 0.1
 MAX_BACKOFF_S = 0.5  # A store that is back is to be seen soon.
 # After the store's return, registrations that ran out come back.
-SETTLE_S = 2.0
+SETTLING_PERIOD_S = 2.0
 # Registrations last for three heartbeats; in a silence shorter than nearly that
 # none runs out. Feeds' answers come every `FEED_WAIT_S` or a little later.
-LASTING_HEARTBEATS = 2.7
+MIN_OUTAGE_HEARTBEATS = 2.7
 # Less is the way of an answer, and what clocks differ by.
-STEP_MS = 500.0
+MIN_STEP_MS = 500.0
 
 
 class RelayStore(Protocol):
@@ -76,11 +76,11 @@
     available: bool = False
     lost_at: float = 0.0
     answered_at: float = float("-inf")
-    back_at: float = float("-inf")
+    recovered_at: float = float("-inf")
 
-    def note_answer(self) -> None:
+    def record_answer(self) -> None:
         """Takes in that the store answered this entry."""
-        self.note_alive()
+        self.record_reachable()
         if self.available:
             return
         self.available = True
@@ -90,19 +90,19 @@
         else:
             log.info("Store answers.")
 
-    def note_alive(self) -> None:
+    def record_reachable(self) -> None:
         """Takes in that the store answered somebody.
 
         One that turns some VMs away is there for the workers: only after a
         silence for all may registrations be missing that come back.
         """
         now = self.clock.monotonic()
-        lasting_s = LASTING_HEARTBEATS * self.heartbeat_s
-        if lasting_s < now - self.answered_at < math.inf:
-            self.back_at = now
+        min_outage_s = MIN_OUTAGE_HEARTBEATS * self.heartbeat_s
+        if min_outage_s < now - self.answered_at < math.inf:
+            self.recovered_at = now
         self.answered_at = now
 
-    def note_silence(self, error: Exception) -> None:
+    def record_failure(self, error: Exception) -> None:
         """Takes in that the store did not answer, or refused."""
         if self.available:
             self.available = False
@@ -111,7 +111,7 @@
 
     def settling(self) -> bool:
         """Says whether what ran out in an outage may still come back."""
-        return self.clock.monotonic() - self.back_at < SETTLE_S
+        return self.clock.monotonic() - self.recovered_at < SETTLING_PERIOD_S
 
 
 @attrs.define(eq=False, repr=False)
@@ -131,31 +131,33 @@
     """
 
     clock: Clock
-    told_ms: float = 0.0
-    told_at: float = 0.0
+    reported_ms: float = 0.0
+    reported_at: float = 0.0
     era: int = 0
-    ahead_ms: float = 0.0
+    offset_ms: float = 0.0
 
-    def note(self, now_ms: float, era: int = 0) -> None:
+    def record_time(self, now_ms: float, era: int = 0) -> None:
         """Takes in what an answer of an era tells."""
         if self.era and era > self.era:
-            self.go_on(now_ms)
+            self.update_offset(now_ms)
         self.era = max(era, self.era)
-        self.told_ms = now_ms + self.ahead_ms
-        self.told_at = self.clock.monotonic()
+        self.reported_ms = now_ms + self.offset_ms
+        self.reported_at = self.clock.monotonic()
 
-    def go_on(self, now_ms: float) -> None:
+    def update_offset(self, now_ms: float) -> None:
         """Takes in where the clock of a new era stands."""
-        ahead_ms = self.now_ms() - now_ms
-        if abs(ahead_ms - self.ahead_ms) < STEP_MS:
+        offset_ms = self.now_ms() - now_ms
+        if abs(offset_ms - self.offset_ms) < MIN_STEP_MS:
             return
         log.warning(
             "Store's clock stepped.",
-            step_ms=round(self.ahead_ms - ahead_ms),
+            step_ms=round(self.offset_ms - offset_ms),
             now_ms=round(now_ms),
         )
-        self.ahead_ms = ahead_ms
+        self.offset_ms = offset_ms
 
     def now_ms(self) -> float:
         """Returns the store's present time in ms."""
-        return self.told_ms + 1000 * (self.clock.monotonic() - self.told_at)
+        return self.reported_ms + 1000 * (
+            self.clock.monotonic() - self.reported_at
+        )
--- a/src/rattanpier/_internal/relay/watch.py
+++ b/src/rattanpier/_internal/relay/watch.py
@@ -244,7 +244,7 @@
             self.since = None
             return
         except StoreUnavailableError as error:
-            self.health.note_silence(error)
+            self.health.record_failure(error)
             self.backoff_s = min(
                 MAX_BACKOFF_S, max(FIRST_BACKOFF_S, 2 * self.backoff_s)
             )
@@ -253,7 +253,7 @@
         if page is None:
             return
         self.backoff_s = 0.0
-        self.health.note_answer()
+        self.health.record_answer()
         before = self.since
         if math.isinf(self.first_read_at):
             # A full read is as current as an update of a watcher.
@@ -320,14 +320,14 @@
         if older or of_other_era or page.revision.era < self.history.era:
             self.log_ignored("page", len(page.rows), page.revision)
             return False
-        self.store_clock.note(page.now_ms, page.revision.era)
+        self.store_clock.record_time(page.now_ms, page.revision.era)
         self.since = page.revision
         self.on_page(page, settling)
         return True
 
     def apply_update(self, update: TableUpdate) -> None:
         """Applies an update of a watcher, or marks its change as pending."""
-        self.health.note_alive()
+        self.health.record_reachable()
         if update.revision.era < self.history.note(update.revision.era, "peer"):
             self.log_ignored("news", len(update.rows or ()), update.revision)
             return
--- a/tests/lib/restored_fleet.py
+++ b/tests/lib/restored_fleet.py
@@ -89,7 +89,7 @@
             (DOMAINS, self.take_domains),
         ):
             health = StoreHealth(self.clock)
-            health.note_answer()
+            health.record_answer()
             self.followers[table] = TableFollower(
                 store=self,
                 clock=self.clock,
--- a/tests/relay/test_rollout_driver.py
+++ b/tests/relay/test_rollout_driver.py
@@ -54,7 +54,7 @@
     begun_ms = 1000 * (clock.now - age * DEADLINE_S)
     rollouts.take_record(RolloutRecord(7, "s", "v2", phase, begun_ms, begun_ms))
     health = StoreHealth(clock)
-    health.note_answer()
+    health.record_answer()
     store = Store()
     return RolloutDriver(
         store,
--- a/tests/relay/test_watch.py
+++ b/tests/relay/test_watch.py
@@ -7,7 +7,7 @@
 from rattanpier._internal.models.feed import FeedRow, Page
 from rattanpier._internal.relay.history import StoreHistory
 from rattanpier._internal.relay.store import (
-    SETTLE_S,
+    SETTLING_PERIOD_S,
     StoreClock,
     StoreHealth,
 )
@@ -150,7 +150,7 @@
 async def test_one_that_read_all_waits_for_what_watchers_tell(clock):
     page = Page([FeedRow("w1", b"v", at(9))], at(9), 1.0, whole=True)
     follower, _ = make_follower(clock, page, lambda: None, None)
-    follower.health.note_answer()
+    follower.health.record_answer()
     follower.store.answer.set()
     await follower.step()
     assert follower.should_wait()
@@ -161,7 +161,7 @@
 async def test_one_that_reads_all_again_does_not_wait_for_watchers(clock):
     page = Page([FeedRow("w1", b"v", at(9))], at(9), 1.0, whole=True)
     follower, _ = make_follower(clock, page, lambda: None, None)
-    follower.health.note_answer()
+    follower.health.record_answer()
     follower.store.answer.set()
     await follower.step()
     clock.now += WATCHER_TIMEOUT_S
@@ -287,27 +287,27 @@
 
 async def test_a_store_that_turned_one_entry_away_was_not_away(clock):
     health = StoreHealth(clock)
-    health.note_answer()
-    health.note_silence(TimeoutError())
+    health.record_answer()
+    health.record_failure(TimeoutError())
     for _ in range(5):
         # Watchers' news go on coming.
         await clock.advance(2.0)
-        health.note_alive()
-    health.note_answer()
+        health.record_reachable()
+    health.record_answer()
     assert not health.settling()
 
 
 async def test_after_an_outage_for_all_registrations_may_come_back(clock):
     health = StoreHealth(clock)
-    health.note_answer()
-    health.note_silence(TimeoutError())
+    health.record_answer()
+    health.record_failure(TimeoutError())
     await clock.advance(4.0)
     # Another entry sees it first, and tells.
-    health.note_alive()
+    health.record_reachable()
     await clock.advance(0.3)
-    health.note_answer()
+    health.record_answer()
     assert health.settling()
-    await clock.advance(SETTLE_S)
+    await clock.advance(SETTLING_PERIOD_S)
     assert not health.settling()
 
 
@@ -468,7 +468,7 @@
 async def test_a_feed_that_waits_in_an_era_that_ended_is_given_up(clock):
     page = Page([], at(4, era=2), 1.0, whole=True)
     follower, _ = make_follower(clock, page, lambda: 0, at(9))
-    follower.health.note_answer()
+    follower.health.record_answer()
     follower.history.note(1, "store")
     step = asyncio.create_task(follower.step())
     await follower.store.asked.wait()
@@ -500,14 +500,14 @@
 
 async def test_those_that_do_not_watch_wait_for_those_that_do(clock):
     follower, _ = make_follower(clock, None, lambda: None, at(9))
-    follower.health.note_answer()
+    follower.health.record_answer()
     follower.history.note(1, "store")
     follower.history.note(2, "peer")
     assert follower.should_wait()
     clock.now += ERA_UPDATE_WAIT_S
     assert not follower.should_wait()
     # One that the store turns away does not ask it again and again.
-    follower.health.note_silence(TimeoutError())
+    follower.health.record_failure(TimeoutError())
     follower.requested_at = clock.monotonic()
     assert follower.should_wait()
 
@@ -532,8 +532,8 @@
 @pytest.mark.parametrize("step_ms", [-7000.0, 0.0, 30_000.0])
 async def test_the_stores_clock_goes_on_over_a_new_era(clock, step_ms):
     store_clock = StoreClock(clock)
-    store_clock.note(50_000.0, 1)
+    store_clock.record_time(50_000.0, 1)
     for second in range(1, 4):
         clock.now += 1.0
-        store_clock.note(50_000.0 + step_ms + 1000.0 * second, 2)
+        store_clock.record_time(50_000.0 + step_ms + 1000.0 * second, 2)
         assert store_clock.now_ms() == 50_000.0 + 1000.0 * second
