--- a/src/rattanpier/_internal/relay/store.py
+++ b/src/rattanpier/_internal/relay/store.py
@@ -1,4 +1,4 @@
-"""What the relay asks of the platform's store, and whether it is there."""
+"""Interface to the platform's store, and its availability and clock."""
 
 from __future__ import annotations
 
@@ -21,29 +21,30 @@
 
 log = structlog.get_logger(part="store")
 
-# A feed call waits that long for a change: calls are paid for, and a feed
-# whose connection went silent is noticed only at its end.
+# How long a feed call waits for a change. Long waits save calls, which are
+# billed, but a silently broken connection is noticed only when the call ends.
 FEED_WAIT_S = 2.0
 FIRST_BACKOFF_S = 0.1
-MAX_BACKOFF_S = 0.5  # A store that is back is to be seen soon.
-# After the store's return, registrations that ran out come back.
+MAX_BACKOFF_S = 0.5  # Low, so that a recovered store is noticed soon.
+# Time after an outage within which expired registrations are renewed.
 SETTLING_PERIOD_S = 2.0
-# Registrations last for three heartbeats; in a silence shorter than nearly that
-# none runs out. Feeds' answers come every `FEED_WAIT_S` or a little later.
+# Registrations expire after three heartbeats, so none expires in an outage
+# shorter than about that. Must exceed the interval between answers of a feed,
+# which is `FEED_WAIT_S` or a little more.
 MIN_OUTAGE_HEARTBEATS = 2.7
-# Less is the way of an answer, and what clocks differ by.
+# Smaller differences come from network latency and clock drift.
 MIN_STEP_MS = 500.0
 
 
 class RelayStore(Protocol):
-    """Rows in tables that tell their changes."""
+    """Tables of rows, with a feed of changes for each table."""
 
     async def scan(self, table: str) -> Page:
         """Returns all rows of a table."""
         ...
 
     async def changes(self, table: str, since: Revision, wait_s: float) -> Page:
-        """Waits for changes of a table behind a revision."""
+        """Waits up to `wait_s` for changes of a table after a revision."""
         ...
 
     async def transact(
@@ -52,23 +53,24 @@
         puts: Sequence[RowPut],
         removed: Sequence[RowCheck] = (),
     ) -> WrittenAt | Conflict | NotRun | Uncertain:
-        """Writes some rows if all checks hold, else nothing."""
+        """Writes and removes rows atomically, if all checks hold."""
         ...
 
 
 @attrs.define(eq=False, repr=False)
 class StoreHealth:
-    """Whether this entry reaches the store, and whether anybody did.
+    """Whether this entry, or any entry, reaches the store.
 
     Attributes:
-      clock: Monotonic.
-      heartbeat_s: Workers renew their registrations this often.
-      available: The last call was answered.
-      lost_at: When it was lost last.
-      answered_at: When it last answered, as far as known here: this entry, or
-        one that told of it. Minus infinity before.
-      back_at: When it came back from an outage for all; minus infinity before
-        any.
+      clock: Monotonic clock.
+      heartbeat_s: Interval at which workers renew their registrations.
+      available: Whether this entry's last call was answered.
+      lost_at: When the store last became unavailable to this entry, in
+        monotonic seconds; 0 before the first time.
+      answered_at: When the store last answered this entry or a peer that
+        reported it, in monotonic seconds; minus infinity before.
+      recovered_at: When the store recovered from an outage for all entries, in
+        monotonic seconds; minus infinity before the first time.
     """
 
     clock: Clock
@@ -79,22 +81,26 @@
     recovered_at: float = float("-inf")
 
     def record_answer(self) -> None:
-        """Takes in that the store answered this entry."""
+        """Records that the store answered this entry."""
         self.record_reachable()
         if self.available:
             return
         self.available = True
         if self.lost_at:
             away_s = round(self.clock.monotonic() - self.lost_at, 2)
-            log.info("Store is back.", away_s=away_s, settling=self.settling())
+            log.info(
+                "Store is available again.",
+                away_s=away_s,
+                settling=self.settling(),
+            )
         else:
-            log.info("Store answers.")
+            log.info("Store is available.")
 
     def record_reachable(self) -> None:
-        """Takes in that the store answered somebody.
+        """Records that the store answered this entry or a peer.
 
-        One that turns some VMs away is there for the workers: only after a
-        silence for all may registrations be missing that come back.
+        A store that rejects only some VMs still accepts the workers' renewals.
+        Registrations can have expired only after an outage for all entries.
         """
         now = self.clock.monotonic()
         min_outage_s = MIN_OUTAGE_HEARTBEATS * self.heartbeat_s
@@ -103,31 +109,31 @@
         self.answered_at = now
 
     def record_failure(self, error: Exception) -> None:
-        """Takes in that the store did not answer, or refused."""
+        """Records that the store did not answer this entry, or refused."""
         if self.available:
             self.available = False
             self.lost_at = self.clock.monotonic()
-            log.warning("Store is away.", error=str(error))
+            log.warning("Store is unavailable.", error=str(error))
 
     def settling(self) -> bool:
-        """Says whether what ran out in an outage may still come back."""
+        """Returns whether registrations expired in an outage may reappear."""
         return self.clock.monotonic() - self.recovered_at < SETTLING_PERIOD_S
 
 
 @attrs.define(eq=False, repr=False)
 class StoreClock:
-    """The store's steady clock, as it was told last.
+    """Estimate of the store's monotonic clock, from its last report.
 
-    One that comes back from an older copy may tell another time. Times that
-    were noted before go on being compared, so that the clock goes on from where
-    it was: an order's deadline comes neither sooner nor later by that.
+    A store restored from a backup may report another time. Times recorded
+    before are still compared with later ones, so an offset keeps the clock
+    continuous: the deadline of an order comes neither earlier nor later.
 
     Attributes:
-      clock: Monotonic.
-      told_ms: What the store told, as it counts here.
-      told_at: When, in monotonic seconds.
-      era: Of the store that told it.
-      ahead_ms: How much later it counts here than the store tells.
+      clock: Monotonic clock of this entry.
+      reported_ms: The last reported time, plus the offset.
+      reported_at: When it was reported, in monotonic seconds.
+      era: Newest era of the store that reported a time.
+      offset_ms: Added to the times that the store reports.
     """
 
     clock: Clock
@@ -137,7 +143,7 @@
     offset_ms: float = 0.0
 
     def record_time(self, now_ms: float, era: int = 0) -> None:
-        """Takes in what an answer of an era tells."""
+        """Records the time that an answer reports, and its era."""
         if self.era and era > self.era:
             self.update_offset(now_ms)
         self.era = max(era, self.era)
@@ -145,19 +151,19 @@
         self.reported_at = self.clock.monotonic()
 
     def update_offset(self, now_ms: float) -> None:
-        """Takes in where the clock of a new era stands."""
+        """Sets the offset that continues the clock into a new era."""
         offset_ms = self.now_ms() - now_ms
         if abs(offset_ms - self.offset_ms) < MIN_STEP_MS:
             return
         log.warning(
-            "Store's clock stepped.",
+            "Store's clock jumped.",
             step_ms=round(self.offset_ms - offset_ms),
             now_ms=round(now_ms),
         )
         self.offset_ms = offset_ms
 
     def now_ms(self) -> float:
-        """Returns the store's present time in ms."""
+        """Returns the estimated current time of the store, in ms."""
         return self.reported_ms + 1000 * (
             self.clock.monotonic() - self.reported_at
         )
