--- a/benchmarks/restored_store.py
+++ b/benchmarks/restored_store.py
@@ -87,7 +87,7 @@
         """Returns all rows."""
         for _ in range(0, self.store.rows, PAGE_ROWS):
             await self.store.answer()
-        self.history.note(self.store.revision.era, "store")
+        self.history.record_era(self.store.revision.era, "store")
         return self.store.page(whole=True)
 
     async def changes(
@@ -102,7 +102,7 @@
             await asyncio.sleep(ANSWER_S)
         if self.store.away:
             raise StoreUnavailableError("away")
-        self.history.note(self.store.revision.era, "store")
+        self.history.record_era(self.store.revision.era, "store")
         return self.store.page(whole=False)
 
 
@@ -158,7 +158,7 @@
                 attrs.evolve(each.fleet.me, store=True, sequence=1)
             )
         entry.fleet.update_own_state(store=True)
-        entry.gossip.shared_state.history.note(1, "store")
+        entry.gossip.shared_state.history.record_era(1, "store")
     store = Store(int(size * WORKERS_PER_ENTRY))
     knowing: dict[str, float] = {}
     tasks = [
--- a/src/rattanpier/_internal/programs/relay_store.py
+++ b/src/rattanpier/_internal/programs/relay_store.py
@@ -48,7 +48,7 @@
     store = PlatformStore(
         session,
         f"http://{settings.store.address}",
-        lambda era: history.note(era, "store"),
+        lambda era: history.record_era(era, "store"),
     )
     kernel.add("store", store)
     kernel.add("store_health", StoreHealth(clock, settings.heartbeat_s))
--- a/src/rattanpier/_internal/relay/gossip.py
+++ b/src/rattanpier/_internal/relay/gossip.py
@@ -169,7 +169,7 @@
         """
         call = peer_pb2.Call(beat=self.build_beat(state.down))
         reply = await self.links.to(state.member).call(call, CALL_TIMEOUT_S)
-        self.shared_state.history.note(reply.beat.store_era, "peer")
+        self.shared_state.history.record_era(reply.beat.store_era, "peer")
         if reply.beat.digest == self.digest():
             self.digest_mismatches = 0
             return
@@ -206,7 +206,7 @@
 
     async def serve_beat(self, call: peer_pb2.Call) -> peer_pb2.Reply:
         """Answers a heartbeat."""
-        self.shared_state.history.note(call.beat.store_era, "peer")
+        self.shared_state.history.record_era(call.beat.store_era, "peer")
         if call.beat.believed_down:
             me = self.fleet.me
             self.fleet.refute(attrs.evolve(me, down=True))
--- a/src/rattanpier/_internal/relay/history.py
+++ b/src/rattanpier/_internal/relay/history.py
@@ -18,7 +18,7 @@
 
 
 # For so long entries that start are told of what an older copy may lack.
-YOUNG_S = 30.0
+RECENT_ERA_S = 30.0
 
 
 @attrs.define(eq=False, repr=False)
@@ -38,11 +38,11 @@
     clock: Clock
     metrics: Metrics
     era: int = 0
-    began_at: float = float("-inf")
-    begun: Subject[int] = attrs.Factory(Subject)
-    restored: int = 0
+    era_began_at: float = float("-inf")
+    new_eras: Subject[int] = attrs.Factory(Subject)
+    restored_era: int = 0
 
-    def note(self, era: int, source: str) -> int:
+    def record_era(self, era: int, source: str) -> int:
         """Takes in an era that was told; returns the newest one known.
 
         Args:
@@ -50,18 +50,18 @@
           source: Who told of it, for the log.
         """
         if era > self.era:
-            self.begin(era, source)
+            self.begin_era(era, source)
         return self.era
 
-    def begin(self, era: int, source: str) -> None:
+    def begin_era(self, era: int, source: str) -> None:
         """Takes in a later era than was known."""
         before, self.era = self.era, era
         self.metrics.gauge("relay.store_era", era)
         if not before:
-            self.restored = max(self.restored, era)
+            self.restored_era = max(self.restored_era, era)
             log.info("Store tells its era.", era=era, source=source)
             return
-        self.began_at = self.clock.monotonic()
+        self.era_began_at = self.clock.monotonic()
         self.metrics.count("relay.store_era_begun")
         log.warning(
             "Store came back from an older copy.",
@@ -69,12 +69,12 @@
             before=before,
             source=source,
         )
-        self.begun.on_next(era)
+        self.new_eras.on_next(era)
 
-    def young(self) -> bool:
+    def is_recent(self) -> bool:
         """Says whether an era began a short time ago."""
-        return self.clock.monotonic() - self.began_at < YOUNG_S
+        return self.clock.monotonic() - self.era_began_at < RECENT_ERA_S
 
-    def note_restored(self, era: int) -> None:
+    def record_restored(self, era: int) -> None:
         """Takes in that the system's own rows stand again in an era."""
-        self.restored = max(self.restored, era)
+        self.restored_era = max(self.restored_era, era)
--- a/src/rattanpier/_internal/relay/restoring.py
+++ b/src/rattanpier/_internal/relay/restoring.py
@@ -82,9 +82,12 @@
         Only entries that saw the era begin know what was lost with the one
         before.
         """
-        if self.history.restored >= self.history.era or not self.available():
+        if (
+            self.history.restored_era >= self.history.era
+            or not self.available()
+        ):
             return False
-        since_s = self.clock.monotonic() - self.history.began_at
+        since_s = self.clock.monotonic() - self.history.era_began_at
         stand_ins = int(since_s / STAND_IN_AFTER_S)
         preferred = self.fleet.preferred(DUTY, 1 + stand_ins)
         return self.fleet.me.member.name in preferred
@@ -104,7 +107,7 @@
         for start in range(0, len(lost), MOST_ROWS):
             if not await self.write(lost[start : start + MOST_ROWS], read_at):
                 return
-        self.history.note_restored(era)
+        self.history.record_restored(era)
         self.tell(era)
         log.info(
             "Own rows stand again.",
--- a/src/rattanpier/_internal/relay/shared_state.py
+++ b/src/rattanpier/_internal/relay/shared_state.py
@@ -52,7 +52,7 @@
 
     def apply_update(self, update: StateUpdate) -> None:
         """Applies an update from a peer, except for the states of entries."""
-        self.history.note_restored(update.restored)
+        self.history.record_restored(update.restored)
         self.peer_table_version = max(
             self.peer_table_version, update.table_version
         )
@@ -86,7 +86,9 @@
             leaving=self.directory.known_to_leave(),
             departed=self.directory.departures.disputed(),
             orders=self.rollouts.known_orders.unconfirmed(),
-            table_version=self.table_version() if self.history.young() else -1,
+            table_version=self.table_version()
+            if self.history.is_recent()
+            else -1,
         )
 
     def has_older_table(self) -> bool:
--- a/src/rattanpier/_internal/relay/watch.py
+++ b/src/rattanpier/_internal/relay/watch.py
@@ -207,7 +207,7 @@
         if self.is_outdated():
             if (
                 not self.is_watcher()
-                and now - self.history.began_at < ERA_UPDATE_WAIT_S
+                and now - self.history.era_began_at < ERA_UPDATE_WAIT_S
             ):
                 return True
         elif now - self.first_read_at < STARTUP_GRACE_S:
@@ -296,7 +296,9 @@
 
     async def wait_in_era(self, call: asyncio.Future[Page]) -> Page | None:
         """Returns a call's result, None if a new era cancels the call."""
-        subscription = self.history.begun.subscribe(lambda _era: call.cancel())
+        subscription = self.history.new_eras.subscribe(
+            lambda _era: call.cancel()
+        )
         try:
             return await call
         except asyncio.CancelledError:
@@ -328,7 +330,9 @@
     def apply_update(self, update: TableUpdate) -> None:
         """Applies an update of a watcher, or marks its change as pending."""
         self.health.record_reachable()
-        if update.revision.era < self.history.note(update.revision.era, "peer"):
+        if update.revision.era < self.history.record_era(
+            update.revision.era, "peer"
+        ):
             self.log_ignored("news", len(update.rows or ()), update.revision)
             return
         if not update.whole and (self.since is None or self.is_outdated()):
--- a/tests/lib/restored_fleet.py
+++ b/tests/lib/restored_fleet.py
@@ -103,11 +103,11 @@
             )
 
     async def scan(self, table):
-        self.history.note(self.store.era, "store")
+        self.history.record_era(self.store.era, "store")
         return self.store.page(table, -1, whole=True)
 
     async def changes(self, table, since, _wait_s):
-        self.history.note(self.store.era, "store")
+        self.history.record_era(self.store.era, "store")
         # A feed whose answer tells a new era is given up.
         await asyncio.sleep(0)
         if since.version > self.store.version:
--- a/tests/relay/test_restoring.py
+++ b/tests/relay/test_restoring.py
@@ -73,7 +73,7 @@
         assert status["state"] == "completed"
         await until(
             lambda: all_entries(
-                site, lambda each: each.kernel.find("history").restored == 2
+                site, lambda each: each.kernel.find("history").restored_era == 2
             )
         )
         # One that restores, and the driver that may write beside it.
@@ -141,7 +141,7 @@
         told.append,
         [lambda _page: lost],
     )
-    history.note(1, "store")
+    history.record_era(1, "store")
     return restorer, told
 
 
@@ -153,7 +153,7 @@
 
 def test_an_entry_that_starts_in_a_new_era_restores_nothing(clock):
     restorer, _ = make_restorer(clock, FakeStore())
-    restorer.history.note_restored(1)
+    restorer.history.record_restored(1)
     assert not restorer.is_due()
 
 
@@ -163,14 +163,14 @@
         for number in range(5)
     ]
     for each in made:
-        each.history.note(2, "store")
+        each.history.record_era(2, "store")
     due = []
     for _ in range(5):
         due.append(sum(each.is_due() for each in made))
         clock.now += STAND_IN_AFTER_S
     assert due == [1, 2, 3, 4, 5]
     for each in made:
-        each.history.note_restored(2)
+        each.history.record_restored(2)
         assert not each.is_due()
 
 
@@ -178,7 +178,7 @@
     store = FakeStore(rows={"b": b"0"}, conflicts=1)
     lost = [LostRow("a", b"1"), LostRow("b", b"2")]
     restorer, told = make_restorer(clock, store, lost)
-    restorer.history.note(2, "store")
+    restorer.history.record_era(2, "store")
     await restorer.step()
     assert restorer.is_due()
     assert told == []
@@ -192,7 +192,7 @@
 async def test_a_table_that_is_still_of_the_era_before_restores_nothing(clock):
     store = FakeStore(era=1)
     restorer, told = make_restorer(clock, store, [LostRow("a", b"1")])
-    restorer.history.note(2, "peer")
+    restorer.history.record_era(2, "peer")
     await restorer.step()
     assert store.calls == ["scan"]
     assert told == []
@@ -202,7 +202,7 @@
     store = FakeStore()
     lost = [LostRow(f"e{number}", b"") for number in range(420)]
     restorer, _ = make_restorer(clock, store, lost)
-    restorer.history.note(2, "store")
+    restorer.history.record_era(2, "store")
     await restorer.step()
     assert len(store.rows) == 420
     assert len(store.calls) == 1 + -(-420 // MOST_ROWS)
--- a/tests/relay/test_spread.py
+++ b/tests/relay/test_spread.py
@@ -329,10 +329,10 @@
     """Heartbeats alone carry the era, without watchers or more messages."""
     ring = make_ring(size)
     for entry in ring.live():
-        entry.gossip.shared_state.history.note(1, "store")
+        entry.gossip.shared_state.history.record_era(1, "store")
     await ring.run_rounds(4)
     ring.reset_sent()
-    ring.entries["e003"].gossip.shared_state.history.note(2, "store")
+    ring.entries["e003"].gossip.shared_state.history.record_era(2, "store")
     await ring.run_rounds(8)
     eras = {entry.gossip.shared_state.history.era for entry in ring.live()}
     assert eras == {2}
--- a/tests/relay/test_store_eras.py
+++ b/tests/relay/test_store_eras.py
@@ -37,7 +37,7 @@
     return rows.PlatformStore(
         site.session,
         f"http://{site.store_address}",
-        lambda era: history.note(era, "store"),
+        lambda era: history.record_era(era, "store"),
     )
 
 
@@ -106,7 +106,7 @@
 
 
 def test_an_answer_without_an_era_is_of_the_newest_one(client, history):
-    history.note(3, "peer")
+    history.record_era(3, "peer")
     for headers in ({}, {rows.ERA: "new"}, {rows.ERA: "-1"}):
         assert client.era_of(types.SimpleNamespace(headers=headers)) == 3
     late = types.SimpleNamespace(headers={rows.ERA: "2"})
--- a/tests/relay/test_watch.py
+++ b/tests/relay/test_watch.py
@@ -454,7 +454,7 @@
 
 def test_what_is_told_of_an_era_before_counts_for_nothing(clock):
     follower, _ = make_follower(clock, None, lambda: None, at(3, era=2))
-    follower.history.note(2, "store")
+    follower.history.record_era(2, "store")
     rows = [FeedRow("w1", b"v", at(10))]
     follower.apply_update(TableUpdate("op", at(9), at(10), 1.0, rows, False))
     follower.apply_update(
@@ -469,10 +469,10 @@
     page = Page([], at(4, era=2), 1.0, whole=True)
     follower, _ = make_follower(clock, page, lambda: 0, at(9))
     follower.health.record_answer()
-    follower.history.note(1, "store")
+    follower.history.record_era(1, "store")
     step = asyncio.create_task(follower.step())
     await follower.store.asked.wait()
-    follower.history.note(2, "peer")
+    follower.history.record_era(2, "peer")
     await step
     assert follower.since == at(9)
     assert not follower.should_wait()
@@ -485,7 +485,7 @@
 async def test_an_answer_that_a_new_era_overtook_is_left_out(clock):
     page = Page([FeedRow("w1", b"v", at(10))], at(10), 1.0, whole=False)
     follower, told = make_follower(clock, page, lambda: 0, at(9))
-    follower.history.note(2, "peer")
+    follower.history.record_era(2, "peer")
     assert not follower.accept(page, False)
     assert follower.since == at(9)
     assert told == []
@@ -501,8 +501,8 @@
 async def test_those_that_do_not_watch_wait_for_those_that_do(clock):
     follower, _ = make_follower(clock, None, lambda: None, at(9))
     follower.health.record_answer()
-    follower.history.note(1, "store")
-    follower.history.note(2, "peer")
+    follower.history.record_era(1, "store")
+    follower.history.record_era(2, "peer")
     assert follower.should_wait()
     clock.now += ERA_UPDATE_WAIT_S
     assert not follower.should_wait()
