--- a/src/rattanpier/_internal/relay/history.py
+++ b/src/rattanpier/_internal/relay/history.py
@@ -1,8 +1,8 @@
-"""Which history of the store is the newest one known.
+"""Tracks the newest known era of the store.
 
-A store that comes back from an older copy begins a new history: what it had
-acknowledged since the copy is gone, and versions are given out again. Its
-answers say which history they are of, by a number that rises each time.
+A store that is restored from a backup begins a new era: it has lost what it
+acknowledged since the backup, and it assigns the same versions again. Each
+answer carries the number of its era, which increases with each restore.
 """
 
 from __future__ import annotations
@@ -17,22 +17,24 @@
 log = structlog.get_logger(part="store")
 
 
-# For so long entries that start are told of what an older copy may lack.
+# For this long after a restore, starting entries receive from their peers what
+# the backup may lack.
 RECENT_ERA_S = 30.0
 
 
 @attrs.define(eq=False, repr=False)
 class StoreHistory:
-    """The newest history that the store or a peer told of.
+    """The newest era that the store or a peer reported.
 
     Attributes:
-      clock: Monotonic.
-      metrics: Tells the era, and counts those that began.
-      era: Number of the history, 0 before any was told.
-      began_at: When a later era than the first known one was told of first, in
+      clock: Monotonic clock.
+      metrics: Exports the era and the number of new eras.
+      era: Number of the newest era, 0 before any is known.
+      era_began_at: When an era after the first known one was first reported, in
         monotonic seconds; minus infinity before any.
-      begun: Emits each era that follows another one known here.
-      restored: The newest era in which the system's own rows surely stand.
+      new_eras: Emits each era that follows another one known here.
+      restored_era: Newest era in which all rows of the system's own table are
+        known to be present.
     """
 
     clock: Clock
@@ -43,23 +45,23 @@
     restored_era: int = 0
 
     def record_era(self, era: int, source: str) -> int:
-        """Takes in an era that was told; returns the newest one known.
+        """Records a reported era; returns the newest one known.
 
         Args:
-          era: Its number, 0 if none was told.
-          source: Who told of it, for the log.
+          era: Its number, 0 if none was reported.
+          source: Who reported it, for the log.
         """
         if era > self.era:
             self.begin_era(era, source)
         return self.era
 
     def begin_era(self, era: int, source: str) -> None:
-        """Takes in a later era than was known."""
+        """Records an era that is later than the known one."""
         before, self.era = self.era, era
         self.metrics.gauge("relay.store_era", era)
         if not before:
             self.restored_era = max(self.restored_era, era)
-            log.info("Store tells its era.", era=era, source=source)
+            log.info("Store reported its era.", era=era, source=source)
             return
         self.era_began_at = self.clock.monotonic()
         self.metrics.count("relay.store_era_begun")
@@ -72,9 +74,9 @@
         self.new_eras.on_next(era)
 
     def is_recent(self) -> bool:
-        """Says whether an era began a short time ago."""
+        """Returns whether an era began within the last `RECENT_ERA_S`."""
         return self.clock.monotonic() - self.era_began_at < RECENT_ERA_S
 
     def record_restored(self, era: int) -> None:
-        """Takes in that the system's own rows stand again in an era."""
+        """Records that the system's own rows are present again in an era."""
         self.restored_era = max(self.restored_era, era)
