--- a/src/rattanpier/_internal/relay/restoring.py
+++ b/src/rattanpier/_internal/relay/restoring.py
@@ -24,10 +24,12 @@
 log = structlog.get_logger(part="store")
 
 DUTY = "restore"
-LOOK_EVERY_S = 0.25
+CHECK_INTERVAL_S = 0.25
 # Each further entry waits that much longer for news that it is done.
-STAND_IN_AFTER_S = 0.5
-MOST_ROWS = 40  # Of a transaction; the store takes a hundred and a megabyte.
+TAKEOVER_DELAY_S = 0.5
+MAX_ROWS_PER_TRANSACTION = (
+    40  # Of a transaction; the store takes a hundred and a megabyte.
+)
 
 
 @attrs.frozen
@@ -42,10 +44,10 @@
 
     key: str
     value: bytes | None
-    with_it: tuple[RowPut, ...] = ()
+    related_puts: tuple[RowPut, ...] = ()
 
 
-LostRows = Callable[[Page], Iterable[LostRow]]
+LostRowFinder = Callable[[Page], Iterable[LostRow]]
 
 
 @attrs.define(eq=False, repr=False)
@@ -66,13 +68,13 @@
     history: StoreHistory
     clock: Clock
     available: Callable[[], bool]
-    tell: Callable[[int], None]
-    sources: Sequence[LostRows]
+    publish: Callable[[int], None]
+    finders: Sequence[LostRowFinder]
 
     async def run(self) -> None:
         """Looks again and again whether there is something to write."""
         while True:
-            await self.clock.sleep(LOOK_EVERY_S)
+            await self.clock.sleep(CHECK_INTERVAL_S)
             if self.is_due():
                 await self.step()
 
@@ -87,9 +89,9 @@
             or not self.available()
         ):
             return False
-        since_s = self.clock.monotonic() - self.history.era_began_at
-        stand_ins = int(since_s / STAND_IN_AFTER_S)
-        preferred = self.fleet.preferred(DUTY, 1 + stand_ins)
+        elapsed_s = self.clock.monotonic() - self.history.era_began_at
+        substitutes = int(elapsed_s / TAKEOVER_DELAY_S)
+        preferred = self.fleet.preferred(DUTY, 1 + substitutes)
         return self.fleet.me.member.name in preferred
 
     async def step(self) -> None:
@@ -102,18 +104,20 @@
             return
         if page.revision.era != era:
             return
-        lost = [row for find in self.sources for row in find(page)]
+        lost = [row for find in self.finders for row in find(page)]
         read_at = {row.key: row.revision for row in page.rows}
-        for start in range(0, len(lost), MOST_ROWS):
-            if not await self.write(lost[start : start + MOST_ROWS], read_at):
+        for start in range(0, len(lost), MAX_ROWS_PER_TRANSACTION):
+            if not await self.write(
+                lost[start : start + MAX_ROWS_PER_TRANSACTION], read_at
+            ):
                 return
         self.history.record_restored(era)
-        self.tell(era)
+        self.publish(era)
         log.info(
             "Own rows stand again.",
             era=era,
             rows=len(lost),
-            keys=[row.key for row in lost][:MOST_ROWS],
+            keys=[row.key for row in lost][:MAX_ROWS_PER_TRANSACTION],
         )
 
     async def write(
@@ -129,7 +133,7 @@
             for row in rows
             if row.value is not None
         ]
-        puts += [put for row in rows for put in row.with_it]
+        puts += [put for row in rows for put in row.related_puts]
         removed = [
             check
             for check, row in zip(checks, rows, strict=True)
--- a/tests/relay/test_restoring.py
+++ b/tests/relay/test_restoring.py
@@ -13,8 +13,8 @@
 from rattanpier._internal.relay.known_orders import more_than
 from rattanpier._internal.relay.own_table import HELD, ROLLOUT, OwnTable
 from rattanpier._internal.relay.restoring import (
-    MOST_ROWS,
-    STAND_IN_AFTER_S,
+    MAX_ROWS_PER_TRANSACTION,
+    TAKEOVER_DELAY_S,
     LostRow,
     RowRestorer,
 )
@@ -167,7 +167,7 @@
     due = []
     for _ in range(5):
         due.append(sum(each.is_due() for each in made))
-        clock.now += STAND_IN_AFTER_S
+        clock.now += TAKEOVER_DELAY_S
     assert due == [1, 2, 3, 4, 5]
     for each in made:
         each.history.record_restored(2)
@@ -205,7 +205,7 @@
     restorer.history.record_era(2, "store")
     await restorer.step()
     assert len(store.rows) == 420
-    assert len(store.calls) == 1 + -(-420 // MOST_ROWS)
+    assert len(store.calls) == 1 + -(-420 // MAX_ROWS_PER_TRANSACTION)
 
 
 def test_a_record_that_is_behind_takes_nothing_back():
