--- a/src/rattanpier/_internal/relay/restoring.py
+++ b/src/rattanpier/_internal/relay/restoring.py
@@ -1,8 +1,9 @@
-"""Writes rows of the system's own table again that the store lost.
+"""Restores rows of the system's own table that the store lost.
 
-Load answered: a store that comes back from an older copy, which all entries
-learn within a moment. One of them reads the table once, and writes what all of
-them know and the copy lacks. The next one does so if nothing was told of it.
+All entries learn almost at once that the store was restored from a backup. To
+avoid a burst of calls, one of them reads the table once and writes the rows
+that all entries know and the backup lacks. If it doesn't report that it is
+done, the next entry takes over.
 """
 
 from __future__ import annotations
@@ -25,21 +26,21 @@
 
 DUTY = "restore"
 CHECK_INTERVAL_S = 0.25
-# Each further entry waits that much longer for news that it is done.
+# Each further entry in the order of preference waits this much longer for the
+# report that the rows are restored.
 TAKEOVER_DELAY_S = 0.5
-MAX_ROWS_PER_TRANSACTION = (
-    40  # Of a transaction; the store takes a hundred and a megabyte.
-)
+# The store accepts at most a hundred rows and 1 MB in a transaction.
+MAX_ROWS_PER_TRANSACTION = 40
 
 
 @attrs.frozen
 class LostRow:
-    """A row of the system's own table that is to stand, or to go.
+    """A row of the system's own table that is to be written or removed.
 
     Attributes:
-      key: Its key.
-      value: None: it is to be removed.
-      with_it: Rows of other tables that are written with it.
+      key: Key of the row.
+      value: Value of the row, or None if it is to be removed.
+      related_puts: Rows of other tables to write in the same transaction.
     """
 
     key: str
@@ -52,14 +53,17 @@
 
 @attrs.define(eq=False, repr=False)
 class RowRestorer:
-    """Writes again what the store lost, where that falls to this entry.
+    """Restores lost rows when this entry is responsible for it.
 
     Attributes:
+      store: Where the rows are written.
       own_table: Holds the rows.
-      history: Which era is the newest one, and whether its rows stand again.
-      available: Whether this entry reaches the store.
-      tell: Tells all others that the rows of an era stand again.
-      sources: Find what a reading of the table lacks, one a kind of row.
+      fleet: Determines which entry is responsible.
+      history: Tracks the newest era, and whether its rows are restored.
+      clock: Monotonic clock.
+      available: Returns whether this entry reaches the store.
+      publish: Sends to all peers the era whose rows are restored.
+      finders: Find rows that a full read lacks, one for each kind of row.
     """
 
     store: RelayStore
@@ -72,16 +76,16 @@
     finders: Sequence[LostRowFinder]
 
     async def run(self) -> None:
-        """Looks again and again whether there is something to write."""
+        """Restores rows whenever that is due, until cancelled."""
         while True:
             await self.clock.sleep(CHECK_INTERVAL_S)
             if self.is_due():
                 await self.step()
 
     def is_due(self) -> bool:
-        """Says whether it falls to this entry to look at the table now.
+        """Returns whether this entry has to check the table now.
 
-        Only entries that saw the era begin know what was lost with the one
+        Only entries that saw the era begin know what was lost from the one
         before.
         """
         if (
@@ -95,12 +99,12 @@
         return self.fleet.me.member.name in preferred
 
     async def step(self) -> None:
-        """Writes all that is lost."""
+        """Restores all lost rows, and publishes that it is done."""
         era = self.history.era
         try:
             page = await self.own_table.read()
         except StoreUnavailableError as error:
-            log.debug("Own rows not read.", error=str(error))
+            log.debug("Own table not read.", error=str(error))
             return
         if page.revision.era != era:
             return
@@ -114,7 +118,7 @@
         self.history.record_restored(era)
         self.publish(era)
         log.info(
-            "Own rows stand again.",
+            "Lost rows restored.",
             era=era,
             rows=len(lost),
             keys=[row.key for row in lost][:MAX_ROWS_PER_TRANSACTION],
@@ -123,7 +127,7 @@
     async def write(
         self, rows: Sequence[LostRow], read_at: dict[str, Revision]
     ) -> bool:
-        """Writes some rows, unless one changed since; says whether it did."""
+        """Writes rows unless one changed since; returns whether it did."""
         checks = [
             RowCheck(TABLE, row.key, read_at.get(row.key, Revision()))
             for row in rows
@@ -141,5 +145,5 @@
         ]
         outcome = await self.store.transact(checks, puts, removed)
         if not isinstance(outcome, WrittenAt):
-            log.info("Own rows not written again.", outcome=repr(outcome))
+            log.info("Lost rows not restored.", outcome=repr(outcome))
         return isinstance(outcome, WrittenAt)
