--- a/src/rattanpier/_internal/programs/relay_store.py
+++ b/src/rattanpier/_internal/programs/relay_store.py
@@ -147,7 +147,7 @@
     )
 
     def take_operator_page(page: Page, after_outage: bool) -> None:
-        writer.note(page)
+        writer.apply_page(page)
         state.take_operator_page(page, after_outage)
 
     follow = {
--- a/src/rattanpier/_internal/relay/checkpoints.py
+++ b/src/rattanpier/_internal/relay/checkpoints.py
@@ -42,16 +42,16 @@
 
 log = structlog.get_logger(part="store")
 
-LOOK_EVERY_S = 0.5
+CHECK_INTERVAL_S = 0.5
 # An entry that has just started may know of no other, and all would write.
-SETTLED_S = 3.0
+STARTUP_GRACE_S = 3.0
 # The feed goes on from a copy while the store holds the history since: a copy
 # is renewed in time for a start that comes just before the next renewal.
-RENEWALS_IN_HISTORY = 3
+RENEWALS_PER_HISTORY = 3
 
 
 @attrs.frozen
-class Rows:
+class TableRows:
     """All rows of a table."""
 
     rows: list[FeedRow]
@@ -63,7 +63,7 @@
 
     Attributes:
       as_of: The revision.
-      packed: Its `Rows`, packed.
+      packed: Its `TableRows`, packed.
     """
 
     as_of: Revision
@@ -102,43 +102,46 @@
     store: RelayStore
     table: str
     own_table: OwnTable
-    used: bool = False
+    checkpoint_tried: bool = False
 
     async def scan(self, table: str) -> Page:
         """Returns all rows of a table and the version that they are as of."""
-        if table == self.table and not self.used:
+        if table == self.table and not self.checkpoint_tried:
             own = await self.own_table.first()
-            kept = find_checkpoint(own, table)
-            self.used = True
-            if kept is not None and kept.as_of.era != own.revision.era:
+            checkpoint = find_checkpoint(own, table)
+            self.checkpoint_tried = True
+            if (
+                checkpoint is not None
+                and checkpoint.as_of.era != own.revision.era
+            ):
                 # Its version may have been given out again.
                 log.info("Checkpoint of no use.", error="of another era")
-                kept = None
-            page = None if kept is None else await self.go_on(kept)
+                checkpoint = None
+            page = None if checkpoint is None else await self.resume(checkpoint)
             if page is not None:
                 return page
         return await self.store.scan(table)
 
-    async def go_on(self, kept: Checkpoint) -> Page | None:
+    async def resume(self, checkpoint: Checkpoint) -> Page | None:
         """Returns a checkpoint's rows with what changed since, if told."""
         try:
-            known = unpack(Rows, kept.packed).rows
-            page = await self.store.changes(self.table, kept.as_of, 0.0)
+            known = unpack(TableRows, checkpoint.packed).rows
+            page = await self.store.changes(self.table, checkpoint.as_of, 0.0)
         except (HistoryGoneError, UnreadableError) as error:
             log.info("Checkpoint of no use.", error=str(error))
             return None
-        if page.revision.era != kept.as_of.era:
+        if page.revision.era != checkpoint.as_of.era:
             log.info("Checkpoint of no use.", error="a new era began")
             return None
         log.info(
             "Went on from a checkpoint.",
             table=self.table,
-            as_of=kept.as_of.number,
+            as_of=checkpoint.as_of.number,
             revision=page.revision.number,
             rows=len(known),
             changed=len(page.rows),
         )
-        rows = merged(known, page.rows)
+        rows = merge_rows(known, page.rows)
         return Page(rows, page.revision, page.now_ms, whole=True)
 
     async def changes(self, table: str, since: Revision, wait_s: float) -> Page:
@@ -186,24 +189,24 @@
     as_of: Revision = Revision()
     packed: bytes | None = None
     written_at: float = float("-inf")
-    too_long: bool = False
+    is_too_large: bool = False
 
     async def run(self) -> None:
         """Writes the checkpoint again and again."""
         while True:
-            await self.clock.sleep(LOOK_EVERY_S)
+            await self.clock.sleep(CHECK_INTERVAL_S)
             await self.step()
 
     async def step(self) -> None:
         """Brings the checkpoint up to date, if that is due here."""
-        if not self.is_mine():
+        if not self.is_assigned():
             self.rows = self.packed = None
             return
         if not self.available():
             return
         try:
             if self.rows is None:
-                self.note(await self.store.scan(self.table))
+                self.apply_page(await self.store.scan(self.table))
         except StoreUnavailableError as error:
             log.debug("Table not read.", table=self.table, error=str(error))
             return
@@ -211,14 +214,14 @@
         if self.rows is not None and self.is_due():
             await self.write()
 
-    def is_mine(self) -> bool:
+    def is_assigned(self) -> bool:
         """Says whether the duty is this entry's, by what all know."""
-        if self.clock.monotonic() - self.started_at < SETTLED_S:
+        if self.clock.monotonic() - self.started_at < STARTUP_GRACE_S:
             return False
         me = self.fleet.me.member.name
         return self.fleet.preferred(CHECKPOINT + self.table, 1) == [me]
 
-    def note(self, page: Page) -> None:
+    def apply_page(self, page: Page) -> None:
         """Takes in what was read of the table, here or by the others.
 
         Pages come in the order of their versions and leave nothing out.
@@ -229,7 +232,7 @@
                 self.packed = None
         elif page.rows and self.rows is not None:
             known = list(self.rows.values())
-            self.rows = {row.key: row for row in merged(known, page.rows)}
+            self.rows = {row.key: row for row in merge_rows(known, page.rows)}
             self.packed = None
         self.as_of = max(self.as_of, page.revision)
 
@@ -237,18 +240,18 @@
         """Says whether the row that is kept is out of date, or soon too old."""
         if self.packed is None:
             return True
-        renew_s = self.settings.history_s / RENEWALS_IN_HISTORY
+        renew_s = self.settings.history_s / RENEWALS_PER_HISTORY
         age_s = self.clock.monotonic() - self.written_at
-        return age_s >= renew_s and not self.too_long
+        return age_s >= renew_s and not self.is_too_large
 
     async def write(self) -> None:
         """Writes the checkpoint, unless it is too long for a row."""
         assert self.rows is not None
         if self.packed is None:
-            self.packed = pack(Rows(list(self.rows.values())))
+            self.packed = pack(TableRows(list(self.rows.values())))
         value = pack(Checkpoint(self.as_of, self.packed))
-        self.too_long = len(value) > self.settings.row_bytes
-        if self.too_long:
+        self.is_too_large = len(value) > self.settings.row_bytes
+        if self.is_too_large:
             log.info("Table too long for a checkpoint.", bytes=len(value))
             return
         put = RowPut(TABLE, CHECKPOINT + self.table, value)
@@ -259,16 +262,16 @@
             log.info("Checkpoint not written.", outcome=repr(outcome))
 
 
-def merged(
+def merge_rows(
     known: Sequence[FeedRow], changed: Sequence[FeedRow]
 ) -> list[FeedRow]:
     """Returns a table's rows after some changes.
 
     >>> old = FeedRow("a", b"1", Revision(1, 1))
     >>> new = FeedRow("a", b"2", Revision(1, 2))
-    >>> merged([old], [new]) == [new] == merged([new], [old])
+    >>> merge_rows([old], [new]) == [new] == merge_rows([new], [old])
     True
-    >>> merged([old], [FeedRow("a", b"", Revision(1, 3), deleted=True)])
+    >>> merge_rows([old], [FeedRow("a", b"", Revision(1, 3), deleted=True)])
     []
     """
     rows = {row.key: row for row in known}
--- a/tests/relay/test_checkpoints.py
+++ b/tests/relay/test_checkpoints.py
@@ -21,7 +21,7 @@
     CheckpointedStore,
     CheckpointWriter,
     find_checkpoint,
-    merged,
+    merge_rows,
 )
 from rattanpier._internal.relay.own_table import CHECKPOINT, TABLE, OwnTable
 from rattanpier._internal.standin.platform_store import Door
@@ -39,8 +39,8 @@
 
 @pytest.fixture
 async def site(monkeypatch):
-    monkeypatch.setattr(module, "SETTLED_S", 0.0)
-    monkeypatch.setattr(module, "LOOK_EVERY_S", 0.05)
+    monkeypatch.setattr(module, "STARTUP_GRACE_S", 0.0)
+    monkeypatch.setattr(module, "CHECK_INTERVAL_S", 0.05)
     async with platform_site(long_manifest()) as made:
         yield made
 
@@ -194,7 +194,7 @@
             case 2:
                 page = await store.changes(OPERATORS, since, 0.0)
                 since = page.revision
-                writer.note(page)
+                writer.apply_page(page)
             case 3:
                 writer.clock.now += rng.uniform(0.0, 8.0)
                 await writer.step()
@@ -213,8 +213,10 @@
     writer = make_writer(store)
     old = await store.scan(OPERATORS)
     store.put("b")
-    writer.note(Page([store.rows["b"]], at(store.version), 0.0, whole=False))
-    writer.note(old)
+    writer.apply_page(
+        Page([store.rows["b"]], at(store.version), 0.0, whole=False)
+    )
+    writer.apply_page(old)
     assert writer.rows is None
     await writer.step()
     assert set(writer.rows) == {"a", "b"}
@@ -227,7 +229,7 @@
     await writer.step()
     first = store.checkpoint().as_of
     store.put("other table's")
-    writer.note(Page([], at(store.version), 0.0, whole=False))
+    writer.apply_page(Page([], at(store.version), 0.0, whole=False))
     await writer.step()
     assert store.checkpoint().as_of == first
     writer.clock.now += STORE.history_s / 2
@@ -269,7 +271,7 @@
         await reader.scan(OPERATORS)
     store.away = False
     scans = store.scans
-    assert merged([], (await reader.scan(OPERATORS)).rows)
+    assert merge_rows([], (await reader.scan(OPERATORS)).rows)
     assert store.scans == scans
     # Later readings are of the store alone.
     await reader.scan(OPERATORS)
@@ -305,7 +307,7 @@
     await writer.step()
     store.era, store.version, store.rows = 2, 0, {}
     store.put("a", b"1")
-    writer.note(await store.scan(OPERATORS))
+    writer.apply_page(await store.scan(OPERATORS))
     await writer.step()
     assert store.checkpoint().as_of == at(1, 2)
     scans = store.scans
--- a/tests/relay/test_own_table.py
+++ b/tests/relay/test_own_table.py
@@ -45,7 +45,7 @@
 
 
 async def test_an_entry_that_starts_again_writes_nothing(site, monkeypatch):
-    monkeypatch.setattr(checkpoints, "SETTLED_S", float("inf"))
+    monkeypatch.setattr(checkpoints, "STARTUP_GRACE_S", float("inf"))
     await site.add_entry("entry-1")
     await site.add_entry("entry-2")
     for entry in site.entries.values():
