--- a/src/rattanpier/_internal/relay/checkpoints.py
+++ b/src/rattanpier/_internal/relay/checkpoints.py
@@ -1,10 +1,10 @@
-"""A compressed copy of the operators' table, from which a start goes on.
+"""Compressed checkpoints of the operators' table for a faster start.
 
-Load answered: all entries start at once before a manifest of a thousand routes
-and more. Each reads it whole, over a link on which that takes most of a second,
-while callers wait. One entry keeps a copy as of a version of the store in the
-entries' own table, a tenth as long; a start reads that, and then what changed
-since, so that it knows what a whole reading would tell.
+When all entries start at once, each would read the whole manifest of more than
+a thousand routes, which takes most of a second over a slow link while callers
+wait. So one entry keeps a checkpoint of the table, as of a revision of the
+store, in the system's own table; it is a tenth of the size. A starting entry
+reads that and the changes since, which give the result of a full read.
 """
 
 from __future__ import annotations
@@ -43,16 +43,17 @@
 log = structlog.get_logger(part="store")
 
 CHECK_INTERVAL_S = 0.5
-# An entry that has just started may know of no other, and all would write.
+# An entry that has just started may know of no peer, so that all would write.
 STARTUP_GRACE_S = 3.0
-# The feed goes on from a copy while the store holds the history since: a copy
-# is renewed in time for a start that comes just before the next renewal.
+# The feed can continue from a checkpoint only while the store keeps the changes
+# since. Renewing it several times in that period leaves enough of them also for
+# a start just before the next renewal.
 RENEWALS_PER_HISTORY = 3
 
 
 @attrs.frozen
 class TableRows:
-    """All rows of a table."""
+    """All rows of a table, as they are packed into a checkpoint."""
 
     rows: list[FeedRow]
 
@@ -63,7 +64,7 @@
 
     Attributes:
       as_of: The revision.
-      packed: Its `TableRows`, packed.
+      packed: The table's `TableRows`, packed.
     """
 
     as_of: Revision
@@ -71,11 +72,11 @@
 
 
 def find_checkpoint(page: Page, table: str) -> Checkpoint | None:
-    """Returns a table's checkpoint, None if there is none that can be read.
+    """Returns a table's checkpoint, or None if it is missing or unreadable.
 
     Args:
-      page: Of the system's own table.
-      table: The table that is copied.
+      page: All rows of the system's own table.
+      table: Name of the checkpointed table.
     """
     for row in rows_of(page, CHECKPOINT):
         if row.key != table:
@@ -84,19 +85,21 @@
             return unpack(Checkpoint, row.value)
         except UnreadableError as error:
             log.warning(
-                "Checkpoint can't be read.", table=table, error=str(error)
+                "Checkpoint is unreadable.", table=table, error=str(error)
             )
     return None
 
 
 @attrs.define(eq=False, repr=False)
 class CheckpointedStore:
-    """A store of which one table is first read by its checkpoint.
+    """A store that answers the first full read of a table by its checkpoint.
 
     Attributes:
-      table: That table.
+      store: The store that is wrapped.
+      table: Name of the checkpointed table.
       own_table: Holds the checkpoint.
-      used: The checkpoint was asked for.
+      checkpoint_tried: Whether the checkpoint was looked up; later full reads
+        go to the store.
     """
 
     store: RelayStore
@@ -105,7 +108,7 @@
     checkpoint_tried: bool = False
 
     async def scan(self, table: str) -> Page:
-        """Returns all rows of a table and the version that they are as of."""
+        """Returns all rows of a table and the revision they are as of."""
         if table == self.table and not self.checkpoint_tried:
             own = await self.own_table.first()
             checkpoint = find_checkpoint(own, table)
@@ -114,8 +117,8 @@
                 checkpoint is not None
                 and checkpoint.as_of.era != own.revision.era
             ):
-                # Its version may have been given out again.
-                log.info("Checkpoint of no use.", error="of another era")
+                # The store may have assigned its version again.
+                log.info("Checkpoint not used.", error="of another era")
                 checkpoint = None
             page = None if checkpoint is None else await self.resume(checkpoint)
             if page is not None:
@@ -123,18 +126,18 @@
         return await self.store.scan(table)
 
     async def resume(self, checkpoint: Checkpoint) -> Page | None:
-        """Returns a checkpoint's rows with what changed since, if told."""
+        """Returns a checkpoint's rows with later changes, if available."""
         try:
             known = unpack(TableRows, checkpoint.packed).rows
             page = await self.store.changes(self.table, checkpoint.as_of, 0.0)
         except (HistoryGoneError, UnreadableError) as error:
-            log.info("Checkpoint of no use.", error=str(error))
+            log.info("Checkpoint not used.", error=str(error))
             return None
         if page.revision.era != checkpoint.as_of.era:
-            log.info("Checkpoint of no use.", error="a new era began")
+            log.info("Checkpoint not used.", error="a new era began")
             return None
         log.info(
-            "Went on from a checkpoint.",
+            "Resumed from a checkpoint.",
             table=self.table,
             as_of=checkpoint.as_of.number,
             revision=page.revision.number,
@@ -145,7 +148,7 @@
         return Page(rows, page.revision, page.now_ms, whole=True)
 
     async def changes(self, table: str, since: Revision, wait_s: float) -> Page:
-        """Waits for changes of a table behind a revision."""
+        """Waits up to `wait_s` for changes of a table after a revision."""
         return await self.store.changes(table, since, wait_s)
 
     async def transact(
@@ -154,24 +157,27 @@
         puts: Sequence[RowPut],
         removed: Sequence[RowCheck] = (),
     ) -> WrittenAt | Conflict | NotRun | Uncertain:
-        """Writes some rows if all checks hold, else nothing."""
+        """Writes and removes rows atomically, if all checks hold."""
         return await self.store.transact(checks, puts, removed)
 
 
 @attrs.define(eq=False, repr=False)
 class CheckpointWriter:
-    """Keeps a table's checkpoint, where that falls to this entry.
+    """Maintains a table's checkpoint while that is assigned to this entry.
 
     Attributes:
-      table: The table that is copied.
-      settings: How long the store's history and a row may be.
-      available: Whether this entry reaches the store.
+      table: Name of the checkpointed table.
+      store: Where the table is read and the checkpoint is written.
+      fleet: Determines which entry writes the checkpoint.
+      clock: Monotonic clock.
+      settings: How long the store keeps changes, and how large a row may be.
+      available: Returns whether this entry reaches the store.
       started_at: When this entry started, in monotonic seconds.
-      rows: The table's rows by key, None while others have the duty.
-      as_of: The revision up to which the table's changes came here.
-      packed: The rows as they are kept; None: to be packed.
-      written_at: When the checkpoint was written last, in monotonic seconds.
-      too_long: The rows do not fit into one row.
+      rows: The table's rows by key, None while a peer writes the checkpoint.
+      as_of: The revision up to which the table's changes are applied.
+      packed: The packed rows, or None if they changed since they were packed.
+      written_at: When the checkpoint was last written, in monotonic seconds.
+      is_too_large: Whether the checkpoint exceeds the size of a row.
     """
 
     table: str
@@ -192,13 +198,13 @@
     is_too_large: bool = False
 
     async def run(self) -> None:
-        """Writes the checkpoint again and again."""
+        """Keeps the checkpoint up to date until cancelled."""
         while True:
             await self.clock.sleep(CHECK_INTERVAL_S)
             await self.step()
 
     async def step(self) -> None:
-        """Brings the checkpoint up to date, if that is due here."""
+        """Updates the checkpoint if it is assigned to this entry and due."""
         if not self.is_assigned():
             self.rows = self.packed = None
             return
@@ -210,21 +216,24 @@
         except StoreUnavailableError as error:
             log.debug("Table not read.", table=self.table, error=str(error))
             return
-        # A whole reading that changes overtook is of no use.
+        # The rows stay None if newer changes were applied during the full read.
         if self.rows is not None and self.is_due():
             await self.write()
 
     def is_assigned(self) -> bool:
-        """Says whether the duty is this entry's, by what all know."""
+        """Returns whether this entry writes the checkpoint.
+
+        All entries derive the same answer from the fleet's state.
+        """
         if self.clock.monotonic() - self.started_at < STARTUP_GRACE_S:
             return False
         me = self.fleet.me.member.name
         return self.fleet.preferred(CHECKPOINT + self.table, 1) == [me]
 
     def apply_page(self, page: Page) -> None:
-        """Takes in what was read of the table, here or by the others.
+        """Applies a page of the table, read by this entry or a watcher.
 
-        Pages come in the order of their versions and leave nothing out.
+        Pages must come in the order of their revisions, without gaps.
         """
         if page.whole:
             if page.revision >= self.as_of:
@@ -237,7 +246,7 @@
         self.as_of = max(self.as_of, page.revision)
 
     def is_due(self) -> bool:
-        """Says whether the row that is kept is out of date, or soon too old."""
+        """Returns whether the stored checkpoint is outdated or due to renew."""
         if self.packed is None:
             return True
         renew_s = self.settings.history_s / RENEWALS_PER_HISTORY
@@ -245,27 +254,27 @@
         return age_s >= renew_s and not self.is_too_large
 
     async def write(self) -> None:
-        """Writes the checkpoint, unless it is too long for a row."""
+        """Writes the checkpoint, unless it is too large for a row."""
         assert self.rows is not None
         if self.packed is None:
             self.packed = pack(TableRows(list(self.rows.values())))
         value = pack(Checkpoint(self.as_of, self.packed))
         self.is_too_large = len(value) > self.settings.row_bytes
         if self.is_too_large:
-            log.info("Table too long for a checkpoint.", bytes=len(value))
+            log.info("Table too large for a checkpoint.", bytes=len(value))
             return
         put = RowPut(TABLE, CHECKPOINT + self.table, value)
         self.written_at = self.clock.monotonic()
         outcome = await self.store.transact([], [put])
         if not isinstance(outcome, WrittenAt):
-            # One that is too old is of no use, and does no harm.
+            # Harmless: readers ignore a checkpoint that has become too old.
             log.info("Checkpoint not written.", outcome=repr(outcome))
 
 
 def merge_rows(
     known: Sequence[FeedRow], changed: Sequence[FeedRow]
 ) -> list[FeedRow]:
-    """Returns a table's rows after some changes.
+    """Returns a table's rows with changes applied, without deleted rows.
 
     >>> old = FeedRow("a", b"1", Revision(1, 1))
     >>> new = FeedRow("a", b"2", Revision(1, 2))
