--- a/src/rattanpier/_internal/relay/checkpoints.py
+++ b/src/rattanpier/_internal/relay/checkpoints.py
@@ -31,10 +31,10 @@
 from rattanpier._internal.models.revision import Revision
 from rattanpier._internal.relay.fleet import Fleet
 from rattanpier._internal.relay.own_table import (
-    CHECKPOINT,
+    CHECKPOINT_PREFIX,
     TABLE,
     OwnTable,
-    rows_of,
+    rows_with_prefix,
 )
 from rattanpier._internal.relay.store import RelayStore
 from rattanpier._internal.utils.clock import Clock
@@ -78,7 +78,7 @@
       page: All rows of the system's own table.
       table: Name of the checkpointed table.
     """
-    for row in rows_of(page, CHECKPOINT):
+    for row in rows_with_prefix(page, CHECKPOINT_PREFIX):
         if row.key != table:
             continue
         try:
@@ -110,7 +110,7 @@
     async def scan(self, table: str) -> Page:
         """Returns all rows of a table and the revision they are as of."""
         if table == self.table and not self.checkpoint_tried:
-            own = await self.own_table.first()
+            own = await self.own_table.read_cached()
             checkpoint = find_checkpoint(own, table)
             self.checkpoint_tried = True
             if (
@@ -228,7 +228,7 @@
         if self.clock.monotonic() - self.started_at < STARTUP_GRACE_S:
             return False
         me = self.fleet.me.member.name
-        return self.fleet.preferred(CHECKPOINT + self.table, 1) == [me]
+        return self.fleet.preferred(CHECKPOINT_PREFIX + self.table, 1) == [me]
 
     def apply_page(self, page: Page) -> None:
         """Applies a page of the table, read by this entry or a watcher.
@@ -263,7 +263,7 @@
         if self.is_too_large:
             log.info("Table too large for a checkpoint.", bytes=len(value))
             return
-        put = RowPut(TABLE, CHECKPOINT + self.table, value)
+        put = RowPut(TABLE, CHECKPOINT_PREFIX + self.table, value)
         self.written_at = self.clock.monotonic()
         outcome = await self.store.transact([], [put])
         if not isinstance(outcome, WrittenAt):
--- a/src/rattanpier/_internal/relay/held_rows.py
+++ b/src/rattanpier/_internal/relay/held_rows.py
@@ -24,7 +24,11 @@
 )
 from rattanpier._internal.models.worker_end import QuarantineNews, WorkerEnd
 from rattanpier._internal.relay.fleet import Fleet
-from rattanpier._internal.relay.own_table import HELD, TABLE, rows_of
+from rattanpier._internal.relay.own_table import (
+    QUARANTINED_PREFIX,
+    TABLE,
+    rows_with_prefix,
+)
 from rattanpier._internal.relay.restoring import LostRow
 from rattanpier._internal.relay.store import RelayStore, StoreClock
 from rattanpier._internal.retries.quarantine import HOLD_S, Quarantine
@@ -83,7 +87,7 @@
         value = self.value_of(content)
         if value is None:
             return await self.remove(content)
-        put = RowPut(TABLE, HELD + content, value)
+        put = RowPut(TABLE, QUARANTINED_PREFIX + content, value)
         return isinstance(await self.store.transact([], [put]), WrittenAt)
 
     def value_of(self, content: str) -> bytes | None:
@@ -99,23 +103,25 @@
 
     def lost(self, page: Page) -> Iterator[LostRow]:
         """Yields rows that the table lacks, or shows though they are gone."""
-        standing = {row.key for row in rows_of(page, HELD)}
+        standing = {
+            row.key for row in rows_with_prefix(page, QUARANTINED_PREFIX)
+        }
         for content in self.quarantine.ends:
             value = self.value_of(content)
             if value is not None and content not in standing:
-                yield LostRow(HELD + content, value)
+                yield LostRow(QUARANTINED_PREFIX + content, value)
         for content in standing & self.quarantine.cleared.keys():
             if self.value_of(content) is None:
-                yield LostRow(HELD + content, None)
+                yield LostRow(QUARANTINED_PREFIX + content, None)
 
     def is_mine(self, content: str) -> bool:
         """Says whether a row falls to this entry, by what all know."""
         me = self.fleet.me.member.name
-        return self.fleet.preferred(HELD + content, 1) == [me]
+        return self.fleet.preferred(QUARANTINED_PREFIX + content, 1) == [me]
 
     async def remove(self, content: str) -> bool:
         """Removes a row; says whether it surely is no longer there."""
-        check = RowCheck(TABLE, HELD + content)
+        check = RowCheck(TABLE, QUARANTINED_PREFIX + content)
         outcome = await self.store.transact([], [], [check])
         return isinstance(outcome, WrittenAt)
 
--- a/src/rattanpier/_internal/relay/membership.py
+++ b/src/rattanpier/_internal/relay/membership.py
@@ -26,7 +26,7 @@
 from rattanpier._internal.models.member import Member
 from rattanpier._internal.relay import own_table
 from rattanpier._internal.relay.fleet import EntryState, Fleet
-from rattanpier._internal.relay.own_table import OwnTable, rows_of
+from rattanpier._internal.relay.own_table import OwnTable, rows_with_prefix
 from rattanpier._internal.relay.restoring import LostRow
 from rattanpier._internal.relay.store import RelayStore
 from rattanpier._internal.utils.clock import Clock
@@ -120,7 +120,7 @@
 
     async def read_first(self) -> bool:
         """Applies the page read at the start; returns whether it succeeded."""
-        return await self.read_and_apply(self.own_table.first)
+        return await self.read_and_apply(self.own_table.read_cached)
 
     async def read_again(self) -> bool:
         """Reads and applies all rows again; returns whether it succeeded."""
@@ -134,9 +134,9 @@
             # The outage itself is logged once, where it is detected.
             log.debug("Entries not read.", error=str(error))
             return False
-        for row in rows_of(page, own_table.HELD):
+        for row in rows_with_prefix(page, own_table.QUARANTINED_PREFIX):
             self.apply_held_row(row, page.now_ms)
-        for row in filter(own_table.is_entry, page.rows):
+        for row in filter(own_table.is_entry_row, page.rows):
             await self.apply_row(row)
         return True
 
--- a/src/rattanpier/_internal/relay/own_table.py
+++ b/src/rattanpier/_internal/relay/own_table.py
@@ -17,11 +17,11 @@
 
 TABLE = "entries"
 # What a key begins with says what its row is; entries' names begin with none.
-HELD = "held/"
-ROLLOUT = "rollout/"
-CHECKPOINT = "checkpoint/"
+QUARANTINED_PREFIX = "held/"
+ROLLOUT_PREFIX = "rollout/"
+CHECKPOINT_PREFIX = "checkpoint/"
 # A start asks for the first reading several times within a moment.
-FRESH_S = 2.0
+CACHE_TTL_S = 2.0
 
 
 @attrs.define(eq=False, repr=False)
@@ -48,7 +48,7 @@
         """
         return await self.store.scan(TABLE)
 
-    async def first(self) -> Page:
+    async def read_cached(self) -> Page:
         """Returns all rows, as others asked for them just now, or reads them.
 
         Raises:
@@ -56,19 +56,19 @@
         """
         async with self.lock:
             now = self.clock.monotonic()
-            if self.page is None or now - self.read_at > FRESH_S:
+            if self.page is None or now - self.read_at > CACHE_TTL_S:
                 self.page = await self.read()
                 self.read_at = now
             return self.page
 
 
-def rows_of(page: Page, prefix: str) -> list[FeedRow]:
+def rows_with_prefix(page: Page, prefix: str) -> list[FeedRow]:
     """Returns the rows of a kind, their keys without the prefix.
 
     >>> from rattanpier._internal.models.revision import Revision
     >>> rows = [FeedRow(key, b"", Revision()) for key in ("e1", "held/x")]
     >>> page = Page(rows, Revision(), 0.0, whole=True)
-    >>> [row.key for row in rows_of(page, HELD)]
+    >>> [row.key for row in rows_with_prefix(page, QUARANTINED_PREFIX)]
     ['x']
     """
     return [
@@ -78,6 +78,8 @@
     ]
 
 
-def is_entry(row: FeedRow) -> bool:
+def is_entry_row(row: FeedRow) -> bool:
     """Says whether a row is an entry's."""
-    return not row.key.startswith((HELD, ROLLOUT, CHECKPOINT))
+    return not row.key.startswith(
+        (QUARANTINED_PREFIX, ROLLOUT_PREFIX, CHECKPOINT_PREFIX)
+    )
--- a/src/rattanpier/_internal/relay/rollout_driver.py
+++ b/src/rattanpier/_internal/relay/rollout_driver.py
@@ -42,10 +42,10 @@
 )
 from rattanpier._internal.relay.known_orders import more_than
 from rattanpier._internal.relay.own_table import (
-    ROLLOUT,
+    ROLLOUT_PREFIX,
     TABLE,
     OwnTable,
-    rows_of,
+    rows_with_prefix,
 )
 from rattanpier._internal.relay.restoring import LostRow
 from rattanpier._internal.relay.rollouts import TRIALS, Rollouts
@@ -205,10 +205,14 @@
           StoreUnavailableError: The store does not answer.
         """
         # After a write of another only a new reading tells where orders stand.
-        read = self.own_table.read if self.read_before else self.own_table.first
+        read = (
+            self.own_table.read
+            if self.read_before
+            else self.own_table.read_cached
+        )
         page = await read()
         self.read_before = True
-        rows = rows_of(page, ROLLOUT)
+        rows = rows_with_prefix(page, ROLLOUT_PREFIX)
         self.read_at = {row.key: row.revision for row in rows}
         for _, record in read_records(rows):
             self.rollouts.take_record(record)
@@ -217,14 +221,14 @@
 
     def lost(self, page: Page) -> Iterator[LostRow]:
         """Yields the records that are further than the table shows."""
-        standing = dict(read_records(rows_of(page, ROLLOUT)))
+        standing = dict(read_records(rows_with_prefix(page, ROLLOUT_PREFIX)))
         for service, known in self.rollouts.records.items():
             record = more_than(standing.get(service), known)
             if record is None:
                 continue
             status = self.status_row(service, record.version, record.phase)
             value = encode(record).encode()
-            yield LostRow(ROLLOUT + service, value, (status,))
+            yield LostRow(ROLLOUT_PREFIX + service, value, (status,))
 
     async def step(self) -> None:
         """Takes each order as far as the evidence allows.
@@ -301,7 +305,7 @@
             since_ms,
             order.revision.number,
         )
-        key = ROLLOUT + order.service
+        key = ROLLOUT_PREFIX + order.service
         revision = self.read_at.get(order.service, Revision())
         outcome = await self.store.transact(
             [RowCheck(TABLE, key, revision)],
--- a/tests/lib/restored_store.py
+++ b/tests/lib/restored_store.py
@@ -2,7 +2,7 @@
 
 import contextlib
 
-from rattanpier._internal.relay.own_table import CHECKPOINT, TABLE
+from rattanpier._internal.relay.own_table import CHECKPOINT_PREFIX, TABLE
 from rattanpier._internal.standin.platform_store import StoreFault
 from tests.lib.platform_site import platform_site, until
 
@@ -61,5 +61,7 @@
     return sorted(
         key
         for (table, key), row in store.rows.items()
-        if table == TABLE and not row.deleted and not key.startswith(CHECKPOINT)
+        if table == TABLE
+        and not row.deleted
+        and not key.startswith(CHECKPOINT_PREFIX)
     )
--- a/tests/relay/test_checkpoints.py
+++ b/tests/relay/test_checkpoints.py
@@ -23,7 +23,11 @@
     find_checkpoint,
     merge_rows,
 )
-from rattanpier._internal.relay.own_table import CHECKPOINT, TABLE, OwnTable
+from rattanpier._internal.relay.own_table import (
+    CHECKPOINT_PREFIX,
+    TABLE,
+    OwnTable,
+)
 from rattanpier._internal.standin.platform_store import Door
 from tests.lib.clock import ManualClock
 from tests.lib.platform_site import dump, manifest, platform_site, route, until
@@ -31,7 +35,7 @@
 from tests.lib.warm_fleet import make_fleet
 
 OPERATORS = "op"
-ROW = CHECKPOINT + OPERATORS
+ROW = CHECKPOINT_PREFIX + OPERATORS
 SLOW_S = 4.0  # A whole manifest over a slow link.
 ROUTES = 1600
 STORE = StoreSettings(Address("10.0.0.1", 1), history_s=20.0)
--- a/tests/relay/test_crashing_requests.py
+++ b/tests/relay/test_crashing_requests.py
@@ -25,7 +25,7 @@
 from rattanpier._internal.models.sending import ReportedLoad
 from rattanpier._internal.programs.relay import close
 from rattanpier._internal.relay import worker_ends
-from rattanpier._internal.relay.own_table import HELD
+from rattanpier._internal.relay.own_table import QUARANTINED_PREFIX
 from rattanpier._internal.relay.rollouts import Rollouts
 from rattanpier._internal.retries.quarantine import HOLD_S
 from tests.lib.crashes import CRASHING_BODY, start_crashing_pool
@@ -168,7 +168,7 @@
 
 
 def has_held_row(site):
-    return any(HELD in key for _, key in site.store.rows)
+    return any(QUARANTINED_PREFIX in key for _, key in site.store.rows)
 
 
 async def test_other_entries_send_nothing_to_a_worker_that_ended(site):
--- a/tests/relay/test_held_rows.py
+++ b/tests/relay/test_held_rows.py
@@ -7,7 +7,7 @@
 from rattanpier._internal.models.outcomes import NotRun
 from rattanpier._internal.relay.fleet import EntryState, Fleet
 from rattanpier._internal.relay.held_rows import HeldRow, HeldRows
-from rattanpier._internal.relay.own_table import HELD
+from rattanpier._internal.relay.own_table import QUARANTINED_PREFIX
 from rattanpier._internal.relay.store import StoreClock
 from rattanpier._internal.retries.quarantine import HOLD_S, Quarantine
 from rattanpier._internal.utils.codec import decode, encode
@@ -77,8 +77,8 @@
         hold(rows)
         await bring_up_to_date(rows)
     assert store.calls == 1
-    assert list(store.rows) == [HELD + DEADLY]
-    row = decode(HeldRow, store.rows[HELD + DEADLY])
+    assert list(store.rows) == [QUARANTINED_PREFIX + DEADLY]
+    row = decode(HeldRow, store.rows[QUARANTINED_PREFIX + DEADLY])
     assert row == HeldRow(["w0", "w1", "w2"], NOW_MS)
 
 
@@ -117,7 +117,7 @@
     "row", [make_row(HOLD_S), FeedRow(DEADLY, b"no row", at(1))]
 )
 async def test_a_row_that_is_old_or_spoiled_is_removed(row):
-    store = FakeStore(rows={HELD + row.key: row.value})
+    store = FakeStore(rows={QUARANTINED_PREFIX + row.key: row.value})
     rows = make_rows(store)
     rows.take(row, NOW_MS)
     assert rows.quarantine.held_s(DEADLY) == 0.0
--- a/tests/relay/test_own_table.py
+++ b/tests/relay/test_own_table.py
@@ -15,8 +15,8 @@
 from rattanpier._internal.programs.relay import build_relay, close
 from rattanpier._internal.relay import checkpoints
 from rattanpier._internal.relay.own_table import (
-    FRESH_S,
-    ROLLOUT,
+    CACHE_TTL_S,
+    ROLLOUT_PREFIX,
     TABLE,
     OwnTable,
 )
@@ -90,7 +90,7 @@
     record = RolloutRecord(
         site.store.version, "plain", "v2", RolloutPhase.COMPLETED, 0.0, 0.0
     )
-    site.store.put(TABLE, f"{ROLLOUT}plain", attrs.asdict(record))
+    site.store.put(TABLE, f"{ROLLOUT_PREFIX}plain", attrs.asdict(record))
     entry = await site.add_entry()
     assert entry.state.rollouts.records["plain"].phase.final
 
@@ -113,17 +113,17 @@
 async def test_all_that_start_share_one_reading():
     store = CountingStore()
     table = OwnTable(store, ManualClock())
-    pages = await asyncio.gather(*(table.first() for _ in range(5)))
+    pages = await asyncio.gather(*(table.read_cached() for _ in range(5)))
     assert store.scans == 1
     assert all(page is pages[0] for page in pages)
     assert (await table.read()).revision == at(2)
-    table.clock.now += 2 * FRESH_S
-    assert (await table.first()).revision == at(3)
+    table.clock.now += 2 * CACHE_TTL_S
+    assert (await table.read_cached()).revision == at(3)
 
 
 async def test_a_reading_that_failed_is_made_again():
     store = CountingStore(away=1)
     table = OwnTable(store, ManualClock())
     with pytest.raises(StoreUnavailableError):
-        await table.first()
-    assert (await table.first()).rows
+        await table.read_cached()
+    assert (await table.read_cached()).rows
--- a/tests/relay/test_restoring.py
+++ b/tests/relay/test_restoring.py
@@ -11,7 +11,11 @@
 )
 from rattanpier._internal.relay.history import StoreHistory
 from rattanpier._internal.relay.known_orders import more_than
-from rattanpier._internal.relay.own_table import HELD, ROLLOUT, OwnTable
+from rattanpier._internal.relay.own_table import (
+    QUARANTINED_PREFIX,
+    ROLLOUT_PREFIX,
+    OwnTable,
+)
 from rattanpier._internal.relay.restoring import (
     MAX_ROWS_PER_TRANSACTION,
     TAKEOVER_DELAY_S,
@@ -58,7 +62,11 @@
         kept = site.store.keep_copy()
         await complete_a_rollout(site)
         hold(site)
-        expected = [*NAMES, HELD + DEADLY, f"{ROLLOUT}plain"]
+        expected = [
+            *NAMES,
+            QUARANTINED_PREFIX + DEADLY,
+            f"{ROLLOUT_PREFIX}plain",
+        ]
         await until(lambda: own_rows(site.store) == sorted(expected))
         for key in [*kept.rows]:
             if key[0] == "entries":
@@ -83,15 +91,20 @@
 async def test_a_released_request_does_not_stand_again():
     async with site_of(entries=2) as site:
         hold(site)
-        await until(lambda: HELD + DEADLY in own_rows(site.store))
+        await until(lambda: QUARANTINED_PREFIX + DEADLY in own_rows(site.store))
         kept = site.store.keep_copy()
         for entry in site.entries.values():
             entry.edge.dispatcher.quarantine.note_answered(DEADLY)
-        await until(lambda: HELD + DEADLY not in own_rows(site.store))
+        await until(
+            lambda: QUARANTINED_PREFIX + DEADLY not in own_rows(site.store)
+        )
         async with away(site):
             site.store.come_back(kept)
-            assert HELD + DEADLY in own_rows(site.store)
-        await until(lambda: HELD + DEADLY not in own_rows(site.store), BOUND_S)
+            assert QUARANTINED_PREFIX + DEADLY in own_rows(site.store)
+        await until(
+            lambda: QUARANTINED_PREFIX + DEADLY not in own_rows(site.store),
+            BOUND_S,
+        )
 
 
 # Who writes, and under which conditions.
--- a/tests/relay/test_rollout_restart.py
+++ b/tests/relay/test_rollout_restart.py
@@ -6,7 +6,7 @@
     RolloutPhase,
     RolloutRecord,
 )
-from rattanpier._internal.relay.own_table import ROLLOUT, TABLE
+from rattanpier._internal.relay.own_table import ROLLOUT_PREFIX, TABLE
 from rattanpier._internal.utils.codec import converter
 from tests.lib.platform_site import platform_site, until
 from tests.lib.relay_parts import at
@@ -23,7 +23,9 @@
     )
     order = at(site.store.version).number
     record = RolloutRecord(order, "plain", "v2", phase, 0.0, 0.0)
-    site.store.put(TABLE, f"{ROLLOUT}plain", converter.unstructure(record))
+    site.store.put(
+        TABLE, f"{ROLLOUT_PREFIX}plain", converter.unstructure(record)
+    )
 
 
 async def test_a_completed_one_is_known_before_callers_come():
