--- a/src/rattanpier/_internal/programs/relay_store.py
+++ b/src/rattanpier/_internal/programs/relay_store.py
@@ -23,10 +23,10 @@
 )
 from rattanpier._internal.relay.directory import WorkerDirectory
 from rattanpier._internal.relay.exposure import ExposureBound
-from rattanpier._internal.relay.held_rows import HeldRows
 from rattanpier._internal.relay.history import StoreHistory
 from rattanpier._internal.relay.membership import EntryRows
 from rattanpier._internal.relay.own_table import OwnTable
+from rattanpier._internal.relay.quarantine_rows import QuarantineRows
 from rattanpier._internal.relay.restoring import RowRestorer
 from rattanpier._internal.relay.rollout_driver import RolloutDriver
 from rattanpier._internal.relay.rollouts import Rollouts
@@ -83,7 +83,7 @@
     kernel = entry.kernel
     health = entry.state.health
     quarantine = entry.edge.dispatcher.quarantine
-    held = HeldRows(
+    held = QuarantineRows(
         kernel.find("store"),
         quarantine,
         entry.fleet,
@@ -98,7 +98,7 @@
         entry.fleet,
         kernel.find("clock"),
         lambda: health.available,
-        held.take,
+        held.apply_row,
     )
     kernel.spawn(rows.run())
     kernel.spawn(held.run())
@@ -111,7 +111,7 @@
         kernel.find("clock"),
         lambda: health.available,
         lambda era: entry.gossip.broadcast(StateUpdate(restored=era)),
-        (rows.lost, held.lost, driver.lost),
+        (rows.lost, held.find_lost_rows, driver.lost),
     )
     kernel.spawn(driver.run())
     kernel.spawn(restorer.run())
--- a/src/rattanpier/_internal/relay/held_rows.py
+++ b/src/rattanpier/_internal/relay/quarantine_rows.py
@@ -37,12 +37,12 @@
 
 log = structlog.get_logger(part="quarantine")
 
-RETRY_S = 1.0  # Until a row is written; entries know it meanwhile.
-MS = 1000.0
+RETRY_INTERVAL_S = 1.0  # Until a row is written; entries know it meanwhile.
+MS_PER_S = 1000.0
 
 
 @attrs.frozen
-class HeldRow:
+class QuarantineRow:
     """A held request.
 
     Attributes:
@@ -55,7 +55,7 @@
 
 
 @attrs.define(eq=False, repr=False)
-class HeldRows:
+class QuarantineRows:
     """Writes the rows that fall to this entry, and takes all in.
 
     Attributes:
@@ -75,46 +75,46 @@
         """Writes or removes the row of each content that changed."""
         while True:
             content = await self.changed.get()
-            while not await self.bring_up_to_date(content):
-                await self.clock.sleep(RETRY_S)
+            while not await self.sync_row(content):
+                await self.clock.sleep(RETRY_INTERVAL_S)
 
-    async def bring_up_to_date(self, content: str) -> bool:
+    async def sync_row(self, content: str) -> bool:
         """Writes or removes a row; says whether that is done with."""
-        if not self.is_mine(content):
+        if not self.is_assigned(content):
             return True
         if not self.available():
             return False
-        value = self.value_of(content)
+        value = self.row_value(content)
         if value is None:
             return await self.remove(content)
         put = RowPut(TABLE, QUARANTINED_PREFIX + content, value)
         return isinstance(await self.store.transact([], [put]), WrittenAt)
 
-    def value_of(self, content: str) -> bytes | None:
+    def row_value(self, content: str) -> bytes | None:
         """Returns what a content's row holds, None if it is not held."""
-        held_s = self.quarantine.held_s(content)
-        if not held_s:
+        remaining_s = self.quarantine.held_s(content)
+        if not remaining_s:
             return None
-        row = HeldRow(
+        row = QuarantineRow(
             sorted(self.quarantine.ends[content]),
-            self.store_clock.now_ms() - MS * (HOLD_S - held_s),
+            self.store_clock.now_ms() - MS_PER_S * (HOLD_S - remaining_s),
         )
         return encode(row).encode()
 
-    def lost(self, page: Page) -> Iterator[LostRow]:
+    def find_lost_rows(self, page: Page) -> Iterator[LostRow]:
         """Yields rows that the table lacks, or shows though they are gone."""
-        standing = {
+        present = {
             row.key for row in rows_with_prefix(page, QUARANTINED_PREFIX)
         }
         for content in self.quarantine.ends:
-            value = self.value_of(content)
-            if value is not None and content not in standing:
+            value = self.row_value(content)
+            if value is not None and content not in present:
                 yield LostRow(QUARANTINED_PREFIX + content, value)
-        for content in standing & self.quarantine.cleared.keys():
-            if self.value_of(content) is None:
+        for content in present & self.quarantine.cleared.keys():
+            if self.row_value(content) is None:
                 yield LostRow(QUARANTINED_PREFIX + content, None)
 
-    def is_mine(self, content: str) -> bool:
+    def is_assigned(self, content: str) -> bool:
         """Says whether a row falls to this entry, by what all know."""
         me = self.fleet.me.member.name
         return self.fleet.preferred(QUARANTINED_PREFIX + content, 1) == [me]
@@ -125,7 +125,7 @@
         outcome = await self.store.transact([], [], [check])
         return isinstance(outcome, WrittenAt)
 
-    def take(self, row: FeedRow, now_ms: float) -> None:
+    def apply_row(self, row: FeedRow, now_ms: float) -> None:
         """Takes in a row that was read.
 
         Args:
@@ -134,7 +134,7 @@
         """
         content = row.key
         try:
-            held = decode(HeldRow, row.value)
+            stored = decode(QuarantineRow, row.value)
         except UnreadableError as error:
             log.warning(
                 "Held request's row can't be read.",
@@ -143,8 +143,8 @@
             )
             self.changed.put_nowait(content)
             return
-        age_s = max(0.0, (now_ms - held.ended_ms) / MS)
-        ends = [WorkerEnd(content, worker, age_s) for worker in held.workers]
+        age_s = max(0.0, (now_ms - stored.ended_ms) / MS_PER_S)
+        ends = [WorkerEnd(content, worker, age_s) for worker in stored.workers]
         self.quarantine.take(QuarantineNews(ends))
         if age_s >= HOLD_S:
             self.changed.put_nowait(content)
--- a/tests/relay/test_held_rows.py
+++ b/tests/relay/test_quarantine_rows.py
@@ -6,8 +6,11 @@
 from rattanpier._internal.models.feed import FeedRow, WrittenAt
 from rattanpier._internal.models.outcomes import NotRun
 from rattanpier._internal.relay.fleet import EntryState, Fleet
-from rattanpier._internal.relay.held_rows import HeldRow, HeldRows
 from rattanpier._internal.relay.own_table import QUARANTINED_PREFIX
+from rattanpier._internal.relay.quarantine_rows import (
+    QuarantineRow,
+    QuarantineRows,
+)
 from rattanpier._internal.relay.store import StoreClock
 from rattanpier._internal.retries.quarantine import HOLD_S, Quarantine
 from rattanpier._internal.utils.codec import decode, encode
@@ -48,7 +51,7 @@
         if other != number
     )
     store_clock = StoreClock(clock, NOW_MS)
-    rows = HeldRows(
+    rows = QuarantineRows(
         store,
         Quarantine(clock),
         fleet,
@@ -65,9 +68,9 @@
         rows.quarantine.note_end(DEADLY, f"w{number}")
 
 
-async def bring_up_to_date(rows):
+async def sync_rows(rows):
     while not rows.changed.empty():
-        assert await rows.bring_up_to_date(rows.changed.get_nowait())
+        assert await rows.sync_row(rows.changed.get_nowait())
 
 
 async def test_one_entry_of_many_writes_a_held_request_once():
@@ -75,19 +78,19 @@
     for number in range(8):
         rows = make_rows(store, number, of=8)
         hold(rows)
-        await bring_up_to_date(rows)
+        await sync_rows(rows)
     assert store.calls == 1
     assert list(store.rows) == [QUARANTINED_PREFIX + DEADLY]
-    row = decode(HeldRow, store.rows[QUARANTINED_PREFIX + DEADLY])
-    assert row == HeldRow(["w0", "w1", "w2"], NOW_MS)
+    row = decode(QuarantineRow, store.rows[QUARANTINED_PREFIX + DEADLY])
+    assert row == QuarantineRow(["w0", "w1", "w2"], NOW_MS)
 
 
 async def test_a_row_that_is_not_written_is_tried_again():
     store = FakeStore(refused=1)
     rows = make_rows(store)
     hold(rows)
-    assert not await rows.bring_up_to_date(DEADLY)
-    assert await rows.bring_up_to_date(DEADLY)
+    assert not await rows.sync_row(DEADLY)
+    assert await rows.sync_row(DEADLY)
     assert store.rows
 
 
@@ -95,21 +98,21 @@
     store = FakeStore()
     rows = make_rows(store)
     hold(rows)
-    await bring_up_to_date(rows)
+    await sync_rows(rows)
     rows.quarantine.note_answered(DEADLY)
-    await bring_up_to_date(rows)
+    await sync_rows(rows)
     assert store.rows == {}
 
 
 def make_row(age_s):
-    held = HeldRow(["w0", "w1", "w2"], NOW_MS - 1000.0 * age_s)
+    held = QuarantineRow(["w0", "w1", "w2"], NOW_MS - 1000.0 * age_s)
     return FeedRow(DEADLY, encode(held).encode(), at(1))
 
 
 @pytest.mark.parametrize(("age_s", "held_s"), [(100.0, 500.0), (-5.0, 600.0)])
 def test_a_row_holds_for_what_is_left(age_s, held_s):
     rows = make_rows(FakeStore())
-    rows.take(make_row(age_s), NOW_MS)
+    rows.apply_row(make_row(age_s), NOW_MS)
     assert rows.quarantine.held_s(DEADLY) == held_s
 
 
@@ -119,7 +122,7 @@
 async def test_a_row_that_is_old_or_spoiled_is_removed(row):
     store = FakeStore(rows={QUARANTINED_PREFIX + row.key: row.value})
     rows = make_rows(store)
-    rows.take(row, NOW_MS)
+    rows.apply_row(row, NOW_MS)
     assert rows.quarantine.held_s(DEADLY) == 0.0
-    await bring_up_to_date(rows)
+    await sync_rows(rows)
     assert store.rows == {}
