--- a/src/rattanpier/_internal/relay/quarantine_rows.py
+++ b/src/rattanpier/_internal/relay/quarantine_rows.py
@@ -1,9 +1,10 @@
-"""Rows by which a request stays held when all entries are lost at once.
+"""Stored rows that keep requests quarantined when all entries fail at once.
 
-Entries keep what they know in memory and ask each other when they start. That
-is gone where all lose power together; the request would end three workers more.
-So one entry writes a row for each request that is held. Each entry reads its
-table at its start anyway, so that this costs one call for each held request.
+Entries keep the quarantine in memory and get it from their peers when they
+start. If all entries lose power together it is lost, and a quarantined request
+would crash three more workers. So one entry writes a row for each quarantined
+request. Entries read the table at their start anyway, so this costs one call
+for each quarantined request.
 """
 
 from __future__ import annotations
@@ -37,17 +38,18 @@
 
 log = structlog.get_logger(part="quarantine")
 
-RETRY_INTERVAL_S = 1.0  # Until a row is written; entries know it meanwhile.
+# Interval between attempts to write a row; meanwhile entries have it in memory.
+RETRY_INTERVAL_S = 1.0
 MS_PER_S = 1000.0
 
 
 @attrs.frozen
 class QuarantineRow:
-    """A held request.
+    """A quarantined request.
 
     Attributes:
-      workers: Incarnations that ended under it.
-      ended_ms: When the last one did, on the store's steady clock.
+      workers: Worker incarnations that crashed while running it.
+      ended_ms: When the last of them crashed, by the store's monotonic clock.
     """
 
     workers: list[str]
@@ -56,11 +58,18 @@
 
 @attrs.define(eq=False, repr=False)
 class QuarantineRows:
-    """Writes the rows that fall to this entry, and takes all in.
+    """Writes the rows assigned to this entry, and applies rows that are read.
+
+    A request is identified by its content.
 
     Attributes:
-      available: Whether this entry reaches the store.
-      changed: Contents that are held, or no longer.
+      store: Where the rows are stored.
+      quarantine: Requests that are quarantined.
+      fleet: Determines which entry writes a row.
+      store_clock: Clock of the stored times.
+      clock: Monotonic clock.
+      available: Returns whether this entry reaches the store.
+      changed: Contents whose quarantine began or ended.
     """
 
     store: RelayStore
@@ -72,14 +81,14 @@
     changed: asyncio.Queue[str] = attrs.Factory(asyncio.Queue)
 
     async def run(self) -> None:
-        """Writes or removes the row of each content that changed."""
+        """Syncs the row of each changed content, until cancelled."""
         while True:
             content = await self.changed.get()
             while not await self.sync_row(content):
                 await self.clock.sleep(RETRY_INTERVAL_S)
 
     async def sync_row(self, content: str) -> bool:
-        """Writes or removes a row; says whether that is done with."""
+        """Writes or removes a row; returns False if it must be retried."""
         if not self.is_assigned(content):
             return True
         if not self.available():
@@ -91,7 +100,7 @@
         return isinstance(await self.store.transact([], [put]), WrittenAt)
 
     def row_value(self, content: str) -> bytes | None:
-        """Returns what a content's row holds, None if it is not held."""
+        """Returns the row of a content, or None if it is not quarantined."""
         remaining_s = self.quarantine.held_s(content)
         if not remaining_s:
             return None
@@ -102,7 +111,7 @@
         return encode(row).encode()
 
     def find_lost_rows(self, page: Page) -> Iterator[LostRow]:
-        """Yields rows that the table lacks, or shows though they are gone."""
+        """Yields rows to write or remove after a restore of the store."""
         present = {
             row.key for row in rows_with_prefix(page, QUARANTINED_PREFIX)
         }
@@ -115,29 +124,34 @@
                 yield LostRow(QUARANTINED_PREFIX + content, None)
 
     def is_assigned(self, content: str) -> bool:
-        """Says whether a row falls to this entry, by what all know."""
+        """Returns whether a row is assigned to this entry.
+
+        All entries derive the same answer from the fleet's state.
+        """
         me = self.fleet.me.member.name
         return self.fleet.preferred(QUARANTINED_PREFIX + content, 1) == [me]
 
     async def remove(self, content: str) -> bool:
-        """Removes a row; says whether it surely is no longer there."""
+        """Removes a row; returns whether the store confirmed the removal."""
         check = RowCheck(TABLE, QUARANTINED_PREFIX + content)
         outcome = await self.store.transact([], [], [check])
         return isinstance(outcome, WrittenAt)
 
     def apply_row(self, row: FeedRow, now_ms: float) -> None:
-        """Takes in a row that was read.
+        """Applies a row that was read to the quarantine.
+
+        Expired and unreadable rows are queued for removal.
 
         Args:
-          row: Its key is the content.
-          now_ms: The store's steady clock.
+          row: A row whose key is the content.
+          now_ms: Current time of the store's monotonic clock, in ms.
         """
         content = row.key
         try:
             stored = decode(QuarantineRow, row.value)
         except UnreadableError as error:
             log.warning(
-                "Held request's row can't be read.",
+                "Row of a quarantined request is unreadable.",
                 row=row.key,
                 error=str(error),
             )
