--- a/src/rattanpier/_internal/relay/own_table.py
+++ b/src/rattanpier/_internal/relay/own_table.py
@@ -1,8 +1,8 @@
-"""The system's own table, read once by a start for all that keep rows there.
+"""The system's own table in the store, read once during start-up.
 
-Calls to the store are paid for, and most of them are made by starts. Entries'
-rows, held requests, roll-outs' records and the checkpoint of the operators'
-table stand in one table, so that one call reads them all.
+Calls to the store are billed, and most of them are made by starting entries. So
+the rows of entries, quarantined requests, roll-out records and the checkpoint
+of the operators' table are kept in one table, which one call reads.
 """
 
 from __future__ import annotations
@@ -16,22 +16,24 @@
 from rattanpier._internal.utils.clock import Clock
 
 TABLE = "entries"
-# What a key begins with says what its row is; entries' names begin with none.
+# The prefix of a key gives the kind of its row. Keys of entries have no prefix.
 QUARANTINED_PREFIX = "held/"
 ROLLOUT_PREFIX = "rollout/"
 CHECKPOINT_PREFIX = "checkpoint/"
-# A start asks for the first reading several times within a moment.
+# Start-up requests the table several times within a short time.
 CACHE_TTL_S = 2.0
 
 
 @attrs.define(eq=False, repr=False)
 class OwnTable:
-    """Reads the table.
+    """Reads the table, with a short-lived cache for start-up.
 
     Attributes:
-      lock: So that a reading under way is waited for.
-      page: The last reading.
-      read_at: When it was asked for, in monotonic seconds.
+      store: Where the table is read.
+      clock: Monotonic clock.
+      lock: Makes concurrent callers wait for and share one read.
+      page: Result of the last cached read, None before.
+      read_at: When that read was requested, in monotonic seconds.
     """
 
     store: RelayStore
@@ -41,18 +43,18 @@
     read_at: float = float("-inf")
 
     async def read(self) -> Page:
-        """Reads all rows.
+        """Reads all rows, bypassing the cache.
 
         Raises:
-          StoreUnavailableError: No answer in time.
+          StoreUnavailableError: The store did not answer in time.
         """
         return await self.store.scan(TABLE)
 
     async def read_cached(self) -> Page:
-        """Returns all rows, as others asked for them just now, or reads them.
+        """Returns all rows, cached if they were read within `CACHE_TTL_S`.
 
         Raises:
-          StoreUnavailableError: No answer in time.
+          StoreUnavailableError: The store did not answer in time.
         """
         async with self.lock:
             now = self.clock.monotonic()
@@ -63,7 +65,7 @@
 
 
 def rows_with_prefix(page: Page, prefix: str) -> list[FeedRow]:
-    """Returns the rows of a kind, their keys without the prefix.
+    """Returns the rows whose keys have a prefix, without it in the keys.
 
     >>> from rattanpier._internal.models.revision import Revision
     >>> rows = [FeedRow(key, b"", Revision()) for key in ("e1", "held/x")]
@@ -79,7 +81,7 @@
 
 
 def is_entry_row(row: FeedRow) -> bool:
-    """Says whether a row is an entry's."""
+    """Returns whether a row is that of an entry."""
     return not row.key.startswith(
         (QUARANTINED_PREFIX, ROLLOUT_PREFIX, CHECKPOINT_PREFIX)
     )
