--- a/tests/relay/test_watch.py
+++ b/tests/relay/test_watch.py
@@ -48,15 +48,15 @@
     return [entry.gossip.followers[table] for entry in site.entries.values()]
 
 
-def knows_all(entry, count):
+def knows_all_peers(entry, count):
     live = entry.fleet.live()
-    return len(live) == count and all(news.store for news in live)
+    return len(live) == count and all(member.store for member in live)
 
 
-async def all_covered(site):
+async def wait_until_up_to_date(site):
     count = len(site.entries)
     for entry in site.entries.values():
-        await until(lambda entry=entry: knows_all(entry, count))
+        await until(lambda entry=entry: knows_all_peers(entry, count))
     for table in ("op", "servers"):
         for each in followers(site, table):
             await until(
@@ -64,16 +64,16 @@
             )
 
 
-async def test_two_watch_and_the_others_make_no_calls(site):
-    await all_covered(site)
+async def test_only_two_entries_call_the_store(site):
+    await wait_until_up_to_date(site)
     watching = [each for each in followers(site) if each.is_watcher()]
     assert len(watching) == WATCHER_COUNT
-    resting = [each for each in followers(site) if not each.is_watcher()]
-    assert all(each.should_wait() for each in resting)
+    idle = [each for each in followers(site) if not each.is_watcher()]
+    assert all(each.should_wait() for each in idle)
 
 
-async def test_a_change_reaches_all(site):
-    await all_covered(site)
+async def test_a_change_reaches_all_entries(site):
+    await wait_until_up_to_date(site)
     site.store.put("op", "config", manifest(version=8))
     site.register("w1", state="draining")
     for entry in site.entries.values():
@@ -83,8 +83,8 @@
         )
 
 
-async def test_a_long_row_is_fetched_by_each(site):
-    await all_covered(site)
+async def test_each_entry_fetches_a_row_too_large_to_publish(site):
+    await wait_until_up_to_date(site)
     document = manifest(version=8)
     document["tenants"] += [
         {"name": site.new_id(), "apiKeys": [site.new_id()]} for _ in range(400)
@@ -94,22 +94,22 @@
         await until(lambda entry=entry: entry.state.table_version == 8)
 
 
-def test_news_that_are_too_long_say_so_without_their_rows():
+def test_an_update_over_the_size_limit_is_sent_without_rows():
     text = "".join(f"{number * 7919:x}" for number in range(9000)).encode()
-    news = TableUpdate(
+    update = TableUpdate(
         "t", at(1), at(2), 3.0, [FeedRow("k", text, at(2))], False
     )
-    told = unpack(TableUpdate, pack_update(news))
-    assert told.rows is None
-    assert (told.since, told.revision) == (at(1), at(2))
+    decoded = unpack(TableUpdate, pack_update(update))
+    assert decoded.rows is None
+    assert (decoded.since, decoded.revision) == (at(1), at(2))
     short = TableUpdate(
         "t", at(1), at(2), 3.0, [FeedRow("k", b"v", at(2))], False
     )
     assert unpack(TableUpdate, pack_update(short)) == short
 
 
-async def test_after_the_history_is_gone_all_know_what_is(site):
-    await all_covered(site)
+async def test_all_entries_recover_after_the_change_history_expires(site):
+    await wait_until_up_to_date(site)
     site.store.put("op", "config", manifest(version=8))
     site.store.compact()
     site.store.put("op", "config", manifest(version=9))
@@ -117,29 +117,29 @@
         await until(lambda entry=entry: entry.state.table_version == 9)
 
 
-async def test_an_entry_that_hears_nothing_watches_for_itself(site):
-    await all_covered(site)
-    deaf = next(each for each in followers(site) if not each.is_watcher())
-    deaf.received_at -= WATCHER_TIMEOUT_S
-    assert not deaf.should_wait()
+async def test_an_entry_without_updates_reads_the_feed_itself(site):
+    await wait_until_up_to_date(site)
+    isolated = next(each for each in followers(site) if not each.is_watcher())
+    isolated.received_at -= WATCHER_TIMEOUT_S
+    assert not isolated.should_wait()
 
 
-def test_a_whole_table_is_taken_from_a_watcher(clock):
-    taken = []
+def test_a_whole_table_from_a_watcher_is_applied(clock):
+    applied = []
     rows = [FeedRow("w1", b"v", at(4)), FeedRow("w2", b"v", at(9))]
     for since in (None, at(5)):
         follower, _ = make_follower(clock, None, lambda: None, since)
-        follower.on_page = lambda page, _settling: taken.append(page)
+        follower.on_page = lambda page, _settling: applied.append(page)
         follower.apply_update(
             TableUpdate("op", at(9), at(9), 1.0, rows, False, whole=True)
         )
         assert follower.since == at(9)
         assert follower.is_up_to_date()
         assert not follower.fetch_pending
-    assert [(page.rows, page.whole) for page in taken] == [(rows, True)] * 2
+    assert [(page.rows, page.whole) for page in applied] == [(rows, True)] * 2
 
 
-def test_changes_behind_what_is_known_are_fetched(clock):
+def test_an_update_with_a_gap_triggers_a_fetch(clock):
     follower, _ = make_follower(clock, None, lambda: None, at(5))
     rows = [FeedRow("w2", b"v", at(9))]
     follower.apply_update(TableUpdate("op", at(7), at(9), 1.0, rows, False))
@@ -147,22 +147,22 @@
     assert follower.since == at(5)
 
 
-async def test_one_that_read_all_waits_for_what_watchers_tell(clock):
+async def test_a_non_watcher_waits_for_updates_after_its_first_full_read(clock):
     page = Page([FeedRow("w1", b"v", at(9))], at(9), 1.0, whole=True)
     follower, _ = make_follower(clock, page, lambda: None, None)
     follower.health.record_answer()
-    follower.store.answer.set()
+    follower.store.release.set()
     await follower.step()
     assert follower.should_wait()
     clock.now += WATCHER_TIMEOUT_S
     assert not follower.should_wait()
 
 
-async def test_one_that_reads_all_again_does_not_wait_for_watchers(clock):
+async def test_a_non_watcher_does_not_wait_after_a_repeated_full_read(clock):
     page = Page([FeedRow("w1", b"v", at(9))], at(9), 1.0, whole=True)
     follower, _ = make_follower(clock, page, lambda: None, None)
     follower.health.record_answer()
-    follower.store.answer.set()
+    follower.store.release.set()
     await follower.step()
     clock.now += WATCHER_TIMEOUT_S
     # The store lost its history, and nobody tells anything.
@@ -171,11 +171,11 @@
     assert not follower.should_wait()
 
 
-async def test_one_that_starts_does_not_watch_before_it_knows_the_others(clock):
+async def test_a_starting_entry_does_not_watch_before_it_knows_its_peers(clock):
     page = Page([FeedRow("w1", b"v", at(9))], at(9), 1.0, whole=True)
     # It knows of no other that reaches the store.
     follower, _ = make_follower(clock, page, lambda: 0, None)
-    follower.store.answer.set()
+    follower.store.release.set()
     step = asyncio.create_task(follower.step())
     await until(lambda: follower.since == at(9))
     assert follower.should_wait()
@@ -185,7 +185,7 @@
 
 
 async def test_a_lost_history_costs_the_watchers_calls_alone(site):
-    await all_covered(site)
+    await wait_until_up_to_date(site)
     await asyncio.sleep(STARTUP_GRACE_S)
     site.store.calls.clear()
     site.store.put("op", "config", manifest(version=8))
@@ -196,24 +196,24 @@
     assert len([call for call in site.store.calls if "get" in call]) <= 4
 
 
-class SlowStore:
+class BlockingStore:
     """Answers one call when it is told to."""
 
     def __init__(self, page):
         self.page = page
-        self.asked = asyncio.Event()
-        self.answer = asyncio.Event()
+        self.called = asyncio.Event()
+        self.release = asyncio.Event()
 
     async def changes(self, _table, _since, _wait_s):
-        self.asked.set()
-        await self.answer.wait()
+        self.called.set()
+        await self.release.wait()
         return self.page
 
     async def scan(self, _table):
         return await self.changes(_table, 0, 0.0)
 
 
-def later(follower, count):
+def revision_after(follower, count):
     """A revision some versions after the one that a follower knows."""
     since = follower.since
     return at(since.version + count, since.era)
@@ -221,56 +221,56 @@
 
 def make_follower(clock, page, rank, since):
     """A follower, and what it tells."""
-    told = []
+    published = []
     follower = TableFollower(
-        store=SlowStore(page),
+        store=BlockingStore(page),
         clock=clock,
         health=StoreHealth(clock),
         store_clock=StoreClock(clock),
         table="op",
         on_page=lambda _page, _settling: None,
         rank=rank,
-        publish=told.append,
+        publish=published.append,
         history=StoreHistory(clock, Metrics()),
         since=since,
     )
-    return follower, told
+    return follower, published
 
 
 @pytest.mark.parametrize(
-    ("whole", "since", "told_since"),
+    ("whole", "since", "expected_since"),
     [(False, at(5), at(5)), (True, None, at(9))],
 )
-async def test_one_that_watches_from_the_middle_of_a_call_tells_what_it_got(
-    clock, whole, since, told_since
+async def test_an_entry_that_becomes_a_watcher_during_a_call_publishes(
+    clock, whole, since, expected_since
 ):
     rows = [FeedRow("config", b"v", at(9))]
     ranks = [None]
-    follower, told = make_follower(
+    follower, published = make_follower(
         clock, Page(rows, at(9), 1.0, whole), lambda: ranks[-1], since
     )
     step = asyncio.create_task(follower.step())
-    await follower.store.asked.wait()
+    await follower.store.called.wait()
     ranks.append(0)
-    follower.store.answer.set()
-    await until(lambda: told)
-    (news,) = told
-    assert (news.since, news.revision) == (told_since, at(9))
-    assert (news.rows, news.whole) == (rows, whole)
+    follower.store.release.set()
+    await until(lambda: published)
+    (update,) = published
+    assert (update.since, update.revision) == (expected_since, at(9))
+    assert (update.rows, update.whole) == (rows, whole)
     step.cancel()
 
 
-async def test_one_that_does_not_watch_tells_nothing(clock):
-    follower, told = make_follower(
+async def test_a_non_watcher_publishes_nothing(clock):
+    follower, published = make_follower(
         clock, Page([], at(9), 1.0, False), lambda: None, at(5)
     )
-    follower.store.answer.set()
+    follower.store.release.set()
     await follower.step()
-    assert told == []
+    assert published == []
 
 
-async def test_one_that_hears_of_more_than_it_knows_asks_at_once(site):
-    await all_covered(site)
+async def test_an_entry_that_missed_a_change_reads_at_once(site):
+    await wait_until_up_to_date(site)
     for each in followers(site):
         if each.is_watcher():
             continue
@@ -279,13 +279,20 @@
         each.requested_at = each.clock.monotonic()
         assert each.should_wait()
         each.apply_update(
-            TableUpdate("op", later(each, 5), later(each, 6), 1.0, [], False)
+            TableUpdate(
+                "op",
+                revision_after(each, 5),
+                revision_after(each, 6),
+                1.0,
+                [],
+                False,
+            )
         )
         assert not each.should_wait()
         assert not each.is_up_to_date()
 
 
-async def test_a_store_that_turned_one_entry_away_was_not_away(clock):
+async def test_rejection_of_one_entry_is_not_an_outage(clock):
     health = StoreHealth(clock)
     health.record_answer()
     health.record_failure(TimeoutError())
@@ -297,7 +304,9 @@
     assert not health.settling()
 
 
-async def test_after_an_outage_for_all_registrations_may_come_back(clock):
+async def test_registrations_may_reappear_after_an_outage_for_all_entries(
+    clock,
+):
     health = StoreHealth(clock)
     health.record_answer()
     health.record_failure(TimeoutError())
@@ -311,23 +320,23 @@
     assert not health.settling()
 
 
-async def test_a_removal_is_believed_though_its_teller_was_turned_away(site):
-    await all_covered(site)
-    hearer = next(
+async def test_a_removal_applies_though_its_publisher_was_rejected_before(site):
+    await wait_until_up_to_date(site)
+    receiver = next(
         entry
         for entry in site.entries.values()
         if not entry.gossip.followers["servers"].is_watcher()
     )
-    follower = hearer.gossip.followers["servers"]
-    since, then = follower.since, later(follower, 1)
+    follower = receiver.gossip.followers["servers"]
+    since, then = follower.since, revision_after(follower, 1)
     gone = FeedRow("w1", b"", then, deleted=True)
     follower.apply_update(
         TableUpdate("servers", since, then, 1.0, [gone], settling=True)
     )
-    assert not hearer.state.directory.workers
+    assert not receiver.state.directory.workers
 
 
-async def test_one_that_the_store_turns_away_does_not_watch():
+async def test_an_entry_that_the_store_rejects_stops_watching():
     async with platform_site() as site:
         await site.add_worker("w1")
         doors = {}
@@ -336,7 +345,7 @@
             doors[name] = Door()
             address = await site.add_door(doors[name])
             await site.add_entry(name, store=address)
-        await all_covered(site)
+        await wait_until_up_to_date(site)
         first = next(
             name
             for name, entry in site.entries.items()
@@ -351,8 +360,8 @@
             await until(lambda other=other: other.state.table_version == 8)
 
 
-async def test_in_an_outage_few_look_for_the_store(site):
-    await all_covered(site)
+async def test_few_entries_poll_the_store_in_an_outage(site):
+    await wait_until_up_to_date(site)
     site.store.set_fault(StoreFault.BUSY)
     for entry in site.entries.values():
         await until(lambda entry=entry: not entry.state.health.available)
@@ -367,17 +376,17 @@
         await until(lambda entry=entry: entry.state.health.available)
 
 
-async def test_only_the_first_watcher_tells_while_it_lives(site):
-    await all_covered(site)
-    told = {0: 0, 1: 0}
+async def test_only_the_first_watcher_publishes_while_it_is_alive(site):
+    await wait_until_up_to_date(site)
+    published = {0: 0, 1: 0}
     for each in followers(site):
         rank = each.rank()
         if rank is None:
             continue
 
-        def count(news, rank=rank, tell=each.publish):
-            told[rank] += 1
-            tell(news)
+        def count(update, rank=rank, publish=each.publish):
+            published[rank] += 1
+            publish(update)
 
         each.publish = count
     for version in (8, 9, 10):
@@ -386,12 +395,12 @@
             await until(
                 lambda entry=entry: entry.state.table_version == version  # noqa: B023
             )
-    assert told[0] >= 3
-    assert told[1] == 0
+    assert published[0] >= 3
+    assert published[1] == 0
 
 
-async def test_changes_in_quick_succession_are_told_together(site):
-    await all_covered(site)
+async def test_changes_in_quick_succession_are_batched(site):
+    await wait_until_up_to_date(site)
     site.store.calls.clear()
     for version in range(8, 28):
         site.store.put("op", "config", manifest(version=version))
@@ -402,7 +411,7 @@
     assert len(site.store.calls) <= 2 * 2 * 6
 
 
-async def test_entries_that_start_in_an_outage_leave_the_store_alone():
+async def test_entries_that_start_in_an_outage_do_not_flood_the_store():
     async with platform_site() as site:
         await site.add_worker("w1")
         site.store.set_fault(StoreFault.BUSY)
@@ -425,34 +434,34 @@
 # A new era: the store came back from an older copy.
 
 
-def new_era_news(rows, whole=False, version=3):
+def new_era_update(rows, whole=False, version=3):
     since = at(version - 1, era=2)
     return TableUpdate("op", since, at(version, 2), 1.0, rows, False, whole)
 
 
-def test_a_lower_version_of_a_new_era_is_news(clock):
-    taken = []
+def test_a_lower_version_of_a_new_era_is_applied(clock):
+    applied = []
     follower, _ = make_follower(clock, None, lambda: None, at(9))
-    follower.on_page = lambda page, _settling: taken.append(page)
+    follower.on_page = lambda page, _settling: applied.append(page)
     rows = [FeedRow("w1", b"v", at(3, era=2))]
-    follower.apply_update(new_era_news(rows, whole=True))
+    follower.apply_update(new_era_update(rows, whole=True))
     assert follower.since == at(3, era=2)
     assert follower.is_up_to_date()
-    assert [page.rows for page in taken] == [rows]
+    assert [page.rows for page in applied] == [rows]
 
 
 @pytest.mark.parametrize("version", [3, 10, 12])
-def test_changes_of_a_new_era_follow_nothing_of_the_one_before(clock, version):
+def test_changes_of_a_new_era_do_not_continue_the_earlier_one(clock, version):
     follower, _ = make_follower(clock, None, lambda: None, at(9))
     follower.received_at = clock.monotonic()
     assert follower.is_up_to_date()
-    follower.apply_update(new_era_news([], version=version))
+    follower.apply_update(new_era_update([], version=version))
     assert follower.since == at(9)
     assert not follower.is_up_to_date()
     assert not follower.should_wait()
 
 
-def test_what_is_told_of_an_era_before_counts_for_nothing(clock):
+def test_updates_of_an_earlier_era_are_ignored(clock):
     follower, _ = make_follower(clock, None, lambda: None, at(3, era=2))
     follower.history.record_era(2, "store")
     rows = [FeedRow("w1", b"v", at(10))]
@@ -465,40 +474,40 @@
     assert not follower.accept(Page(rows, at(10), 1.0, whole=True), False)
 
 
-async def test_a_feed_that_waits_in_an_era_that_ended_is_given_up(clock):
+async def test_a_new_era_cancels_a_waiting_feed_call(clock):
     page = Page([], at(4, era=2), 1.0, whole=True)
     follower, _ = make_follower(clock, page, lambda: 0, at(9))
     follower.health.record_answer()
     follower.history.record_era(1, "store")
     step = asyncio.create_task(follower.step())
-    await follower.store.asked.wait()
+    await follower.store.called.wait()
     follower.history.record_era(2, "peer")
     await step
     assert follower.since == at(9)
     assert not follower.should_wait()
-    follower.store.answer.set()
+    follower.store.release.set()
     step = asyncio.create_task(follower.step())
     await until(lambda: follower.since == at(4, era=2))
     step.cancel()
 
 
-async def test_an_answer_that_a_new_era_overtook_is_left_out(clock):
+async def test_an_answer_from_before_a_new_era_is_ignored(clock):
     page = Page([FeedRow("w1", b"v", at(10))], at(10), 1.0, whole=False)
-    follower, told = make_follower(clock, page, lambda: 0, at(9))
+    follower, published = make_follower(clock, page, lambda: 0, at(9))
     follower.history.record_era(2, "peer")
     assert not follower.accept(page, False)
     assert follower.since == at(9)
-    assert told == []
+    assert published == []
 
 
-def test_changes_that_a_store_of_a_new_era_tells_are_left_out(clock):
+def test_changes_of_an_unread_new_era_are_ignored(clock):
     follower, _ = make_follower(clock, None, lambda: 0, at(9))
     rows = [FeedRow("w1", b"v", at(10, era=2))]
     assert not follower.accept(Page(rows, at(12, era=2), 1.0, False), False)
     assert follower.since == at(9)
 
 
-async def test_those_that_do_not_watch_wait_for_those_that_do(clock):
+async def test_non_watchers_wait_for_watchers_in_a_new_era(clock):
     follower, _ = make_follower(clock, None, lambda: None, at(9))
     follower.health.record_answer()
     follower.history.record_era(1, "store")
@@ -512,8 +521,8 @@
     assert follower.should_wait()
 
 
-async def test_all_know_a_new_era_by_the_calls_of_those_that_watch(site):
-    await all_covered(site)
+async def test_only_watchers_read_the_tables_of_a_new_era(site):
+    await wait_until_up_to_date(site)
     await asyncio.sleep(STARTUP_GRACE_S)
     kept = site.store.keep_copy()
     site.store.put("op", "config", manifest(version=8))
@@ -525,12 +534,12 @@
     for entry in site.entries.values():
         await until(lambda entry=entry: entry.state.table_version == 9)
     tables = len(site.entries["entry-0"].gossip.followers)
-    readings = [call for call in site.store.calls if "get" in call]
-    assert len(readings) <= WATCHER_COUNT * tables
+    full_reads = [call for call in site.store.calls if "get" in call]
+    assert len(full_reads) <= WATCHER_COUNT * tables
 
 
 @pytest.mark.parametrize("step_ms", [-7000.0, 0.0, 30_000.0])
-async def test_the_stores_clock_goes_on_over_a_new_era(clock, step_ms):
+async def test_the_store_clock_is_continuous_across_eras(clock, step_ms):
     store_clock = StoreClock(clock)
     store_clock.record_time(50_000.0, 1)
     for second in range(1, 4):
