--- a/tests/relay/test_watch.py
+++ b/tests/relay/test_watch.py
@@ -1,4 +1,4 @@
-"""Few entries watch the store, and all hear of every change."""
+"""Tests that few entries read the store while all receive every change."""
 
 import asyncio
 
@@ -165,7 +165,7 @@
     follower.store.release.set()
     await follower.step()
     clock.now += WATCHER_TIMEOUT_S
-    # The store lost its history, and nobody tells anything.
+    # The store dropped its change history, and no watcher publishes.
     follower.since = None
     await follower.step()
     assert not follower.should_wait()
@@ -173,7 +173,7 @@
 
 async def test_a_starting_entry_does_not_watch_before_it_knows_its_peers(clock):
     page = Page([FeedRow("w1", b"v", at(9))], at(9), 1.0, whole=True)
-    # It knows of no other that reaches the store.
+    # No known peer reaches the store, so that this entry ranks first.
     follower, _ = make_follower(clock, page, lambda: 0, None)
     follower.store.release.set()
     step = asyncio.create_task(follower.step())
@@ -197,7 +197,7 @@
 
 
 class BlockingStore:
-    """Answers one call when it is told to."""
+    """Answers a call when `release` is set."""
 
     def __init__(self, page):
         self.page = page
@@ -214,13 +214,13 @@
 
 
 def revision_after(follower, count):
-    """A revision some versions after the one that a follower knows."""
+    """Returns a revision some versions after the one a follower applied."""
     since = follower.since
     return at(since.version + count, since.era)
 
 
 def make_follower(clock, page, rank, since):
-    """A follower, and what it tells."""
+    """Returns a follower and the list of updates that it publishes."""
     published = []
     follower = TableFollower(
         store=BlockingStore(page),
@@ -274,7 +274,7 @@
     for each in followers(site):
         if each.is_watcher():
             continue
-        # It lost the store, missed a change, and hears that there was one.
+        # It lost the store, and an update shows that it missed a change.
         each.health.available = False
         each.requested_at = each.clock.monotonic()
         assert each.should_wait()
@@ -297,7 +297,7 @@
     health.record_answer()
     health.record_failure(TimeoutError())
     for _ in range(5):
-        # Watchers' news go on coming.
+        # Updates of watchers still arrive.
         await clock.advance(2.0)
         health.record_reachable()
     health.record_answer()
@@ -311,7 +311,7 @@
     health.record_answer()
     health.record_failure(TimeoutError())
     await clock.advance(4.0)
-    # Another entry sees it first, and tells.
+    # A peer detects the recovery first and reports it.
     health.record_reachable()
     await clock.advance(0.3)
     health.record_answer()
@@ -365,11 +365,12 @@
     site.store.set_fault(StoreFault.BUSY)
     for entry in site.entries.values():
         await until(lambda entry=entry: not entry.state.health.available)
-    await asyncio.sleep(1.5)  # Until the entries know of each other's loss.
+    # Until the entries know that their peers don't reach the store either.
+    await asyncio.sleep(1.5)
     site.store.calls.clear()
     await asyncio.sleep(2.0)
-    # Two that look for it at most four times a second and table, and three
-    # that ask once in two seconds.
+    # Two watchers poll each table at most four times a second, and three other
+    # entries poll it once in two seconds.
     assert len(site.store.calls) <= 2 * 2 * 2 * 4 + 3 * 2 * 2
     site.store.set_fault(StoreFault.NONE)
     for entry in site.entries.values():
@@ -407,7 +408,7 @@
         await asyncio.sleep(0.02)
     for entry in site.entries.values():
         await until(lambda entry=entry: entry.state.table_version == 27)
-    # Two watchers, a call each 0.3 s, in about half a second.
+    # Two watchers call once in 0.3 s, for about half a second.
     assert len(site.store.calls) <= 2 * 2 * 6
 
 
@@ -423,15 +424,15 @@
             await until(lambda entry=entry: len(entry.fleet.live()) == 6)
         site.store.calls.clear()
         await asyncio.sleep(2.0)
-        # Two that look for it at most four times a second and table, and four
-        # that ask once in two seconds; no writes and no other reads.
+        # Two watchers poll each table at most four times a second, and four
+        # other entries once in two seconds; no writes and no other reads.
         assert len(site.store.calls) <= 2 * 2 * 2 * 4 + 4 * 2 * 2
         site.store.set_fault(StoreFault.NONE)
         for entry in site.entries.values():
             await until(entry.ready)
 
 
-# A new era: the store came back from an older copy.
+# A new era: the store was restored from a backup.
 
 
 def new_era_update(rows, whole=False, version=3):
@@ -515,7 +516,7 @@
     assert follower.should_wait()
     clock.now += ERA_UPDATE_WAIT_S
     assert not follower.should_wait()
-    # One that the store turns away does not ask it again and again.
+    # An entry that the store rejects does not call it continuously.
     follower.health.record_failure(TimeoutError())
     follower.requested_at = clock.monotonic()
     assert follower.should_wait()
