--- a/tests/relay/test_store_eras.py
+++ b/tests/relay/test_store_eras.py
@@ -46,25 +46,27 @@
     return client.transact(checks, [RowPut(TABLE, KEY, value)])
 
 
-async def test_each_answer_tells_its_era_also_a_refusal(site, client, history):
-    kept = site.store.keep_copy()
+async def test_each_response_reports_its_era_even_on_errors(
+    site, client, history
+):
+    backup = site.store.keep_copy()
     site.store.put(TABLE, KEY, "x")
     page = await client.scan(TABLE)
     assert (page.revision.era, history.era) == (1, 1)
-    site.store.come_back(kept)
+    site.store.come_back(backup)
     with pytest.raises(HistoryGoneError):
         await client.changes(TABLE, page.revision, 0.0)
     assert history.era == 2
-    site.store.come_back(kept)
+    site.store.come_back(backup)
     assert isinstance(await write(client, at(99, 2), b"y"), Conflict)
     assert history.era == 3
 
 
-async def test_a_condition_of_an_earlier_era_is_not_sent(site, client):
+async def test_a_check_from_an_earlier_era_fails_without_a_call(site, client):
     written = await write(client, at(0, 0), b"1")
     assert isinstance(written, WrittenAt)
-    kept = site.store.keep_copy()
-    site.store.come_back(kept)
+    backup = site.store.keep_copy()
+    site.store.come_back(backup)
     page = await client.scan(TABLE)
     site.store.calls.clear()
     assert isinstance(await write(client, written.revision, b"2"), Conflict)
@@ -73,10 +75,10 @@
     assert isinstance(await write(client, row.revision, b"2"), WrittenAt)
 
 
-async def test_a_condition_that_held_for_another_row_is_doubtful(site, client):
-    kept = site.store.keep_copy()
+async def test_a_check_that_matches_another_row_is_uncertain(site, client):
+    backup = site.store.keep_copy()
     written = await write(client, at(0, 0), b"1")
-    site.store.come_back(kept)
+    site.store.come_back(backup)
     # The same version, given out again for another row.
     site.store.put(TABLE, KEY, "other")
     assert site.store.version == written.revision.version
@@ -84,17 +86,17 @@
     assert isinstance(outcome, Uncertain)
 
 
-async def test_a_table_of_two_eras_is_no_reading(monkeypatch):
+async def test_a_scan_that_spans_two_eras_fails(monkeypatch):
     monkeypatch.setattr(rows, "PAGE_ROWS", 2)
     scan = PlatformStoreServer.scan
 
-    async def scan_and_go_back(server, request):
+    async def scan_and_restore(server, request):
         answer = await scan(server, request)
         await answer.prepare(request)
         server.come_back(server.keep_copy())
         return answer
 
-    monkeypatch.setattr(PlatformStoreServer, "scan", scan_and_go_back)
+    monkeypatch.setattr(PlatformStoreServer, "scan", scan_and_restore)
     async with platform_site() as site:
         for number in range(3):
             site.store.put(TABLE, f"e{number}", "x")
@@ -105,10 +107,10 @@
             await client.scan(TABLE)
 
 
-def test_an_answer_without_an_era_is_of_the_newest_one(client, history):
+def test_a_response_without_an_era_has_the_newest_one(client, history):
     history.record_era(3, "peer")
     for headers in ({}, {rows.ERA: "new"}, {rows.ERA: "-1"}):
         assert client.era_of(types.SimpleNamespace(headers=headers)) == 3
-    late = types.SimpleNamespace(headers={rows.ERA: "2"})
-    assert client.era_of(late) == 2
+    response = types.SimpleNamespace(headers={rows.ERA: "2"})
+    assert client.era_of(response) == 2
     assert history.era == 3
