--- a/tests/lib/restored_store.py
+++ b/tests/lib/restored_store.py
@@ -8,7 +8,7 @@
 
 
 @contextlib.asynccontextmanager
-async def site_of(entries, workers=2, **more):
+async def restorable_site(entries, workers=2, **more):
     """A site with plain workers and entries that know each other."""
     async with platform_site(**more) as site:
         for number in range(1, workers + 1):
@@ -22,10 +22,10 @@
     seeds = [str(first.settings.peers)]
     for number in range(2, count + 1):
         await site.add_entry(f"entry-{number}", seeds=seeds)
-    await all_know_each_other(site)
+    await wait_until_connected(site)
 
 
-async def all_know_each_other(site):
+async def wait_until_connected(site):
     count = len(site.entries)
     for entry in site.entries.values():
         await until(
@@ -36,14 +36,14 @@
         )
 
 
-def write_more(store, count):
+def advance_version(store, count):
     """Rows of a table that nobody reads: versions go on rising."""
     for number in range(count):
         store.put("other", f"row-{number}", {})
 
 
 @contextlib.asynccontextmanager
-async def away(site):
+async def store_outage(site):
     """The store answers nobody meanwhile, as all entries notice."""
     site.store.set_fault(StoreFault.BUSY)
     for entry in site.entries.values():
@@ -52,11 +52,11 @@
     site.store.set_fault(StoreFault.NONE)
 
 
-def all_entries(site, true):
-    return all(map(true, site.entries.values()))
+def all_entries_match(site, predicate):
+    return all(map(predicate, site.entries.values()))
 
 
-def own_rows(store):
+def own_table_keys(store):
     """Keys of the system's own table, but the checkpoint's."""
     return sorted(
         key
--- a/tests/relay/test_restoring.py
+++ b/tests/relay/test_restoring.py
@@ -26,12 +26,17 @@
 from tests.lib.clock import ManualClock
 from tests.lib.platform_site import until
 from tests.lib.relay_parts import at
-from tests.lib.restored_store import all_entries, away, own_rows, site_of
+from tests.lib.restored_store import (
+    all_entries_match,
+    own_table_keys,
+    restorable_site,
+    store_outage,
+)
 from tests.lib.warm_fleet import make_fleet
 
 NAMES = ["entry-1", "entry-2", "entry-3"]
-DEADLY = "deadly"
-BOUND_S = 4.0
+CONTENT = "deadly"
+TIMEOUT_S = 4.0
 
 
 async def complete_a_rollout(site):
@@ -50,37 +55,39 @@
         entry.state.rollouts.take_record(record)
 
 
-def hold(site):
+def quarantine_request(site):
     """Every entry knows of a request that ended three workers."""
     for entry in site.entries.values():
         for number in range(3):
-            entry.edge.dispatcher.quarantine.note_end(DEADLY, f"gone-{number}")
+            entry.edge.dispatcher.quarantine.note_end(CONTENT, f"gone-{number}")
 
 
-async def test_what_the_copy_lacks_is_written_again_by_one_entry():
-    async with site_of(entries=3) as site:
-        kept = site.store.keep_copy()
+async def test_one_entry_restores_the_rows_that_the_backup_lacks():
+    async with restorable_site(entries=3) as site:
+        backup = site.store.keep_copy()
         await complete_a_rollout(site)
-        hold(site)
+        quarantine_request(site)
         expected = [
             *NAMES,
-            QUARANTINED_PREFIX + DEADLY,
+            QUARANTINED_PREFIX + CONTENT,
             f"{ROLLOUT_PREFIX}plain",
         ]
-        await until(lambda: own_rows(site.store) == sorted(expected))
-        for key in [*kept.rows]:
+        await until(lambda: own_table_keys(site.store) == sorted(expected))
+        for key in [*backup.rows]:
             if key[0] == "entries":
-                del kept.rows[key]
-        async with away(site):
-            site.store.come_back(kept)
+                del backup.rows[key]
+        async with store_outage(site):
+            site.store.come_back(backup)
             order = {"service": "plain", "to": "v2", "deadlineS": 20}
             site.store.put("op", "rollout/plain", order)
             site.store.calls.clear()
-        await until(lambda: own_rows(site.store) == sorted(expected), BOUND_S)
+        await until(
+            lambda: own_table_keys(site.store) == sorted(expected), TIMEOUT_S
+        )
         status = site.store.value("status", "rollout/plain")
         assert status["state"] == "completed"
         await until(
-            lambda: all_entries(
+            lambda: all_entries_match(
                 site, lambda each: each.kernel.find("history").restored_era == 2
             )
         )
@@ -88,22 +95,28 @@
         assert site.store.calls.count("rows-tx") <= 3
 
 
-async def test_a_released_request_does_not_stand_again():
-    async with site_of(entries=2) as site:
-        hold(site)
-        await until(lambda: QUARANTINED_PREFIX + DEADLY in own_rows(site.store))
-        kept = site.store.keep_copy()
+async def test_a_released_request_is_not_quarantined_again():
+    async with restorable_site(entries=2) as site:
+        quarantine_request(site)
+        await until(
+            lambda: QUARANTINED_PREFIX + CONTENT in own_table_keys(site.store)
+        )
+        backup = site.store.keep_copy()
         for entry in site.entries.values():
-            entry.edge.dispatcher.quarantine.note_answered(DEADLY)
+            entry.edge.dispatcher.quarantine.note_answered(CONTENT)
         await until(
-            lambda: QUARANTINED_PREFIX + DEADLY not in own_rows(site.store)
+            lambda: (
+                QUARANTINED_PREFIX + CONTENT not in own_table_keys(site.store)
+            )
         )
-        async with away(site):
-            site.store.come_back(kept)
-            assert QUARANTINED_PREFIX + DEADLY in own_rows(site.store)
+        async with store_outage(site):
+            site.store.come_back(backup)
+            assert QUARANTINED_PREFIX + CONTENT in own_table_keys(site.store)
         await until(
-            lambda: QUARANTINED_PREFIX + DEADLY not in own_rows(site.store),
-            BOUND_S,
+            lambda: (
+                QUARANTINED_PREFIX + CONTENT not in own_table_keys(site.store)
+            ),
+            TIMEOUT_S,
         )
 
 
@@ -143,7 +156,7 @@
 
 def make_restorer(clock, store, lost=(), number=0, entries=1):
     history = StoreHistory(clock, Metrics())
-    told = []
+    published = []
     restorer = RowRestorer(
         store,
         OwnTable(store, clock),
@@ -151,26 +164,26 @@
         history,
         clock,
         lambda: True,
-        told.append,
+        published.append,
         [lambda _page: lost],
     )
     history.record_era(1, "store")
-    return restorer, told
+    return restorer, published
 
 
-def test_without_a_new_era_nothing_is_read(clock):
+def test_nothing_is_due_without_a_new_era(clock):
     restorer, _ = make_restorer(clock, FakeStore())
     clock.now += 100.0
     assert not restorer.is_due()
 
 
-def test_an_entry_that_starts_in_a_new_era_restores_nothing(clock):
+def test_nothing_is_due_for_an_entry_that_starts_in_a_new_era(clock):
     restorer, _ = make_restorer(clock, FakeStore())
     restorer.history.record_restored(1)
     assert not restorer.is_due()
 
 
-def test_entries_stand_in_for_each_other_one_after_the_other(clock):
+def test_entries_take_over_one_after_the_other(clock):
     made = [
         make_restorer(clock, FakeStore(), number=number, entries=5)[0]
         for number in range(5)
@@ -187,31 +200,31 @@
         assert not each.is_due()
 
 
-async def test_a_row_that_changed_meanwhile_is_looked_at_again(clock):
+async def test_a_row_that_changed_meanwhile_is_checked_again(clock):
     store = FakeStore(rows={"b": b"0"}, conflicts=1)
     lost = [LostRow("a", b"1"), LostRow("b", b"2")]
-    restorer, told = make_restorer(clock, store, lost)
+    restorer, published = make_restorer(clock, store, lost)
     restorer.history.record_era(2, "store")
     await restorer.step()
     assert restorer.is_due()
-    assert told == []
+    assert published == []
     await restorer.step()
-    assert told == [2]
+    assert published == [2]
     assert store.rows == {"a": b"1", "b": b"2"}
     # Conditions are those of the reading in the new era.
     assert store.calls[1] == [at(0, 0), at(5, 2)]
 
 
-async def test_a_table_that_is_still_of_the_era_before_restores_nothing(clock):
+async def test_a_table_of_the_earlier_era_restores_nothing(clock):
     store = FakeStore(era=1)
-    restorer, told = make_restorer(clock, store, [LostRow("a", b"1")])
+    restorer, published = make_restorer(clock, store, [LostRow("a", b"1")])
     restorer.history.record_era(2, "peer")
     await restorer.step()
     assert store.calls == ["scan"]
-    assert told == []
+    assert published == []
 
 
-async def test_rows_of_many_entries_go_in_few_transactions(clock):
+async def test_many_rows_are_written_in_few_transactions(clock):
     store = FakeStore()
     lost = [LostRow(f"e{number}", b"") for number in range(420)]
     restorer, _ = make_restorer(clock, store, lost)
@@ -221,12 +234,12 @@
     assert len(store.calls) == 1 + -(-420 // MAX_ROWS_PER_TRANSACTION)
 
 
-def test_a_record_that_is_behind_takes_nothing_back():
-    behind = RolloutRecord(1, "s", "v2", RolloutPhase.TRYING, 0.0, 0.0)
-    final = attrs.evolve(behind, phase=RolloutPhase.ROLLED_BACK)
-    assert more_than(final, behind) is None
-    assert more_than(behind, final).phase is RolloutPhase.ROLLED_BACK
-    assert more_than(None, behind) == behind
-    other = attrs.evolve(behind, order=2, version="v3")
-    assert more_than(other, final) is None
-    assert more_than(final, other) == other
+def test_an_older_record_does_not_replace_a_newer_one():
+    older = RolloutRecord(1, "s", "v2", RolloutPhase.TRYING, 0.0, 0.0)
+    newer = attrs.evolve(older, phase=RolloutPhase.ROLLED_BACK)
+    assert more_than(newer, older) is None
+    assert more_than(older, newer).phase is RolloutPhase.ROLLED_BACK
+    assert more_than(None, older) == older
+    other = attrs.evolve(older, order=2, version="v3")
+    assert more_than(other, newer) is None
+    assert more_than(newer, other) == other
