--- a/tests/relay/test_checkpoints.py
+++ b/tests/relay/test_checkpoints.py
@@ -36,9 +36,9 @@
 
 OPERATORS = "op"
 ROW = CHECKPOINT_PREFIX + OPERATORS
-SLOW_S = 4.0  # A whole manifest over a slow link.
+SLOW_READ_S = 4.0  # A whole manifest over a slow link.
 ROUTES = 1600
-STORE = StoreSettings(Address("10.0.0.1", 1), history_s=20.0)
+STORE_SETTINGS = StoreSettings(Address("10.0.0.1", 1), history_s=20.0)
 
 
 @pytest.fixture
@@ -67,57 +67,57 @@
 
 async def start_slowly(site):
     """Starts an entry to which whole manifests come late; returns seconds."""
-    door = await site.add_door(Door(slow_s={OPERATORS: SLOW_S}))
+    door = await site.add_door(Door(slow_s={OPERATORS: SLOW_READ_S}))
     began = time.monotonic()
     entry = await site.add_entry("entry-2", store=door)
     return entry, time.monotonic() - began
 
 
-async def test_a_start_knows_what_changed_since_the_checkpoint(site):
+async def test_a_start_applies_changes_since_the_checkpoint(site):
     await leave_checkpoint(site)
     site.store.put(OPERATORS, "config", long_manifest(7))
     site.store.put(OPERATORS, "evacuate/zone-a", {})
     entry, took_s = await start_slowly(site)
-    assert took_s < SLOW_S / 2
+    assert took_s < SLOW_READ_S / 2
     assert entry.state.table_version == 7
     assert len(entry.state.table.routes) == ROUTES + 3
     assert entry.state.domains.drained == {"zone-a"}
 
 
-async def test_a_checkpoint_is_short(site):
+async def test_a_checkpoint_is_under_a_tenth_of_the_table(site):
     await leave_checkpoint(site)
-    kept = site.store.rows[TABLE, ROW].value
-    assert len(kept) < 0.1 * len(dump(long_manifest()))
+    stored = site.store.rows[TABLE, ROW].value
+    assert len(stored) < 0.1 * len(dump(long_manifest()))
 
 
-async def test_what_the_store_no_longer_tells_is_read_whole(site):
+async def test_a_start_reads_all_when_the_change_history_expired(site):
     await leave_checkpoint(site)
     site.store.put(OPERATORS, "config", long_manifest(7))
     site.store.compact()
     entry, took_s = await start_slowly(site)
-    assert took_s >= SLOW_S
+    assert took_s >= SLOW_READ_S
     assert entry.state.table_version == 7
 
 
-async def test_a_checkpoint_that_cannot_be_read_is_left_out(site):
+async def test_an_unreadable_checkpoint_is_ignored(site):
     site.store.put(TABLE, ROW, "spoiled")
     entry, took_s = await start_slowly(site)
-    assert took_s >= SLOW_S
+    assert took_s >= SLOW_READ_S
     assert entry.state.table_version == 1
 
 
-async def test_an_older_table_is_never_in_force_meanwhile(site):
+async def test_the_older_table_of_a_checkpoint_never_takes_effect(site):
     """Requests wait for what changed since, not only for the checkpoint."""
     await leave_checkpoint(site)
     site.store.put(OPERATORS, "config", long_manifest(7))
-    seen = set()
+    seen_versions = set()
     starting = asyncio.ensure_future(site.add_entry("entry-2"))
     while not starting.done():
         for entry in site.entries.values():
-            seen.add(entry.state.table_version)
+            seen_versions.add(entry.state.table_version)
         await asyncio.sleep(0)
     await starting
-    assert seen <= {-1, 7}
+    assert seen_versions <= {-1, 7}
 
 
 class TableStore:
@@ -126,10 +126,10 @@
     def __init__(self):
         self.rows = {}
         self.version = 0
-        self.kept = {}
+        self.stored = {}
         self.era = 1
         self.scans = 0
-        self.away = False
+        self.unavailable = False
 
     def put(self, key, value=b"", deleted=False):
         self.version += 1
@@ -138,7 +138,7 @@
         )
 
     async def scan(self, table):
-        if self.away:
+        if self.unavailable:
             raise StoreUnavailableError("away")
         if table == TABLE:
             return self.own_page()
@@ -153,18 +153,20 @@
 
     async def transact(self, checks, puts, removed=()):
         for put in puts:
-            self.kept[put.key] = put.value
+            self.stored[put.key] = put.value
         return WrittenAt(at(self.version, self.era), 0.0)
 
     def checkpoint(self):
         return find_checkpoint(self.own_page(), OPERATORS)
 
     def own_page(self):
-        rows = [FeedRow(key, value, at(1)) for key, value in self.kept.items()]
+        rows = [
+            FeedRow(key, value, at(1)) for key, value in self.stored.items()
+        ]
         return Page(rows, at(self.version, self.era), 0.0, whole=True)
 
 
-def make_writer(store, entries=1, settings=STORE):
+def make_writer(store, entries=1, settings=STORE_SETTINGS):
     clock = ManualClock()
     fleet = make_fleet(0, range(entries), clock)
     return CheckpointWriter(
@@ -184,7 +186,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-async def test_a_checkpoint_and_its_changes_are_the_whole_table(seed):
+async def test_a_checkpoint_with_its_changes_equals_the_table(seed):
     rng = random.Random(seed)
     store = TableStore()
     writer = make_writer(store)
@@ -202,7 +204,7 @@
             case 3:
                 writer.clock.now += rng.uniform(0.0, 8.0)
                 await writer.step()
-        if store.kept:
+        if store.stored:
             found = await reader_of(store).scan(OPERATORS)
             expected = await store.scan(OPERATORS)
             key = lambda row: row.key  # noqa: E731
@@ -211,7 +213,7 @@
             assert found.whole
 
 
-async def test_a_whole_reading_that_changes_overtook_is_made_again():
+async def test_a_full_read_older_than_applied_changes_is_repeated():
     store = TableStore()
     store.put("a")
     writer = make_writer(store)
@@ -226,7 +228,7 @@
     assert set(writer.rows) == {"a", "b"}
 
 
-async def test_a_checkpoint_is_renewed_while_the_history_lasts():
+async def test_a_checkpoint_is_renewed_before_the_change_history_expires():
     store = TableStore()
     store.put("a")
     writer = make_writer(store)
@@ -236,13 +238,13 @@
     writer.apply_page(Page([], at(store.version), 0.0, whole=False))
     await writer.step()
     assert store.checkpoint().as_of == first
-    writer.clock.now += STORE.history_s / 2
+    writer.clock.now += STORE_SETTINGS.history_s / 2
     await writer.step()
     assert store.checkpoint().as_of == at(store.version)
     assert store.scans == 1
 
 
-async def test_one_of_many_entries_writes():
+async def test_only_one_of_many_entries_writes_the_checkpoint():
     store = TableStore()
     writers = []
     for number in range(8):
@@ -253,27 +255,27 @@
     assert sum(writer.rows is not None for writer in writers) == 1
 
 
-async def test_a_table_too_long_for_a_row_is_read_whole():
+async def test_a_table_too_large_for_a_row_has_no_checkpoint():
     store = TableStore()
     store.put("a", random.Random(1).randbytes(2000))
     writer = make_writer(
-        store, settings=StoreSettings(STORE.address, 20.0, 999)
+        store, settings=StoreSettings(STORE_SETTINGS.address, 20.0, 999)
     )
     await writer.step()
-    assert store.kept == {}
+    assert store.stored == {}
     found = await reader_of(store).scan(OPERATORS)
     assert found == await store.scan(OPERATORS)
 
 
-async def test_a_store_that_is_away_is_asked_for_it_again():
+async def test_the_checkpoint_lookup_is_retried_after_an_outage():
     store = TableStore()
     store.put("a")
     await make_writer(store).step()
     reader = reader_of(store)
-    store.away = True
+    store.unavailable = True
     with pytest.raises(StoreUnavailableError):
         await reader.scan(OPERATORS)
-    store.away = False
+    store.unavailable = False
     scans = store.scans
     assert merge_rows([], (await reader.scan(OPERATORS)).rows)
     assert store.scans == scans
@@ -282,7 +284,7 @@
     assert store.scans == scans + 1
 
 
-async def test_other_tables_are_read_as_ever(site):
+async def test_other_tables_are_read_from_the_store(site):
     store = PlatformStore(site.session, f"http://{site.store_address}")
     reader = CheckpointedStore(store, OPERATORS, None)
     assert (await reader.scan("servers")).rows == []
@@ -291,7 +293,7 @@
 # A store that came back from an older copy.
 
 
-async def test_a_checkpoint_of_another_era_is_of_no_use():
+async def test_a_checkpoint_of_another_era_is_ignored():
     store = TableStore()
     store.put("a", b"1")
     await make_writer(store).step()
@@ -303,7 +305,7 @@
     assert store.scans == 2  # The writer's and this one.
 
 
-async def test_a_checkpoint_is_written_anew_in_a_new_era():
+async def test_a_new_checkpoint_is_written_in_a_new_era():
     store = TableStore()
     store.put("a", b"1")
     store.put("a", b"2")
