--- a/tests/relay/test_quarantine_rows.py
+++ b/tests/relay/test_quarantine_rows.py
@@ -18,7 +18,7 @@
 from tests.lib.relay_parts import at
 from tests.lib.ring import make_member
 
-DEADLY = "deadly"
+CONTENT = "deadly"
 NOW_MS = 5_000_000.0
 
 
@@ -26,14 +26,14 @@
 class FakeStore:
     """Takes writes, or refuses so many first."""
 
-    refused: int = 0
+    failures_left: int = 0
     calls: int = 0
     rows: dict = attrs.Factory(dict)
 
     async def transact(self, checks, puts, removed=()):
         self.calls += 1
-        if self.refused:
-            self.refused -= 1
+        if self.failures_left:
+            self.failures_left -= 1
             return NotRun("away")
         for put in puts:
             self.rows[put.key] = put.value
@@ -63,9 +63,9 @@
     return rows
 
 
-def hold(rows):
+def quarantine_request(rows):
     for number in range(3):
-        rows.quarantine.note_end(DEADLY, f"w{number}")
+        rows.quarantine.note_end(CONTENT, f"w{number}")
 
 
 async def sync_rows(rows):
@@ -73,56 +73,56 @@
         assert await rows.sync_row(rows.changed.get_nowait())
 
 
-async def test_one_entry_of_many_writes_a_held_request_once():
+async def test_only_one_entry_writes_the_row_of_a_request():
     store = FakeStore()
     for number in range(8):
         rows = make_rows(store, number, of=8)
-        hold(rows)
+        quarantine_request(rows)
         await sync_rows(rows)
     assert store.calls == 1
-    assert list(store.rows) == [QUARANTINED_PREFIX + DEADLY]
-    row = decode(QuarantineRow, store.rows[QUARANTINED_PREFIX + DEADLY])
+    assert list(store.rows) == [QUARANTINED_PREFIX + CONTENT]
+    row = decode(QuarantineRow, store.rows[QUARANTINED_PREFIX + CONTENT])
     assert row == QuarantineRow(["w0", "w1", "w2"], NOW_MS)
 
 
-async def test_a_row_that_is_not_written_is_tried_again():
-    store = FakeStore(refused=1)
+async def test_a_failed_write_of_a_row_is_retried():
+    store = FakeStore(failures_left=1)
     rows = make_rows(store)
-    hold(rows)
-    assert not await rows.sync_row(DEADLY)
-    assert await rows.sync_row(DEADLY)
+    quarantine_request(rows)
+    assert not await rows.sync_row(CONTENT)
+    assert await rows.sync_row(CONTENT)
     assert store.rows
 
 
-async def test_a_request_that_is_cleared_has_no_row_any_more():
+async def test_the_row_of_a_cleared_request_is_removed():
     store = FakeStore()
     rows = make_rows(store)
-    hold(rows)
+    quarantine_request(rows)
     await sync_rows(rows)
-    rows.quarantine.note_answered(DEADLY)
+    rows.quarantine.note_answered(CONTENT)
     await sync_rows(rows)
     assert store.rows == {}
 
 
 def make_row(age_s):
-    held = QuarantineRow(["w0", "w1", "w2"], NOW_MS - 1000.0 * age_s)
-    return FeedRow(DEADLY, encode(held).encode(), at(1))
+    stored = QuarantineRow(["w0", "w1", "w2"], NOW_MS - 1000.0 * age_s)
+    return FeedRow(CONTENT, encode(stored).encode(), at(1))
 
 
 @pytest.mark.parametrize(("age_s", "held_s"), [(100.0, 500.0), (-5.0, 600.0)])
-def test_a_row_holds_for_what_is_left(age_s, held_s):
+def test_a_row_quarantines_for_the_remaining_time(age_s, held_s):
     rows = make_rows(FakeStore())
     rows.apply_row(make_row(age_s), NOW_MS)
-    assert rows.quarantine.held_s(DEADLY) == held_s
+    assert rows.quarantine.held_s(CONTENT) == held_s
 
 
 @pytest.mark.parametrize(
-    "row", [make_row(HOLD_S), FeedRow(DEADLY, b"no row", at(1))]
+    "row", [make_row(HOLD_S), FeedRow(CONTENT, b"no row", at(1))]
 )
-async def test_a_row_that_is_old_or_spoiled_is_removed(row):
+async def test_an_expired_or_unreadable_row_is_removed(row):
     store = FakeStore(rows={QUARANTINED_PREFIX + row.key: row.value})
     rows = make_rows(store)
     rows.apply_row(row, NOW_MS)
-    assert rows.quarantine.held_s(DEADLY) == 0.0
+    assert rows.quarantine.held_s(CONTENT) == 0.0
     await sync_rows(rows)
     assert store.rows == {}
