--- a/tests/relay/test_own_table.py
+++ b/tests/relay/test_own_table.py
@@ -24,7 +24,7 @@
 from tests.lib.platform_site import platform_site, until
 from tests.lib.relay_parts import at
 
-SETTLED_S = 1.5  # Longer than a start asks for what it lacks.
+START_UP_S = 1.5  # Longer than a start asks for what it lacks.
 
 
 @pytest.fixture
@@ -33,30 +33,30 @@
         yield made
 
 
-async def start_again(site, name):
+async def restart_entry(site, name):
     """Starts an entry at the addresses that it had."""
     settings = site.entries[name].settings
     await close(site.entries[name])
     before = len(site.store.calls)
     site.entries[name] = await build_relay(settings)
     await until(site.entries[name].ready)
-    await asyncio.sleep(SETTLED_S)
+    await asyncio.sleep(START_UP_S)
     return collections.Counter(site.store.calls[before:])
 
 
-async def test_an_entry_that_starts_again_writes_nothing(site, monkeypatch):
+async def test_a_restarted_entry_writes_nothing(site, monkeypatch):
     monkeypatch.setattr(checkpoints, "STARTUP_GRACE_S", float("inf"))
     await site.add_entry("entry-1")
     await site.add_entry("entry-2")
     for entry in site.entries.values():
         await until(lambda entry=entry: len(entry.fleet.live()) == 2)
-    calls = await start_again(site, "entry-2")
+    calls = await restart_entry(site, "entry-2")
     assert calls["rows-tx"] == 0
     # The system's own table, workers and, without a checkpoint, operators.
     assert calls["rows-get"] <= 3
 
 
-async def test_an_entry_that_lost_all_others_finds_them_by_its_first_reading(
+async def test_entries_that_restart_together_find_each_other_by_the_table(
     site,
 ):
     await site.add_entry("entry-1")
@@ -73,7 +73,7 @@
         await until(lambda entry=entry: len(entry.fleet.entries()) == 2)
 
 
-async def test_an_entry_at_another_address_writes_its_row(site):
+async def test_an_entry_with_a_new_address_updates_its_row(site):
     first = await site.add_entry("entry-1")
     await until(lambda: (TABLE, "entry-1") in site.store.rows)
     before = site.store.value(TABLE, "entry-1")
@@ -82,7 +82,7 @@
     await until(lambda: site.store.value(TABLE, "entry-1") != before)
 
 
-async def test_a_start_knows_how_far_orders_went_by_the_same_reading(site):
+async def test_a_start_reads_rollout_progress_from_the_same_table(site):
     await site.add_worker("old", version="v1")
     await site.add_worker("new", version="v2")
     order = {"service": "plain", "to": "v2", "deadlineS": 20}
@@ -98,19 +98,19 @@
 class CountingStore:
     """Counts readings; away for the first of them."""
 
-    def __init__(self, away=0):
-        self.away = away
+    def __init__(self, failures=0):
+        self.failures = failures
         self.scans = 0
 
     async def scan(self, _table):
         self.scans += 1
         await asyncio.sleep(0)
-        if self.scans <= self.away:
+        if self.scans <= self.failures:
             raise StoreUnavailableError("away")
         return Page([FeedRow("e", b"", at(1))], at(self.scans), 0.0, whole=True)
 
 
-async def test_all_that_start_share_one_reading():
+async def test_concurrent_callers_share_one_read():
     store = CountingStore()
     table = OwnTable(store, ManualClock())
     pages = await asyncio.gather(*(table.read_cached() for _ in range(5)))
@@ -121,8 +121,8 @@
     assert (await table.read_cached()).revision == at(3)
 
 
-async def test_a_reading_that_failed_is_made_again():
-    store = CountingStore(away=1)
+async def test_a_failed_read_is_retried():
+    store = CountingStore(failures=1)
     table = OwnTable(store, ManualClock())
     with pytest.raises(StoreUnavailableError):
         await table.read_cached()
