--- a/tests/relay/test_store_eras.py
+++ b/tests/relay/test_store_eras.py
@@ -1,4 +1,4 @@
-"""The store's client, where the store comes back from an older copy."""
+"""Tests of the store's client when the store is restored from a backup."""
 
 import types
 
@@ -79,7 +79,7 @@
     backup = site.store.keep_copy()
     written = await write(client, at(0, 0), b"1")
     site.store.come_back(backup)
-    # The same version, given out again for another row.
+    # The restored store assigns the same version to another row.
     site.store.put(TABLE, KEY, "other")
     assert site.store.version == written.revision.version
     outcome = await write(client, written.revision, b"2")
