--- a/tests/lib/restored_store.py
+++ b/tests/lib/restored_store.py
@@ -1,4 +1,4 @@
-"""A site whose store comes back from an older copy."""
+"""A site whose store can be restored from a backup."""
 
 import contextlib
 
@@ -9,7 +9,7 @@
 
 @contextlib.asynccontextmanager
 async def restorable_site(entries, workers=2, **more):
-    """A site with plain workers and entries that know each other."""
+    """Yields a site with plain workers and connected entries."""
     async with platform_site(**more) as site:
         for number in range(1, workers + 1):
             await site.add_worker(f"w{number}")
@@ -37,14 +37,14 @@
 
 
 def advance_version(store, count):
-    """Rows of a table that nobody reads: versions go on rising."""
+    """Writes rows to an unread table, which advances the store's version."""
     for number in range(count):
         store.put("other", f"row-{number}", {})
 
 
 @contextlib.asynccontextmanager
 async def store_outage(site):
-    """The store answers nobody meanwhile, as all entries notice."""
+    """Makes the store unavailable; the block runs once all entries notice."""
     site.store.set_fault(StoreFault.BUSY)
     for entry in site.entries.values():
         await until(lambda entry=entry: not entry.state.health.available)
@@ -57,7 +57,7 @@
 
 
 def own_table_keys(store):
-    """Keys of the system's own table, but the checkpoint's."""
+    """Returns the keys of the system's own table except checkpoints."""
     return sorted(
         key
         for (table, key), row in store.rows.items()
