--- a/tests/relay/test_restored_store.py
+++ b/tests/relay/test_restored_store.py
@@ -1,4 +1,4 @@
-"""The store comes back from an older copy, before real entries."""
+"""Tests of real entries when the store is restored from a backup."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 )
 
 TIMEOUT_S = 2.0  # Until all entries know what the store acknowledged.
-LOST_VERSIONS = 5  # Versions that are given out again.
+LOST_VERSIONS = 5  # Versions that the restored store assigns again.
 
 
 def is_draining(entry, worker="w1"):
