--- a/tests/relay/test_restoring.py
+++ b/tests/relay/test_restoring.py
@@ -1,4 +1,4 @@
-"""The system's own rows stand again after the store lost them."""
+"""Tests that lost rows of the system's own table are restored."""
 
 import attrs
 import pytest
@@ -40,7 +40,7 @@
 
 
 async def complete_a_rollout(site):
-    """Leaves a record that is final, and the operators' order of it."""
+    """Completes a roll-out, with its final record and the operators' order."""
     await site.add_worker("new", version="v2")
     order = {"service": "plain", "to": "v2", "deadlineS": 20}
     site.store.put("op", "rollout/plain", order)
@@ -56,7 +56,7 @@
 
 
 def quarantine_request(site):
-    """Every entry knows of a request that ended three workers."""
+    """Lets every entry know of a request that crashed three workers."""
     for entry in site.entries.values():
         for number in range(3):
             entry.edge.dispatcher.quarantine.note_end(CONTENT, f"gone-{number}")
@@ -91,7 +91,7 @@
                 site, lambda each: each.kernel.find("history").restored_era == 2
             )
         )
-        # One that restores, and the driver that may write beside it.
+        # One entry restores, and the roll-out driver may write as well.
         assert site.store.calls.count("rows-tx") <= 3
 
 
@@ -120,12 +120,12 @@
         )
 
 
-# Who writes, and under which conditions.
+# Which entry writes, and under which checks.
 
 
 @attrs.define
 class FakeStore:
-    """A table; conditions fail so many times."""
+    """A table whose transactions fail `conflicts` times."""
 
     rows: dict = attrs.Factory(dict)
     era: int = 2
@@ -211,7 +211,7 @@
     await restorer.step()
     assert published == [2]
     assert store.rows == {"a": b"1", "b": b"2"}
-    # Conditions are those of the reading in the new era.
+    # The checks have the revisions that were read in the new era.
     assert store.calls[1] == [at(0, 0), at(5, 2)]
 
 
