--- a/tests/relay/test_checkpoints.py
+++ b/tests/relay/test_checkpoints.py
@@ -1,8 +1,8 @@
-"""A start goes on from a checkpoint of the operators' table.
+"""Tests that starting entries resume from a checkpoint of the operators' table.
 
-What callers saw: all entries lost power at once, a manifest of 1,610 routes in
-force. They listened again 0.8 s after power was back, and knew their routes
-another 0.9 s later, each having read 0.4 MB over a link of 10 Mbit/s.
+Guards against slow starts: after all entries had lost power at once, with a
+manifest of 1,610 routes in force, they listened again after 0.8 s but had their
+routes only 0.9 s later, because each read 0.4 MB over a link of 10 Mbit/s.
 """
 
 import asyncio
@@ -36,7 +36,7 @@
 
 OPERATORS = "op"
 ROW = CHECKPOINT_PREFIX + OPERATORS
-SLOW_READ_S = 4.0  # A whole manifest over a slow link.
+SLOW_READ_S = 4.0  # Read of a whole manifest over a slow link.
 ROUTES = 1600
 STORE_SETTINGS = StoreSettings(Address("10.0.0.1", 1), history_s=20.0)
 
@@ -58,7 +58,7 @@
 
 
 async def leave_checkpoint(site):
-    """An entry leaves a checkpoint behind."""
+    """Stops an entry after it has written a checkpoint."""
     entry = await site.add_entry("entry-1")
     await until(lambda: (TABLE, ROW) in site.store.rows)
     await close(site.entries.pop("entry-1"))
@@ -66,7 +66,7 @@
 
 
 async def start_slowly(site):
-    """Starts an entry to which whole manifests come late; returns seconds."""
+    """Starts an entry with slow full reads; returns it and the seconds."""
     door = await site.add_door(Door(slow_s={OPERATORS: SLOW_READ_S}))
     began = time.monotonic()
     entry = await site.add_entry("entry-2", store=door)
@@ -107,7 +107,7 @@
 
 
 async def test_the_older_table_of_a_checkpoint_never_takes_effect(site):
-    """Requests wait for what changed since, not only for the checkpoint."""
+    """Requests wait for the later changes, not only for the checkpoint."""
     await leave_checkpoint(site)
     site.store.put(OPERATORS, "config", long_manifest(7))
     seen_versions = set()
@@ -279,7 +279,7 @@
     scans = store.scans
     assert merge_rows([], (await reader.scan(OPERATORS)).rows)
     assert store.scans == scans
-    # Later readings are of the store alone.
+    # Later full reads use the store alone.
     await reader.scan(OPERATORS)
     assert store.scans == scans + 1
 
@@ -290,7 +290,7 @@
     assert (await reader.scan("servers")).rows == []
 
 
-# A store that came back from an older copy.
+# The store was restored from a backup.
 
 
 async def test_a_checkpoint_of_another_era_is_ignored():
@@ -302,7 +302,7 @@
     store.put("a", b"2")
     page = await reader_of(store).scan(OPERATORS)
     assert page.revision == at(store.version, 2)
-    assert store.scans == 2  # The writer's and this one.
+    assert store.scans == 2  # The writer's and the reader's.
 
 
 async def test_a_new_checkpoint_is_written_in_a_new_era():
