--- a/tests/relay/test_quarantine_rows.py
+++ b/tests/relay/test_quarantine_rows.py
@@ -1,4 +1,4 @@
-"""Held requests in the store: who writes them, and what is made of them."""
+"""Tests how rows of quarantined requests are written, read and removed."""
 
 import attrs
 import pytest
@@ -24,7 +24,7 @@
 
 @attrs.define
 class FakeStore:
-    """Takes writes, or refuses so many first."""
+    """A store whose first `failures_left` transactions are not run."""
 
     failures_left: int = 0
     calls: int = 0
