--- a/tests/relay/test_own_table.py
+++ b/tests/relay/test_own_table.py
@@ -1,4 +1,4 @@
-"""What a start asks the store for: calls are paid for, and starts make most."""
+"""Tests that starting entries make few calls to the store, which are billed."""
 
 import asyncio
 import collections
@@ -24,7 +24,7 @@
 from tests.lib.platform_site import platform_site, until
 from tests.lib.relay_parts import at
 
-START_UP_S = 1.5  # Longer than a start asks for what it lacks.
+START_UP_S = 1.5  # Longer than start-up reads take.
 
 
 @pytest.fixture
@@ -34,7 +34,7 @@
 
 
 async def restart_entry(site, name):
-    """Starts an entry at the addresses that it had."""
+    """Restarts an entry at its addresses; returns its calls by kind."""
     settings = site.entries[name].settings
     await close(site.entries[name])
     before = len(site.store.calls)
@@ -52,7 +52,8 @@
         await until(lambda entry=entry: len(entry.fleet.live()) == 2)
     calls = await restart_entry(site, "entry-2")
     assert calls["rows-tx"] == 0
-    # The system's own table, workers and, without a checkpoint, operators.
+    # The system's own table, the workers' and, without a checkpoint, the
+    # operators'.
     assert calls["rows-get"] <= 3
 
 
@@ -96,7 +97,7 @@
 
 
 class CountingStore:
-    """Counts readings; away for the first of them."""
+    """Counts full reads; the first `failures` of them fail."""
 
     def __init__(self, failures=0):
         self.failures = failures
