--- a/benchmarks/restored_store.py
+++ b/benchmarks/restored_store.py
@@ -28,21 +28,21 @@
 
 SIZES = (8, 77, 200, 420)
 # Seconds to wait for what watchers tell, and the longest table that is told.
-WAYS = {
+STRATEGIES = {
     "told by two watchers": (watch.ERA_UPDATE_WAIT_S, watch.MAX_UPDATE_BYTES),
     "each reads for itself": (0.0, 100),
 }
 TABLE = "servers"
-ANSWER_S = 0.004
+RESPONSE_S = 0.004
 PAGE_ROWS = 500
 WORKERS_PER_ENTRY = 600 / 420
-AWAY_S = 0.5
-LEAVES_AFTER_S = 0.1
-PLAY_S = 3.0
+OUTAGE_S = 0.5
+CHANGE_DELAY_S = 0.1
+DURATION_S = 3.0
 
 
 @attrs.define
-class Store:
+class FakeStore:
     """A table of workers, of which one leaves in the second era.
 
     Attributes:
@@ -54,20 +54,20 @@
 
     rows: int
     revision: Revision = Revision(1, 1000)
-    away: bool = False
-    leaving: FeedRow | None = None
+    unavailable: bool = False
+    leaving_row: FeedRow | None = None
     calls: list[float] = attrs.Factory(list)
 
-    async def answer(self) -> None:
+    async def respond(self) -> None:
         """Takes a call."""
         self.calls.append(asyncio.get_running_loop().time())
-        await asyncio.sleep(ANSWER_S)
-        if self.away:
+        await asyncio.sleep(RESPONSE_S)
+        if self.unavailable:
             raise StoreUnavailableError("away")
 
     def page(self, whole: bool) -> Page:
         """Returns the rows, or those that changed in the new era."""
-        rows = [] if self.leaving is None else [self.leaving]
+        rows = [] if self.leaving_row is None else [self.leaving_row]
         if whole:
             rows += [
                 FeedRow(f"w{number}", VALUE, Revision(self.revision.era, 1))
@@ -77,16 +77,16 @@
 
 
 @attrs.define
-class EntryStore:
+class FakeStoreClient:
     """The store as one entry reaches it."""
 
-    store: Store
+    store: FakeStore
     history: object
 
     async def scan(self, _table: str) -> Page:
         """Returns all rows."""
         for _ in range(0, self.store.rows, PAGE_ROWS):
-            await self.store.answer()
+            await self.store.respond()
         self.history.record_era(self.store.revision.era, "store")
         return self.store.page(whole=True)
 
@@ -94,13 +94,13 @@
         self, _table: str, since: Revision, wait_s: float
     ) -> Page:
         """Waits for changes."""
-        await self.store.answer()
+        await self.store.respond()
         end = asyncio.get_running_loop().time() + wait_s
-        while since >= self.store.revision and not self.store.away:
+        while since >= self.store.revision and not self.store.unavailable:
             if asyncio.get_running_loop().time() >= end:
                 break
-            await asyncio.sleep(ANSWER_S)
-        if self.store.away:
+            await asyncio.sleep(RESPONSE_S)
+        if self.store.unavailable:
             raise StoreUnavailableError("away")
         self.history.record_era(self.store.revision.era, "store")
         return self.store.page(whole=False)
@@ -121,7 +121,7 @@
 
 
 def add_follower(
-    entry: object, store: Store, clock: object, knowing: dict[str, float]
+    entry: object, store: FakeStore, clock: object, known_at: dict[str, float]
 ) -> asyncio.Task:
     """Lets an entry follow the table; notes when it knows who leaves."""
     history = entry.gossip.shared_state.history
@@ -129,12 +129,12 @@
 
     def take(page: Page, _after_outage: bool) -> None:
         if any(row.key == "w0" for row in page.rows):
-            knowing.setdefault(name, clock.monotonic())
+            known_at.setdefault(name, clock.monotonic())
 
     health = StoreHealth(clock)
     health.record_answer()
     follower = watch.TableFollower(
-        store=EntryStore(store, history),
+        store=FakeStoreClient(store, history),
         clock=clock,
         health=health,
         store_clock=StoreClock(clock),
@@ -149,7 +149,7 @@
     return asyncio.ensure_future(follower.run())
 
 
-async def play(size: int) -> tuple[int, int, float]:
+async def simulate(size: int) -> tuple[int, int, float]:
     """Returns the calls, the most in a second, and when all know."""
     ring = make_ring(size)
     for entry in ring.live():
@@ -159,28 +159,29 @@
             )
         entry.fleet.update_own_state(store=True)
         entry.gossip.shared_state.history.record_era(1, "store")
-    store = Store(int(size * WORKERS_PER_ENTRY))
-    knowing: dict[str, float] = {}
+    store = FakeStore(int(size * WORKERS_PER_ENTRY))
+    known_at: dict[str, float] = {}
     tasks = [
-        add_follower(entry, store, ring.clock, knowing) for entry in ring.live()
+        add_follower(entry, store, ring.clock, known_at)
+        for entry in ring.live()
     ]
     await ring.run_rounds(6)
-    store.away = True
-    talking = asyncio.ensure_future(ring.run_rounds(12))
-    await asyncio.sleep(AWAY_S)
+    store.unavailable = True
+    gossip_task = asyncio.ensure_future(ring.run_rounds(12))
+    await asyncio.sleep(OUTAGE_S)
     store.calls.clear()
-    store.away, store.revision = False, Revision(2, 900)
-    await asyncio.sleep(LEAVES_AFTER_S)
+    store.unavailable, store.revision = False, Revision(2, 900)
+    await asyncio.sleep(CHANGE_DELAY_S)
     store.revision = Revision(2, 901)
-    store.leaving = FeedRow("w0", VALUE, store.revision)
+    store.leaving_row = FeedRow("w0", VALUE, store.revision)
     left_at = ring.clock.monotonic()
-    await asyncio.sleep(PLAY_S)
-    for task in (*tasks, talking):
+    await asyncio.sleep(DURATION_S)
+    for task in (*tasks, gossip_task):
         task.cancel()
     seconds = collections.Counter(int(at - left_at) for at in store.calls)
-    known_s = max(knowing.values()) - left_at
-    lacking = size - len(knowing)
-    return len(store.calls), max(seconds.values()), known_s + 1000 * lacking
+    known_s = max(known_at.values()) - left_at
+    unaware = size - len(known_at)
+    return len(store.calls), max(seconds.values()), known_s + 1000 * unaware
 
 
 def main() -> None:
@@ -189,12 +190,14 @@
         wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL)
     )
     print(f"{'way':<24}{'entries':>8}{'calls':>7}{'in 1 s':>8}{'known s':>9}")
-    for way, (told_within_s, most_bytes) in WAYS.items():
-        watch.ERA_UPDATE_WAIT_S = told_within_s
-        watch.MAX_UPDATE_BYTES = most_bytes
+    for strategy, (update_wait_s, max_bytes) in STRATEGIES.items():
+        watch.ERA_UPDATE_WAIT_S = update_wait_s
+        watch.MAX_UPDATE_BYTES = max_bytes
         for size in SIZES:
-            calls, most, known_s = run_virtual(play(size))
-            print(f"{way:<24}{size:>8}{calls:>7}{most:>8}{known_s:>9.2f}")
+            calls, peak_calls, known_s = run_virtual(simulate(size))
+            print(
+                f"{strategy:<24}{size:>8}{calls:>7}{peak_calls:>8}{known_s:>9.2f}"
+            )
 
 
 if __name__ == "__main__":
