--- a/benchmarks/restored_store.py
+++ b/benchmarks/restored_store.py
@@ -1,9 +1,9 @@
-"""Ways for all entries to follow a store that came back from an older copy.
+"""Compares how all entries can follow a store restored from a backup.
 
-The store is away for half a second and comes back from a copy; a tenth of a
-second later a worker leaves. Prints, for each way and size, the calls that the
-store gets within three seconds, the most within one, and the seconds until all
-entries know that the worker leaves.
+The store is unavailable for 0.5 s and is restored from a backup; 0.1 s later a
+worker leaves. Prints, for each strategy and fleet size, the number of calls to
+the store within 3 s, the most within 1 s, and the seconds until all entries
+know that the worker leaves.
 
     PYTHONPATH=. python -m benchmarks.restored_store
 """
@@ -27,7 +27,7 @@
 from tests.lib.virtual import run_virtual
 
 SIZES = (8, 77, 200, 420)
-# Seconds to wait for what watchers tell, and the longest table that is told.
+# Seconds to wait for watchers' updates, and the size limit of an update.
 STRATEGIES = {
     "told by two watchers": (watch.ERA_UPDATE_WAIT_S, watch.MAX_UPDATE_BYTES),
     "each reads for itself": (0.0, 100),
@@ -46,10 +46,11 @@
     """A table of workers, of which one leaves in the second era.
 
     Attributes:
-      rows: Workers in it.
-      revision: Of the newest change.
-      away: It answers nobody.
-      calls: Times of calls.
+      rows: Number of workers.
+      revision: Revision of the newest change.
+      unavailable: Whether all calls fail.
+      leaving_row: Row of the leaving worker, None before it leaves.
+      calls: Times of the calls, in seconds of the event loop.
     """
 
     rows: int
@@ -59,7 +60,11 @@
     calls: list[float] = attrs.Factory(list)
 
     async def respond(self) -> None:
-        """Takes a call."""
+        """Records a call and answers it.
+
+        Raises:
+          StoreUnavailableError: The store is unavailable.
+        """
         self.calls.append(asyncio.get_running_loop().time())
         await asyncio.sleep(RESPONSE_S)
         if self.unavailable:
@@ -78,7 +83,7 @@
 
 @attrs.define
 class FakeStoreClient:
-    """The store as one entry reaches it."""
+    """The store's client in one entry."""
 
     store: FakeStore
     history: object
@@ -93,7 +98,7 @@
     async def changes(
         self, _table: str, since: Revision, wait_s: float
     ) -> Page:
-        """Waits for changes."""
+        """Waits up to `wait_s` for changes."""
         await self.store.respond()
         end = asyncio.get_running_loop().time() + wait_s
         while since >= self.store.revision and not self.store.unavailable:
@@ -123,7 +128,7 @@
 def add_follower(
     entry: object, store: FakeStore, clock: object, known_at: dict[str, float]
 ) -> asyncio.Task:
-    """Lets an entry follow the table; notes when it knows who leaves."""
+    """Starts a follower; records when it learns of the leaving worker."""
     history = entry.gossip.shared_state.history
     name = entry.fleet.me.member.name
 
@@ -150,7 +155,7 @@
 
 
 async def simulate(size: int) -> tuple[int, int, float]:
-    """Returns the calls, the most in a second, and when all know."""
+    """Returns the calls, their peak in 1 s, and the seconds until all know."""
     ring = make_ring(size)
     for entry in ring.live():
         for each in ring.live():
@@ -185,7 +190,7 @@
 
 
 def main() -> None:
-    """Prints the table."""
+    """Prints the results as a table."""
     structlog.configure(
         wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL)
     )
