--- a/src/rattanpier/_internal/relay/watch.py
+++ b/src/rattanpier/_internal/relay/watch.py
@@ -232,14 +232,14 @@
         self.requested_at = self.clock.monotonic()
         try:
             # After an outage the first call must not wait for a change: its
-            # answer carries the era, and a feed of an older copy may have no
-            # change after the requested version.
+            # answer carries the era, and the feed of a restored store may have
+            # no change after the requested version.
             wait = self.health.available and (
                 was_watcher or not self.is_up_to_date()
             )
             page = await self.read(wait)
         except HistoryGoneError:
-            # The missed changes can't be told apart from those that came since.
+            # What was missed can't be distinguished from what reappeared since.
             log.info("Change history expired, reading all.", table=self.table)
             self.since = None
             return
