--- a/src/rattanpier/_internal/relay/history.py
+++ b/src/rattanpier/_internal/relay/history.py
@@ -1,8 +1,8 @@
-"""Which history of the store is the newest one known.
+"""Tracks the newest known era of the store.
 
-A store that comes back from an older copy begins a new history: what it had
-acknowledged since the copy is gone, and versions are given out again. Its
-answers say which history they are of, by a number that rises each time.
+A store that is restored from a backup begins a new era: it has lost what it
+acknowledged since the backup, and it assigns the same versions again. Each
+answer carries the number of its era, which increases with each restore.
 """
 
 from __future__ import annotations
@@ -17,51 +17,53 @@
 log = structlog.get_logger(part="store")
 
 
-# For so long entries that start are told of what an older copy may lack.
-YOUNG_S = 30.0
+# For this long after a restore, starting entries receive from their peers what
+# the backup may lack.
+RECENT_ERA_S = 30.0
 
 
 @attrs.define(eq=False, repr=False)
 class StoreHistory:
-    """The newest history that the store or a peer told of.
+    """The newest era that the store or a peer reported.
 
     Attributes:
-      clock: Monotonic.
-      metrics: Tells the era, and counts those that began.
-      era: Number of the history, 0 before any was told.
-      began_at: When a later era than the first known one was told of first, in
+      clock: Monotonic clock.
+      metrics: Exports the era and the number of new eras.
+      era: Number of the newest era, 0 before any is known.
+      era_began_at: When an era after the first known one was first reported, in
         monotonic seconds; minus infinity before any.
-      begun: Emits each era that follows another one known here.
-      restored: The newest era in which the system's own rows surely stand.
+      new_eras: Emits each era that follows another one known here.
+      restored_era: Newest era in which all rows of the system's own table are
+        known to be present.
     """
 
     clock: Clock
     metrics: Metrics
     era: int = 0
-    began_at: float = float("-inf")
-    begun: Subject[int] = attrs.Factory(Subject)
-    restored: int = 0
+    era_began_at: float = float("-inf")
+    new_eras: Subject[int] = attrs.Factory(Subject)
+    restored_era: int = 0
 
-    def note(self, era: int, source: str) -> int:
-        """Takes in an era that was told; returns the newest one known.
+    def record_era(self, era: int, source: str) -> int:
+        """Records a reported era; returns the newest one known.
 
         Args:
-          era: Its number, 0 if none was told.
-          source: Who told of it, for the log.
+          era: Its number, 0 if none was reported.
+          source: Who reported it, for the log.
         """
         if era > self.era:
-            self.begin(era, source)
+            self.begin_era(era, source)
         return self.era
 
-    def begin(self, era: int, source: str) -> None:
-        """Takes in a later era than was known."""
+    def begin_era(self, era: int, source: str) -> None:
+        """Records an era that is later than the known one."""
         before, self.era = self.era, era
         self.metrics.gauge("relay.store_era", era)
         if not before:
-            self.restored = max(self.restored, era)
-            log.info("Store tells its era.", era=era, source=source)
+            self.restored_era = max(self.restored_era, era)
+            log.info("Store reported its era.", era=era, source=source)
             return
-        self.began_at = self.clock.monotonic()
+        self.era_began_at = self.clock.monotonic()
         self.metrics.count("relay.store_era_begun")
         log.warning(
             "Store came back from an older copy.",
@@ -69,12 +71,12 @@
             before=before,
             source=source,
         )
-        self.begun.on_next(era)
+        self.new_eras.on_next(era)
 
-    def young(self) -> bool:
-        """Says whether an era began a short time ago."""
-        return self.clock.monotonic() - self.began_at < YOUNG_S
+    def is_recent(self) -> bool:
+        """Returns whether an era began within the last `RECENT_ERA_S`."""
+        return self.clock.monotonic() - self.era_began_at < RECENT_ERA_S
 
-    def note_restored(self, era: int) -> None:
-        """Takes in that the system's own rows stand again in an era."""
-        self.restored = max(self.restored, era)
+    def record_restored(self, era: int) -> None:
+        """Records that the system's own rows are present again in an era."""
+        self.restored_era = max(self.restored_era, era)
--- /dev/null
+++ b/src/rattanpier/_internal/relay/quarantine_rows.py
@@ -0,0 +1,164 @@
+"""Stored rows that keep requests quarantined when all entries fail at once.
+
+Entries keep the quarantine in memory and get it from their peers when they
+start. If all entries lose power together it is lost, and a quarantined request
+would crash three more workers. So one entry writes a row for each quarantined
+request. Entries read the table at their start anyway, so this costs one call
+for each quarantined request.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable, Iterator
+
+import attrs
+import structlog
+
+from rattanpier._internal.exceptions import UnreadableError
+from rattanpier._internal.models.feed import (
+    FeedRow,
+    Page,
+    RowCheck,
+    RowPut,
+    WrittenAt,
+)
+from rattanpier._internal.models.worker_end import QuarantineNews, WorkerEnd
+from rattanpier._internal.relay.fleet import Fleet
+from rattanpier._internal.relay.own_table import (
+    QUARANTINED_PREFIX,
+    TABLE,
+    rows_with_prefix,
+)
+from rattanpier._internal.relay.restoring import LostRow
+from rattanpier._internal.relay.store import RelayStore, StoreClock
+from rattanpier._internal.retries.quarantine import HOLD_S, Quarantine
+from rattanpier._internal.utils.clock import Clock
+from rattanpier._internal.utils.codec import decode, encode
+
+log = structlog.get_logger(part="quarantine")
+
+# Interval between attempts to write a row; meanwhile entries have it in memory.
+RETRY_INTERVAL_S = 1.0
+MS_PER_S = 1000.0
+
+
+@attrs.frozen
+class QuarantineRow:
+    """A quarantined request.
+
+    Attributes:
+      workers: Worker incarnations that crashed while running it.
+      ended_ms: When the last of them crashed, by the store's monotonic clock.
+    """
+
+    workers: list[str]
+    ended_ms: float
+
+
+@attrs.define(eq=False, repr=False)
+class QuarantineRows:
+    """Writes the rows assigned to this entry, and applies rows that are read.
+
+    A request is identified by its content.
+
+    Attributes:
+      store: Where the rows are stored.
+      quarantine: Requests that are quarantined.
+      fleet: Determines which entry writes a row.
+      store_clock: Clock of the stored times.
+      clock: Monotonic clock.
+      available: Returns whether this entry reaches the store.
+      changed: Contents whose quarantine began or ended.
+    """
+
+    store: RelayStore
+    quarantine: Quarantine
+    fleet: Fleet
+    store_clock: StoreClock
+    clock: Clock
+    available: Callable[[], bool]
+    changed: asyncio.Queue[str] = attrs.Factory(asyncio.Queue)
+
+    async def run(self) -> None:
+        """Syncs the row of each changed content, until cancelled."""
+        while True:
+            content = await self.changed.get()
+            while not await self.sync_row(content):
+                await self.clock.sleep(RETRY_INTERVAL_S)
+
+    async def sync_row(self, content: str) -> bool:
+        """Writes or removes a row; returns False if it must be retried."""
+        if not self.is_assigned(content):
+            return True
+        if not self.available():
+            return False
+        value = self.row_value(content)
+        if value is None:
+            return await self.remove(content)
+        put = RowPut(TABLE, QUARANTINED_PREFIX + content, value)
+        return isinstance(await self.store.transact([], [put]), WrittenAt)
+
+    def row_value(self, content: str) -> bytes | None:
+        """Returns the row of a content, or None if it is not quarantined."""
+        remaining_s = self.quarantine.held_s(content)
+        if not remaining_s:
+            return None
+        row = QuarantineRow(
+            sorted(self.quarantine.ends[content]),
+            self.store_clock.now_ms() - MS_PER_S * (HOLD_S - remaining_s),
+        )
+        return encode(row).encode()
+
+    def find_lost_rows(self, page: Page) -> Iterator[LostRow]:
+        """Yields rows to write or remove after a restore of the store."""
+        present = {
+            row.key for row in rows_with_prefix(page, QUARANTINED_PREFIX)
+        }
+        for content in self.quarantine.ends:
+            value = self.row_value(content)
+            if value is not None and content not in present:
+                yield LostRow(QUARANTINED_PREFIX + content, value)
+        for content in present & self.quarantine.cleared.keys():
+            if self.row_value(content) is None:
+                yield LostRow(QUARANTINED_PREFIX + content, None)
+
+    def is_assigned(self, content: str) -> bool:
+        """Returns whether a row is assigned to this entry.
+
+        All entries derive the same answer from the fleet's state.
+        """
+        me = self.fleet.me.member.name
+        return self.fleet.preferred(QUARANTINED_PREFIX + content, 1) == [me]
+
+    async def remove(self, content: str) -> bool:
+        """Removes a row; returns whether the store confirmed the removal."""
+        check = RowCheck(TABLE, QUARANTINED_PREFIX + content)
+        outcome = await self.store.transact([], [], [check])
+        return isinstance(outcome, WrittenAt)
+
+    def apply_row(self, row: FeedRow, now_ms: float) -> None:
+        """Applies a row that was read to the quarantine.
+
+        Expired and unreadable rows are queued for removal.
+
+        Args:
+          row: A row whose key is the content.
+          now_ms: Current time of the store's monotonic clock, in ms.
+        """
+        content = row.key
+        try:
+            stored = decode(QuarantineRow, row.value)
+        except UnreadableError as error:
+            log.warning(
+                "Row of a quarantined request is unreadable.",
+                row=row.key,
+                error=str(error),
+            )
+            self.changed.put_nowait(content)
+            return
+        age_s = max(0.0, (now_ms - stored.ended_ms) / MS_PER_S)
+        ends = [WorkerEnd(content, worker, age_s) for worker in stored.workers]
+        self.quarantine.take(QuarantineNews(ends))
+        if age_s >= HOLD_S:
+            self.changed.put_nowait(content)
--- a/src/rattanpier/_internal/relay/watch.py
+++ b/src/rattanpier/_internal/relay/watch.py
@@ -1,11 +1,11 @@
-"""Who reads the store's feeds, and how the others hear of it.
-
-Calls to the store are paid for, so that not every entry watches every table.
-A few watch; each answer of a feed goes on to all others at once, empty ones
-too: they show that nothing was missed. The first watcher tells, the second one
-tells what it did not hear from the first. An entry that hears nothing for a
-while watches for itself, so that the watchers save calls and no promise rests
-on them alone.
+"""Follows tables of the store, directly or by updates from watchers.
+
+Calls to the store are billed, so only a few entries, the watchers, read the
+feed of a table. They publish each answer to all peers at once, also an empty
+one, which shows that nothing was missed. The first watcher publishes; the
+second one publishes only what it has not received from the first. An entry that
+receives no update for a while reads the feed itself: the watchers save calls,
+but no guarantee depends on them alone.
 """
 
 from __future__ import annotations
@@ -39,51 +39,55 @@
 
 log = structlog.get_logger(part="store")
 
-WATCHERS = 2  # One may fail at any moment without a change coming late.
-# A feed answers at least every `FEED_WAIT_S`; half a second for the way.
-COVERED_S = FEED_WAIT_S + 0.5
-POLL_S = 0.2  # Between looks at whether to watch; a tenth of what is allowed.
-# Longer news, compressed, are fetched by each entry itself. An entry passes
-# news on to eight others: so many bytes take a fifth of a second on a link of
-# 5 Mbit/s. A table of a few hundred workers, which all entries need when the
-# store loses its history, is shorter.
-MAX_TOLD_BYTES = 16384
-# An entry that has just started knows of no other that reaches the store, and
-# would watch. Within this time, two rounds of heartbeats, it hears of those
-# that do.
-SETTLED_S = 1.0
-# Entries that fetch a change do so within this time of each other, so that
+WATCHER_COUNT = 2  # If one fails, changes still arrive in time.
+# A feed answers at least every `FEED_WAIT_S`; allows 0.5 s for delivery.
+WATCHER_TIMEOUT_S = FEED_WAIT_S + 0.5
+# Interval at which an idle follower checks whether it has to read; a tenth of
+# the allowed delay.
+POLL_INTERVAL_S = 0.2
+# Size limit of an update after compression; each entry fetches a longer change
+# from the store itself. An entry forwards an update to eight peers, which takes
+# 0.2 s at this size on a link of 5 Mbit/s. A table of a few hundred workers,
+# which all entries need when the store loses its history, is shorter.
+MAX_UPDATE_BYTES = 16384
+# An entry that has just started knows of no peer that reaches the store, so it
+# would become a watcher. Within this time, two rounds of heartbeats, it learns
+# which peers do.
+STARTUP_GRACE_S = 1.0
+# Upper bound of the random delay before a non-watcher fetches a change, so that
 # changes in quick succession cost one call.
-FETCH_SPREAD_S = 0.3
-# When a new era begins the watchers read all at once and tell it. The others
-# wait so long for that: a reading and the way, with room for a long table.
-TOLD_WITHIN_S = 0.4
-# An entry that does not watch asks this often whether the store is back: in an
-# outage of the whole store it hears of its return from those that watch, and
-# one that the store turns away hears all changes from them.
-RETRY_S = 2.0
-COVERED_RETRY_S = 5.0
-# After a change a watcher lets more gather before it asks again: calls and what
-# is told cost the same for one change or for many. A sixth of the shortest time
-# within which operators want a change in force.
-GATHER_S = 0.3
-# The second watcher waits so long for the first one's news, which may just let
-# changes gather, and the way between two entries.
-BACKUP_S = GATHER_S + 0.1
+FETCH_JITTER_S = 0.3
+# When a new era begins, the watchers read the whole table at once and publish
+# it. Other entries wait this long for it: the time of a full read and of the
+# delivery, with a margin for a long table.
+ERA_UPDATE_WAIT_S = 0.4
+# Intervals at which a non-watcher checks whether the store is available again.
+# They may be long: after an outage of the whole store it learns of the recovery
+# from the watchers, and an entry that alone is rejected by the store receives
+# all changes from them.
+RETRY_INTERVAL_S = 2.0
+UP_TO_DATE_RETRY_INTERVAL_S = 5.0
+# Time for which a watcher collects further changes after one, before it reads
+# again: a call and an update cost the same for one change or for many. It is a
+# sixth of the shortest time within which operators want a change in force.
+BATCH_DELAY_S = 0.3
+# Time for which the second watcher waits for the first one's update: the first
+# may be collecting changes, and 0.1 s allows for the delivery.
+BACKUP_DELAY_S = BATCH_DELAY_S + 0.1
 
 
 @attrs.frozen
-class TableNews:
-    """One answer of a feed.
+class TableUpdate:
+    """An answer of a feed, as watchers publish it.
 
     Attributes:
-      table: Its table.
-      since: The revision behind which it tells the changes.
-      revision: The revision up to which it tells them.
-      now_ms: The store's steady clock, in ms.
-      rows: The changes, None if they are too long to be told.
-      settling: The store was away until just now.
-      whole: The rows are all of the table, not only what changed.
+      table: Name of the table.
+      since: Revision after which the changes begin.
+      revision: Revision up to which the changes are complete.
+      now_ms: The store's monotonic clock, in ms.
+      rows: The changed rows, or None if they exceed `MAX_UPDATE_BYTES`.
+      settling: Whether the store has just recovered from an outage.
+      whole: Whether the rows are the whole table rather than changes.
     """
 
     table: str
@@ -96,24 +100,24 @@
 
 
 def watch_rank(fleet: Fleet) -> int | None:
-    """Returns an entry's place among those that watch the store, or None."""
-    watchers = fleet.preferred("watch", WATCHERS)
+    """Returns this entry's position among the watchers, None if it is none."""
+    watchers = fleet.preferred("watch", WATCHER_COUNT)
     name = fleet.me.member.name
     return watchers.index(name) if name in watchers else None
 
 
-def make_news(
+def make_update(
     table: str, before: Revision | None, page: Page, settling: bool
-) -> TableNews:
-    """Returns what is told of an answer.
+) -> TableUpdate:
+    """Returns the update that publishes an answer of a feed.
 
     Args:
-      table: Its name.
-      before: The revision up to which all was known before, or None.
+      table: Name of the table.
+      before: Revision that was applied before the answer, or None.
       page: The answer.
-      settling: The store was away until just now.
+      settling: Whether the store has just recovered from an outage.
     """
-    return TableNews(
+    return TableUpdate(
         table=table,
         since=page.revision if before is None else before,
         revision=page.revision,
@@ -126,21 +130,28 @@
 
 @attrs.define(eq=False, repr=False)
 class TableFollower:
-    """Keeps up with one table, by its feed or by what watchers tell.
+    """Follows one table, by its feed or by the watchers' updates.
 
     Attributes:
-      table: Its name.
-      take: Called with each page, and whether the store was away before it.
-      rank: This entry's place among those that watch, or None.
-      tell: Tells the others of an answer of the feed.
-      history: Which era is the newest one. What is known of an earlier one
-        counts for nothing but itself: the table is read whole again.
-      since: Revision up to which all is known, None before the first scan.
-      told_at: When a watcher's news came last, in monotonic seconds.
-      told_of: Up to which revision they told.
-      behind: A change was told of that has to be fetched.
-      asked_at: When the store was asked last, in monotonic seconds.
-      first_read_at: When the whole table was read first.
+      store: Where the table is read.
+      clock: Monotonic clock.
+      health: Whether this entry reaches the store.
+      store_clock: Updated with the time that each page reports.
+      table: Name of the table.
+      on_page: Called with each applied page and with whether the store has just
+        recovered from an outage.
+      rank: Returns this entry's position among the watchers, or None.
+      publish: Sends an update to all peers.
+      history: Tracks the newest era. State of an earlier era can't be continued
+        in a later one, so the whole table is read again.
+      since: Revision up to which all changes are applied, None before the first
+        full read.
+      backoff_s: Current delay after a failed call, in seconds.
+      received_at: When the last update of a watcher came, in monotonic seconds.
+      received_revision: Newest revision that the updates reported.
+      fetch_pending: Whether an update reported a change that has to be fetched.
+      requested_at: When the store was last called, in monotonic seconds.
+      first_read_at: When the first full read ended, in monotonic seconds.
     """
 
     store: RelayStore
@@ -148,85 +159,92 @@
     health: StoreHealth
     store_clock: StoreClock
     table: str
-    take: Callable[[Page, bool], None]
+    on_page: Callable[[Page, bool], None]
     rank: Callable[[], int | None]
-    tell: Callable[[TableNews], None]
+    publish: Callable[[TableUpdate], None]
     history: StoreHistory
     since: Revision | None = None
     backoff_s: float = 0.0
-    told_at: float = float("-inf")
-    told_of: Revision = Revision()
-    behind: bool = False
-    asked_at: float = float("-inf")
+    received_at: float = float("-inf")
+    received_revision: Revision = Revision()
+    fetch_pending: bool = False
+    requested_at: float = float("-inf")
     first_read_at: float = float("-inf")
 
     async def run(self) -> None:
         """Follows the table until cancelled."""
         while True:
-            if self.rests():
-                await self.clock.sleep(POLL_S)
+            if self.should_wait():
+                await self.clock.sleep(POLL_INTERVAL_S)
             else:
                 await self.step()
 
-    def watches(self) -> bool:
-        """Says whether this entry is one that watches."""
+    def is_watcher(self) -> bool:
+        """Returns whether this entry is one of the watchers."""
         return self.rank() is not None
 
-    def covered(self) -> bool:
-        """Says whether this entry knows all, by what watchers tell."""
-        fresh = self.clock.monotonic() - self.told_at < COVERED_S
-        if self.outdated():
+    def is_up_to_date(self) -> bool:
+        """Returns whether recent updates of watchers are all applied."""
+        fresh = self.clock.monotonic() - self.received_at < WATCHER_TIMEOUT_S
+        if self.is_outdated():
             return False
-        return fresh and self.knows(self.told_of)
+        return fresh and self.has_applied(self.received_revision)
 
-    def knows(self, revision: Revision) -> bool:
-        """Says whether all is known up to a revision."""
+    def has_applied(self, revision: Revision) -> bool:
+        """Returns whether all changes up to a revision are applied."""
         return self.since is not None and self.since >= revision
 
-    def outdated(self) -> bool:
-        """Says whether what is known is of an earlier era."""
+    def is_outdated(self) -> bool:
+        """Returns whether the applied state belongs to an earlier era."""
         return self.since is not None and self.since.era < self.history.era
 
-    def rests(self) -> bool:
-        """Says whether there is no reason to ask the store now."""
-        if self.behind:
-            # A watcher told of more: it reaches the store.
+    def should_wait(self) -> bool:
+        """Returns whether there is no reason to call the store now."""
+        if self.fetch_pending:
+            # A watcher reported a newer change, so it reaches the store.
             return False
         now = self.clock.monotonic()
-        if self.outdated():
+        if self.is_outdated():
             if (
-                not self.watches()
-                and now - self.history.began_at < TOLD_WITHIN_S
+                not self.is_watcher()
+                and now - self.history.era_began_at < ERA_UPDATE_WAIT_S
             ):
                 return True
-        elif now - self.first_read_at < SETTLED_S:
+        elif now - self.first_read_at < STARTUP_GRACE_S:
             return True
-        if self.watches():
+        if self.is_watcher():
             return False
         if not self.health.available:
-            retry_s = COVERED_RETRY_S if self.covered() else RETRY_S
-            return now - self.asked_at < retry_s
-        return self.covered()
+            retry_s = (
+                UP_TO_DATE_RETRY_INTERVAL_S
+                if self.is_up_to_date()
+                else RETRY_INTERVAL_S
+            )
+            return now - self.requested_at < retry_s
+        return self.is_up_to_date()
 
     async def step(self) -> None:
-        """Asks the store once."""
-        watching = self.watches()
-        if (self.behind or self.outdated()) and not watching:
-            await self.clock.sleep(random.uniform(0.0, FETCH_SPREAD_S))
-        self.behind = False
-        self.asked_at = self.clock.monotonic()
+        """Reads from the store once and publishes the answer if due."""
+        was_watcher = self.is_watcher()
+        if (self.fetch_pending or self.is_outdated()) and not was_watcher:
+            await self.clock.sleep(random.uniform(0.0, FETCH_JITTER_S))
+        self.fetch_pending = False
+        self.requested_at = self.clock.monotonic()
         try:
-            # The first answer after an outage is wanted at once: it tells the
-            # era, and a feed may have nothing to tell behind an old version.
-            wait = self.health.available and (watching or not self.covered())
+            # After an outage the first call must not wait for a change: its
+            # answer carries the era, and the feed of a restored store may have
+            # no change after the requested version.
+            wait = self.health.available and (
+                was_watcher or not self.is_up_to_date()
+            )
             page = await self.read(wait)
         except HistoryGoneError:
-            # What was missed can't be told from what came back meanwhile.
-            log.info("History is gone, reading all.", table=self.table)
+            # What was missed can't be distinguished from what reappeared since.
+            log.info("Change history expired, reading all.", table=self.table)
             self.since = None
             return
         except StoreUnavailableError as error:
-            self.health.note_silence(error)
+            self.health.record_failure(error)
             self.backoff_s = min(
                 MAX_BACKOFF_S, max(FIRST_BACKOFF_S, 2 * self.backoff_s)
             )
@@ -235,46 +253,52 @@
         if page is None:
             return
         self.backoff_s = 0.0
-        self.health.note_answer()
+        self.health.record_answer()
         before = self.since
         if math.isinf(self.first_read_at):
-            # All is known as of now, as if a watcher had told it.
-            self.first_read_at = self.told_at = self.clock.monotonic()
+            # A full read is as current as an update of a watcher.
+            self.first_read_at = self.received_at = self.clock.monotonic()
         settling = self.health.settling()
         if not self.accept(page, settling):
             if page.whole:
-                # A store that still tells an earlier era is not asked in a row.
+                # Avoids a busy loop while the store still answers with an
+                # earlier era.
                 await self.clock.sleep(FIRST_BACKOFF_S)
             return
-        # While entries come back from an outage the places of those that watch
-        # change. One that got its place during the call tells as well: the one
-        # before may have rested, and nobody else heard of a change for 2.5 s.
-        if not (watching or self.watches()):
+        # The set of watchers changes while entries recover from an outage. An
+        # entry that became a watcher during the call publishes too: the former
+        # watcher may be idle already, so that a change would reach no peer for
+        # 2.5 s.
+        if not (was_watcher or self.is_watcher()):
             return
-        await self.pass_on(make_news(self.table, before, page, settling))
+        await self.publish_update(
+            make_update(self.table, before, page, settling)
+        )
         if page.rows and not page.whole:
-            await self.clock.sleep(GATHER_S)
+            await self.clock.sleep(BATCH_DELAY_S)
 
-    async def pass_on(self, news: TableNews) -> None:
-        """Tells the others of an answer, unless the first watcher did."""
+    async def publish_update(self, update: TableUpdate) -> None:
+        """Publishes an update, unless the first watcher has done so."""
         if self.rank() != 0:
-            await self.clock.sleep(BACKUP_S)
-            told = self.told_at >= self.asked_at
-            if told and self.told_of >= news.revision:
+            await self.clock.sleep(BACKUP_DELAY_S)
+            received = self.received_at >= self.requested_at
+            if received and self.received_revision >= update.revision:
                 return
-        self.tell(news)
+        self.publish(update)
 
     async def read(self, wait: bool) -> Page | None:
-        """Returns the next page, None if a new era began meanwhile."""
-        if self.since is None or self.outdated():
+        """Returns the next page, or None if a new era began meanwhile."""
+        if self.since is None or self.is_outdated():
             return await self.store.scan(self.table)
         wait_s = FEED_WAIT_S if wait else 0.0
         changes = self.store.changes(self.table, self.since, wait_s)
-        return await self.until_begun(asyncio.ensure_future(changes))
+        return await self.wait_in_era(asyncio.ensure_future(changes))
 
-    async def until_begun(self, call: asyncio.Future[Page]) -> Page | None:
-        """Waits for an answer, None if a new era begins before it comes."""
-        watch = self.history.begun.subscribe(lambda _era: call.cancel())
+    async def wait_in_era(self, call: asyncio.Future[Page]) -> Page | None:
+        """Returns a call's result, None if a new era cancels the call."""
+        subscription = self.history.new_eras.subscribe(
+            lambda _era: call.cancel()
+        )
         try:
             return await call
         except asyncio.CancelledError:
@@ -283,57 +307,61 @@
                 raise
             return None
         finally:
-            watch.dispose()
+            subscription.dispose()
 
     def accept(self, page: Page, settling: bool) -> bool:
-        """Takes a page in; says whether it did.
+        """Applies a page unless it is outdated; returns whether it did.
 
-        Something newer may have come meanwhile. Changes that are of another era
-        than what they should follow leave out what was lost between the two.
+        A newer page may have been applied meanwhile. Changes of another era
+        than the applied state don't include what was lost between the two.
         """
         older = self.since is not None and page.revision < self.since
         of_other_era = not page.whole and (
             self.since is None or page.revision.era != self.since.era
         )
         if older or of_other_era or page.revision.era < self.history.era:
-            self.note_left_out("page", len(page.rows), page.revision)
+            self.log_ignored("page", len(page.rows), page.revision)
             return False
-        self.store_clock.note(page.now_ms, page.revision.era)
+        self.store_clock.record_time(page.now_ms, page.revision.era)
         self.since = page.revision
-        self.take(page, settling)
+        self.on_page(page, settling)
         return True
 
-    def hear(self, news: TableNews) -> None:
-        """Takes in what a watcher tells."""
-        self.health.note_alive()
-        if news.revision.era < self.history.note(news.revision.era, "peer"):
-            self.note_left_out("news", len(news.rows or ()), news.revision)
+    def apply_update(self, update: TableUpdate) -> None:
+        """Applies an update of a watcher, or marks its change as pending."""
+        self.health.record_reachable()
+        if update.revision.era < self.history.record_era(
+            update.revision.era, "peer"
+        ):
+            self.log_ignored("news", len(update.rows or ()), update.revision)
             return
-        if not news.whole and (self.since is None or self.outdated()):
-            self.behind = True
+        if not update.whole and (self.since is None or self.is_outdated()):
+            self.fetch_pending = True
             return
-        self.told_at = self.clock.monotonic()
-        self.told_of = max(self.told_of, news.revision)
-        if self.knows(news.revision):
-            if news.rows:
-                self.note_left_out("news", len(news.rows), news.revision)
+        self.received_at = self.clock.monotonic()
+        self.received_revision = max(self.received_revision, update.revision)
+        if self.has_applied(update.revision):
+            if update.rows:
+                self.log_ignored("news", len(update.rows), update.revision)
             return
-        if news.rows is None or not (news.whole or self.knows(news.since)):
-            self.behind = True
+        if update.rows is None or not (
+            update.whole or self.has_applied(update.since)
+        ):
+            self.fetch_pending = True
             return
-        rows = news.rows
-        if not news.whole:
-            rows = [row for row in rows if not self.knows(row.revision)]
-            if len(rows) < len(news.rows):
-                left_out = len(news.rows) - len(rows)
-                self.note_left_out("rows", left_out, news.revision)
-        page = Page(rows, news.revision, news.now_ms, news.whole)
-        self.accept(page, news.settling and self.health.settling())
-
-    def note_left_out(self, what: str, rows: int, revision: Revision) -> None:
-        """Logs that something told nothing new, by its revision."""
+        rows = update.rows
+        if not update.whole:
+            rows = [row for row in rows if not self.has_applied(row.revision)]
+            if len(rows) < len(update.rows):
+                ignored = len(update.rows) - len(rows)
+                self.log_ignored("rows", ignored, update.revision)
+        page = Page(rows, update.revision, update.now_ms, update.whole)
+        self.accept(page, update.settling and self.health.settling())
+
+    def log_ignored(self, what: str, rows: int, revision: Revision) -> None:
+        """Logs that received data was ignored because of its revision."""
         log.info(
-            "Left out as known.",
+            "Ignored outdated data.",
             table=self.table,
             what=what,
             rows=rows,
@@ -342,9 +370,9 @@
         )
 
 
-def pack_news(news: TableNews) -> bytes:
-    """Returns news as they are sent; rows that are too long are left out."""
-    packed = pack(news)
-    if len(packed) > MAX_TOLD_BYTES:
-        return pack_news(attrs.evolve(news, rows=None))
+def pack_update(update: TableUpdate) -> bytes:
+    """Returns an encoded update; rows over the size limit become None."""
+    packed = pack(update)
+    if len(packed) > MAX_UPDATE_BYTES:
+        return pack_update(attrs.evolve(update, rows=None))
     return packed
--- a/tests/relay/test_held_rows.py
+++ b/tests/relay/test_quarantine_rows.py
@@ -1,4 +1,4 @@
-"""Held requests in the store: who writes them, and what is made of them."""
+"""Tests how rows of quarantined requests are written, read and removed."""
 
 import attrs
 import pytest
@@ -6,8 +6,11 @@
 from rattanpier._internal.models.feed import FeedRow, WrittenAt
 from rattanpier._internal.models.outcomes import NotRun
 from rattanpier._internal.relay.fleet import EntryState, Fleet
-from rattanpier._internal.relay.held_rows import HeldRow, HeldRows
-from rattanpier._internal.relay.own_table import HELD
+from rattanpier._internal.relay.own_table import QUARANTINED_PREFIX
+from rattanpier._internal.relay.quarantine_rows import (
+    QuarantineRow,
+    QuarantineRows,
+)
 from rattanpier._internal.relay.store import StoreClock
 from rattanpier._internal.retries.quarantine import HOLD_S, Quarantine
 from rattanpier._internal.utils.codec import decode, encode
@@ -15,22 +18,22 @@
 from tests.lib.relay_parts import at
 from tests.lib.ring import make_member
 
-DEADLY = "deadly"
+CONTENT = "deadly"
 NOW_MS = 5_000_000.0
 
 
 @attrs.define
 class FakeStore:
-    """Takes writes, or refuses so many first."""
+    """A store whose first `failures_left` transactions are not run."""
 
-    refused: int = 0
+    failures_left: int = 0
     calls: int = 0
     rows: dict = attrs.Factory(dict)
 
     async def transact(self, checks, puts, removed=()):
         self.calls += 1
-        if self.refused:
-            self.refused -= 1
+        if self.failures_left:
+            self.failures_left -= 1
             return NotRun("away")
         for put in puts:
             self.rows[put.key] = put.value
@@ -48,7 +51,7 @@
         if other != number
     )
     store_clock = StoreClock(clock, NOW_MS)
-    rows = HeldRows(
+    rows = QuarantineRows(
         store,
         Quarantine(clock),
         fleet,
@@ -60,66 +63,66 @@
     return rows
 
 
-def hold(rows):
+def quarantine_request(rows):
     for number in range(3):
-        rows.quarantine.note_end(DEADLY, f"w{number}")
+        rows.quarantine.note_end(CONTENT, f"w{number}")
 
 
-async def bring_up_to_date(rows):
+async def sync_rows(rows):
     while not rows.changed.empty():
-        assert await rows.bring_up_to_date(rows.changed.get_nowait())
+        assert await rows.sync_row(rows.changed.get_nowait())
 
 
-async def test_one_entry_of_many_writes_a_held_request_once():
+async def test_only_one_entry_writes_the_row_of_a_request():
     store = FakeStore()
     for number in range(8):
         rows = make_rows(store, number, of=8)
-        hold(rows)
-        await bring_up_to_date(rows)
+        quarantine_request(rows)
+        await sync_rows(rows)
     assert store.calls == 1
-    assert list(store.rows) == [HELD + DEADLY]
-    row = decode(HeldRow, store.rows[HELD + DEADLY])
-    assert row == HeldRow(["w0", "w1", "w2"], NOW_MS)
+    assert list(store.rows) == [QUARANTINED_PREFIX + CONTENT]
+    row = decode(QuarantineRow, store.rows[QUARANTINED_PREFIX + CONTENT])
+    assert row == QuarantineRow(["w0", "w1", "w2"], NOW_MS)
 
 
-async def test_a_row_that_is_not_written_is_tried_again():
-    store = FakeStore(refused=1)
+async def test_a_failed_write_of_a_row_is_retried():
+    store = FakeStore(failures_left=1)
     rows = make_rows(store)
-    hold(rows)
-    assert not await rows.bring_up_to_date(DEADLY)
-    assert await rows.bring_up_to_date(DEADLY)
+    quarantine_request(rows)
+    assert not await rows.sync_row(CONTENT)
+    assert await rows.sync_row(CONTENT)
     assert store.rows
 
 
-async def test_a_request_that_is_cleared_has_no_row_any_more():
+async def test_the_row_of_a_cleared_request_is_removed():
     store = FakeStore()
     rows = make_rows(store)
-    hold(rows)
-    await bring_up_to_date(rows)
-    rows.quarantine.note_answered(DEADLY)
-    await bring_up_to_date(rows)
+    quarantine_request(rows)
+    await sync_rows(rows)
+    rows.quarantine.note_answered(CONTENT)
+    await sync_rows(rows)
     assert store.rows == {}
 
 
 def make_row(age_s):
-    held = HeldRow(["w0", "w1", "w2"], NOW_MS - 1000.0 * age_s)
-    return FeedRow(DEADLY, encode(held).encode(), at(1))
+    stored = QuarantineRow(["w0", "w1", "w2"], NOW_MS - 1000.0 * age_s)
+    return FeedRow(CONTENT, encode(stored).encode(), at(1))
 
 
 @pytest.mark.parametrize(("age_s", "held_s"), [(100.0, 500.0), (-5.0, 600.0)])
-def test_a_row_holds_for_what_is_left(age_s, held_s):
+def test_a_row_quarantines_for_the_remaining_time(age_s, held_s):
     rows = make_rows(FakeStore())
-    rows.take(make_row(age_s), NOW_MS)
-    assert rows.quarantine.held_s(DEADLY) == held_s
+    rows.apply_row(make_row(age_s), NOW_MS)
+    assert rows.quarantine.held_s(CONTENT) == held_s
 
 
 @pytest.mark.parametrize(
-    "row", [make_row(HOLD_S), FeedRow(DEADLY, b"no row", at(1))]
+    "row", [make_row(HOLD_S), FeedRow(CONTENT, b"no row", at(1))]
 )
-async def test_a_row_that_is_old_or_spoiled_is_removed(row):
-    store = FakeStore(rows={HELD + row.key: row.value})
+async def test_an_expired_or_unreadable_row_is_removed(row):
+    store = FakeStore(rows={QUARANTINED_PREFIX + row.key: row.value})
     rows = make_rows(store)
-    rows.take(row, NOW_MS)
-    assert rows.quarantine.held_s(DEADLY) == 0.0
-    await bring_up_to_date(rows)
+    rows.apply_row(row, NOW_MS)
+    assert rows.quarantine.held_s(CONTENT) == 0.0
+    await sync_rows(rows)
     assert store.rows == {}
