--- a/benchmarks/restored_store.py
+++ b/benchmarks/restored_store.py
@@ -1,9 +1,9 @@
-"""Ways for all entries to follow a store that came back from an older copy.
+"""Compares how all entries can follow a store restored from a backup.
 
-The store is away for half a second and comes back from a copy; a tenth of a
-second later a worker leaves. Prints, for each way and size, the calls that the
-store gets within three seconds, the most within one, and the seconds until all
-entries know that the worker leaves.
+The store is unavailable for 0.5 s and is restored from a backup; 0.1 s later a
+worker leaves. Prints, for each strategy and fleet size, the number of calls to
+the store within 3 s, the most within 1 s, and the seconds until all entries
+know that the worker leaves.
 
     PYTHONPATH=. python -m benchmarks.restored_store
 """
@@ -27,47 +27,52 @@
 from tests.lib.virtual import run_virtual
 
 SIZES = (8, 77, 200, 420)
-# Seconds to wait for what watchers tell, and the longest table that is told.
-WAYS = {
-    "told by two watchers": (watch.TOLD_WITHIN_S, watch.MAX_TOLD_BYTES),
+# Seconds to wait for watchers' updates, and the size limit of an update.
+STRATEGIES = {
+    "told by two watchers": (watch.ERA_UPDATE_WAIT_S, watch.MAX_UPDATE_BYTES),
     "each reads for itself": (0.0, 100),
 }
 TABLE = "servers"
-ANSWER_S = 0.004
+RESPONSE_S = 0.004
 PAGE_ROWS = 500
 WORKERS_PER_ENTRY = 600 / 420
-AWAY_S = 0.5
-LEAVES_AFTER_S = 0.1
-PLAY_S = 3.0
+OUTAGE_S = 0.5
+CHANGE_DELAY_S = 0.1
+DURATION_S = 3.0
 
 
 @attrs.define
-class Store:
+class FakeStore:
     """A table of workers, of which one leaves in the second era.
 
     Attributes:
-      rows: Workers in it.
-      revision: Of the newest change.
-      away: It answers nobody.
-      calls: Times of calls.
+      rows: Number of workers.
+      revision: Revision of the newest change.
+      unavailable: Whether all calls fail.
+      leaving_row: Row of the leaving worker, None before it leaves.
+      calls: Times of the calls, in seconds of the event loop.
     """
 
     rows: int
     revision: Revision = Revision(1, 1000)
-    away: bool = False
-    leaving: FeedRow | None = None
+    unavailable: bool = False
+    leaving_row: FeedRow | None = None
     calls: list[float] = attrs.Factory(list)
 
-    async def answer(self) -> None:
-        """Takes a call."""
+    async def respond(self) -> None:
+        """Records a call and answers it.
+
+        Raises:
+          StoreUnavailableError: The store is unavailable.
+        """
         self.calls.append(asyncio.get_running_loop().time())
-        await asyncio.sleep(ANSWER_S)
-        if self.away:
+        await asyncio.sleep(RESPONSE_S)
+        if self.unavailable:
             raise StoreUnavailableError("away")
 
     def page(self, whole: bool) -> Page:
         """Returns the rows, or those that changed in the new era."""
-        rows = [] if self.leaving is None else [self.leaving]
+        rows = [] if self.leaving_row is None else [self.leaving_row]
         if whole:
             rows += [
                 FeedRow(f"w{number}", VALUE, Revision(self.revision.era, 1))
@@ -77,32 +82,32 @@
 
 
 @attrs.define
-class EntryStore:
-    """The store as one entry reaches it."""
+class FakeStoreClient:
+    """The store's client in one entry."""
 
-    store: Store
+    store: FakeStore
     history: object
 
     async def scan(self, _table: str) -> Page:
         """Returns all rows."""
         for _ in range(0, self.store.rows, PAGE_ROWS):
-            await self.store.answer()
-        self.history.note(self.store.revision.era, "store")
+            await self.store.respond()
+        self.history.record_era(self.store.revision.era, "store")
         return self.store.page(whole=True)
 
     async def changes(
         self, _table: str, since: Revision, wait_s: float
     ) -> Page:
-        """Waits for changes."""
-        await self.store.answer()
+        """Waits up to `wait_s` for changes."""
+        await self.store.respond()
         end = asyncio.get_running_loop().time() + wait_s
-        while since >= self.store.revision and not self.store.away:
+        while since >= self.store.revision and not self.store.unavailable:
             if asyncio.get_running_loop().time() >= end:
                 break
-            await asyncio.sleep(ANSWER_S)
-        if self.store.away:
+            await asyncio.sleep(RESPONSE_S)
+        if self.store.unavailable:
             raise StoreUnavailableError("away")
-        self.history.note(self.store.revision.era, "store")
+        self.history.record_era(self.store.revision.era, "store")
         return self.store.page(whole=False)
 
 
@@ -121,27 +126,27 @@
 
 
 def add_follower(
-    entry: object, store: Store, clock: object, knowing: dict[str, float]
+    entry: object, store: FakeStore, clock: object, known_at: dict[str, float]
 ) -> asyncio.Task:
-    """Lets an entry follow the table; notes when it knows who leaves."""
+    """Starts a follower; records when it learns of the leaving worker."""
     history = entry.gossip.shared_state.history
     name = entry.fleet.me.member.name
 
     def take(page: Page, _after_outage: bool) -> None:
         if any(row.key == "w0" for row in page.rows):
-            knowing.setdefault(name, clock.monotonic())
+            known_at.setdefault(name, clock.monotonic())
 
     health = StoreHealth(clock)
-    health.note_answer()
+    health.record_answer()
     follower = watch.TableFollower(
-        store=EntryStore(store, history),
+        store=FakeStoreClient(store, history),
         clock=clock,
         health=health,
         store_clock=StoreClock(clock),
         table=TABLE,
-        take=take,
+        on_page=take,
         rank=lambda: watch.watch_rank(entry.fleet),
-        tell=entry.gossip.broadcast_store_news,
+        publish=entry.gossip.broadcast_store_news,
         history=history,
     )
     entry.gossip.followers[TABLE] = follower
@@ -149,8 +154,8 @@
     return asyncio.ensure_future(follower.run())
 
 
-async def play(size: int) -> tuple[int, int, float]:
-    """Returns the calls, the most in a second, and when all know."""
+async def simulate(size: int) -> tuple[int, int, float]:
+    """Returns the calls, their peak in 1 s, and the seconds until all know."""
     ring = make_ring(size)
     for entry in ring.live():
         for each in ring.live():
@@ -158,43 +163,46 @@
                 attrs.evolve(each.fleet.me, store=True, sequence=1)
             )
         entry.fleet.update_own_state(store=True)
-        entry.gossip.shared_state.history.note(1, "store")
-    store = Store(int(size * WORKERS_PER_ENTRY))
-    knowing: dict[str, float] = {}
+        entry.gossip.shared_state.history.record_era(1, "store")
+    store = FakeStore(int(size * WORKERS_PER_ENTRY))
+    known_at: dict[str, float] = {}
     tasks = [
-        add_follower(entry, store, ring.clock, knowing) for entry in ring.live()
+        add_follower(entry, store, ring.clock, known_at)
+        for entry in ring.live()
     ]
     await ring.run_rounds(6)
-    store.away = True
-    talking = asyncio.ensure_future(ring.run_rounds(12))
-    await asyncio.sleep(AWAY_S)
+    store.unavailable = True
+    gossip_task = asyncio.ensure_future(ring.run_rounds(12))
+    await asyncio.sleep(OUTAGE_S)
     store.calls.clear()
-    store.away, store.revision = False, Revision(2, 900)
-    await asyncio.sleep(LEAVES_AFTER_S)
+    store.unavailable, store.revision = False, Revision(2, 900)
+    await asyncio.sleep(CHANGE_DELAY_S)
     store.revision = Revision(2, 901)
-    store.leaving = FeedRow("w0", VALUE, store.revision)
+    store.leaving_row = FeedRow("w0", VALUE, store.revision)
     left_at = ring.clock.monotonic()
-    await asyncio.sleep(PLAY_S)
-    for task in (*tasks, talking):
+    await asyncio.sleep(DURATION_S)
+    for task in (*tasks, gossip_task):
         task.cancel()
     seconds = collections.Counter(int(at - left_at) for at in store.calls)
-    known_s = max(knowing.values()) - left_at
-    lacking = size - len(knowing)
-    return len(store.calls), max(seconds.values()), known_s + 1000 * lacking
+    known_s = max(known_at.values()) - left_at
+    unaware = size - len(known_at)
+    return len(store.calls), max(seconds.values()), known_s + 1000 * unaware
 
 
 def main() -> None:
-    """Prints the table."""
+    """Prints the results as a table."""
     structlog.configure(
         wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL)
     )
     print(f"{'way':<24}{'entries':>8}{'calls':>7}{'in 1 s':>8}{'known s':>9}")
-    for way, (told_within_s, most_bytes) in WAYS.items():
-        watch.TOLD_WITHIN_S = told_within_s
-        watch.MAX_TOLD_BYTES = most_bytes
+    for strategy, (update_wait_s, max_bytes) in STRATEGIES.items():
+        watch.ERA_UPDATE_WAIT_S = update_wait_s
+        watch.MAX_UPDATE_BYTES = max_bytes
         for size in SIZES:
-            calls, most, known_s = run_virtual(play(size))
-            print(f"{way:<24}{size:>8}{calls:>7}{most:>8}{known_s:>9.2f}")
+            calls, peak_calls, known_s = run_virtual(simulate(size))
+            print(
+                f"{strategy:<24}{size:>8}{calls:>7}{peak_calls:>8}{known_s:>9.2f}"
+            )
 
 
 if __name__ == "__main__":
--- a/src/rattanpier/_internal/programs/relay_store.py
+++ b/src/rattanpier/_internal/programs/relay_store.py
@@ -23,10 +23,10 @@
 )
 from rattanpier._internal.relay.directory import WorkerDirectory
 from rattanpier._internal.relay.exposure import ExposureBound
-from rattanpier._internal.relay.held_rows import HeldRows
 from rattanpier._internal.relay.history import StoreHistory
 from rattanpier._internal.relay.membership import EntryRows
 from rattanpier._internal.relay.own_table import OwnTable
+from rattanpier._internal.relay.quarantine_rows import QuarantineRows
 from rattanpier._internal.relay.restoring import RowRestorer
 from rattanpier._internal.relay.rollout_driver import RolloutDriver
 from rattanpier._internal.relay.rollouts import Rollouts
@@ -48,7 +48,7 @@
     store = PlatformStore(
         session,
         f"http://{settings.store.address}",
-        lambda era: history.note(era, "store"),
+        lambda era: history.record_era(era, "store"),
     )
     kernel.add("store", store)
     kernel.add("store_health", StoreHealth(clock, settings.heartbeat_s))
@@ -83,7 +83,7 @@
     kernel = entry.kernel
     health = entry.state.health
     quarantine = entry.edge.dispatcher.quarantine
-    held = HeldRows(
+    held = QuarantineRows(
         kernel.find("store"),
         quarantine,
         entry.fleet,
@@ -98,7 +98,7 @@
         entry.fleet,
         kernel.find("clock"),
         lambda: health.available,
-        held.take,
+        held.apply_row,
     )
     kernel.spawn(rows.run())
     kernel.spawn(held.run())
@@ -111,7 +111,7 @@
         kernel.find("clock"),
         lambda: health.available,
         lambda era: entry.gossip.broadcast(StateUpdate(restored=era)),
-        (rows.lost, held.lost, driver.lost),
+        (rows.lost, held.find_lost_rows, driver.lost),
     )
     kernel.spawn(driver.run())
     kernel.spawn(restorer.run())
@@ -147,7 +147,7 @@
     )
 
     def take_operator_page(page: Page, after_outage: bool) -> None:
-        writer.note(page)
+        writer.apply_page(page)
         state.take_operator_page(page, after_outage)
 
     follow = {
@@ -164,9 +164,9 @@
             health=state.health,
             store_clock=kernel.find("store_clock"),
             table=table,
-            take=take,
+            on_page=take,
             rank=lambda: watch_rank(entry.fleet),
-            tell=entry.gossip.broadcast_store_news,
+            publish=entry.gossip.broadcast_store_news,
             history=kernel.find("history"),
         )
         entry.gossip.followers[table] = follower
--- a/src/rattanpier/_internal/relay/restoring.py
+++ b/src/rattanpier/_internal/relay/restoring.py
@@ -1,8 +1,9 @@
-"""Writes rows of the system's own table again that the store lost.
+"""Restores rows of the system's own table that the store lost.
 
-Load answered: a store that comes back from an older copy, which all entries
-learn within a moment. One of them reads the table once, and writes what all of
-them know and the copy lacks. The next one does so if nothing was told of it.
+All entries learn almost at once that the store was restored from a backup. To
+avoid a burst of calls, one of them reads the table once and writes the rows
+that all entries know and the backup lacks. If it doesn't report that it is
+done, the next entry takes over.
 """
 
 from __future__ import annotations
@@ -24,40 +25,45 @@
 log = structlog.get_logger(part="store")
 
 DUTY = "restore"
-LOOK_EVERY_S = 0.25
-# Each further entry waits that much longer for news that it is done.
-STAND_IN_AFTER_S = 0.5
-MOST_ROWS = 40  # Of a transaction; the store takes a hundred and a megabyte.
+CHECK_INTERVAL_S = 0.25
+# Each further entry in the order of preference waits this much longer for the
+# report that the rows are restored.
+TAKEOVER_DELAY_S = 0.5
+# The store accepts at most a hundred rows and 1 MB in a transaction.
+MAX_ROWS_PER_TRANSACTION = 40
 
 
 @attrs.frozen
 class LostRow:
-    """A row of the system's own table that is to stand, or to go.
+    """A row of the system's own table that is to be written or removed.
 
     Attributes:
-      key: Its key.
-      value: None: it is to be removed.
-      with_it: Rows of other tables that are written with it.
+      key: Key of the row.
+      value: Value of the row, or None if it is to be removed.
+      related_puts: Rows of other tables to write in the same transaction.
     """
 
     key: str
     value: bytes | None
-    with_it: tuple[RowPut, ...] = ()
+    related_puts: tuple[RowPut, ...] = ()
 
 
-LostRows = Callable[[Page], Iterable[LostRow]]
+LostRowFinder = Callable[[Page], Iterable[LostRow]]
 
 
 @attrs.define(eq=False, repr=False)
 class RowRestorer:
-    """Writes again what the store lost, where that falls to this entry.
+    """Restores lost rows when this entry is responsible for it.
 
     Attributes:
+      store: Where the rows are written.
       own_table: Holds the rows.
-      history: Which era is the newest one, and whether its rows stand again.
-      available: Whether this entry reaches the store.
-      tell: Tells all others that the rows of an era stand again.
-      sources: Find what a reading of the table lacks, one a kind of row.
+      fleet: Determines which entry is responsible.
+      history: Tracks the newest era, and whether its rows are restored.
+      clock: Monotonic clock.
+      available: Returns whether this entry reaches the store.
+      publish: Sends to all peers the era whose rows are restored.
+      finders: Find rows that a full read lacks, one for each kind of row.
     """
 
     store: RelayStore
@@ -66,57 +72,62 @@
     history: StoreHistory
     clock: Clock
     available: Callable[[], bool]
-    tell: Callable[[int], None]
-    sources: Sequence[LostRows]
+    publish: Callable[[int], None]
+    finders: Sequence[LostRowFinder]
 
     async def run(self) -> None:
-        """Looks again and again whether there is something to write."""
+        """Restores rows whenever that is due, until cancelled."""
         while True:
-            await self.clock.sleep(LOOK_EVERY_S)
+            await self.clock.sleep(CHECK_INTERVAL_S)
             if self.is_due():
                 await self.step()
 
     def is_due(self) -> bool:
-        """Says whether it falls to this entry to look at the table now.
+        """Returns whether this entry has to check the table now.
 
-        Only entries that saw the era begin know what was lost with the one
+        Only entries that saw the era begin know what was lost from the one
         before.
         """
-        if self.history.restored >= self.history.era or not self.available():
+        if (
+            self.history.restored_era >= self.history.era
+            or not self.available()
+        ):
             return False
-        since_s = self.clock.monotonic() - self.history.began_at
-        stand_ins = int(since_s / STAND_IN_AFTER_S)
-        preferred = self.fleet.preferred(DUTY, 1 + stand_ins)
+        elapsed_s = self.clock.monotonic() - self.history.era_began_at
+        substitutes = int(elapsed_s / TAKEOVER_DELAY_S)
+        preferred = self.fleet.preferred(DUTY, 1 + substitutes)
         return self.fleet.me.member.name in preferred
 
     async def step(self) -> None:
-        """Writes all that is lost."""
+        """Restores all lost rows, and publishes that it is done."""
         era = self.history.era
         try:
             page = await self.own_table.read()
         except StoreUnavailableError as error:
-            log.debug("Own rows not read.", error=str(error))
+            log.debug("Own table not read.", error=str(error))
             return
         if page.revision.era != era:
             return
-        lost = [row for find in self.sources for row in find(page)]
+        lost = [row for find in self.finders for row in find(page)]
         read_at = {row.key: row.revision for row in page.rows}
-        for start in range(0, len(lost), MOST_ROWS):
-            if not await self.write(lost[start : start + MOST_ROWS], read_at):
+        for start in range(0, len(lost), MAX_ROWS_PER_TRANSACTION):
+            if not await self.write(
+                lost[start : start + MAX_ROWS_PER_TRANSACTION], read_at
+            ):
                 return
-        self.history.note_restored(era)
-        self.tell(era)
+        self.history.record_restored(era)
+        self.publish(era)
         log.info(
-            "Own rows stand again.",
+            "Lost rows restored.",
             era=era,
             rows=len(lost),
-            keys=[row.key for row in lost][:MOST_ROWS],
+            keys=[row.key for row in lost][:MAX_ROWS_PER_TRANSACTION],
         )
 
     async def write(
         self, rows: Sequence[LostRow], read_at: dict[str, Revision]
     ) -> bool:
-        """Writes some rows, unless one changed since; says whether it did."""
+        """Writes rows unless one changed since; returns whether it did."""
         checks = [
             RowCheck(TABLE, row.key, read_at.get(row.key, Revision()))
             for row in rows
@@ -126,7 +137,7 @@
             for row in rows
             if row.value is not None
         ]
-        puts += [put for row in rows for put in row.with_it]
+        puts += [put for row in rows for put in row.related_puts]
         removed = [
             check
             for check, row in zip(checks, rows, strict=True)
@@ -134,5 +145,5 @@
         ]
         outcome = await self.store.transact(checks, puts, removed)
         if not isinstance(outcome, WrittenAt):
-            log.info("Own rows not written again.", outcome=repr(outcome))
+            log.info("Lost rows not restored.", outcome=repr(outcome))
         return isinstance(outcome, WrittenAt)
--- a/tests/lib/restored_fleet.py
+++ b/tests/lib/restored_fleet.py
@@ -89,25 +89,25 @@
             (DOMAINS, self.take_domains),
         ):
             health = StoreHealth(self.clock)
-            health.note_answer()
+            health.record_answer()
             self.followers[table] = TableFollower(
                 store=self,
                 clock=self.clock,
                 health=health,
                 store_clock=StoreClock(self.clock),
                 table=table,
-                take=take,
+                on_page=take,
                 rank=lambda: 0 if self.watches else None,
-                tell=self.tell,
+                publish=self.tell,
                 history=self.history,
             )
 
     async def scan(self, table):
-        self.history.note(self.store.era, "store")
+        self.history.record_era(self.store.era, "store")
         return self.store.page(table, -1, whole=True)
 
     async def changes(self, table, since, _wait_s):
-        self.history.note(self.store.era, "store")
+        self.history.record_era(self.store.era, "store")
         # A feed whose answer tells a new era is given up.
         await asyncio.sleep(0)
         if since.version > self.store.version:
@@ -270,7 +270,7 @@
     def deliver_message(self, number):
         if self.messages:
             entry, news = self.messages.pop(number % len(self.messages))
-            entry.followers[news.table].hear(news)
+            entry.followers[news.table].apply_update(news)
 
     async def ask_store(self, number):
         entry = self.entries[number % 3]
--- a/tests/lib/restored_store.py
+++ b/tests/lib/restored_store.py
@@ -1,15 +1,15 @@
-"""A site whose store comes back from an older copy."""
+"""A site whose store can be restored from a backup."""
 
 import contextlib
 
-from rattanpier._internal.relay.own_table import CHECKPOINT, TABLE
+from rattanpier._internal.relay.own_table import CHECKPOINT_PREFIX, TABLE
 from rattanpier._internal.standin.platform_store import StoreFault
 from tests.lib.platform_site import platform_site, until
 
 
 @contextlib.asynccontextmanager
-async def site_of(entries, workers=2, **more):
-    """A site with plain workers and entries that know each other."""
+async def restorable_site(entries, workers=2, **more):
+    """Yields a site with plain workers and connected entries."""
     async with platform_site(**more) as site:
         for number in range(1, workers + 1):
             await site.add_worker(f"w{number}")
@@ -22,10 +22,10 @@
     seeds = [str(first.settings.peers)]
     for number in range(2, count + 1):
         await site.add_entry(f"entry-{number}", seeds=seeds)
-    await all_know_each_other(site)
+    await wait_until_connected(site)
 
 
-async def all_know_each_other(site):
+async def wait_until_connected(site):
     count = len(site.entries)
     for entry in site.entries.values():
         await until(
@@ -36,15 +36,15 @@
         )
 
 
-def write_more(store, count):
-    """Rows of a table that nobody reads: versions go on rising."""
+def advance_version(store, count):
+    """Writes rows to an unread table, which advances the store's version."""
     for number in range(count):
         store.put("other", f"row-{number}", {})
 
 
 @contextlib.asynccontextmanager
-async def away(site):
-    """The store answers nobody meanwhile, as all entries notice."""
+async def store_outage(site):
+    """Makes the store unavailable; the block runs once all entries notice."""
     site.store.set_fault(StoreFault.BUSY)
     for entry in site.entries.values():
         await until(lambda entry=entry: not entry.state.health.available)
@@ -52,14 +52,16 @@
     site.store.set_fault(StoreFault.NONE)
 
 
-def all_entries(site, true):
-    return all(map(true, site.entries.values()))
+def all_entries_match(site, predicate):
+    return all(map(predicate, site.entries.values()))
 
 
-def own_rows(store):
-    """Keys of the system's own table, but the checkpoint's."""
+def own_table_keys(store):
+    """Returns the keys of the system's own table except checkpoints."""
     return sorted(
         key
         for (table, key), row in store.rows.items()
-        if table == TABLE and not row.deleted and not key.startswith(CHECKPOINT)
+        if table == TABLE
+        and not row.deleted
+        and not key.startswith(CHECKPOINT_PREFIX)
     )
--- /dev/null
+++ b/tests/relay/test_quarantine_rows.py
@@ -0,0 +1,128 @@
+"""Tests how rows of quarantined requests are written, read and removed."""
+
+import attrs
+import pytest
+
+from rattanpier._internal.models.feed import FeedRow, WrittenAt
+from rattanpier._internal.models.outcomes import NotRun
+from rattanpier._internal.relay.fleet import EntryState, Fleet
+from rattanpier._internal.relay.own_table import QUARANTINED_PREFIX
+from rattanpier._internal.relay.quarantine_rows import (
+    QuarantineRow,
+    QuarantineRows,
+)
+from rattanpier._internal.relay.store import StoreClock
+from rattanpier._internal.retries.quarantine import QUARANTINE_S, Quarantine
+from rattanpier._internal.utils.codec import decode, encode
+from tests.lib.clock import ManualClock
+from tests.lib.relay_parts import at
+from tests.lib.ring import make_member
+
+CONTENT = "deadly"
+NOW_MS = 5_000_000.0
+
+
+@attrs.define
+class FakeStore:
+    """A store whose first `failures_left` transactions are not run."""
+
+    failures_left: int = 0
+    calls: int = 0
+    rows: dict = attrs.Factory(dict)
+
+    async def transact(self, checks, puts, removed=()):
+        self.calls += 1
+        if self.failures_left:
+            self.failures_left -= 1
+            return NotRun("away")
+        for put in puts:
+            self.rows[put.key] = put.value
+        for check in removed:
+            self.rows.pop(check.key, None)
+        return WrittenAt(at(1), NOW_MS)
+
+
+def make_rows(store, number=0, of=1):
+    clock = ManualClock()
+    fleet = Fleet(EntryState(make_member(number), 1.0, store=True), clock)
+    fleet.apply_states(
+        EntryState(make_member(other), 1.0, store=True)
+        for other in range(of)
+        if other != number
+    )
+    store_clock = StoreClock(clock, NOW_MS)
+    rows = QuarantineRows(
+        store,
+        Quarantine(clock),
+        fleet,
+        store_clock,
+        clock,
+        lambda: True,
+    )
+    rows.quarantine.changed = rows.changed.put_nowait
+    return rows
+
+
+def quarantine_request(rows):
+    for number in range(3):
+        rows.quarantine.record_crash(CONTENT, f"w{number}")
+
+
+async def sync_rows(rows):
+    while not rows.changed.empty():
+        assert await rows.sync_row(rows.changed.get_nowait())
+
+
+async def test_only_one_entry_writes_the_row_of_a_request():
+    store = FakeStore()
+    for number in range(8):
+        rows = make_rows(store, number, of=8)
+        quarantine_request(rows)
+        await sync_rows(rows)
+    assert store.calls == 1
+    assert list(store.rows) == [QUARANTINED_PREFIX + CONTENT]
+    row = decode(QuarantineRow, store.rows[QUARANTINED_PREFIX + CONTENT])
+    assert row == QuarantineRow(["w0", "w1", "w2"], NOW_MS)
+
+
+async def test_a_failed_write_of_a_row_is_retried():
+    store = FakeStore(failures_left=1)
+    rows = make_rows(store)
+    quarantine_request(rows)
+    assert not await rows.sync_row(CONTENT)
+    assert await rows.sync_row(CONTENT)
+    assert store.rows
+
+
+async def test_the_row_of_a_cleared_request_is_removed():
+    store = FakeStore()
+    rows = make_rows(store)
+    quarantine_request(rows)
+    await sync_rows(rows)
+    rows.quarantine.record_answer(CONTENT)
+    await sync_rows(rows)
+    assert store.rows == {}
+
+
+def make_row(age_s):
+    stored = QuarantineRow(["w0", "w1", "w2"], NOW_MS - 1000.0 * age_s)
+    return FeedRow(CONTENT, encode(stored).encode(), at(1))
+
+
+@pytest.mark.parametrize(("age_s", "held_s"), [(100.0, 500.0), (-5.0, 600.0)])
+def test_a_row_quarantines_for_the_remaining_time(age_s, held_s):
+    rows = make_rows(FakeStore())
+    rows.apply_row(make_row(age_s), NOW_MS)
+    assert rows.quarantine.remaining_s(CONTENT) == held_s
+
+
+@pytest.mark.parametrize(
+    "row", [make_row(QUARANTINE_S), FeedRow(CONTENT, b"no row", at(1))]
+)
+async def test_an_expired_or_unreadable_row_is_removed(row):
+    store = FakeStore(rows={QUARANTINED_PREFIX + row.key: row.value})
+    rows = make_rows(store)
+    rows.apply_row(row, NOW_MS)
+    assert rows.quarantine.remaining_s(CONTENT) == 0.0
+    await sync_rows(rows)
+    assert store.rows == {}
