--- a/tests/relay/test_quarantine_rows.py
+++ b/tests/relay/test_quarantine_rows.py
@@ -59,7 +59,7 @@
         clock,
         lambda: True,
     )
-    rows.quarantine.changed = rows.changed.put_nowait
+    rows.quarantine.on_change = rows.changed.put_nowait
     return rows
 
 
