--- a/benchmarks/placement_cost.py
+++ b/benchmarks/placement_cost.py
@@ -1,10 +1,10 @@
-"""What choosing a worker costs, and how evenly subsets load the workers.
+"""Measures the cost of choosing a worker and how evenly subsets load workers.
 
 Run: python -m benchmarks.placement_cost
 
-The cost is this process's processor time for one choice, by the size of the
-pool. The evenness is simulated: seeded arrivals at 420 entries, each of which
-chooses by the production code among its own subset, before 600 workers.
+The cost is the processor time of one choice, by size of the pool. The evenness
+is simulated with seeded arrivals at 420 entries and 600 workers; each entry
+chooses from its own subset with the production code.
 """
 
 from __future__ import annotations
@@ -43,8 +43,8 @@
 WORKERS = 600
 POOLS = (9, 60, 200, 600)
 SIZES = (8, 16, 32, 64, 600)
-RATE = 3700.0  # Requests a second.
-SERVICE_S = 2.0  # Mean seconds of a request at a worker.
+RATE = 3700.0  # Requests per second.
+SERVICE_S = 2.0  # Mean duration of a request at a worker.
 SLOTS = 16
 WARM_UP_S = 10.0
 SEEDS = (1, 2, 3)
@@ -61,7 +61,7 @@
 
 
 def listing_us(workers: int, calls: int = 200) -> float:
-    """Returns the same where all workers are listed for each request."""
+    """Returns the same if all workers are listed for each request."""
     configuration = pool_of(workers, ENTRIES)
     leaving: set[str] = set()
     return cost_us(
@@ -75,7 +75,7 @@
 
 
 def revision_us(workers: int, calls: int = 20) -> float:
-    """Returns the cost of the first choice after a change."""
+    """Returns the cost of the first choice after a configuration change."""
     configurations = [pool_of(workers, ENTRIES) for _ in range(2)]
     placement = Placement("entry-1")
 
@@ -87,7 +87,7 @@
 
 
 def admission_us(workers: int, calls: int = 300) -> float:
-    """Returns the cost of being let through to a pool."""
+    """Returns the cost of admission to a pool, in microseconds."""
     configuration = pool_of(workers, 1)
     gates = Gates(lambda: configuration, lambda: 1, SystemClock(), Metrics())
     request = build_request(deadline=float("inf"))
@@ -104,7 +104,7 @@
 
 
 def cost_us(work, calls: int) -> float:
-    """Returns the processor time of a call and a choice among its targets."""
+    """Returns the microseconds of a call and a choice among its targets."""
     load, rng = Load(), random.Random(1)
     best = float("inf")
     for _ in range(5):
@@ -117,48 +117,48 @@
 
 @attrs.frozen
 class Evenness:
-    """How evenly the workers were loaded.
+    """How evenly the workers are loaded.
 
     Attributes:
-      spread: Standard deviation of the workers' mean load, by their mean.
-      highest: The highest mean load, by their mean.
-      over: Share of requests that found no free slot.
+      spread: Standard deviation of the workers' loads, relative to the mean.
+      highest: The highest load of a worker, relative to the mean.
+      over_capacity: Share of requests that found no free slot.
     """
 
     spread: float
     highest: float
-    over: float
+    over_capacity: float
 
 
 def subsets_of(
     configuration: Configuration, size: int
 ) -> Iterator[list[Target]]:
     """Yields the subset of each entry."""
-    everywhere = list(targets_of(configuration, KEY))
+    all_targets = list(targets_of(configuration, KEY))
     for number in range(ENTRIES):
-        yield choose_subset(f"entry-{number}", everywhere, size)
+        yield choose_subset(f"entry-{number}", all_targets, size)
 
 
 def simulate(
     size: int, seed: int, seconds: float, reported: bool = False
 ) -> Evenness:
-    """Runs seeded arrivals and returns how evenly they were spread.
+    """Simulates seeded arrivals and returns the evenness of the load.
 
     Args:
       size: Workers in a subset.
-      seed: For the arrivals.
-      seconds: Simulated seconds that count.
-      reported: True to choose by the workers' own counts without any lag, in
-        place of what the entry itself has under way.
+      seed: Seed of the arrivals.
+      seconds: Simulated seconds that are measured.
+      reported: Whether to choose by the workers' own counts without any lag,
+        instead of the requests that the entry itself has in progress.
     """
     rng = random.Random(seed)
     subsets = list(subsets_of(pool_of(WORKERS, ENTRIES), size))
     at_worker: collections.Counter[str] = collections.Counter()
-    whole = Load(at_worker)
+    reported_load = Load(at_worker)
     loads = [Load() for _ in range(ENTRIES)]
     busy_s: collections.Counter[str] = collections.Counter()
     ends: list[tuple[float, int, str]] = []
-    now, arrived, over = 0.0, 0, 0
+    now, arrived, over_capacity = 0.0, 0, 0
     while now < WARM_UP_S + seconds:
         now += rng.expovariate(RATE)
         while ends and ends[0][0] <= now:
@@ -167,21 +167,23 @@
             at_worker[name] -= 1
         entry = rng.randrange(ENTRIES)
         domain = DOMAINS[entry % len(DOMAINS)]
-        load = whole if reported else loads[entry]
+        load = reported_load if reported else loads[entry]
         target = two_choices(subsets[entry], load, domain, rng)
         assert target is not None
-        took = rng.expovariate(1 / SERVICE_S)
+        duration_s = rng.expovariate(1 / SERVICE_S)
         if now > WARM_UP_S:
             arrived += 1
-            over += at_worker[target.name] >= SLOTS
-            busy_s[target.name] += took
+            over_capacity += at_worker[target.name] >= SLOTS
+            busy_s[target.name] += duration_s
         loads[entry].outstanding[target.name] += 1
         at_worker[target.name] += 1
-        heapq.heappush(ends, (now + took, entry, target.name))
+        heapq.heappush(ends, (now + duration_s, entry, target.name))
     values = [busy_s[f"w{number}"] for number in range(WORKERS)]
     mean = statistics.fmean(values)
     return Evenness(
-        statistics.pstdev(values) / mean, max(values) / mean, over / arrived
+        statistics.pstdev(values) / mean,
+        max(values) / mean,
+        over_capacity / arrived,
     )
 
 
@@ -189,7 +191,7 @@
     """Prints the cost of a choice and the evenness of subsets.
 
     Args:
-      seconds: Simulated seconds of arrivals that count.
+      seconds: Simulated seconds of arrivals that are measured.
     """
     print("us of processor | all listed | subset | first | admission")
     for workers in POOLS:
@@ -210,7 +212,7 @@
                 f"subset {size:3}: spread"
                 f" {statistics.fmean(r.spread for r in runs):5.3f}, highest"
                 f" {max(r.highest for r in runs):5.2f} of the mean, no free"
-                f" slot {statistics.fmean(r.over for r in runs):6.4f}"
+                f" slot {statistics.fmean(r.over_capacity for r in runs):6.4f}"
             )
 
 
--- a/benchmarks/rate_limits.py
+++ b/benchmarks/rate_limits.py
@@ -1,10 +1,10 @@
-"""Ways to keep within a limit that workers name, over all entries.
+"""Compares strategies for keeping all entries within workers' rate limits.
 
-Plays entries before workers that all name the same limit. Prints, for each way
-and size, the most requests that reached one worker in a window from entries
-that it had told, the share of its limit that was used, and the share of
-requests that found no worker open. In the last column all were told, had
-nothing to do for a while, and then get requests at the same moment.
+Simulates entries and workers that all name the same limit. Prints, for each
+strategy and size, the most requests that reached one worker in a window from
+entries that know its limit, the share of the limit that was used, and the share
+of requests that found no worker available. In the last column all entries know
+the limit, were idle for a while, and then get requests at the same moment.
 
     PYTHONPATH=. python -m benchmarks.rate_limits
 """
@@ -20,10 +20,10 @@
 import structlog
 
 from benchmarks.saved_parts import SavedParts
-from benchmarks.warm_up import view_of_half
+from benchmarks.warm_up import half_down
 from rattanpier._internal.placement.rate_limits import (
-    OVERSHOOT,
-    SLACK,
+    OVERSHOOT_RATIO,
+    SLACK_REQUESTS,
     WINDOW_S,
 )
 from tests.lib.relay_parts import make_workers
@@ -32,20 +32,20 @@
 SIZES = (8, 77, 200, 420)
 RATE_PER_S = 2.3
 REQUESTS_PER_S = 5.0  # At one entry.
-PLAY_S = 12.0
+RUN_S = 12.0
 IDLE_S = 600.0
 
 
 @attrs.define
-class Bucket:
-    """Each entry has an even part of the limit, and saves up one request."""
+class EvenShares:
+    """Gives each entry an even share of the limit, saving up one request."""
 
     limits: object
     parts: SavedParts
 
-    def open(self, workers: list) -> list:
+    def open_workers(self, workers: list) -> list:
         """Returns the workers that this entry may send to."""
-        if not self.limits.limited:
+        if not self.limits.rates:
             return workers
         now = self.limits.clock.now
         rate = RATE_PER_S / self.limits.shares.fleet.size()
@@ -55,61 +55,66 @@
             if self.parts.touch(each.id, rate, now) >= 1.0
         ]
 
-    def note_send(self, worker: object) -> None:
-        """Takes in a send."""
+    def record_send(self, worker: object) -> None:
+        """Records a request."""
         self.parts.spend(worker.id, self.limits.clock.now)
 
-    def hear(self, worker: object, rate: float | None, at: float) -> None:
-        """Takes in an answer."""
-        self.limits.hear(worker, rate, at)
+    def record_answer(
+        self, worker: object, rate: float | None, at: float
+    ) -> None:
+        """Records the limit in an answer."""
+        self.limits.record_answer(worker, rate, at)
 
-    def take(self, words: list) -> None:
-        """Takes in what another entry heard."""
-        self.limits.take(words)
+    def apply_limits(self, limits: list) -> None:
+        """Applies limits from a peer."""
+        self.limits.apply_limits(limits)
 
 
-def few_senders(limits: object, _rng: random.Random) -> object:
-    """Returns the product's way: a few entries, drawn by a hash."""
+def use_few_senders(limits: object, _rng: random.Random) -> object:
+    """Returns the production strategy: a few entries, chosen by a hash."""
     return limits
 
 
-def even_parts(limits: object, rng: random.Random) -> object:
-    """Returns the other way: an even part for each entry."""
-    return Bucket(limits, SavedParts(rng))
+def use_even_shares(limits: object, rng: random.Random) -> object:
+    """Returns the alternative: an even share for each entry."""
+    return EvenShares(limits, SavedParts(rng))
 
 
-WAYS: dict[str, Callable] = {"few senders": few_senders, "parts": even_parts}
+STRATEGIES: dict[str, Callable] = {
+    "few senders": use_few_senders,
+    "parts": use_even_shares,
+}
 
 
-def play(way: str, size: int, differ: bool, news: bool) -> LimitedFleet:
-    """Plays a fleet that nobody has told yet."""
-    fleet, workers = make(way, size, differ, news)
-    fleet.play(workers, REQUESTS_PER_S, PLAY_S, RATE_PER_S)
+def run(strategy: str, size: int, differ: bool, news: bool) -> LimitedFleet:
+    """Simulates a fleet that does not know the limit at first."""
+    fleet, workers = make(strategy, size, differ, news)
+    fleet.run(workers, REQUESTS_PER_S, RUN_S, RATE_PER_S)
     return fleet
 
 
-def play_after_idling(way: str, size: int, differ: bool) -> int:
-    """Returns the most in a window once a fleet that was told has work."""
-    fleet, workers = make(way, size, differ, True)
-    fleet.tell_all(workers, RATE_PER_S)
+def run_after_idling(strategy: str, size: int, differ: bool) -> int:
+    """Returns the most requests in a window after an idle period."""
+    fleet, workers = make(strategy, size, differ, True)
+    fleet.inform_all(workers, RATE_PER_S)
     for entry in fleet.entries.values():
-        entry.open(workers)
+        entry.open_workers(workers)
     fleet.clock.now += IDLE_S
-    fleet.play(workers, REQUESTS_PER_S, WINDOW_S, RATE_PER_S)
+    fleet.run(workers, REQUESTS_PER_S, WINDOW_S, RATE_PER_S)
     return max(map(len, fleet.sends.values()))
 
 
 def make(
-    way: str, size: int, differ: bool, news: bool
+    strategy: str, size: int, differ: bool, news: bool
 ) -> tuple[LimitedFleet, list]:
     """Returns a fleet, and workers for it to choose from."""
     fleet = LimitedFleet()
-    fleet.news = news
+    fleet.publishing = news
     rng = random.Random(size)
     for number in range(size):
-        down = view_of_half(number, range(size)) if differ else ()
+        down = half_down(number, range(size)) if differ else ()
         fleet.add(number, range(size), down)
-        fleet.entries[number] = WAYS[way](fleet.entries[number], rng)
+        fleet.entries[number] = STRATEGIES[strategy](fleet.entries[number], rng)
     return fleet, make_workers(9 + size // 3)
 
 
@@ -117,31 +122,33 @@
     """Prints the table."""
     quiet = structlog.make_filtering_bound_logger(logging.ERROR)
     structlog.configure(wrapper_class=quiet)
-    allowed = math.floor(OVERSHOOT * RATE_PER_S * WINDOW_S + SLACK)
+    allowed = math.floor(
+        OVERSHOOT_RATIO * RATE_PER_S * WINDOW_S + SLACK_REQUESTS
+    )
     print(f"allowed {allowed} in {WINDOW_S} s, limit {RATE_PER_S} a second")
     print("| way | entries | views | news | told | used | refused | idle |")
     print("|---|---|---|---|---|---|---|---|")
-    for way in WAYS:
+    for strategy in STRATEGIES:
         for size in SIZES:
             for differ, news in ((False, True), (True, True), (False, False)):
-                fleet = play(way, size, differ, news)
-                print_row(fleet, way, size, differ, news)
+                fleet = run(strategy, size, differ, news)
+                print_row(fleet, strategy, size, differ, news)
 
 
 def print_row(
-    fleet: LimitedFleet, way: str, size: int, differ: bool, news: bool
+    fleet: LimitedFleet, strategy: str, size: int, differ: bool, news: bool
 ) -> None:
-    """Prints what came of one play."""
+    """Prints the results of one simulation."""
     sent = sum(map(len, fleet.sends.values()))
     cells = (
-        way,
+        strategy,
         size,
         "differ" if differ else "alike",
         "yes" if news else "no",
-        fleet.most_told(WINDOW_S),
-        f"{sent / PLAY_S / len(fleet.sends) / RATE_PER_S:.2f}",
+        fleet.max_from_informed(WINDOW_S),
+        f"{sent / RUN_S / len(fleet.sends) / RATE_PER_S:.2f}",
         f"{fleet.refused / (fleet.refused + sent):.2f}",
-        play_after_idling(way, size, differ),
+        run_after_idling(strategy, size, differ),
     )
     print("|", " | ".join(map(str, cells)), "|", flush=True)
 
--- a/benchmarks/warm_up.py
+++ b/benchmarks/warm_up.py
@@ -1,9 +1,9 @@
-"""Ways to divide what a worker bears while it warms up over all entries.
+"""Compares strategies for dividing a cold worker's rate among all entries.
 
-Plays entries, each with its own view of who lives, before cold workers that
-all would use. Prints, for each way and size, the most requests that reached one
-worker within a second (18 are borne), and the share of the steady rate that was
-used: what is left unused goes to warm workers, which are slower for it.
+Simulates entries, each with its own view of liveness, and cold workers that all
+of them would use. Prints, for each strategy and size, the most requests that
+reached one worker within a second (it can handle 18), and the share of the
+steady rate that was used. The unused rest goes to warm workers and slows them.
 
     PYTHONPATH=. python -m benchmarks.warm_up
 """
@@ -23,18 +23,18 @@
 from tests.lib.warm_fleet import OVERSHOOT, SLACK, WARM_UP, WarmFleet
 
 SIZES = (8, 77, 200, 420)
-REQUESTS_PER_S = 5.0  # At one entry, with larger models' answers.
-PLAY_S = 2.5
+REQUESTS_PER_S = 5.0  # At one entry, including escalations to larger models.
+RUN_S = 2.5
 
 
 @attrs.define
-class Bucket:
-    """Way 2: each entry has an even part of the rate, and saves it up."""
+class EvenShares:
+    """Strategy 2: an even share of the rate for each entry, saved up."""
 
     warm_ups: object
     parts: SavedParts
 
-    def open(self, workers: list) -> list:
+    def open_workers(self, workers: list) -> list:
         """Returns the workers that this entry may send to."""
         now = self.warm_ups.clock.now
         rate = WARM_UP.rate_per_s / self.warm_ups.shares.fleet.size()
@@ -44,24 +44,24 @@
             if self.parts.touch(each.id, rate, now) >= 1.0
         ]
 
-    def note_send(self, worker: object) -> None:
-        """Takes in a send."""
+    def record_send(self, worker: object) -> None:
+        """Records a request."""
         self.parts.spend(worker.id, self.warm_ups.clock.now)
 
 
 @attrs.define
-class Thinned:
-    """Way 3: each entry takes a worker into account by chance.
+class RandomThinning:
+    """Strategy 3: each entry considers cold workers at random.
 
-    The chance is the worker's rate against what all entries would send, taking
-    the others to get as many requests as this one.
+    The probability is the workers' rate divided by the requests of all entries,
+    assuming that peers get as many requests as this entry.
     """
 
     warm_ups: object
     rng: random.Random
     workers: int
 
-    def open(self, workers: list) -> list:
+    def open_workers(self, workers: list) -> list:
         """Returns the workers that this entry considers."""
         demand = REQUESTS_PER_S * self.warm_ups.shares.fleet.size()
         allowed = WARM_UP.rate_per_s * len(workers)
@@ -69,50 +69,52 @@
             return []
         return workers
 
-    def note_send(self, worker: object) -> None:
-        """Takes in a send."""
+    def record_send(self, worker: object) -> None:
+        """Records a request."""
 
 
-def few_senders(warm_ups: object, _rng: random.Random, _count: int) -> object:
-    """Way 1, the product's: a few entries, drawn by a hash of the worker."""
+def use_few_senders(
+    warm_ups: object, _rng: random.Random, _count: int
+) -> object:
+    """Strategy 1, in production: a few entries, chosen by a hash."""
     return warm_ups
 
 
-WAYS: dict[str, Callable] = {
-    "few senders": few_senders,
-    "parts saved up": lambda warm_ups, rng, _count: Bucket(
+STRATEGIES: dict[str, Callable] = {
+    "few senders": use_few_senders,
+    "parts saved up": lambda warm_ups, rng, _count: EvenShares(
         warm_ups, SavedParts(rng)
     ),
-    "by chance": Thinned,
+    "by chance": RandomThinning,
 }
 
 
-def view_of_half(number: int, everybody: range) -> set[int]:
-    """Returns whom an entry takes to be down while half restart."""
+def half_down(number: int, everybody: range) -> set[int]:
+    """Returns the peers that an entry considers down while half restart."""
     return {other for other in everybody if (other * 7 + number) % 2} - {number}
 
 
-def play(way: str, size: int, views_differ: bool) -> tuple[int, float]:
-    """Returns the most in a second and the share of the rate that was used."""
+def run(strategy: str, size: int, views_differ: bool) -> tuple[int, float]:
+    """Returns the most requests in a second and the used share of the rate."""
     fleet = WarmFleet()
     workers = make_workers(2 + size // 30)
     rng = random.Random(size)
     for number in range(size):
-        down = view_of_half(number, range(size)) if views_differ else ()
+        down = half_down(number, range(size)) if views_differ else ()
         fleet.add(number, range(size), down)
         entry = fleet.entries[number]
         for worker in workers:
-            entry.note_registered(worker, appeared=True)
-        fleet.entries[number] = WAYS[way](entry, rng, len(workers))
+            entry.record_registration(worker, appeared=True)
+        fleet.entries[number] = STRATEGIES[strategy](entry, rng, len(workers))
     ask_all(fleet, workers)
-    used = fleet.rate_per_s(workers, PLAY_S) / WARM_UP.rate_per_s
-    return fleet.most_in_a_second(), used
+    used = fleet.rate_per_s(workers, RUN_S) / WARM_UP.rate_per_s
+    return fleet.max_in_a_second(), used
 
 
 def ask_all(fleet: WarmFleet, workers: list) -> None:
-    """Lets every entry ask at random for a while."""
+    """Sends random requests to every entry for a while."""
     step_s = 0.01
-    for _ in range(round(PLAY_S / step_s)):
+    for _ in range(round(RUN_S / step_s)):
         fleet.clock.now += step_s
         for entry in fleet.entries.values():
             if fleet.rng.random() < REQUESTS_PER_S * step_s:
@@ -127,12 +129,14 @@
     print(f"bound {bound} in a second, steady rate {WARM_UP.rate_per_s:.0f}/s")
     print("| way | entries | views | most in 1 s | rate used |")
     print("|---|---|---|---|---|")
-    for way in WAYS:
+    for strategy in STRATEGIES:
         for size in SIZES:
             for differ in (False, True):
-                most, used = play(way, size, differ)
+                most, used = run(strategy, size, differ)
                 views = "differ" if differ else "alike"
-                print(f"| {way} | {size} | {views} | {most} | {used:.2f} |")
+                print(
+                    f"| {strategy} | {size} | {views} | {most} | {used:.2f} |"
+                )
 
 
 if __name__ == "__main__":
--- a/src/rattanpier/_internal/placement/eligibility.py
+++ b/src/rattanpier/_internal/placement/eligibility.py
@@ -1,8 +1,8 @@
-"""From the workers of a version to those that may get a request now.
+"""Filters the workers of a version to those that may get a request now.
 
-Each condition of a worker that keeps requests from it stands here once, by its
-name, which the log lines and the counters bear. Nothing is sent to a worker
-that has not passed all of them.
+Each condition that excludes workers is defined here once, under the name that
+log lines and counters use for it. A request is only sent to a worker that none
+of the conditions exclude.
 """
 
 from __future__ import annotations
@@ -26,80 +26,84 @@
 RESTING = "resting"
 AVOIDED = "avoided"
 KEPT_APART = "kept_apart"
-# Conditions that a worker's own word begins and ends.
-OWN_WORDS = frozenset({RATE_LIMITED, RESTING})
-# Conditions of which it is known when a worker takes a request again.
-TIMED = frozenset({WARMING_UP, RATE_LIMITED, RESTING})
+# Conditions that start and end with what a worker itself reports.
+WORKER_REPORTED = frozenset({RATE_LIMITED, RESTING})
+# Conditions with a known time at which a worker accepts requests again.
+TEMPORARY = frozenset({WARMING_UP, RATE_LIMITED, RESTING})
 
 
 @attrs.frozen
 class Condition:
-    """One reason for which workers get no request now.
+    """A reason for excluding workers from a choice.
 
     Attributes:
-      name: Of the reason.
-      keep: Returns the workers for which it does not hold.
+      name: Name of the condition in log lines and counters.
+      select: Returns the workers that the condition does not exclude.
     """
 
     name: str
-    keep: Callable[[RequestProgress, Workers], Workers]
+    select: Callable[[RequestProgress, Workers], Workers]
 
 
 @attrs.frozen
-class Eligible:
-    """Workers that may get a request.
+class EligibleWorkers:
+    """The result of filtering workers by all conditions.
 
     Attributes:
-      workers: These.
-      left_out: How many others each reason kept from it.
+      workers: Workers that may get the request.
+      excluded: Number of workers that each condition excluded, by its name.
     """
 
     workers: Workers
-    left_out: Mapping[str, int]
+    excluded: Mapping[str, int]
 
 
-def eligible(
+def filter_eligible(
     conditions: Sequence[Condition], course: RequestProgress, workers: Workers
-) -> Eligible:
-    """Returns the workers for which no condition holds."""
-    left_out: dict[str, int] = {}
+) -> EligibleWorkers:
+    """Returns the workers that no condition excludes.
+
+    A worker is counted under the first condition that excludes it.
+    """
+    excluded: dict[str, int] = {}
     for condition in conditions:
-        kept = condition.keep(course, workers)
-        if len(kept) < len(workers):
-            left_out[condition.name] = len(workers) - len(kept)
-        workers = kept
-    return Eligible(workers, left_out)
+        selected = condition.select(course, workers)
+        if len(selected) < len(workers):
+            excluded[condition.name] = len(workers) - len(selected)
+        workers = selected
+    return EligibleWorkers(workers, excluded)
 
 
-def soonest_s(
-    opens_in_s: Callable[[RegisteredWorker], float], workers: Workers
+def min_wait_s(
+    available_in_s: Callable[[RegisteredWorker], float], workers: Workers
 ) -> float | None:
-    """Returns the seconds until one of some closed workers opens.
+    """Returns the seconds until the first unavailable worker is available.
 
     Args:
-      opens_in_s: Returns when a worker opens; 0: it is open.
-      workers: To choose from.
+      available_in_s: Returns the seconds until a worker accepts a request; 0 if
+        it does now.
+      workers: The workers to consider.
 
     Returns:
-      None where all are open.
+      Seconds, or None if all workers accept requests now.
     """
-    waits = filter(None, map(opens_in_s, workers))
+    waits = filter(None, map(available_in_s, workers))
     return min(waits, default=None)
 
 
 def in_regions(
     region_of: Mapping[str, str], course: RequestProgress, workers: Workers
 ) -> Workers:
-    """Returns the workers in a region that route and workspace allow.
+    """Returns the workers in the regions that route and workspace allow.
 
-    Where both name regions both bind. A domain of an unknown region is in none
-    of them.
+    If both name regions, both must allow the worker's region. A worker whose
+    failure domain has no known region is excluded if any regions are named.
     """
     request = course.request
-    bounds = [request.route.regions]
+    allowed = [request.route.regions]
     if request.workspace is not None:
-        bounds.append(request.workspace.regions)
-    for regions in filter(None, bounds):
+        allowed.append(request.workspace.regions)
+    for regions in filter(None, allowed):
         workers = [
             each for each in workers if region_of.get(each.domain) in regions
         ]
@@ -107,33 +111,34 @@
 
 
 def untried(course: RequestProgress, workers: Workers) -> Workers:
-    """Returns the workers that the request was not sent to yet."""
+    """Returns the workers that the request has not been sent to yet."""
     if not course.tried:
         return workers
     return [each for each in workers if each.id not in course.tried]
 
 
-def apart(
-    suspects: Callable[[str], bool],
-    suspects_at: Callable[[str], int],
+def separate_suspects(
+    is_suspect: Callable[[str], bool],
+    suspect_count: Callable[[str], int],
     course: RequestProgress,
     workers: Workers,
 ) -> Workers:
-    """Returns the workers with fewest requests that may end them.
+    """Returns the workers with the fewest suspect requests.
 
-    All that ran at a worker that ended are sent on at the same moment, and
-    would go to the same next worker: kept apart, those that ran beside the one
-    that ended it are answered there, and only that one ends another.
+    All requests of a worker that crashed are retried at the same moment and
+    would reach the same next worker. Spread over workers, the innocent ones
+    are answered, and only the request that caused the crash can cause another.
 
     Args:
-      suspects: Says whether a worker ended under a content.
-      suspects_at: Returns the own requests at a worker that may end it.
-      course: How the request went so far.
-      workers: To choose from.
+      is_suspect: Returns whether a worker crashed while it ran a content.
+      suspect_count: Returns how many suspect requests of this entry a worker
+        is running.
+      course: State of the request so far.
+      workers: The workers to choose from.
     """
-    if not suspects(course.request.content):
+    if not is_suspect(course.request.content):
         return workers
-    counts = [suspects_at(worker.id) for worker in workers]
+    counts = [suspect_count(worker.id) for worker in workers]
     least = min(counts, default=0)
     return [
         worker
--- a/src/rattanpier/_internal/placement/rate_limits.py
+++ b/src/rattanpier/_internal/placement/rate_limits.py
@@ -1,11 +1,13 @@
-"""How much workers in need say that they take, from all entries together.
+"""Rate limits that overloaded workers ask of all entries together.
 
-What a worker says is divided as `shared_rates` says. Entries tell each other of
-it: most of them send nothing there, and would not hear that it ended.
+A worker's limit is divided among the entries as in `shared_rates`. Entries
+publish limits to each other, since most of them send nothing to the worker and
+would not learn from its answers that a limit ended.
 
-Two answers may overlap, and come in another order than they were written. So
-what narrows counts at once; what widens counts only from an answer to a request
-that was sent after the word in force was known, which is surely newer.
+Answers may overlap and arrive in another order than they were written. A lower
+limit therefore takes effect at once. A higher one takes effect only if its
+answer is to a request that was sent after the current limit was known, which
+proves that it is newer.
 """
 
 from __future__ import annotations
@@ -28,189 +30,198 @@
 
 log = structlog.get_logger(part="workers")
 
-OVERSHOOT = 1.5  # Times the rate that may reach a worker in any window.
-SLACK = 5.0  # Requests that may reach it beyond that.
+OVERSHOOT_RATIO = 1.5  # Times the limit that may arrive in any window.
+SLACK_REQUESTS = 5.0  # Requests per window that may arrive on top.
 WINDOW_S = 4.0
-# Each of so many senders for a request within a window may hold one back: what
-# is left is for senders of entries that know others.
+# Senders per request allowed within a window. Less than 1, as the rest is for
+# senders chosen by entries that know a different set of peers.
 SENDERS_SHARE = 2 / 3
-# Only an answer tells that a limit ended: so often a worker that takes nothing
-# is asked all the same.
-LEAST_RATE_PER_S = 0.1
-MOST_WORDS = 1024  # Incarnations whose words are kept; 0.5 KB each.
+# Only an answer can tell that a limit ended, so a worker that accepts nothing
+# is still sent requests at this rate.
+MIN_RATE_PER_S = 0.1
+MAX_LIMITS = 1024  # Incarnations with stored limits; 0.5 KB each.
 
 
 def bound_of(rate_per_s: float) -> RateBound:
-    """Returns what all entries together may send to a worker.
+    """Returns the bound on all entries' requests to a worker.
+
+    Args:
+      rate_per_s: Limit that the worker named, in requests per second.
 
     >>> bound_of(2.0)
-    RateBound(rate_per_s=2.0, most=17, window_s=4.0, senders=11, live_share=1.0)
+    RateBound(rate_per_s=2.0, cap=17, window_s=4.0, senders=11, live_share=1.0)
     """
-    most = math.floor(OVERSHOOT * rate_per_s * WINDOW_S + SLACK)
+    cap = math.floor(OVERSHOOT_RATIO * rate_per_s * WINDOW_S + SLACK_REQUESTS)
     return RateBound(
-        max(rate_per_s, LEAST_RATE_PER_S),
-        most,
+        max(rate_per_s, MIN_RATE_PER_S),
+        cap,
         WINDOW_S,
-        senders=math.floor(SENDERS_SHARE * most),
+        senders=math.floor(SENDERS_SHARE * cap),
         live_share=1.0,
     )
 
 
 @attrs.define(eq=False, repr=False)
 class RateLimits:
-    """The words in force, by incarnation.
+    """The limits that workers reported, by incarnation.
 
     Attributes:
-      shares: This entry's part of what a worker takes.
-      registered: Says whether an incarnation is in the directory.
-      tell: Tells all other entries of a word.
-      words: Also those of workers that take all again.
-      limited: Rates of those that don't.
-      known_at: When each word was known here, in monotonic seconds.
+      shares: This entry's share of the limits.
+      clock: Source of monotonic time.
+      is_registered: Returns whether a worker id and incarnation are in the
+        directory.
+      publish: Broadcasts a limit to all peers.
+      reported: The newest limit of each worker, including limits that ended.
+      rates: Limits in force, in requests per second.
+      received_at: When each limit was received here, in monotonic seconds.
     """
 
     shares: SharedRates
     clock: Clock
-    registered: Callable[[str, str], bool] = lambda _worker, _incarnation: True
-    tell: Callable[[RateLimit], None] = lambda _word: None
-    words: dict[str, RateLimit] = attrs.Factory(dict)
-    limited: dict[str, float] = attrs.Factory(dict)
-    known_at: dict[str, float] = attrs.Factory(dict)
+    is_registered: Callable[[str, str], bool] = lambda _worker, _incarnation: (
+        True
+    )
+    publish: Callable[[RateLimit], None] = lambda _limit: None
+    reported: dict[str, RateLimit] = attrs.Factory(dict)
+    rates: dict[str, float] = attrs.Factory(dict)
+    received_at: dict[str, float] = attrs.Factory(dict)
 
-    # What workers say.
+    # Limits that workers report.
 
-    def hear(
+    def record_answer(
         self,
         worker: RegisteredWorker,
         rate_per_s: float | None,
         asked_at: float,
     ) -> None:
-        """Takes in what a worker's answer says.
+        """Records the limit in a worker's answer.
 
         Args:
-          worker: Who answered.
-          rate_per_s: What it takes; None: it names no limit.
-          asked_at: When its request was sent, in monotonic seconds.
+          worker: The worker that answered.
+          rate_per_s: The limit in requests per second, or None without one.
+          asked_at: When the request was sent, in monotonic seconds.
         """
-        known = self.words.get(worker.incarnation)
+        known = self.reported.get(worker.incarnation)
         if known is None:
             if rate_per_s is not None:
-                self.note(RateLimit(worker.id, worker.incarnation, rate_per_s))
+                self.publish_limit(
+                    RateLimit(worker.id, worker.incarnation, rate_per_s)
+                )
             return
         if rate_per_s == known.rate_per_s:
             return
-        told = attrs.evolve(known, rate_per_s=rate_per_s)
-        if asked_at >= self.known_at[worker.incarnation]:
-            self.note(attrs.evolve(told, serial=known.serial + 1))
-        elif told.is_narrower(known.rate_per_s):
-            self.note(told)
+        reported = attrs.evolve(known, rate_per_s=rate_per_s)
+        if asked_at >= self.received_at[worker.incarnation]:
+            self.publish_limit(attrs.evolve(reported, serial=known.serial + 1))
+        elif reported.is_narrower(known.rate_per_s):
+            self.publish_limit(reported)
 
-    def note(self, word: RateLimit) -> None:
-        """Puts a worker's own word in force, and tells the others."""
-        self.put(word, "answer")
-        self.tell(word)
+    def publish_limit(self, limit: RateLimit) -> None:
+        """Puts a limit from a worker's answer into force and publishes it."""
+        self.set_limit(limit, "answer")
+        self.publish(limit)
 
-    def take(self, words: Iterable[RateLimit]) -> None:
-        """Takes in what another entry heard; of two words the newer counts.
+    def apply_limits(self, limits: Iterable[RateLimit]) -> None:
+        """Applies limits from a peer; the newer of two limits is kept.
 
-        Of two that may be equally new the narrower does.
+        If both may be equally new, the lower one is kept.
         """
-        for word in words:
-            known = self.words.get(word.incarnation)
-            if known is None or word.supersedes(known):
-                self.put(word, "peer")
-
-    def put(self, word: RateLimit, source: str) -> None:
-        """Puts a word in force."""
-        before = self.words.get(word.incarnation)
-        self.words[word.incarnation] = word
-        self.known_at[word.incarnation] = self.clock.monotonic()
-        if word.rate_per_s is None:
-            self.limited.pop(word.incarnation, None)
+        for limit in limits:
+            known = self.reported.get(limit.incarnation)
+            if known is None or limit.supersedes(known):
+                self.set_limit(limit, "peer")
+
+    def set_limit(self, limit: RateLimit, source: str) -> None:
+        """Stores a limit and puts it into force."""
+        previous = self.reported.get(limit.incarnation)
+        self.reported[limit.incarnation] = limit
+        self.received_at[limit.incarnation] = self.clock.monotonic()
+        if limit.rate_per_s is None:
+            self.rates.pop(limit.incarnation, None)
         else:
-            began = word.incarnation not in self.limited
-            self.limited[word.incarnation] = word.rate_per_s
+            began = limit.incarnation not in self.rates
+            self.rates[limit.incarnation] = limit.rate_per_s
             if began:
-                self.shares.begin(
-                    word.worker, word.incarnation, bound_of(word.rate_per_s)
+                self.shares.start_bound(
+                    limit.worker, limit.incarnation, bound_of(limit.rate_per_s)
                 )
-        if len(self.words) > MOST_WORDS:
-            self.drop(next(iter(self.words)))
+        if len(self.reported) > MAX_LIMITS:
+            self.drop(next(iter(self.reported)))
         log.info(
             "Worker's rate limit changed.",
-            worker=word.worker,
-            rate_per_s=word.rate_per_s,
-            before=None if before is None else before.rate_per_s,
-            serial=word.serial,
+            worker=limit.worker,
+            rate_per_s=limit.rate_per_s,
+            before=None if previous is None else previous.rate_per_s,
+            serial=limit.serial,
             source=source,
         )
 
     def forget(self, worker: str) -> None:
-        """Drops what a worker that is gone said."""
-        for incarnation, word in list(self.words.items()):
-            if word.worker == worker:
+        """Drops the limits of a worker that was deregistered."""
+        for incarnation, limit in list(self.reported.items()):
+            if limit.worker == worker:
                 self.drop(incarnation)
 
     def drop(self, incarnation: str) -> None:
-        """Drops a word."""
-        del self.words[incarnation]
-        del self.known_at[incarnation]
-        self.limited.pop(incarnation, None)
+        """Drops the limit of an incarnation."""
+        del self.reported[incarnation]
+        del self.received_at[incarnation]
+        self.rates.pop(incarnation, None)
 
-    # What entries that know the same have in common.
+    # Synchronisation with peers.
 
-    def standing(self) -> list[RateLimit]:
-        """Returns the words of registered workers."""
+    def registered_limits(self) -> list[RateLimit]:
+        """Returns the limits of registered workers."""
         return [
-            word
-            for word in self.words.values()
-            if self.registered(word.worker, word.incarnation)
+            limit
+            for limit in self.reported.values()
+            if self.is_registered(limit.worker, limit.incarnation)
         ]
 
     def digest(self) -> int:
-        """Returns a number that tells these words from others."""
+        """Returns a digest of the limits, to compare with peers."""
         total = 0
-        for word in self.standing():
+        for limit in self.registered_limits():
             total ^= stable_hash(
-                f"{word.incarnation}/{word.serial}/{word.rate_per_s}"
+                f"{limit.incarnation}/{limit.serial}/{limit.rate_per_s}"
             )
         return total
 
-    # What may be sent.
+    # Requests to workers.
 
-    def open(
+    def open_workers(
         self, workers: Sequence[RegisteredWorker]
     ) -> Sequence[RegisteredWorker]:
         """Returns the workers that this entry may send to now."""
-        if not self.limited:
+        if not self.rates:
             return workers
-        return [each for each in workers if self.opens_in_s(each) <= 0.0]
+        return [each for each in workers if self.available_in_s(each) <= 0.0]
 
-    def opens_in_s(self, worker: RegisteredWorker) -> float:
-        """Returns the seconds until a worker takes a request from this entry.
+    def available_in_s(self, worker: RegisteredWorker) -> float:
+        """Returns the seconds until this entry may send to a worker.
 
-        Infinite for an entry that may not send there.
+        Infinite if this entry is not one of the worker's senders.
         """
-        rate_per_s = self.limited.get(worker.incarnation)
+        rate_per_s = self.rates.get(worker.incarnation)
         if rate_per_s is None:
             return 0.0
-        return self.shares.opens_in_s(worker, bound_of(rate_per_s))
+        return self.shares.available_in_s(worker, bound_of(rate_per_s))
 
-    def soonest_s(self, worker: RegisteredWorker) -> float:
-        """Returns the seconds until a worker takes a request from any entry.
+    def any_entry_available_in_s(self, worker: RegisteredWorker) -> float:
+        """Returns the seconds until any entry may send to a worker.
 
-        Callers that come back ask any of them.
+        Callers that retry may reach any entry.
         """
-        wait_s = self.opens_in_s(worker)
+        wait_s = self.available_in_s(worker)
         if not wait_s:
             return 0.0
-        bound = bound_of(self.limited[worker.incarnation])
+        bound = bound_of(self.rates[worker.incarnation])
         parts = divide(bound, self.shares.fleet.size())
         if parts is None:
             return wait_s
         return min(wait_s, parts.pause_s / parts.senders)
 
-    def note_send(self, worker: RegisteredWorker) -> None:
-        """Takes in that this entry sends a request to a worker."""
-        if worker.incarnation in self.limited:
-            self.shares.note_send(worker.incarnation)
+    def record_send(self, worker: RegisteredWorker) -> None:
+        """Records that this entry sends a request to a worker."""
+        if worker.incarnation in self.rates:
+            self.shares.record_send(worker.incarnation)
--- a/src/rattanpier/_internal/placement/shared_rates.py
+++ b/src/rattanpier/_internal/placement/shared_rates.py
@@ -1,9 +1,10 @@
-"""How a bound on what all entries send to one worker is divided among them.
+"""Divides a bound on the requests to one worker among all entries.
 
-Entries that each hold their own late view cannot count together what they send.
-So a few entries, found by a hash of the worker, may send to it, each with a
-pause between two sends; the others go elsewhere. The bound holds without talk,
-also while entries differ in whom they take to live.
+Entries cannot count their requests together, since each has its own, delayed
+view of the fleet. Instead a few entries, chosen by a hash of the worker, may
+send to it, each with a minimum interval between requests; the others use other
+workers. The bound holds without communication, also while entries disagree
+about which entries are alive.
 """
 
 from __future__ import annotations
@@ -18,47 +19,47 @@
 from rattanpier._internal.utils.clock import Clock
 from rattanpier._internal.utils.hashing import weight_for
 
-# Entries that are drawn for a worker, of which a bound names the first few.
-MOST_SENDERS = 16
-# A pause is so much longer than a whole part of a window: sends from one entry
-# arrive at intervals that differ by some ms.
-PAUSE_SLACK = 1.05
-# An entry that has just started may not know of the others yet, and would take
-# itself for the only one.
-SETTLED_S = 3.0
-KEPT_S = 60.0  # Longer than any pause.
-MOST_DRAWN = 1024  # Workers whose senders are remembered; 0.5 KB each.
+# Candidate senders per worker; a bound uses the first of them.
+MAX_SENDERS = 16
+# Pauses are longer by this factor than an even share of the window, since the
+# intervals between requests from one entry vary by some ms on arrival.
+PAUSE_FACTOR = 1.05
+# An entry that has just started may not know its peers yet, and would conclude
+# that it is the only entry.
+STARTUP_GRACE_S = 3.0
+SEND_RETENTION_S = 60.0  # Longer than any pause.
+MAX_TRACKED_WORKERS = 1024  # Workers with stored senders; 0.5 KB each.
 
 
 @attrs.frozen
 class RateBound:
-    """What all entries together may send to a worker.
+    """Bound on the requests of all entries together to one worker.
 
     Attributes:
-      rate_per_s: Requests, in the long run.
-      most: Requests within any window.
-      window_s: Its length.
-      senders: Entries that may ever send, whoever lives; with more of them each
-        has a longer pause.
-      live_share: Of these, the share that does, of those that live. What is not
-        1 leaves spares for those that are down.
+      rate_per_s: Requests per second in the long run.
+      cap: Most requests within any window.
+      window_s: Length of the window in seconds.
+      senders: Entries that may send, regardless of which are alive; more
+        senders mean a longer pause for each.
+      live_share: Share of the senders, among those alive, that do send. A value
+        below 1 leaves spares for senders that are down.
     """
 
     rate_per_s: float
-    most: int
+    cap: int
     window_s: float
     senders: int
     live_share: float
 
 
 @attrs.frozen
-class RateParts:
-    """How a bound is divided.
+class SenderShares:
+    """How a bound is divided among entries.
 
     Attributes:
-      senders: Entries that may ever send, whoever lives.
-      live_senders: Of these, how many that live do.
-      pause_s: Seconds between two sends of one entry.
+      senders: Entries that may send, regardless of which are alive.
+      live_senders: How many of the senders that are alive do send.
+      pause_s: Minimum seconds between two requests of one entry.
     """
 
     senders: int
@@ -66,114 +67,122 @@
     pause_s: float
 
 
-def divide(bound: RateBound, entries: int) -> RateParts | None:
-    """Returns how a worker's bound is divided; None: it may get nothing.
+def divide(bound: RateBound, entries: int) -> SenderShares | None:
+    """Returns how a worker's bound is divided among entries.
 
     Args:
-      bound: What all entries together may send.
-      entries: Those that are known.
+      bound: The bound for all entries together.
+      entries: Number of known entries.
+
+    Returns:
+      The division, or None if the worker may get no requests.
 
     >>> divide(RateBound(9.0, 18, 1.0, 4, 0.5), entries=77)
-    RateParts(senders=4, live_senders=2, pause_s=0.2625)
+    SenderShares(senders=4, live_senders=2, pause_s=0.2625)
     """
-    if bound.most < 1:
+    if bound.cap < 1:
         return None
-    senders = min(MOST_SENDERS, bound.senders, entries, bound.most)
-    live = max(1, math.floor(bound.live_share * senders))
-    pause_s = PAUSE_SLACK * bound.window_s / (bound.most // senders)
+    senders = min(MAX_SENDERS, bound.senders, entries, bound.cap)
+    live_senders = max(1, math.floor(bound.live_share * senders))
+    pause_s = PAUSE_FACTOR * bound.window_s / (bound.cap // senders)
     if bound.rate_per_s > 0.0:
-        pause_s = max(pause_s, live / bound.rate_per_s)
-    return RateParts(senders, live, pause_s)
+        pause_s = max(pause_s, live_senders / bound.rate_per_s)
+    return SenderShares(senders, live_senders, pause_s)
 
 
 @attrs.define(eq=False, repr=False)
 class SharedRates:
-    """This entry's part of the bounds of workers.
-
-    Workers are known here by their incarnations.
+    """This entry's share of the bounds of workers.
 
     Attributes:
       fleet: The entries that share a bound.
-      sent_at: When this entry sent to a bound worker last, in monotonic
-        seconds.
-      drawn: The entries that may ever send to each, and the roster that they
-        were drawn from.
-      started_at: When this entry started.
+      clock: Source of monotonic time.
+      sent_at: By incarnation of a bounded worker, the time of this entry's last
+        request to it, in monotonic seconds.
+      candidates: By worker id, the entries that may send to it, with the number
+        of the roster from which they were chosen.
+      started_at: Start of this entry, in monotonic seconds.
     """
 
     fleet: Fleet
     clock: Clock
     sent_at: dict[str, float] = attrs.Factory(dict)
-    drawn: dict[str, tuple[int, list[str]]] = attrs.Factory(dict)
+    candidates: dict[str, tuple[int, list[str]]] = attrs.Factory(dict)
     started_at: float = attrs.field(
         default=attrs.Factory(
             lambda self: self.clock.monotonic(), takes_self=True
         )
     )
 
-    def opens_in_s(self, worker: RegisteredWorker, bound: RateBound) -> float:
+    def available_in_s(
+        self, worker: RegisteredWorker, bound: RateBound
+    ) -> float:
         """Returns the seconds until this entry may send to a worker.
 
-        Infinite for an entry that may not at all.
+        Infinite if this entry is not one of the worker's senders.
         """
         parts = divide(bound, self.fleet.size())
-        if parts is None or not self.is_sender(worker, parts):
+        if parts is None or not self.may_send(worker, parts):
             return math.inf
         sent_at = self.sent_at.get(worker.incarnation, -math.inf)
         return max(0.0, sent_at + parts.pause_s - self.clock.monotonic())
 
-    def is_sender(self, worker: RegisteredWorker, parts: RateParts) -> bool:
-        """Says whether this entry is one that may send to a worker."""
+    def may_send(self, worker: RegisteredWorker, parts: SenderShares) -> bool:
+        """Returns whether this entry is one of a worker's active senders."""
         now = self.clock.monotonic()
-        if self.fleet.size() == 1 and now - self.started_at < SETTLED_S:
+        if self.fleet.size() == 1 and now - self.started_at < STARTUP_GRACE_S:
             return False
         me = self.fleet.me.member.name
-        few = self.draw(worker.id)[: parts.senders]
-        if me not in few:
+        senders = self.candidate_senders(worker.id)[: parts.senders]
+        if me not in senders:
             return False
-        live = [name for name in few if name == me or self.fleet.is_live(name)]
+        live = [
+            name for name in senders if name == me or self.fleet.is_live(name)
+        ]
         return me in live[: parts.live_senders]
 
-    def draw(self, worker: str) -> list[str]:
-        """Returns the entries that may ever send to a worker.
+    def candidate_senders(self, worker: str) -> list[str]:
+        """Returns the entries that may send to a worker, most preferred first.
 
-        They are drawn from all that are known, down or not, so that entries
-        that differ in whom they take to live find the same few.
+        They are chosen from all known entries, including those that are down,
+        so that entries that disagree about liveness find the same senders.
         """
-        roster, few = self.drawn.get(worker, (-1, []))
+        roster, senders = self.candidates.get(worker, (-1, []))
         if roster != self.fleet.roster_version:
-            known = [news.member.name for news in self.fleet.all_states()]
-            few = heapq.nlargest(MOST_SENDERS, known, key=weight_for(worker))
-            self.drawn[worker] = self.fleet.roster_version, few
-        return few
+            known = [state.member.name for state in self.fleet.all_states()]
+            senders = heapq.nlargest(MAX_SENDERS, known, key=weight_for(worker))
+            self.candidates[worker] = self.fleet.roster_version, senders
+        return senders
 
-    def begin(self, worker: str, incarnation: str, bound: RateBound) -> None:
-        """Takes in that a bound holds from now on.
+    def start_bound(
+        self, worker: str, incarnation: str, bound: RateBound
+    ) -> None:
+        """Records that a bound holds from now on.
 
-        The senders begin one after the other, over the length of a pause.
+        The senders' first requests are staggered over the length of a pause.
         """
         parts = divide(bound, self.fleet.size())
         me = self.fleet.me.member.name
-        few = self.draw(worker)
-        if parts is None or me not in few:
+        senders = self.candidate_senders(worker)
+        if parts is None or me not in senders:
             return
-        rank = few.index(me) + 1
+        rank = senders.index(me) + 1
         since_s = parts.pause_s * max(0.0, 1.0 - rank / parts.senders)
         sent_at = self.sent_at.get(incarnation, -math.inf)
         as_if_at = self.clock.monotonic() - since_s
         self.sent_at[incarnation] = max(sent_at, as_if_at)
 
-    def note_send(self, incarnation: str) -> None:
-        """Takes in that this entry sends a request to a bound worker."""
+    def record_send(self, incarnation: str) -> None:
+        """Records that this entry sends a request to a bounded worker."""
         now = self.clock.monotonic()
         self.sent_at[incarnation] = now
-        if len(self.sent_at) > MOST_DRAWN:
-            self.forget_before(now - KEPT_S)
+        if len(self.sent_at) > MAX_TRACKED_WORKERS:
+            self.forget_before(now - SEND_RETENTION_S)
 
     def forget_before(self, oldest: float) -> None:
-        """Drops sends from before a monotonic time, and surplus draws."""
+        """Drops requests before a monotonic time, and surplus candidates."""
         for incarnation, at in list(self.sent_at.items()):
             if at < oldest:
                 del self.sent_at[incarnation]
-        if len(self.drawn) > MOST_DRAWN:
-            self.drawn.clear()
+        if len(self.candidates) > MAX_TRACKED_WORKERS:
+            self.candidates.clear()
--- a/src/rattanpier/_internal/programs/relay_dispatch.py
+++ b/src/rattanpier/_internal/programs/relay_dispatch.py
@@ -10,9 +10,9 @@
 from rattanpier._internal.models.sending import AnswerHead
 from rattanpier._internal.models.worker import RegisteredWorker
 from rattanpier._internal.placement import eligibility
+from rattanpier._internal.placement.backoffs import Backoffs
 from rattanpier._internal.placement.eligibility import Condition
 from rattanpier._internal.placement.rate_limits import RateLimits
-from rattanpier._internal.placement.rests import Rests
 from rattanpier._internal.placement.shared_rates import SharedRates
 from rattanpier._internal.placement.warm_up import WarmUps
 from rattanpier._internal.platform import upstream
@@ -55,7 +55,7 @@
     shares = SharedRates(fleet, clock)
     warm_ups = make_warm_ups(settings, state, shares)
     limits = make_rate_limits(state, shares)
-    rests = Rests(clock, random.Random(settings.name))
+    rests = Backoffs(clock, random.Random(settings.name))
 
     def forget(worker: str) -> None:
         loads.forget(worker)
@@ -66,22 +66,22 @@
     def hear(
         worker: RegisteredWorker, head: AnswerHead, asked_at: float
     ) -> None:
-        limits.hear(worker, head.rate_per_s, asked_at)
+        limits.record_answer(worker, head.rate_per_s, asked_at)
         if head.leaving:
             state.directory.hear_leaving(worker)
         if head.rest_s:
-            rests.hear(worker.incarnation, head.rest_s)
+            rests.record_backoff(worker.incarnation, head.rest_s)
 
     def opens_in_s(worker: RegisteredWorker) -> float:
         return max(
-            warm_ups.opens_in_s(worker),
-            limits.soonest_s(worker),
-            rests.opens_in_s(worker.incarnation),
+            warm_ups.available_in_s(worker),
+            limits.any_entry_available_in_s(worker),
+            rests.available_in_s(worker.incarnation),
         )
 
     def note_begun(worker: RegisteredWorker) -> None:
-        warm_ups.note_send(worker)
-        limits.note_send(worker)
+        warm_ups.record_send(worker)
+        limits.record_send(worker)
 
     state.gone.subscribe(forget)
     # What must hold goes before what is preferred: avoidance leaves half of the
@@ -90,21 +90,29 @@
         Condition(eligibility.ENDED, lambda _, some: ends.living(some)),
         Condition(
             eligibility.DRAINED_DOMAIN,
-            lambda _, some: state.domains.open(some),
+            lambda _, some: state.domains.open_workers(some),
         ),
         Condition(
             eligibility.OTHER_REGION,
             functools.partial(eligibility.in_regions, settings.regions),
         ),
         Condition(eligibility.TRIED, eligibility.untried),
-        Condition(eligibility.WARMING_UP, lambda _, some: warm_ups.open(some)),
-        Condition(eligibility.RATE_LIMITED, lambda _, some: limits.open(some)),
-        Condition(eligibility.RESTING, lambda _, some: rests.open(some)),
+        Condition(
+            eligibility.WARMING_UP, lambda _, some: warm_ups.open_workers(some)
+        ),
+        Condition(
+            eligibility.RATE_LIMITED, lambda _, some: limits.open_workers(some)
+        ),
+        Condition(
+            eligibility.RESTING, lambda _, some: rests.open_workers(some)
+        ),
         Condition(eligibility.AVOIDED, lambda _, some: health.usable(some)),
         Condition(
             eligibility.KEPT_APART,
             functools.partial(
-                eligibility.apart, quarantine.suspects, loads.suspects
+                eligibility.separate_suspects,
+                quarantine.is_suspect,
+                loads.suspects,
             ),
         ),
     )
@@ -160,11 +168,11 @@
         heartbeat_s=settings.heartbeat_s,
     )
     directory = state.directory
-    directory.registered = warm_ups.note_registered
-    state.domains.returned = lambda domain: warm_ups.presume(
+    directory.registered = warm_ups.record_registration
+    state.domains.on_undrained = lambda domain: warm_ups.presume_cold(
         directory.of_domain(domain)
     )
-    state.rollouts.warms_up = warm_ups.warms_up
+    state.rollouts.warms_up = warm_ups.is_warming_up
     return warm_ups
 
 
--- a/src/rattanpier/_internal/programs/relay_workers.py
+++ b/src/rattanpier/_internal/programs/relay_workers.py
@@ -15,7 +15,7 @@
 from rattanpier._internal.programs.relay_listen import RelayEntry
 from rattanpier._internal.relay.prompt_updates import PromptUpdates
 from rattanpier._internal.relay.queue_watch import QueueWatch
-from rattanpier._internal.retries.second_looks import SecondLooks
+from rattanpier._internal.retries.liveness_checks import LivenessChecks
 
 
 def add_worker_news(entry: RelayEntry) -> None:
@@ -37,7 +37,7 @@
     ) -> None:
         if rate_per_s is not None:
             # The report is of some time ago: it narrows only.
-            limits.hear(worker, rate_per_s, -math.inf)
+            limits.record_answer(worker, rate_per_s, -math.inf)
         if leaving:
             directory.hear_leaving(worker)
 
@@ -62,8 +62,8 @@
             if worker.incarnation == incarnation:
                 dispatcher.ends.begin_check(worker)
 
-    dispatcher.quarantine.heard = look_at
-    looks = SecondLooks(
+    dispatcher.quarantine.on_peer_crash = look_at
+    looks = LivenessChecks(
         dispatcher.quarantine,
         entry.state.directory,
         entry.fleet,
@@ -88,8 +88,10 @@
         engines=state.engines,
         read=read_report,
         on_restart=lambda worker: state.forget([worker]),
-        open_workers=state.domains.open,
-        in_backoff=lambda worker: rests.opens_in_s(worker.incarnation) > 0.0,
+        open_workers=state.domains.open_workers,
+        in_backoff=lambda worker: (
+            rests.available_in_s(worker.incarnation) > 0.0
+        ),
     )
     state.gone.subscribe(
         lambda worker: queues.reported_starts.pop(worker, None)
--- a/src/rattanpier/_internal/relay/quarantine_rows.py
+++ b/src/rattanpier/_internal/relay/quarantine_rows.py
@@ -32,7 +32,7 @@
 )
 from rattanpier._internal.relay.restoring import LostRow
 from rattanpier._internal.relay.store import RelayStore, StoreClock
-from rattanpier._internal.retries.quarantine import HOLD_S, Quarantine
+from rattanpier._internal.retries.quarantine import QUARANTINE_S, Quarantine
 from rattanpier._internal.utils.clock import Clock
 from rattanpier._internal.utils.codec import decode, encode
 
@@ -101,12 +101,12 @@
 
     def row_value(self, content: str) -> bytes | None:
         """Returns the row of a content, or None if it is not quarantined."""
-        remaining_s = self.quarantine.held_s(content)
+        remaining_s = self.quarantine.remaining_s(content)
         if not remaining_s:
             return None
         row = QuarantineRow(
-            sorted(self.quarantine.ends[content]),
-            self.store_clock.now_ms() - MS_PER_S * (HOLD_S - remaining_s),
+            sorted(self.quarantine.crashes[content]),
+            self.store_clock.now_ms() - MS_PER_S * (QUARANTINE_S - remaining_s),
         )
         return encode(row).encode()
 
@@ -115,7 +115,7 @@
         present = {
             row.key for row in rows_with_prefix(page, QUARANTINED_PREFIX)
         }
-        for content in self.quarantine.ends:
+        for content in self.quarantine.crashes:
             value = self.row_value(content)
             if value is not None and content not in present:
                 yield LostRow(QUARANTINED_PREFIX + content, value)
@@ -159,6 +159,6 @@
             return
         age_s = max(0.0, (now_ms - stored.ended_ms) / MS_PER_S)
         ends = [WorkerEnd(content, worker, age_s) for worker in stored.workers]
-        self.quarantine.take(QuarantineNews(ends))
-        if age_s >= HOLD_S:
+        self.quarantine.apply_update(QuarantineNews(ends))
+        if age_s >= QUARANTINE_S:
             self.changed.put_nowait(content)
--- a/src/rattanpier/_internal/retries/quarantine.py
+++ b/src/rattanpier/_internal/retries/quarantine.py
@@ -1,18 +1,20 @@
-"""Requests that end the workers that run them, kept from further workers.
-
-Load answered: a request that crashes each worker that begins to run it, and
-that comes again, from its caller or another, at any entry. Put down to workers
-alone, each crash sends it on to the next worker, along with all that ran beside
-it: one such request ended 16 workers in 50 s, of a pool of nine that came back.
-
-A worker's end counts against all contents that were under way there. One that
-three workers ended under is refused until its last end is old enough, by all
-entries: they tell each other of each end. What restricts needs no store. A
-content that is answered whole is no such request: its ends are forgotten. So is
-the end of a worker that is found to live: an entry that is cut off takes each
-worker that it does not reach for one that ended.
-
-Code without a network: ends and answers go in, a verdict comes out.
+"""Quarantine of requests that crash the workers that run them.
+
+Some requests crash every worker that runs them, and come again from the same
+or another caller, at any entry. If crashes were attributed to workers alone,
+each crash would send the request to the next worker, along with all requests
+that ran beside it: one such request crashed 16 workers within 50 s, in a pool
+of nine that restarted.
+
+A worker's crash counts against all contents that it was running. A content
+under which three workers crashed is refused by all entries until its last
+crash is old enough; the entries publish each crash to each other, which needs
+no store. When a content is answered completely, its crashes are dropped. So is
+a crash of a worker that is found alive, since a partitioned entry takes every
+worker that it cannot reach for crashed.
+
+The module does no input or output: crashes and answers go in, a verdict comes
+out.
 """
 
 from __future__ import annotations
@@ -35,46 +37,50 @@
 
 log = structlog.get_logger(part="quarantine")
 
-# Ended workers after which a request reaches no more. Those that ran beside it
-# share its first end and, sent on with it, may share the second.
-ENDS_TO_HOLD = 3
-# Since the last end. Long against the pauses after which callers come again;
-# short enough that a mended worker serves the request within the hour.
-HOLD_S = 600.0
-# After a whole answer, ends count against something else. While workers crash
-# one after the other, a request that is sound goes on being answered by those
-# that are left; one that was answered and ends workers since counts after this.
-TRUSTED_S = 2.0
-# Contents with ended workers that are remembered: a failure domain of 26
-# workers that run 16 requests each has 416. 0.3 KB each.
-MOST_SUSPECTS = 1024
-MOST_ANSWERED = 512  # An entry answers some ten a second; 0.2 KB each.
-# Two entries' times of one event differ by the way of the news.
-SAME_S = 0.5
+# Crashed workers after which a content is quarantined. Requests that ran beside
+# it share its first crash and, retried together, may share the second.
+CRASHES_TO_QUARANTINE = 3
+# Since the last crash. Long compared to the pauses between callers' retries;
+# short enough that a fixed worker serves the request within the hour.
+QUARANTINE_S = 600.0
+# Crashes up to this long after a complete answer are not attributed to the
+# content. While workers crash one after the other, a harmless request is still
+# answered by the remaining ones. Later crashes count again, for a content that
+# has begun to crash workers since.
+ANSWER_GRACE_S = 2.0
+# Contents with stored crashes, 0.3 KB each. A failure domain of 26 workers that
+# run 16 requests each has 416.
+MAX_SUSPECTS = 1024
+MAX_ANSWERED = 512  # An entry answers some ten a second; 0.2 KB each.
+# Two entries' times of one event differ by the latency of the update.
+SAME_EVENT_S = 0.5
 NEVER = float("-inf")
 
 
 @attrs.define(eq=False, repr=False)
 class Quarantine:
-    """What is known of requests under which workers ended.
+    """Contents that workers crashed under. All times are monotonic seconds.
 
     Attributes:
-      ends: When each worker ended, in monotonic seconds, by content.
-      answered: When each content was answered whole here last.
-      cleared: When each content that had ends was answered whole, anywhere.
-      alive: When each worker that was said to have ended was found to live.
-      untold: What the others have to be told.
-      tell: Called when there is something to tell.
-      changed: Called with each content that is held now, or no longer.
-      heard: Called with the incarnation of each worker of which others tell
-        that it ended.
+      clock: Source of monotonic time.
+      on_update: Called when there is an update to publish.
+      on_change: Called with each content whose quarantine starts or ends early.
+      on_peer_crash: Called with the incarnation of each worker that a peer
+        reports as crashed.
+      crashes: Time of each crash, by content and incarnation.
+      answered: Time of the last complete answer here, by content.
+      cleared: Time of the complete answer, here or at a peer, of each content
+        that had crashes.
+      alive: Time at which each worker reported as crashed was found alive, by
+        incarnation.
+      unsent: Update that has not been published yet.
     """
 
     clock: Clock
-    tell: Callable[[], None] = lambda: None
-    changed: Callable[[str], None] = lambda _content: None
-    heard: Callable[[str], None] = lambda _worker: None
-    ends: dict[str, dict[str, float]] = attrs.Factory(dict)
+    on_update: Callable[[], None] = lambda: None
+    on_change: Callable[[str], None] = lambda _content: None
+    on_peer_crash: Callable[[str], None] = lambda _worker: None
+    crashes: dict[str, dict[str, float]] = attrs.Factory(dict)
     answered: collections.OrderedDict[str, float] = attrs.Factory(
         collections.OrderedDict
     )
@@ -84,99 +90,100 @@
     alive: collections.OrderedDict[str, float] = attrs.Factory(
         collections.OrderedDict
     )
-    untold: QuarantineNews = attrs.Factory(QuarantineNews)
+    unsent: QuarantineNews = attrs.Factory(QuarantineNews)
 
     # Verdicts.
 
-    def held_s(self, content: str) -> float:
-        """Returns the seconds for which a content is refused, 0 if it isn't."""
-        trusted_until = self.answered.get(content, NEVER) + TRUSTED_S
-        ends = [
+    def remaining_s(self, content: str) -> float:
+        """Returns the seconds that a quarantine still lasts, 0 without one."""
+        trusted_until = self.answered.get(content, NEVER) + ANSWER_GRACE_S
+        crashes = [
             at
-            for at in self.ends.get(content, {}).values()
+            for at in self.crashes.get(content, {}).values()
             if at >= trusted_until
         ]
-        if len(ends) < ENDS_TO_HOLD:
+        if len(crashes) < CRASHES_TO_QUARANTINE:
             return 0.0
-        age_s = self.clock.monotonic() - max(ends)
-        return max(0.0, HOLD_S - age_s)
+        age_s = self.clock.monotonic() - max(crashes)
+        return max(0.0, QUARANTINE_S - age_s)
 
-    def suspects(self, content: str) -> bool:
-        """Says whether a worker ended under a content."""
-        return content in self.ends
+    def is_suspect(self, content: str) -> bool:
+        """Returns whether a worker crashed while it ran a content."""
+        return content in self.crashes
 
-    def explains(self, worker: str) -> bool:
-        """Says whether a worker ended under a content that ended another.
+    def explains_crash(self, worker: str) -> bool:
+        """Returns whether a worker crashed under a content that crashed others.
 
         Args:
-          worker: Its incarnation.
+          worker: Incarnation of the worker.
         """
         return any(
-            worker in ends and len(ends) > 1 for ends in self.ends.values()
+            worker in crashes and len(crashes) > 1
+            for crashes in self.crashes.values()
         )
 
-    # What entries see.
+    # Observations of this entry.
 
-    def note_end(self, content: str, worker: str) -> None:
-        """Takes in that a worker ended while a content was under way there.
+    def record_crash(self, content: str, worker: str) -> None:
+        """Records that a worker crashed while it ran a content.
 
         Args:
-          content: Digest of what the caller asks.
-          worker: Its incarnation.
+          content: Digest of the caller's request.
+          worker: Incarnation of the worker.
         """
-        end = WorkerEnd(content, worker)
-        if self.add(end):
-            self.untold.ends.append(end)
-            self.tell()
+        crash = WorkerEnd(content, worker)
+        if self.add_crash(crash):
+            self.unsent.ends.append(crash)
+            self.on_update()
 
-    def note_answered(self, content: str) -> None:
-        """Takes in that a content was answered whole."""
+    def record_answer(self, content: str) -> None:
+        """Records that a content was answered completely."""
         now = self.clock.monotonic()
         self.answered[content] = now
         self.answered.move_to_end(content)
-        while len(self.answered) > MOST_ANSWERED:
+        while len(self.answered) > MAX_ANSWERED:
             self.answered.popitem(last=False)
-        if content in self.ends:
+        if content in self.crashes:
             self.clear(content, now)
-            self.untold.cleared.append(Cleared(content))
-            self.tell()
+            self.unsent.cleared.append(Cleared(content))
+            self.on_update()
 
-    def note_alive(self, worker: str, at: float) -> None:
-        """Takes in that a worker that was said to have ended lives.
+    def record_alive(self, worker: str, at: float) -> None:
+        """Records that a worker reported as crashed was found alive.
 
         Args:
-          worker: Its incarnation.
-          at: When it surely lived, in monotonic seconds.
+          worker: Incarnation of the worker.
+          at: When it was alive, in monotonic seconds.
         """
-        if self.refute(worker, at):
+        if self.refute_crashes(worker, at):
             age_s = self.clock.monotonic() - at
-            self.untold.alive.append(SeenAlive(worker, age_s))
-            self.tell()
-
-    def told_ends(self) -> dict[str, float]:
-        """Returns the incarnations that are said to have ended, and when."""
-        told: dict[str, float] = {}
-        for ends in self.ends.values():
-            for worker, at in ends.items():
-                told[worker] = max(at, told.get(worker, NEVER))
-        return told
-
-    # What entries tell each other.
-
-    def take_untold(self) -> QuarantineNews:
-        """Returns what the others have to be told, once."""
-        news, self.untold = self.untold, QuarantineNews()
-        return news
-
-    def all_news(self) -> QuarantineNews:
-        """Returns all that is known, for an entry that missed some."""
-        self.forget_old()
+            self.unsent.alive.append(SeenAlive(worker, age_s))
+            self.on_update()
+
+    def crash_times(self) -> dict[str, float]:
+        """Returns the last crash of each incarnation, in monotonic seconds."""
+        times: dict[str, float] = {}
+        for crashes in self.crashes.values():
+            for worker, at in crashes.items():
+                times[worker] = max(at, times.get(worker, NEVER))
+        return times
+
+    # Synchronisation with peers.
+
+    def pop_unsent(self) -> QuarantineNews:
+        """Returns the update to publish, and resets it."""
+        update, self.unsent = self.unsent, QuarantineNews()
+        return update
+
+    def full_update(self) -> QuarantineNews:
+        """Returns the whole state, for a peer that missed updates."""
+        self.drop_old()
         now = self.clock.monotonic()
         return QuarantineNews(
             [
                 WorkerEnd(content, worker, now - at)
-                for content, ends in self.ends.items()
-                for worker, at in ends.items()
+                for content, crashes in self.crashes.items()
+                for worker, at in crashes.items()
             ],
             [
                 Cleared(content, now - at)
@@ -185,121 +192,138 @@
             [SeenAlive(worker, now - at) for worker, at in self.alive.items()],
         )
 
-    def take(self, news: QuarantineNews) -> QuarantineNews:
-        """Takes in what another entry tells; returns what was new of it."""
+    def apply_update(self, update: QuarantineNews) -> QuarantineNews:
+        """Applies an update from a peer; returns the part that was new."""
         new = QuarantineNews()
         now = self.clock.monotonic()
-        for cleared in news.cleared:
+        for cleared in update.cleared:
             known = self.cleared.get(cleared.content, NEVER)
             at = now - cleared.age_s
-            if 0.0 <= cleared.age_s < HOLD_S and at > known + SAME_S:
+            if (
+                0.0 <= cleared.age_s < QUARANTINE_S
+                and at > known + SAME_EVENT_S
+            ):
                 self.clear(cleared.content, at)
                 new.cleared.append(cleared)
-        for seen in news.alive:
-            if 0.0 <= seen.age_s < HOLD_S and self.refute(
+        for seen in update.alive:
+            if 0.0 <= seen.age_s < QUARANTINE_S and self.refute_crashes(
                 seen.worker, now - seen.age_s
             ):
                 new.alive.append(seen)
-        for end in news.ends:
-            if 0.0 <= end.age_s < HOLD_S and self.add(end):
-                new.ends.append(end)
-        for worker in {end.worker for end in new.ends}:
-            self.heard(worker)
+        for crash in update.ends:
+            if 0.0 <= crash.age_s < QUARANTINE_S and self.add_crash(crash):
+                new.ends.append(crash)
+        for worker in {crash.worker for crash in new.ends}:
+            self.on_peer_crash(worker)
         return new
 
     def digest(self) -> int:
-        """Returns what two entries that know the same have in common."""
-        self.forget_old()
+        """Returns a digest of the crashes, to compare with peers."""
+        self.drop_old()
         digest = 0
-        for content, ends in self.ends.items():
-            for worker in ends:
+        for content, crashes in self.crashes.items():
+            for worker in crashes:
                 digest ^= stable_hash(f"{content}/{worker}")
         return digest
 
-    # Keeping.
+    # Stored state.
 
-    def add(self, end: WorkerEnd) -> bool:
-        """Keeps an end; says whether it is new and counts."""
-        at = self.clock.monotonic() - end.age_s
-        if at < self.cleared.get(end.content, NEVER) + TRUSTED_S:
+    def add_crash(self, crash: WorkerEnd) -> bool:
+        """Stores a crash; returns whether it is new and counts."""
+        at = self.clock.monotonic() - crash.age_s
+        if at < self.cleared.get(crash.content, NEVER) + ANSWER_GRACE_S:
             return False
-        if at < self.alive.get(end.worker, NEVER) - SAME_S:
+        if at < self.alive.get(crash.worker, NEVER) - SAME_EVENT_S:
             return False
-        ends = self.ends.get(end.content, {})
-        if end.worker in ends:
+        crashes = self.crashes.get(crash.content, {})
+        if crash.worker in crashes:
             return False
-        ends[end.worker] = at
-        self.ends[end.content] = ends
-        self.drop_beyond(MOST_SUSPECTS)
-        if len(ends) == ENDS_TO_HOLD and self.held_s(end.content):
+        crashes[crash.worker] = at
+        self.crashes[crash.content] = crashes
+        self.limit_suspects(MAX_SUSPECTS)
+        if len(crashes) == CRASHES_TO_QUARANTINE and self.remaining_s(
+            crash.content
+        ):
             log.warning(
-                "Request held.",
-                content=end.content,
-                workers=sorted(ends),
-                hold_s=HOLD_S,
+                "Request quarantined.",
+                content=crash.content,
+                workers=sorted(crashes),
+                hold_s=QUARANTINE_S,
             )
-            self.changed(end.content)
+            self.on_change(crash.content)
         return True
 
     def clear(self, content: str, at: float) -> None:
-        """Forgets the ends of a content up to its whole answer and just after.
+        """Drops the crashes of a content up to just after a complete answer.
 
-        What was cleared stays known for as long as ends do: news of an end that
-        come after it, from entries that heard of it later, don't bring it back.
+        The time of the answer is kept for as long as crashes are, so that late
+        updates from peers do not bring a dropped crash back.
         """
         self.cleared[content] = at
         self.cleared.move_to_end(content)
-        while len(self.cleared) > MOST_SUSPECTS:
+        while len(self.cleared) > MAX_SUSPECTS:
             self.cleared.popitem(last=False)
-        ends = self.ends.pop(content, None)
-        if ends is None:
+        crashes = self.crashes.pop(content, None)
+        if crashes is None:
             return
         later = {
-            worker: ended_at
-            for worker, ended_at in ends.items()
-            if ended_at >= at + TRUSTED_S
+            worker: crashed_at
+            for worker, crashed_at in crashes.items()
+            if crashed_at >= at + ANSWER_GRACE_S
         }
         if later:
-            self.ends[content] = later
-        log.info("Request cleared.", content=content, workers=len(ends))
-        if len(ends) >= ENDS_TO_HOLD:
-            self.changed(content)
+            self.crashes[content] = later
+        log.info(
+            "Quarantine record cleared by a complete answer.",
+            content=content,
+            workers=len(crashes),
+        )
+        if len(crashes) >= CRASHES_TO_QUARANTINE:
+            self.on_change(content)
+
+    def refute_crashes(self, worker: str, at: float) -> bool:
+        """Drops the crashes of a worker that was alive later.
 
-    def refute(self, worker: str, at: float) -> bool:
-        """Forgets the ends of a worker that lived later; says if that is news.
+        An incarnation that crashed does not come back, so each earlier report
+        of its crash was wrong. The time is kept for as long as crashes are.
 
-        An incarnation that ended does not come back, so that each end of it up
-        to then was none. What was refuted stays known for as long as ends do.
+        Returns:
+          Whether this was not known before.
         """
-        if at <= self.alive.get(worker, NEVER) + SAME_S:
+        if at <= self.alive.get(worker, NEVER) + SAME_EVENT_S:
             return False
         self.alive[worker] = at
         self.alive.move_to_end(worker)
-        while len(self.alive) > MOST_SUSPECTS:
+        while len(self.alive) > MAX_SUSPECTS:
             self.alive.popitem(last=False)
-        for content, ends in list(self.ends.items()):
-            if ends.get(worker, math.inf) < at - SAME_S:
-                self.drop_end(content, worker)
+        for content, crashes in list(self.crashes.items()):
+            if crashes.get(worker, math.inf) < at - SAME_EVENT_S:
+                self.drop_crash(content, worker)
         return True
 
-    def drop_end(self, content: str, worker: str) -> None:
-        """Drops one end of a content."""
-        ends = self.ends[content]
-        was_held = len(ends) >= ENDS_TO_HOLD
-        del ends[worker]
-        if not ends:
-            del self.ends[content]
-        log.info("End refuted.", content=content, worker=worker, left=len(ends))
-        if was_held and len(ends) < ENDS_TO_HOLD:
-            self.changed(content)
-
-    def forget_old(self) -> None:
-        """Drops contents whose last end is too old to count."""
-        oldest = self.clock.monotonic() - HOLD_S
+    def drop_crash(self, content: str, worker: str) -> None:
+        """Drops one crash of a content."""
+        crashes = self.crashes[content]
+        was_quarantined = len(crashes) >= CRASHES_TO_QUARANTINE
+        del crashes[worker]
+        if not crashes:
+            del self.crashes[content]
+        log.info(
+            "Crash report refuted.",
+            content=content,
+            worker=worker,
+            left=len(crashes),
+        )
+        if was_quarantined and len(crashes) < CRASHES_TO_QUARANTINE:
+            self.on_change(content)
+
+    def drop_old(self) -> None:
+        """Drops contents whose last crash is too old to count."""
+        oldest = self.clock.monotonic() - QUARANTINE_S
         self.drop(
             content
-            for content, ends in self.ends.items()
-            if max(ends.values()) <= oldest
+            for content, crashes in self.crashes.items()
+            if max(crashes.values()) <= oldest
         )
         for content, at in list(self.cleared.items()):
             if at <= oldest:
@@ -308,19 +332,19 @@
             if at <= oldest:
                 del self.alive[worker]
 
-    def drop_beyond(self, most: int) -> None:
-        """Keeps the contents that tell most, by their ends and their age."""
-        beyond = len(self.ends) - most
-        if beyond <= 0:
+    def limit_suspects(self, max_count: int) -> None:
+        """Drops the contents with the fewest, then oldest, crashes."""
+        surplus = len(self.crashes) - max_count
+        if surplus <= 0:
             return
 
-        def weight(content: str) -> tuple[int, float]:
-            ends = self.ends[content]
-            return len(ends), max(ends.values())
+        def priority(content: str) -> tuple[int, float]:
+            crashes = self.crashes[content]
+            return len(crashes), max(crashes.values())
 
-        self.drop(sorted(self.ends, key=weight)[:beyond])
+        self.drop(sorted(self.crashes, key=priority)[:surplus])
 
     def drop(self, contents: Iterable[str]) -> None:
-        """Drops contents."""
+        """Drops the crashes of contents."""
         for content in list(contents):
-            del self.ends[content]
+            del self.crashes[content]
--- a/src/rattanpier/_internal/routing/brakes.py
+++ b/src/rattanpier/_internal/routing/brakes.py
@@ -1,8 +1,8 @@
 """Brakes: versions that this node stopped using ahead of the configuration.
 
-A brake narrows what runs, so it acts at once and spreads from peer to peer
-without the store. It stands until a newer configuration revision decides on
-the version. Nothing here widens: a brake is lifted by a revision alone.
+A brake only restricts what may run, so it takes effect at once and spreads from
+peer to peer without the store. It remains until a newer configuration revision
+decides on the version; only a revision can lift it.
 """
 
 from __future__ import annotations
@@ -27,8 +27,8 @@
 
 log = structlog.get_logger(part="brakes")
 
-FAN_OUT = 3  # Peers that a notice is passed on to.
-REPEAT_S = 1.0  # Pause between repeats, for peers that missed a notice.
+FANOUT = 3  # Peers that each notice is sent to.
+RESEND_INTERVAL_S = 1.0  # For peers that missed a notice.
 
 
 @attrs.frozen
@@ -37,11 +37,11 @@
 
     Attributes:
       version: The version.
-      reason: One sentence.
-      origin: Who braked: a process or an operator.
+      reason: One sentence, for logs and operators.
+      origin: Who set the brake: a process or an operator.
       rollout: The roll-out it belongs to, or empty.
       sequence: Configuration revision in force at the origin.
-      decision: Digest of what that revision decides on the version.
+      decision: Digest of that revision's decisions on the version.
     """
 
     version: str
@@ -53,16 +53,18 @@
 
 
 def decision_digest(configuration: Configuration, version: str) -> int:
-    """Returns a digest of what a configuration decides on a version.
+    """Returns a digest of a configuration's decisions on a version.
 
     It changes when the version's state or one of its roll-outs changes, and
     not when an operator changes something else.
     """
-    return stable_hash("\x1f".join(decisions(configuration, version)))
+    return stable_hash("\x1f".join(describe_decisions(configuration, version)))
 
 
-def decisions(configuration: Configuration, version: str) -> Iterator[str]:
-    """Yields what a configuration says of a version."""
+def describe_decisions(
+    configuration: Configuration, version: str
+) -> Iterator[str]:
+    """Yields a text for each decision of a configuration on a version."""
     known = configuration.versions.get(version)
     yield known.state.value if known else "unknown"
     for name, rollout in sorted(configuration.rollouts.items()):
@@ -75,15 +77,19 @@
     """The brakes that this node knows; a collection of versions.
 
     Attributes:
-      configuration: Emits each configuration that comes into force.
-      me: Own member name.
+      configuration: Emits each configuration that takes effect.
+      own_name: Member name of this node.
       peers: Returns the live members by name.
+      links: Connections to peers.
+      clock: Source of time for the pause between notices.
+      metrics: Counts brakes applied and sent.
+      rng: Chooses the peers that get a notice.
       active: Brakes by version.
       changed: Emits the braked versions whenever they change.
     """
 
     configuration: BehaviorSubject[Configuration]
-    me: str
+    own_name: str
     peers: Callable[[], dict[str, Member]]
     links: Links
     clock: Clock
@@ -95,11 +101,11 @@
     )
 
     def __attrs_post_init__(self) -> None:
-        """Follows the configuration."""
-        self.configuration.subscribe(lambda _: self.drop_decided())
+        """Subscribes to configuration changes."""
+        self.configuration.subscribe(lambda _: self.drop_superseded())
 
     def __contains__(self, version: object) -> bool:
-        """Says whether a version is braked."""
+        """Returns whether a version is braked."""
         return version in self.active
 
     def __iter__(self) -> Iterator[str]:
@@ -113,29 +119,29 @@
     def apply(
         self, version: str, reason: str, origin: str, rollout: str = ""
     ) -> BrakeRecord:
-        """Brakes a version here and tells peers.
+        """Brakes a version here and notifies peers.
 
         Args:
           version: The version to stop.
           reason: One sentence, for logs and operators.
-          origin: Who brakes.
+          origin: Who sets the brake.
           rollout: The roll-out that it belongs to, or empty.
         """
-        present = self.configuration.value
+        current = self.configuration.value
         record = BrakeRecord(
             version=version,
             reason=reason,
             origin=origin,
             rollout=rollout,
-            sequence=present.revision,
-            decision=decision_digest(present, version),
+            sequence=current.revision,
+            decision=decision_digest(current, version),
         )
-        self.take(record)
+        self.apply_record(record)
         return self.active.get(version, record)
 
-    def take(self, record: BrakeRecord) -> None:
-        """Takes in a brake; passes it on if it is new."""
-        if self.is_decided(record):
+    def apply_record(self, record: BrakeRecord) -> None:
+        """Applies a brake, and forwards it to peers if it is new."""
+        if self.is_superseded(record):
             return
         known = self.active.get(record.version)
         if known is not None and known.sequence >= record.sequence:
@@ -150,57 +156,61 @@
                 origin=record.origin,
             )
         self.publish()
-        self.tell([record])
+        self.send([record])
 
-    def is_decided(self, record: BrakeRecord) -> bool:
-        """Says whether a newer revision has decided on the version."""
-        present = self.configuration.value
-        if present.revision <= record.sequence:
+    def is_superseded(self, record: BrakeRecord) -> bool:
+        """Returns whether a newer revision has decided on the version."""
+        current = self.configuration.value
+        if current.revision <= record.sequence:
             return False
-        return decision_digest(present, record.version) != record.decision
-
-    def drop_decided(self) -> None:
-        """Drops the brakes that the configuration in force has decided."""
-        decided = [
-            record for record in self.active.values() if self.is_decided(record)
+        return decision_digest(current, record.version) != record.decision
+
+    def drop_superseded(self) -> None:
+        """Drops the brakes that the current configuration supersedes."""
+        superseded = [
+            record
+            for record in self.active.values()
+            if self.is_superseded(record)
         ]
-        for record in decided:
+        for record in superseded:
             del self.active[record.version]
-            log.info("Brake ends with a revision.", version=record.version)
-        if decided:
+            log.info(
+                "Brake lifted by a newer revision.", version=record.version
+            )
+        if superseded:
             self.publish()
 
     def publish(self) -> None:
         """Emits the braked versions."""
         self.changed.on_next(frozenset(self.active))
 
-    def tell(self, records: Collection[BrakeRecord]) -> None:
-        """Sends brakes to a few peers."""
-        others = [
+    def send(self, records: Collection[BrakeRecord]) -> None:
+        """Sends brakes to a few random peers."""
+        peers = [
             member
             for name, member in sorted(self.peers().items())
-            if name != self.me
+            if name != self.own_name
         ]
-        chosen = self.rng.sample(others, min(FAN_OUT, len(others)))
-        for member in chosen:
+        targets = self.rng.sample(peers, min(FANOUT, len(peers)))
+        for member in targets:
             for record in records:
                 brake = peer_pb2.Brake(**attrs.asdict(record))
                 self.links.to(member).notify(peer_pb2.Notice(brake=brake))
                 self.metrics.count("brakes.sent")
 
     def receive(self, notice: peer_pb2.Notice) -> None:
-        """Takes in a peer's notice."""
-        self.take(record_of(notice.brake))
+        """Applies the brake in a notice from a peer."""
+        self.apply_record(decode_brake(notice.brake))
 
     async def run(self, kernel: Kernel) -> None:
-        """Repeats what stands, for peers that missed it or are new."""
+        """Resends active brakes, for peers that missed them or are new."""
         while not kernel.stopping.is_set():
-            self.tell(list(self.active.values()))
-            await self.clock.sleep(REPEAT_S)
+            self.send(list(self.active.values()))
+            await self.clock.sleep(RESEND_INTERVAL_S)
 
 
-def record_of(brake: Any) -> BrakeRecord:
-    """Returns a brake from its message."""
+def decode_brake(brake: Any) -> BrakeRecord:
+    """Returns a brake decoded from its message."""
     return BrakeRecord(
         version=brake.version,
         reason=brake.reason,
--- a/src/rattanpier/_internal/routing/placement.py
+++ b/src/rattanpier/_internal/routing/placement.py
@@ -1,8 +1,8 @@
-"""Which worker of a version gets a request.
+"""Placement: choice of the worker of a version that gets a request.
 
-An entry does not use all workers of a large pool but a subset of a bounded
-size, so that what it keeps and does for a request, and the connections that a
-worker holds, do not grow with the fleet.
+An entry uses only a subset of bounded size of a large pool of workers, so that
+its memory, its work per request and the connections of a worker do not grow
+with the fleet.
 """
 
 from __future__ import annotations
@@ -22,13 +22,19 @@
 from rattanpier._internal.utils.hashing import rendezvous
 from rattanpier._internal.utils.turns import in_turns
 
-SUBSET = 64  # Workers of a version that an entry uses, if there are more.
-ENTRIES_PER_WORKER = 32  # At least so many on average; fewer load unevenly.
+SUBSET_SIZE = 64  # Workers per version that an entry uses of a larger pool.
+MIN_ENTRIES_PER_WORKER = 32  # On average; with fewer, load gets uneven.
 
 
 @attrs.frozen
 class Target:
-    """A worker, by name, with its upstream."""
+    """A worker with its name and its upstream.
+
+    Attributes:
+      upstream: Name of the upstream.
+      name: Name of the worker.
+      worker: Its configuration.
+    """
 
     upstream: str
     name: str
@@ -37,10 +43,10 @@
 
 @attrs.define
 class Load:
-    """What this entry has under way.
+    """Requests of this entry that are in progress.
 
     Attributes:
-      outstanding: Requests sent and not ended, by worker name.
+      outstanding: Number of unfinished requests, by worker name.
     """
 
     outstanding: collections.Counter[str] = attrs.Factory(collections.Counter)
@@ -51,24 +57,24 @@
     """The workers of one version or service that an entry uses.
 
     Attributes:
-      home: What the configuration in force gives.
-      spare: In use while most of `home` gets nothing new.
-      whole: True if `home` has all workers, so that there are no others.
+      primary: Workers chosen from the current configuration.
+      fallback: Workers used while less than half of `primary` are usable.
+      is_complete: Whether `primary` contains all workers.
     """
 
-    home: list[Target]
-    spare: list[Target]
-    whole: bool
+    primary: list[Target]
+    fallback: list[Target]
+    is_complete: bool
 
 
 @attrs.define
 class Placement:
-    """This entry's workers, found once for each configuration.
+    """This entry's subsets of workers, computed once per configuration.
 
     Attributes:
-      entry: Name of this entry, which its subsets follow from.
-      configuration: The one that the subsets were made from.
-      subsets: By version, and by service with its upstream's kind.
+      entry: Name of this entry, which determines its subsets.
+      configuration: The configuration that the subsets were computed from.
+      subsets: By the kind of upstream and the name of the version or service.
     """
 
     entry: str
@@ -82,16 +88,16 @@
         leaving: Collection[str],
         tried: Collection[str] = (),
     ) -> list[Target]:
-        """Returns the workers that may get new work for a version.
+        """Returns the workers that may get new requests for a version.
 
         Args:
-          configuration: The one in force.
+          configuration: The current configuration.
           version: Name of the version.
-          leaving: Workers that get nothing new, asked at each call.
-          tried: Workers that the request was sent to before.
+          leaving: Workers that get no new requests; evaluated at each call.
+          tried: Workers that the request was already sent to.
         """
         key = (UpstreamKind.ENGINE, version)
-        return self.find(configuration, key, leaving, tried)
+        return self.find_targets(configuration, key, leaving, tried)
 
     def of_service(
         self,
@@ -100,68 +106,71 @@
         leaving: Collection[str],
         tried: Collection[str] = (),
     ) -> list[Target]:
-        """Returns the workers that may get new work for a plain service."""
+        """Returns the workers that may get new requests for a plain service."""
         key = (UpstreamKind.PLAIN, service)
-        return self.find(configuration, key, leaving, tried)
+        return self.find_targets(configuration, key, leaving, tried)
 
-    def find(
+    def find_targets(
         self,
         configuration: Configuration,
         key: tuple[UpstreamKind, str],
         leaving: Collection[str],
         tried: Collection[str],
     ) -> list[Target]:
-        """Returns the usable part of a subset, or of the one in its place."""
+        """Returns the usable workers of a subset or of its fallback."""
         if configuration is not self.configuration:
             self.configuration = configuration
             self.subsets.clear()
         subset = self.subsets.get(key)
         if subset is None:
-            subset = self.subsets[key] = self.make(key)
-        enough = 1 if subset.whole else (len(subset.home) + 1) // 2
-        usable = usable_of(subset.home, leaving, tried)
-        if len(usable) >= enough or subset.whole:
+            subset = self.subsets[key] = self.make_subset(key)
+        enough = 1 if subset.is_complete else (len(subset.primary) + 1) // 2
+        usable = usable_targets(subset.primary, leaving, tried)
+        if len(usable) >= enough or subset.is_complete:
             return usable
-        usable = usable_of(subset.spare, leaving, tried)
+        usable = usable_targets(subset.fallback, leaving, tried)
         if len(usable) >= enough:
             return usable
-        everywhere = targets_of(configuration, key)
-        subset.spare = self.choose(usable_of(everywhere, leaving, tried))
-        return list(subset.spare)
-
-    def make(self, key: tuple[UpstreamKind, str]) -> Subset:
-        """Returns the subset that the configuration gives."""
-        everywhere = list(targets_of(self.configuration, key))
-        home = self.choose(everywhere)
-        return Subset(home, [], len(home) == len(everywhere))
-
-    def choose(self, targets: list[Target]) -> list[Target]:
-        """Returns this entry's part of some workers."""
+        all_targets = targets_of(configuration, key)
+        subset.fallback = self.choose_targets(
+            usable_targets(all_targets, leaving, tried)
+        )
+        return list(subset.fallback)
+
+    def make_subset(self, key: tuple[UpstreamKind, str]) -> Subset:
+        """Returns the subset for the current configuration."""
+        all_targets = list(targets_of(self.configuration, key))
+        primary = self.choose_targets(all_targets)
+        return Subset(primary, [], len(primary) == len(all_targets))
+
+    def choose_targets(self, targets: list[Target]) -> list[Target]:
+        """Returns this entry's subset of some workers."""
         size = subset_size(len(targets), self.configuration.fleet.size)
         return choose_subset(self.entry, targets, size)
 
 
 def subset_size(workers: int, entries: int) -> int:
-    """Returns how many of some workers an entry uses.
+    """Returns how many of a number of workers an entry uses.
 
-    Few entries before many workers have to use more, or some workers would
-    get much less than others, or nothing.
+    If there are few entries for many workers, each entry has to use more of
+    them, or some workers would get far fewer requests than others, or none.
 
     >>> subset_size(9, 8), subset_size(600, 420), subset_size(600, 60)
     (9, 64, 320)
     """
-    shared = -(-workers * ENTRIES_PER_WORKER // max(1, entries))
-    return min(workers, max(SUBSET, shared))
+    fair_share = -(-workers * MIN_ENTRIES_PER_WORKER // max(1, entries))
+    return min(workers, max(SUBSET_SIZE, fair_share))
 
 
 def choose_subset(
     entry: str, targets: Iterable[Target], size: int
 ) -> list[Target]:
-    """Returns workers for an entry, from each failure domain in turn.
+    """Returns the subset of an entry, from each failure domain in turn.
 
-    A worker that comes or goes changes the subsets of few entries only.
+    Rendezvous hashing is used, so that a worker that is added or removed
+    changes the subsets of few entries only.
     """
-    # Two pools may each have a worker of the same name.
+    # Workers of two pools may have the same name.
     by_name = {f"{target.upstream}/{target.name}": target for target in targets}
     if len(by_name) <= size:
         return list(by_name.values())
@@ -172,12 +181,12 @@
     return list(itertools.islice(in_turns(domains.values()), size))
 
 
-def usable_of(
+def usable_targets(
     targets: Iterable[Target],
     leaving: Collection[str],
     tried: Collection[str],
 ) -> list[Target]:
-    """Returns the workers that a request may be sent to."""
+    """Returns the targets that a request may be sent to."""
     return [
         target
         for target in targets
@@ -189,14 +198,16 @@
     configuration: Configuration, key: tuple[UpstreamKind, str]
 ) -> Iterator[Target]:
     """Yields all workers of a version or service that are not draining."""
-    kind, wanted = key
+    kind, wanted_name = key
     for name, upstream in configuration.upstreams.items():
         if upstream.draining or upstream.kind is not kind:
             continue
-        if kind is UpstreamKind.PLAIN and name != wanted:
+        if kind is UpstreamKind.PLAIN and name != wanted_name:
             continue
         for worker_name, worker in upstream.workers.items():
-            serves = kind is UpstreamKind.PLAIN or wanted in worker.versions
+            serves = (
+                kind is UpstreamKind.PLAIN or wanted_name in worker.versions
+            )
             if serves and not worker.draining:
                 yield Target(name, worker_name, worker)
 
@@ -207,16 +218,17 @@
     domain: str,
     rng: random.Random,
 ) -> Target | None:
-    """Returns the less loaded of two random workers.
+    """Returns the less loaded of two random targets, or None without any.
 
-    Between equals the one in the entry's own failure domain is taken.
+    Of two equally loaded ones, one in the entry's own failure domain is
+    preferred.
     """
     if not targets:
         return None
-    pair = rng.sample(targets, min(2, len(targets)))
+    candidates = rng.sample(targets, min(2, len(targets)))
 
     def cost(target: Target) -> tuple[float, bool]:
-        used = load.outstanding[target.name] / target.worker.slots
-        return used, target.worker.domain != domain
+        utilization = load.outstanding[target.name] / target.worker.slots
+        return utilization, target.worker.domain != domain
 
-    return min(pair, key=cost)
+    return min(candidates, key=cost)
--- a/src/rattanpier/_internal/routing/rules.py
+++ b/src/rattanpier/_internal/routing/rules.py
@@ -1,4 +1,4 @@
-"""Ordered when-then rules: the first that matches decides."""
+"""Ordered when-then rules, of which the first that matches applies."""
 
 from __future__ import annotations
 
@@ -12,38 +12,40 @@
 Condition = Callable[[When, RouteRequest], bool]
 
 
-def one_of(names: list[str] | None, name: str) -> bool:
-    """Says whether a condition on a name holds; None always does."""
+def matches_name(names: list[str] | None, name: str) -> bool:
+    """Returns whether a name is in a list; None matches every name."""
     return names is None or name in names
 
 
 def labels_match(when: When, request: RouteRequest) -> bool:
-    """Says whether every wanted label has its value."""
+    """Returns whether the request has all labels with their values."""
     wanted = when.labels or {}
     return all(request.labels.get(name) == wanted[name] for name in wanted)
 
 
-def long_enough(when: When, request: RouteRequest) -> bool:
-    """Says whether the prompt has enough tokens."""
-    least = when.min_prompt_tokens
-    return least is None or request.prompt_tokens >= least
+def meets_min_tokens(when: When, request: RouteRequest) -> bool:
+    """Returns whether the prompt has at least the required tokens."""
+    min_tokens = when.min_prompt_tokens
+    return min_tokens is None or request.prompt_tokens >= min_tokens
 
 
-def short_enough(when: When, request: RouteRequest) -> bool:
-    """Says whether the prompt has few enough tokens."""
-    most = when.max_prompt_tokens
-    return most is None or request.prompt_tokens <= most
+def meets_max_tokens(when: When, request: RouteRequest) -> bool:
+    """Returns whether the prompt has at most the allowed tokens."""
+    max_tokens = when.max_prompt_tokens
+    return max_tokens is None or request.prompt_tokens <= max_tokens
 
 
 CONDITIONS: dict[str, Condition] = {
-    "workspaces": lambda when, request: one_of(
+    "workspaces": lambda when, request: matches_name(
         when.workspaces, request.workspace
     ),
-    "models": lambda when, request: one_of(when.models, request.model),
-    "services": lambda when, request: one_of(when.services, request.service),
+    "models": lambda when, request: matches_name(when.models, request.model),
+    "services": lambda when, request: matches_name(
+        when.services, request.service
+    ),
     "labels": labels_match,
-    "min_prompt_tokens": long_enough,
-    "max_prompt_tokens": short_enough,
+    "min_prompt_tokens": meets_min_tokens,
+    "max_prompt_tokens": meets_max_tokens,
     "stream": lambda when, request: when.stream in (None, request.stream),
     "non_idempotent": lambda when, request: (
         when.non_idempotent in (None, not request.idempotent)
@@ -53,11 +55,11 @@
 
 @attrs.frozen
 class RuleCheck:
-    """How a rule fared.
+    """Result of matching a request against a rule.
 
     Attributes:
       rule: The rule.
-      failed: Names of the conditions that did not hold; none: it matches.
+      failed: Names of the conditions that did not hold; empty if it matches.
     """
 
     rule: Rule
@@ -67,7 +69,7 @@
 def check_rules(
     rules: list[Rule], request: RouteRequest
 ) -> Iterator[RuleCheck]:
-    """Yields how each rule fared, up to the first that matches."""
+    """Yields the result for each rule, up to the first that matches."""
     for rule in rules:
         failed = [
             name
--- a/tests/lib/warm_fleet.py
+++ b/tests/lib/warm_fleet.py
@@ -1,4 +1,4 @@
-"""Entries that share the bounds of workers, in virtual time."""
+"""Simulated entries that share the bounds of workers, in virtual time."""
 
 import collections
 import math
@@ -20,10 +20,10 @@
 STEP_S = 0.01
 WINDOW_S = 1.0
 SERVICE = "s"
-TOLD_S = 0.5  # An answer that was passed on counts from then on.
+INFORMED_AFTER_S = 0.5  # Delay until an answer counts as known.
 
 
-def make_news(number, **more):
+def make_state(number, **more):
     """An entry's state."""
     name = f"entry-{number:03}"
     member = Member(name, "i", Role.ENTRY, f"zone-{number % 4}", "r", "", "", 0)
@@ -31,10 +31,10 @@
 
 
 def make_fleet(number, known, clock, down=()):
-    """What an entry knows of some others."""
-    fleet = Fleet(make_news(number), clock)
+    """The fleet as one entry knows it."""
+    fleet = Fleet(make_state(number), clock)
     fleet.apply_states(
-        make_news(other, down=other in down)
+        make_state(other, down=other in down)
         for other in known
         if other != number
     )
@@ -42,7 +42,7 @@
 
 
 def make_warm_ups(fleet, clock, warm_up=WARM_UP):
-    """What bounds the sends of one entry, which started long ago."""
+    """The warm-up bounds of one entry that started long ago."""
     return WarmUps(
         SharedRates(fleet, clock, started_at=-100.0),
         clock,
@@ -55,12 +55,14 @@
 
 @attrs.define
 class WarmFleet:
-    """Entries, each with its own view, before workers that are all cold.
+    """Entries with their own views, and workers that are all cold.
 
     Attributes:
       entries: By number.
-      sends: When each worker was sent a request, by its id.
-      refused: Requests for which no worker was open.
+      clock: Virtual time, shared by all entries.
+      rng: Source of the load and of the choices.
+      sends: Times of the requests to each worker, by its id.
+      refused: Number of requests for which no worker was available.
     """
 
     clock: ManualClock = attrs.Factory(ManualClock)
@@ -73,11 +75,11 @@
         fleet = make_fleet(number, known, self.clock, down)
         self.entries[number] = make_warm_ups(fleet, self.clock)
 
-    def play(self, workers, requests_per_s, seconds):
-        """Each entry gets requests at random and would use any cold worker."""
+    def run(self, workers, requests_per_s, seconds):
+        """Sends random requests to each entry, which may use any worker."""
         for entry in self.entries.values():
             for worker in workers:
-                entry.note_registered(worker, appeared=True)
+                entry.record_registration(worker, appeared=True)
         chance = requests_per_s * STEP_S
         for _ in range(round(seconds / STEP_S)):
             self.clock.now += STEP_S
@@ -86,85 +88,87 @@
                     self.ask(entry, workers)
 
     def ask(self, entry, workers):
-        open_ones = entry.open(workers)
-        if not open_ones:
+        open_workers = entry.open_workers(workers)
+        if not open_workers:
             self.refused += 1
             return
-        worker = self.rng.choice(open_ones)
-        entry.note_send(worker)
+        worker = self.rng.choice(open_workers)
+        entry.record_send(worker)
         self.sends[worker.id].append(self.clock.now)
 
-    def most_in_a_second(self):
+    def max_in_a_second(self):
         """The most requests that reached one worker within any second."""
-        return max(map(most_within, self.sends.values()), default=0)
+        return max(map(max_within, self.sends.values()), default=0)
 
     def rate_per_s(self, workers, seconds):
-        """Mean requests a second at one worker."""
+        """Mean requests per second at one worker."""
         total = sum(map(len, self.sends.values()))
         return total / seconds / len(workers)
 
 
-def most_within(times, window_s=WINDOW_S):
-    """The most of some ordered times within any window."""
+def max_within(times, window_s=WINDOW_S):
+    """The highest number of ordered times within any window."""
     recent = collections.deque()
-    most = 0
+    highest = 0
     for at in times:
         recent.append(at)
         while recent[0] < at - window_s:
             recent.popleft()
-        most = max(most, len(recent))
-    return most
+        highest = max(highest, len(recent))
+    return highest
 
 
 def make_limits(fleet, clock):
-    """What keeps one entry within the limits that workers name."""
+    """The rate limits of one entry that started long ago."""
     shares = SharedRates(fleet, clock, started_at=-100.0)
     return RateLimits(shares, clock)
 
 
 @attrs.define
 class LimitedFleet(WarmFleet):
-    """Entries before workers that name a limit.
+    """Entries, and workers that name a limit in their answers.
 
     Attributes:
-      told_at: When each entry was told by a worker's answer, by both.
-      told_sends: When each worker was sent a request by an entry that it had
-        told some time before, by its id.
-      news: Entries tell each other.
-      wobble: How much less a worker may name in one answer than in another.
+      informed_at: When each entry first got a limit from each worker.
+      sends_by_informed: Times of the requests to each worker, by its id, from
+        entries that it had informed at least `INFORMED_AFTER_S` before.
+      publishing: Whether entries publish limits to each other.
+      variation: Range in which a worker's limit varies between answers.
     """
 
-    told_at: dict = attrs.Factory(dict)
-    told_sends: dict = attrs.Factory(lambda: collections.defaultdict(list))
-    news: bool = True
-    wobble: float = 0.0
+    informed_at: dict = attrs.Factory(dict)
+    sends_by_informed: dict = attrs.Factory(
+        lambda: collections.defaultdict(list)
+    )
+    publishing: bool = True
+    variation: float = 0.0
 
     def add(self, number, known, down=()):
         entry = make_limits(
             make_fleet(number, known, self.clock, down), self.clock
         )
-        entry.tell = lambda word: self.spread(entry, word)
+        entry.publish = lambda limit: self.publish(entry, limit)
         self.entries[number] = entry
 
-    def spread(self, sender, word):
-        if self.news:
+    def publish(self, sender, limit):
+        if self.publishing:
             for entry in self.entries.values():
                 if entry is not sender:
-                    entry.take([word])
+                    entry.apply_limits([limit])
 
-    def tell_all(self, workers, rate_per_s):
-        """Each entry gets an answer of each worker at the same moment."""
-        news, self.news = self.news, False
+    def inform_all(self, workers, rate_per_s):
+        """Gives each entry an answer of each worker at the same moment."""
+        publishing, self.publishing = self.publishing, False
         for entry in self.entries.values():
             for worker in workers:
-                entry.hear(worker, rate_per_s, self.clock.now)
-        self.news = news
+                entry.record_answer(worker, rate_per_s, self.clock.now)
+        self.publishing = publishing
 
-    def play(self, workers, requests_per_s, seconds, rate_per_s=None):
-        """Each entry gets requests at random and would use any worker.
+    def run(self, workers, requests_per_s, seconds, rate_per_s=None):
+        """Sends random requests to each entry, which may use any worker.
 
         Args:
-          rate_per_s: What workers name in their answers from now on.
+          rate_per_s: Limit in the workers' answers from now on.
         """
         chance = requests_per_s * STEP_S
         for _ in range(round(seconds / STEP_S)):
@@ -176,27 +180,29 @@
                         self.answer(entry, worker, rate_per_s)
 
     def ask(self, entry, workers):
-        open_ones = entry.open(workers)
-        if not open_ones:
+        open_workers = entry.open_workers(workers)
+        if not open_workers:
             self.refused += 1
             return None
-        worker = self.rng.choice(open_ones)
-        entry.note_send(worker)
+        worker = self.rng.choice(open_workers)
+        entry.record_send(worker)
         self.sends[worker.id].append(self.clock.now)
         return worker
 
     def answer(self, entry, worker, rate_per_s):
-        """An entry gets the answer to what it has just sent."""
+        """Gives an entry the answer to the request that it just sent."""
         key = id(entry), worker.id
-        told_at = self.told_at.get(key, math.inf)
-        if self.clock.now - told_at >= TOLD_S:
-            self.told_sends[worker.id].append(self.clock.now)
+        informed_at = self.informed_at.get(key, math.inf)
+        if self.clock.now - informed_at >= INFORMED_AFTER_S:
+            self.sends_by_informed[worker.id].append(self.clock.now)
         if rate_per_s is not None:
-            self.told_at.setdefault(key, self.clock.now)
-            rate_per_s -= self.rng.uniform(0.0, self.wobble)
-        entry.hear(worker, rate_per_s, self.clock.now)
-
-    def most_told(self, window_s):
-        """The most that a worker got in a window from those that it told."""
-        counts = (most_within(at, window_s) for at in self.told_sends.values())
+            self.informed_at.setdefault(key, self.clock.now)
+            rate_per_s -= self.rng.uniform(0.0, self.variation)
+        entry.record_answer(worker, rate_per_s, self.clock.now)
+
+    def max_from_informed(self, window_s):
+        """The most requests to a worker in a window from informed entries."""
+        counts = (
+            max_within(at, window_s) for at in self.sends_by_informed.values()
+        )
         return max(counts, default=0)
--- a/tests/placement/test_eligibility.py
+++ b/tests/placement/test_eligibility.py
@@ -1,4 +1,4 @@
-"""One way from all workers of a version to those that may get a request."""
+"""Filtering of workers to those that may get a request."""
 
 import functools
 
@@ -9,9 +9,9 @@
 from rattanpier._internal.models.route_table import Workspace
 from rattanpier._internal.placement.eligibility import (
     Condition,
-    apart,
-    eligible,
+    filter_eligible,
     in_regions,
+    separate_suspects,
 )
 from rattanpier._internal.relay.exposure import ExposureBound
 from rattanpier._internal.relay.request_progress import (
@@ -62,31 +62,35 @@
         (["nowhere"], None, []),
     ],
 )
-def test_regions_of_route_and_workspace_both_bind(route, workspace, allowed):
+def test_regions_of_route_and_workspace_both_apply(route, workspace, allowed):
     course = make_course(route, workspace)
     assert ids(in_regions(REGIONS, course, WORKERS)) == allowed
 
 
-def test_each_condition_tells_how_many_it_left_out():
+def test_each_condition_counts_the_workers_it_excluded():
     conditions = [
         Condition("first", lambda _course, workers: workers[1:]),
         Condition("second", lambda _course, workers: workers),
         Condition("third", lambda _course, workers: workers[:0]),
     ]
-    found = eligible(conditions, make_course(), WORKERS)
+    found = filter_eligible(conditions, make_course(), WORKERS)
     assert found.workers == []
-    assert found.left_out == {"first": 1, "third": 2}
+    assert found.excluded == {"first": 1, "third": 2}
 
 
-def test_what_may_end_workers_is_kept_apart():
+def test_suspect_requests_are_spread_over_workers():
     counts = {"w1": 1, "w2": 0, "w3": 0}
-    keep = functools.partial(apart, lambda _content: True, counts.get)
-    assert ids(keep(make_course(), WORKERS)) == ["w2", "w3"]
-    keep = functools.partial(apart, lambda _content: False, counts.get)
-    assert ids(keep(make_course(), WORKERS)) == ["w1", "w2", "w3"]
+    separate = functools.partial(
+        separate_suspects, lambda _content: True, counts.get
+    )
+    assert ids(separate(make_course(), WORKERS)) == ["w2", "w3"]
+    separate = functools.partial(
+        separate_suspects, lambda _content: False, counts.get
+    )
+    assert ids(separate(make_course(), WORKERS)) == ["w1", "w2", "w3"]
 
 
-def test_a_refusal_says_which_conditions_left_no_worker():
+def test_refusal_names_the_conditions_that_excluded_workers():
     course = make_course()
     course.excluded = {"drained_domain": 2, "warming_up": 1}
     course.available_in_s = 0.2
@@ -96,12 +100,12 @@
     assert "drained_domain 2, warming_up 1" in refusal.message
 
 
-# Versions go before conditions.
+# The version is chosen before conditions are applied.
 
 ORDER = RolloutOrder(7, "s", "v2", 24.0)
 
 
-async def test_no_session_begins_at_a_version_that_warms_up_yet():
+async def test_no_session_starts_at_a_version_that_is_warming_up():
     clock = ManualClock()
     rollouts = Rollouts(ExposureBound(0.15, 30.0), Bounds().session_s, clock)
     cold = True
@@ -121,7 +125,7 @@
     assert rollouts.phase(ORDER) is RolloutPhase.TRYING
     assert new_ones(names) == []
     cold = False
-    # Those that began at the old version stay there.
+    # Sessions that started at the old version stay there.
     assert new_ones(names) == []
     assert new_ones([f"later-{number}" for number in range(400)])
 
@@ -129,7 +133,7 @@
 # Real entries.
 
 
-async def test_a_route_is_answered_in_its_regions_only():
+async def test_route_is_served_only_in_its_regions():
     document = changed_route("safe", allowedRegions=["region-b"])
     async with platform_site(document) as site:
         for name, domain in (("w1", "zone-a"), ("w2", "zone-b")):
@@ -154,7 +158,9 @@
         (["elsewhere"], "nowhere", {"entry-1", "entry-2"}),
     ],
 )
-async def test_the_directory_names_entries_in_reach(regions, region, names):
+async def test_directory_lists_entries_in_allowed_regions(
+    regions, region, names
+):
     document = manifest()
     for each in document["routes"]:
         each["allowedRegions"] = regions
@@ -172,7 +178,7 @@
         }
 
 
-async def test_a_workspace_is_answered_in_its_regions_only():
+async def test_workspace_is_served_only_in_its_regions():
     document = manifest()
     document["tenants"][0]["allowedRegions"] = ["region-a"]
     async with platform_site(document) as site:
--- a/tests/relay/test_quarantine_rows.py
+++ b/tests/relay/test_quarantine_rows.py
@@ -12,7 +12,7 @@
     QuarantineRows,
 )
 from rattanpier._internal.relay.store import StoreClock
-from rattanpier._internal.retries.quarantine import HOLD_S, Quarantine
+from rattanpier._internal.retries.quarantine import QUARANTINE_S, Quarantine
 from rattanpier._internal.utils.codec import decode, encode
 from tests.lib.clock import ManualClock
 from tests.lib.relay_parts import at
@@ -59,13 +59,13 @@
         clock,
         lambda: True,
     )
-    rows.quarantine.changed = rows.changed.put_nowait
+    rows.quarantine.on_change = rows.changed.put_nowait
     return rows
 
 
 def quarantine_request(rows):
     for number in range(3):
-        rows.quarantine.note_end(CONTENT, f"w{number}")
+        rows.quarantine.record_crash(CONTENT, f"w{number}")
 
 
 async def sync_rows(rows):
@@ -99,7 +99,7 @@
     rows = make_rows(store)
     quarantine_request(rows)
     await sync_rows(rows)
-    rows.quarantine.note_answered(CONTENT)
+    rows.quarantine.record_answer(CONTENT)
     await sync_rows(rows)
     assert store.rows == {}
 
@@ -113,16 +113,16 @@
 def test_a_row_quarantines_for_the_remaining_time(age_s, held_s):
     rows = make_rows(FakeStore())
     rows.apply_row(make_row(age_s), NOW_MS)
-    assert rows.quarantine.held_s(CONTENT) == held_s
+    assert rows.quarantine.remaining_s(CONTENT) == held_s
 
 
 @pytest.mark.parametrize(
-    "row", [make_row(HOLD_S), FeedRow(CONTENT, b"no row", at(1))]
+    "row", [make_row(QUARANTINE_S), FeedRow(CONTENT, b"no row", at(1))]
 )
 async def test_an_expired_or_unreadable_row_is_removed(row):
     store = FakeStore(rows={QUARANTINED_PREFIX + row.key: row.value})
     rows = make_rows(store)
     rows.apply_row(row, NOW_MS)
-    assert rows.quarantine.held_s(CONTENT) == 0.0
+    assert rows.quarantine.remaining_s(CONTENT) == 0.0
     await sync_rows(rows)
     assert store.rows == {}
--- a/tests/relay/test_restoring.py
+++ b/tests/relay/test_restoring.py
@@ -59,7 +59,9 @@
     """Lets every entry know of a request that crashed three workers."""
     for entry in site.entries.values():
         for number in range(3):
-            entry.edge.dispatcher.quarantine.note_end(CONTENT, f"gone-{number}")
+            entry.edge.dispatcher.quarantine.record_crash(
+                CONTENT, f"gone-{number}"
+            )
 
 
 async def test_one_entry_restores_the_rows_that_the_backup_lacks():
@@ -103,7 +105,7 @@
         )
         backup = site.store.keep_copy()
         for entry in site.entries.values():
-            entry.edge.dispatcher.quarantine.note_answered(CONTENT)
+            entry.edge.dispatcher.quarantine.record_answer(CONTENT)
         await until(
             lambda: (
                 QUARANTINED_PREFIX + CONTENT not in own_table_keys(site.store)
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -1,4 +1,4 @@
-"""Which workers an entry uses."""
+"""Subsets of workers that an entry uses."""
 
 import collections
 
@@ -6,13 +6,13 @@
 import pytest
 
 from rattanpier._internal.models.configuration import UpstreamKind
-from rattanpier._internal.routing.placement import SUBSET, Placement
+from rattanpier._internal.routing.placement import SUBSET_SIZE, Placement
 from tests.lib.builders import SMALL
 from tests.lib.pools import DOMAINS, pool_of
 
 
-class Watched(set):
-    """A set of leaving workers that counts how often it is asked."""
+class CountingSet(set):
+    """A set of leaving workers that counts its membership tests."""
 
     asked = 0
 
@@ -30,27 +30,27 @@
     return {name for name, it in workers.items() if it.domain in domains}
 
 
-def test_a_small_pool_is_used_whole():
+def test_small_pool_is_used_completely():
     found = Placement("e1").of_version(pool_of(9, 8), SMALL, ())
     assert len(found) == 9
 
 
 @pytest.mark.parametrize("workers", [120, 600])
-def test_what_a_request_looks_at_does_not_grow_with_the_pool(workers):
+def test_work_per_request_does_not_grow_with_the_pool(workers):
     placement = Placement("e1")
     configuration = pool_of(workers, 420)
-    leaving = Watched()
+    leaving = CountingSet()
     found = placement.of_version(configuration, SMALL, leaving)
-    assert len(found) == SUBSET
-    assert leaving.asked == SUBSET
+    assert len(found) == SUBSET_SIZE
+    assert leaving.asked == SUBSET_SIZE
     counts = collections.Counter(target.worker.domain for target in found)
-    assert counts == dict.fromkeys(DOMAINS, SUBSET // len(DOMAINS))
+    assert counts == dict.fromkeys(DOMAINS, SUBSET_SIZE // len(DOMAINS))
 
 
 @pytest.mark.parametrize(
     ("entries", "workers"), [(2, 40), (8, 120), (60, 600), (420, 600)]
 )
-def test_no_worker_is_left_without_an_entry(entries, workers):
+def test_every_worker_is_used_by_some_entry(entries, workers):
     configuration = pool_of(workers, entries)
     used = set()
     for number in range(entries):
@@ -59,7 +59,7 @@
     assert len(used) == workers
 
 
-def test_a_worker_that_leaves_is_left_out_at_once():
+def test_leaving_worker_is_excluded_at_once():
     placement = Placement("e1")
     configuration = pool_of(600, 420)
     before = names(placement.of_version(configuration, SMALL, ()))
@@ -70,35 +70,35 @@
     assert names(placement.of_version(configuration, SMALL, ())) == before
 
 
-def test_a_subset_that_is_gone_is_replaced_and_taken_up_again():
+def test_lost_subset_is_replaced_and_used_again_later():
     placement = Placement("e1")
     configuration = pool_of(600, 420)
     before = names(placement.of_version(configuration, SMALL, ()))
-    leaving = Watched(before)
+    leaving = CountingSet(before)
     spare = names(placement.of_version(configuration, SMALL, leaving))
-    assert len(spare) == SUBSET
+    assert len(spare) == SUBSET_SIZE
     assert not spare & before
-    # The replacement is kept: the pool is not searched for each request.
+    # The replacement is stored; the pool is not searched for each request.
     leaving.asked = 0
     assert names(placement.of_version(configuration, SMALL, leaving)) == spare
-    assert leaving.asked == 2 * SUBSET
-    # It is replaced as well.
+    assert leaving.asked == 2 * SUBSET_SIZE
+    # The replacement is replaced as well.
     leaving |= spare
     third = names(placement.of_version(configuration, SMALL, leaving))
-    assert len(third) == SUBSET
+    assert len(third) == SUBSET_SIZE
     assert not third & leaving
     assert names(placement.of_version(configuration, SMALL, ())) == before
 
 
-def test_the_last_domain_takes_over_from_three_lost_ones():
+def test_last_domain_replaces_three_lost_domains():
     configuration = pool_of(600, 420)
     lost = in_domain(configuration, "a", "b", "c")
     found = Placement("e1").of_version(configuration, SMALL, lost)
-    assert len(found) == SUBSET
+    assert len(found) == SUBSET_SIZE
     assert names(found) <= in_domain(configuration, "d")
 
 
-def test_one_worker_left_of_many_is_found():
+def test_last_remaining_worker_of_a_large_pool_is_found():
     configuration = pool_of(600, 420)
     for left in ("w0", "w599"):
         leaving = in_domain(configuration, *DOMAINS) - {left}
@@ -106,7 +106,7 @@
         assert names(found) == {left}
 
 
-def test_a_worker_that_was_tried_is_not_given_again():
+def test_tried_worker_is_not_returned_again():
     placement = Placement("e1")
     configuration = pool_of(600, 420)
     tried = set()
@@ -117,7 +117,7 @@
         tried.add(min(found))
 
 
-def test_a_new_configuration_counts_at_once():
+def test_new_configuration_takes_effect_at_once():
     placement = Placement("e1")
     configuration = pool_of(600, 420)
     before = placement.of_version(configuration, SMALL, ())
@@ -132,17 +132,17 @@
     )
     found = names(placement.of_version(new, SMALL, ()))
     assert drained not in found
-    assert len(found & names(before)) == SUBSET - 1
+    assert len(found & names(before)) == SUBSET_SIZE - 1
     whole = attrs.evolve(
         new, upstreams={"pool": attrs.evolve(pool, draining=True)}
     )
     assert not placement.of_version(whole, SMALL, ())
 
 
-def test_services_and_versions_are_kept_apart():
+def test_services_and_versions_do_not_share_workers():
     placement = Placement("e1")
     plain = pool_of(200, 420, kind=UpstreamKind.PLAIN)
-    assert len(placement.of_service(plain, "pool", ())) == SUBSET
+    assert len(placement.of_service(plain, "pool", ())) == SUBSET_SIZE
     assert not placement.of_version(plain, SMALL, ())
     engines = pool_of(200, 420)
     assert not placement.of_service(engines, "pool", ())
