--- a/src/rattanpier/_internal/relay/evidence.py
+++ b/src/rattanpier/_internal/relay/evidence.py
@@ -7,7 +7,7 @@
 import attrs
 
 from rattanpier._internal.relay.exposure import Exposure
-from rattanpier._internal.relay.verdict import NOTHING, Tally
+from rattanpier._internal.relay.verdict import EMPTY_TALLY, Tally
 
 
 @attrs.frozen
@@ -52,7 +52,7 @@
 
     def add(self, key: TallyKey, tally: Tally) -> None:
         """Counts what this entry saw."""
-        self.own[key] = self.own.get(key, NOTHING) + tally
+        self.own[key] = self.own.get(key, EMPTY_TALLY) + tally
 
     def note_running(self, order: int, change: int) -> None:
         """Counts requests of this entry that run at an order's old version."""
@@ -105,4 +105,4 @@
             for key in [key for key in tallies if key.order == before]:
                 renamed = attrs.evolve(key, order=order)
                 added = tallies.pop(key)
-                tallies[renamed] = tallies.get(renamed, NOTHING) + added
+                tallies[renamed] = tallies.get(renamed, EMPTY_TALLY) + added
--- a/src/rattanpier/_internal/relay/rollout_driver.py
+++ b/src/rattanpier/_internal/relay/rollout_driver.py
@@ -50,7 +50,7 @@
 from rattanpier._internal.relay.restoring import LostRow
 from rattanpier._internal.relay.rollouts import TRIALS, Rollouts
 from rattanpier._internal.relay.store import RelayStore, StoreClock, StoreHealth
-from rattanpier._internal.relay.verdict import ENOUGH
+from rattanpier._internal.relay.verdict import MIN_EXPOSED_ANSWERS
 from rattanpier._internal.utils.codec import decode, encode
 
 log = structlog.get_logger(part="rollout")
@@ -118,7 +118,9 @@
     phase, exposed = progress.phase, progress.exposure.exposed
     if progress.age < TRY_UNTIL:
         return phase
-    if exposed >= ENOUGH and may_widen(bound, progress.exposure, progress.age):
+    if exposed >= MIN_EXPOSED_ANSWERS and may_widen(
+        bound, progress.exposure, progress.age
+    ):
         return RolloutPhase.WIDENING
     few = exposed < FEW_ANSWERS and progress.age < EXTEND_UNTIL
     if phase is RolloutPhase.TRYING and few:
--- a/src/rattanpier/_internal/relay/rollouts.py
+++ b/src/rattanpier/_internal/relay/rollouts.py
@@ -40,10 +40,10 @@
     is_of,
 )
 from rattanpier._internal.relay.verdict import (
-    NOTHING,
+    EMPTY_TALLY,
     Tally,
-    Worse,
-    find_worse,
+    Regression,
+    find_regression,
 )
 from rattanpier._internal.utils.clock import Clock
 
@@ -336,28 +336,28 @@
         if candidate and bad:
             self.judge(order)
 
-    def judge(self, order: RolloutOrder) -> Worse | None:
+    def judge(self, order: RolloutOrder) -> Regression | None:
         """Stops an order's version if the evidence is against it."""
         stable: dict[str, Tally] = {}
         candidate: dict[str, Tally] = {}
         for key, tally in self.seen.tallies(order.id):
             side = candidate if key.candidate else stable
-            side[key.route] = side.get(key.route, NOTHING) + tally
-        worse = find_worse(stable, candidate)
-        if worse is not None and order.id not in self.stopped:
+            side[key.route] = side.get(key.route, EMPTY_TALLY) + tally
+        regression = find_regression(stable, candidate)
+        if regression is not None and order.id not in self.stopped:
             log.warning(
                 "New version is worse.",
                 service=order.service,
                 version=order.version,
-                route=worse.route,
-                reason=worse.reason,
-                old_bad=worse.stable.bad,
-                old_total=worse.stable.total,
-                new_bad=worse.candidate.bad,
-                new_total=worse.candidate.total,
+                route=regression.route,
+                reason=regression.reason,
+                old_bad=regression.stable.bad,
+                old_total=regression.stable.total,
+                new_bad=regression.candidate.bad,
+                new_total=regression.candidate.total,
             )
-            self.stop(order.id, worse.reason)
-        return worse
+            self.stop(order.id, regression.reason)
+        return regression
 
     def evidence(self, origin: str) -> Evidence | None:
         """Returns what this entry saw; None while nothing is rolled out."""
--- a/src/rattanpier/_internal/relay/verdict.py
+++ b/src/rattanpier/_internal/relay/verdict.py
@@ -14,13 +14,13 @@
 
 # Chance that as many bad answers come from a version that is as good: small,
 # because all entries look several times a second, at each route.
-CHANCE = 0.002
+SIGNIFICANCE_LEVEL = 0.002
 # Share of bad answers that operators put up with in any version.
-TOLERATED_RATE = 0.02
-MIN_BAD = 2  # One bad answer proves nothing.
-SLOWER_BY = 2.5  # Slow versions answer several times slower.
-MIN_TIMED = 6  # Answers on each side before their times are compared.
-ENOUGH = 8  # Answers without which a version is not called good.
+TOLERATED_FAILURE_RATE = 0.02
+MIN_BAD_ANSWERS = 2  # One bad answer proves nothing.
+MIN_SLOWDOWN = 2.5  # Slow versions answer several times slower.
+MIN_TIMED_ANSWERS = 6  # Answers on each side before their times are compared.
+MIN_EXPOSED_ANSWERS = 8  # Answers without which a version is not called good.
 
 
 @attrs.frozen
@@ -50,11 +50,11 @@
         )
 
 
-NOTHING = Tally()
+EMPTY_TALLY = Tally()
 
 
 @attrs.frozen
-class Worse:
+class Regression:
     """A version is worse.
 
     Attributes:
@@ -70,17 +70,17 @@
     candidate: Tally
 
 
-def find_worse(
+def find_regression(
     stable: Mapping[str, Tally], candidate: Mapping[str, Tally]
-) -> Worse | None:
+) -> Regression | None:
     """Returns where a candidate is worse than the stable version, or None.
 
     Args:
       stable: Answers of the version in service, by route.
       candidate: Answers of the version rolled out, by route.
     """
-    all_stable = sum(stable.values(), NOTHING)
-    all_candidate = sum(candidate.values(), NOTHING)
+    all_stable = sum(stable.values(), EMPTY_TALLY)
+    all_candidate = sum(candidate.values(), EMPTY_TALLY)
     pairs = [
         (route, stable.get(route, all_stable), tally)
         for route, tally in candidate.items()
@@ -88,41 +88,43 @@
     pairs.append(("", all_stable, all_candidate))
     for route, old, new in pairs:
         if fails_more(old, new):
-            return Worse(route, "fails more often", old, new)
+            return Regression(route, "fails more often", old, new)
         if is_slower(old, new):
-            return Worse(route, "answers slower", old, new)
+            return Regression(route, "answers slower", old, new)
     return None
 
 
 def fails_more(stable: Tally, candidate: Tally) -> bool:
     """Says whether so many bad answers are no chance.
 
-    >>> fails_more(Tally(100, 1), Tally(8, 4)), fails_more(NOTHING, Tally(9, 0))
+    >>> fails_more(Tally(100, 1), Tally(8, 4)), fails_more(EMPTY_TALLY, Tally(9, 0))
     (True, False)
     """
-    if candidate.bad < MIN_BAD:
+    if candidate.bad < MIN_BAD_ANSWERS:
         return False
-    usual = (stable.bad + 1) / (stable.total + 20)
-    rate = max(TOLERATED_RATE, usual)
-    return tail(candidate.total, candidate.bad, rate) < CHANCE
+    baseline = (stable.bad + 1) / (stable.total + 20)
+    rate = max(TOLERATED_FAILURE_RATE, baseline)
+    return (
+        binomial_tail(candidate.total, candidate.bad, rate) < SIGNIFICANCE_LEVEL
+    )
 
 
-def tail(trials: int, least: int, rate: float) -> float:
-    """Returns the chance of at least so many events.
+def binomial_tail(trials: int, min_events: int, rate: float) -> float:
+    """Returns the chance of at min_events so many events.
 
-    >>> round(tail(2, 1, 0.5), 2)
+    >>> round(binomial_tail(2, 1, 0.5), 2)
     0.75
     """
     below = (
         math.comb(trials, count) * rate**count * (1 - rate) ** (trials - count)
-        for count in range(least)
+        for count in range(min_events)
     )
     return max(0.0, 1.0 - sum(below))
 
 
 def is_slower(stable: Tally, candidate: Tally) -> bool:
     """Says whether answers take several times as long."""
-    if min(stable.timed, candidate.timed) < MIN_TIMED:
+    if min(stable.timed, candidate.timed) < MIN_TIMED_ANSWERS:
         return False
-    usual = stable.seconds / stable.timed
-    return candidate.seconds / candidate.timed > SLOWER_BY * usual
+    baseline = stable.seconds / stable.timed
+    return candidate.seconds / candidate.timed > MIN_SLOWDOWN * baseline
--- a/tests/relay/test_decisions.py
+++ b/tests/relay/test_decisions.py
@@ -40,7 +40,7 @@
     next_phase,
 )
 from rattanpier._internal.relay.rollouts import Rollouts
-from rattanpier._internal.relay.verdict import Tally, find_worse
+from rattanpier._internal.relay.verdict import Tally, find_regression
 from tests.lib.clock import ManualClock
 from tests.lib.relay_parts import (
     kept_tokens,
@@ -417,7 +417,7 @@
 def test_a_worse_version_is_distinguished_from_random_failures(
     stable, candidate, worse
 ):
-    assert (find_worse(stable, candidate) is not None) == worse
+    assert (find_regression(stable, candidate) is not None) == worse
 
 
 def test_a_good_version_is_rarely_judged_worse():
@@ -426,7 +426,7 @@
     for _ in range(300):
         bad = sum(rng.random() < 0.02 for _ in range(40))
         old = sum(rng.random() < 0.02 for _ in range(300))
-        found = find_worse({"r": Tally(300, old)}, {"r": Tally(40, bad)})
+        found = find_regression({"r": Tally(300, old)}, {"r": Tally(40, bad)})
         wrong += found is not None
     assert wrong <= 3
 
--- a/tests/relay/test_exposure.py
+++ b/tests/relay/test_exposure.py
@@ -14,7 +14,7 @@
 )
 from rattanpier._internal.relay.rollout_driver import Progress, next_phase
 from rattanpier._internal.relay.rollouts import Rollouts
-from rattanpier._internal.relay.verdict import Tally, find_worse
+from rattanpier._internal.relay.verdict import Tally, find_regression
 from tests.lib.clock import ManualClock
 
 STEPS = 400
@@ -121,7 +121,7 @@
                 [each for each in known if each[1]],
             )
         )
-        worse = find_worse({"r": old}, {"r": new}) is not None
+        worse = find_regression({"r": old}, {"r": new}) is not None
         exposure = Exposure(len(known), new.total)
         progress = Progress(phase, age, age - since, exposure, worse, 3)
         after = next_phase(progress, bound)
