--- a/src/rattanpier/_internal/relay/exposure.py
+++ b/src/rattanpier/_internal/relay/exposure.py
@@ -16,16 +16,18 @@
 # would show a bad version sooner, but what it gets while it is tried is no
 # longer there for the take-over, which then comes too late for what still runs
 # at old workers. At a ratio of 0.15 and 1,000 requests it leaves 3 s of 24.
-TRYING_PART = 0.25
+TRYING_FRACTION = 0.25
 # The same where few answers came by half of the time: among few a version that
 # fails a third of its requests may show too few failures by chance.
-EXTENDING_PART = 0.75
-FEW_ANSWERS = 20
+EXTENDING_FRACTION = 0.75
+MIN_TRIAL_ANSWERS = 20
 WIDENING_SHARE = 0.4  # Of the sessions: a last look before all move.
-WIDEN_FOR = 0.02  # Of the order's time: two rounds of evidence between entries.
+WIDENING_DURATION = (
+    0.02  # Of the order's time: two rounds of evidence between entries.
+)
 # Of what is allowed. Counts reach the driver half a second late, and traffic
 # may rise by a third after the take-over was decided on.
-USED_PART = 0.82
+USABLE_FRACTION = 0.82
 
 
 @attrs.frozen
@@ -43,12 +45,12 @@
     @property
     def trying_share(self) -> float:
         """Share of sessions while a version is tried."""
-        return TRYING_PART * self.ratio
+        return TRYING_FRACTION * self.ratio
 
     @property
     def extending_share(self) -> float:
         """The same where few answers came."""
-        return EXTENDING_PART * self.ratio
+        return EXTENDING_FRACTION * self.ratio
 
 
 @attrs.frozen
@@ -76,8 +78,11 @@
     >>> may_widen(bound, tried, 0.85), may_widen(bound, tried, 0.95)
     (False, True)
     """
-    whole = exposure.served / age
-    allowed = USED_PART * (bound.ratio * whole + bound.slack)
-    widening = WIDENING_SHARE * WIDEN_FOR
-    full = max(0.0, 1.0 - age - WIDEN_FOR)
-    return exposure.exposed + (widening + full) * whole <= allowed
+    expected_total = exposure.served / age
+    allowed = USABLE_FRACTION * (bound.ratio * expected_total + bound.slack)
+    widening_part = WIDENING_SHARE * WIDENING_DURATION
+    full_part = max(0.0, 1.0 - age - WIDENING_DURATION)
+    return (
+        exposure.exposed + (widening_part + full_part) * expected_total
+        <= allowed
+    )
--- a/src/rattanpier/_internal/relay/rollout_driver.py
+++ b/src/rattanpier/_internal/relay/rollout_driver.py
@@ -34,8 +34,8 @@
     RolloutRecord,
 )
 from rattanpier._internal.relay.exposure import (
-    FEW_ANSWERS,
-    WIDEN_FOR,
+    MIN_TRIAL_ANSWERS,
+    WIDENING_DURATION,
     Exposure,
     ExposureBound,
     may_widen,
@@ -105,7 +105,7 @@
     if phase in TRIALS:
         return phase_after_trial(progress, bound)
     if phase is RolloutPhase.WIDENING:
-        ready = progress.phase_age >= WIDEN_FOR
+        ready = progress.phase_age >= WIDENING_DURATION
         return RolloutPhase.FULL if ready else phase
     seen = progress.phase_age >= FULL_FOR and progress.old_running == 0
     if seen or progress.age >= GIVE_UP_AT:
@@ -122,7 +122,7 @@
         bound, progress.exposure, progress.age
     ):
         return RolloutPhase.WIDENING
-    few = exposed < FEW_ANSWERS and progress.age < EXTEND_UNTIL
+    few = exposed < MIN_TRIAL_ANSWERS and progress.age < EXTEND_UNTIL
     if phase is RolloutPhase.TRYING and few:
         return RolloutPhase.EXTENDING
     return phase
--- a/tests/relay/test_exposure.py
+++ b/tests/relay/test_exposure.py
@@ -6,7 +6,7 @@
 
 from rattanpier._internal.models.rollout_order import RolloutPhase
 from rattanpier._internal.relay.exposure import (
-    FEW_ANSWERS,
+    MIN_TRIAL_ANSWERS,
     WIDENING_SHARE,
     Exposure,
     ExposureBound,
@@ -72,7 +72,7 @@
     assert exposed <= ratio * served + slack
     assert completed is not None and completed < 0.985
     tried = [RolloutPhase.TRYING]
-    if bound.trying_share * requests / 2 < FEW_ANSWERS:
+    if bound.trying_share * requests / 2 < MIN_TRIAL_ANSWERS:
         tried.append(RolloutPhase.EXTENDING)
     assert phases == [
         *tried,
