--- a/src/rattanpier/_internal/relay/evidence.py
+++ b/src/rattanpier/_internal/relay/evidence.py
@@ -35,45 +35,45 @@
 
 
 @attrs.define(eq=False, repr=False)
-class SeenAnswers:
+class AnswerCounts:
     """Answers of all entries, as far as they were reported here.
 
     Attributes:
-      own: Answers that this entry saw.
-      others: Answers that others saw, by their incarnation.
-      running_old: Own requests at old versions, by order.
-      running_old_of: Requests at old versions that others reported.
+      own_counts: Answers that this entry saw.
+      peer_counts: Answers that others saw, by their incarnation.
+      own_running_old: Own requests at old versions, by order.
+      peer_running_old: Requests at old versions that others reported.
     """
 
-    own: dict[TallyKey, Tally] = attrs.Factory(dict)
-    others: dict[str, dict[TallyKey, Tally]] = attrs.Factory(dict)
-    running_old: dict[int, int] = attrs.Factory(dict)
-    running_old_of: dict[str, dict[int, int]] = attrs.Factory(dict)
+    own_counts: dict[TallyKey, Tally] = attrs.Factory(dict)
+    peer_counts: dict[str, dict[TallyKey, Tally]] = attrs.Factory(dict)
+    own_running_old: dict[int, int] = attrs.Factory(dict)
+    peer_running_old: dict[str, dict[int, int]] = attrs.Factory(dict)
 
     def add(self, key: TallyKey, tally: Tally) -> None:
         """Counts what this entry saw."""
-        self.own[key] = self.own.get(key, EMPTY_TALLY) + tally
+        self.own_counts[key] = self.own_counts.get(key, EMPTY_TALLY) + tally
 
-    def note_running(self, order: int, change: int) -> None:
+    def record_running(self, order: int, change: int) -> None:
         """Counts requests of this entry that run at an order's old version."""
-        running = self.running_old.get(order, 0) + change
-        self.running_old[order] = max(0, running)
+        running = self.own_running_old.get(order, 0) + change
+        self.own_running_old[order] = max(0, running)
 
     def evidence(self, origin: str, orders: Collection[int]) -> Evidence:
         """Returns what this entry saw under some orders."""
         counts = [
             (key, tally)
-            for key, tally in self.own.items()
+            for key, tally in self.own_counts.items()
             if key.order in orders
         ]
-        return Evidence(origin, counts, dict(self.running_old))
+        return Evidence(origin, counts, dict(self.own_running_old))
 
-    def take(self, evidence: Evidence) -> None:
+    def apply_evidence(self, evidence: Evidence) -> None:
         """Takes in what another entry saw; its counts only rise."""
-        self.others[evidence.origin] = dict(evidence.counts)
-        self.running_old_of[evidence.origin] = evidence.running_old
+        self.peer_counts[evidence.origin] = dict(evidence.counts)
+        self.peer_running_old[evidence.origin] = evidence.running_old
 
-    def all_running_old(self, order: int, live: Iterable[str]) -> int:
+    def total_running_old(self, order: int, live: Iterable[str]) -> int:
         """Returns the requests at an order's old version in all entries.
 
         Args:
@@ -81,13 +81,14 @@
           live: Incarnations of the entries that are not down.
         """
         reported = (
-            self.running_old_of.get(origin, {}).get(order, 0) for origin in live
+            self.peer_running_old.get(origin, {}).get(order, 0)
+            for origin in live
         )
-        return self.running_old.get(order, 0) + sum(reported)
+        return self.own_running_old.get(order, 0) + sum(reported)
 
     def tallies(self, order: int) -> Iterable[tuple[TallyKey, Tally]]:
         """Yields all answers to requests under an order."""
-        for source in (self.own, *self.others.values()):
+        for source in (self.own_counts, *self.peer_counts.values()):
             for key, tally in source.items():
                 if key.order == order:
                     yield key, tally
@@ -99,9 +100,9 @@
         exposed = sum(tally.total for key, tally in found if key.candidate)
         return Exposure(served, exposed)
 
-    def rename(self, before: int, order: int) -> None:
+    def move_counts(self, before: int, order: int) -> None:
         """Counts what was counted under one id of an order under another."""
-        for tallies in (self.own, *self.others.values()):
+        for tallies in (self.own_counts, *self.peer_counts.values()):
             for key in [key for key in tallies if key.order == before]:
                 renamed = attrs.evolve(key, order=order)
                 added = tallies.pop(key)
--- a/src/rattanpier/_internal/relay/rollouts.py
+++ b/src/rattanpier/_internal/relay/rollouts.py
@@ -21,7 +21,7 @@
 from rattanpier._internal.models.worker import RegisteredWorker
 from rattanpier._internal.relay.evidence import (
     Evidence,
-    SeenAnswers,
+    AnswerCounts,
     TallyKey,
 )
 from rattanpier._internal.relay.exposure import (
@@ -102,7 +102,7 @@
     known_at: dict[int, float] = attrs.Factory(dict)
     known_orders: KnownOrders = attrs.Factory(KnownOrders)
     records: dict[str, RolloutRecord] = attrs.Factory(dict)
-    seen: SeenAnswers = attrs.Factory(SeenAnswers)
+    seen: AnswerCounts = attrs.Factory(AnswerCounts)
     stopped: set[int] = attrs.Factory(set)
     in_service: dict[str, str] = attrs.Factory(dict)
     known: bool = False
@@ -189,7 +189,7 @@
         self.known_at[id] = self.known_at.get(before, self.clock.monotonic())
         if before in self.stopped:
             self.stopped.add(id)
-        self.seen.rename(before, id)
+        self.seen.move_counts(before, id)
         share = self.share(record.phase)
         self.sessions.hold_recent(id, order.service, share)
         log.info(
@@ -371,7 +371,7 @@
     def note_running(self, worker: RegisteredWorker, change: int) -> None:
         """Counts requests that run at an old version."""
         if self.is_new(worker.service, worker) is False:
-            self.seen.note_running(self.orders[worker.service].id, change)
+            self.seen.record_running(self.orders[worker.service].id, change)
 
 
 def is_later(record: RolloutRecord, before: RolloutRecord) -> bool:
