--- a/src/rattanpier/_internal/relay/answering.py
+++ b/src/rattanpier/_internal/relay/answering.py
@@ -34,7 +34,7 @@
     course.first_model = course.model
     course.order.last = request.after_event
     dispatcher.budgets[course.service].record_request()
-    dispatcher.rollouts.sessions.note(course.service, request.session)
+    dispatcher.rollouts.sessions.record_request(course.service, request.session)
     if request.route.streaming:
         async with aclosing(stream(dispatcher, course)) as parts:
             async for part in parts:
--- a/src/rattanpier/_internal/relay/gossip.py
+++ b/src/rattanpier/_internal/relay/gossip.py
@@ -231,7 +231,7 @@
             members=[self.fleet.me],
             records=list(rollouts.records.values()),
             stopped=stopped,
-            held=rollouts.sessions.take_news(),
+            held=rollouts.sessions.drain_updates(),
         )
         previous, self.published = (
             self.published,
--- a/src/rattanpier/_internal/relay/held_sessions.py
+++ b/src/rattanpier/_internal/relay/held_sessions.py
@@ -32,7 +32,7 @@
     age_s: float
 
 
-def point_of(order: int, session: str) -> int:
+def session_point(order: int, session: str) -> int:
     """Returns a session's place among all, the same in each entry."""
     return stable_hash(f"{order}/{session}")
 
@@ -56,7 +56,7 @@
     held: dict[tuple[int, int], float] = attrs.Factory(dict)
     changed: set[tuple[int, int]] = attrs.Factory(set)
 
-    def note(self, service: str, session: str) -> None:
+    def record_request(self, service: str, session: str) -> None:
         """Notes that a session is under way, in case an order comes."""
         if not session:
             return
@@ -73,7 +73,7 @@
         self.held[order, point] = served_at
         self.changed.add((order, point))
 
-    def hold_recent(self, order: int, service: str, share: float) -> None:
+    def hold_active(self, order: int, service: str, share: float) -> None:
         """Holds the sessions under way that an order would move.
 
         Args:
@@ -84,12 +84,12 @@
         limit = share * HASH_RANGE
         now = self.clock.monotonic()
         for (served_by, session), served_at in self.recent.items():
-            point = point_of(order, session)
-            live = now - served_at < self.session_s
-            if served_by == service and live and point < limit:
+            point = session_point(order, session)
+            active = now - served_at < self.session_s
+            if served_by == service and active and point < limit:
                 self.hold(order, point, served_at)
 
-    def stays(self, order: int, point: int) -> bool:
+    def is_held(self, order: int, point: int) -> bool:
         """Says whether a session that is served now stays where it is."""
         now = self.clock.monotonic()
         served_at = self.held.get((order, point))
@@ -100,7 +100,7 @@
 
     # What entries tell each other.
 
-    def take(self, sessions: Iterable[HeldSession]) -> None:
+    def apply_held(self, sessions: Iterable[HeldSession]) -> None:
         """Takes in which sessions others hold."""
         now = self.clock.monotonic()
         for session in sessions:
@@ -108,16 +108,18 @@
             served_at = now - session.age_s
             self.held[key] = max(self.held.get(key, served_at), served_at)
 
-    def take_news(self) -> list[HeldSession]:
+    def drain_updates(self) -> list[HeldSession]:
         """Returns the sessions that this entry holds since it was asked."""
         changed, self.changed = self.changed, set()
-        return list(self.make(changed))
+        return list(self.to_messages(changed))
 
-    def all_news(self) -> list[HeldSession]:
+    def all_updates(self) -> list[HeldSession]:
         """Returns all sessions that are held."""
-        return list(self.make(self.held))
+        return list(self.to_messages(self.held))
 
-    def make(self, keys: Iterable[tuple[int, int]]) -> Iterable[HeldSession]:
+    def to_messages(
+        self, keys: Iterable[tuple[int, int]]
+    ) -> Iterable[HeldSession]:
         """Yields sessions with their age."""
         now = self.clock.monotonic()
         for order, point in keys:
--- a/src/rattanpier/_internal/relay/rollouts.py
+++ b/src/rattanpier/_internal/relay/rollouts.py
@@ -31,7 +31,7 @@
 from rattanpier._internal.relay.held_sessions import (
     HASH_RANGE,
     HeldSessions,
-    point_of,
+    session_point,
 )
 from rattanpier._internal.relay.known_orders import (
     KnownOrders,
@@ -140,7 +140,7 @@
         """Begins with an order."""
         self.known_at[order.id] = self.clock.monotonic()
         share = self.share(RolloutPhase.TRYING)
-        self.sessions.hold_recent(order.id, order.service, share)
+        self.sessions.hold_active(order.id, order.service, share)
         log.info(
             "Roll-out ordered.",
             service=order.service,
@@ -191,7 +191,7 @@
             self.stopped.add(id)
         self.seen.move_counts(before, id)
         share = self.share(record.phase)
-        self.sessions.hold_recent(id, order.service, share)
+        self.sessions.hold_active(id, order.service, share)
         log.info(
             "Order goes by its record.",
             service=order.service,
@@ -259,7 +259,7 @@
         requests could go there, and it would go back and forth: none begins
         there before.
         """
-        point = point_of(order.id, request.session or request.id)
+        point = session_point(order.id, request.session or request.id)
         if point >= self.share(phase) * HASH_RANGE:
             return False
         if phase is not RolloutPhase.TRYING or not request.session:
@@ -271,7 +271,7 @@
         if held or all(map(self.warms_up, new)):
             self.sessions.hold(order.id, point, now)
             return False
-        return not self.sessions.stays(order.id, point)
+        return not self.sessions.is_held(order.id, point)
 
     def share(self, phase: RolloutPhase) -> float:
         """Returns the share of sessions for the new version."""
--- a/src/rattanpier/_internal/relay/shared_state.py
+++ b/src/rattanpier/_internal/relay/shared_state.py
@@ -61,7 +61,7 @@
             self.rollouts.take_record(record)
         for order in update.stopped:
             self.rollouts.stop(order, "told by a peer")
-        self.rollouts.sessions.take(update.held)
+        self.rollouts.sessions.apply_held(update.held)
         self.quarantine.apply_update(update.quarantine)
         self.domains.apply_peer_orders(update.drained)
         self.limits.apply_limits(update.limits)
@@ -79,7 +79,7 @@
             members=members,
             records=list(self.rollouts.records.values()),
             stopped=sorted(self.rollouts.stopped),
-            held=self.rollouts.sessions.all_news(),
+            held=self.rollouts.sessions.all_updates(),
             quarantine=self.quarantine.full_update(),
             drained=self.domains.active_orders(),
             limits=self.limits.registered_limits(),
--- a/tests/relay/test_decisions.py
+++ b/tests/relay/test_decisions.py
@@ -350,15 +350,15 @@
     names = [f"session-{number}" for number in range(400)]
     here, there = make_rollouts(clock), make_rollouts(clock)
     for name in names:
-        here.sessions.note("s", name)
+        here.sessions.record_request("s", name)
     for rollouts in (here, there):
         rollouts.take_order(ORDER)
         assert not moved_sessions(rollouts, names)
-    there.sessions.take(here.sessions.take_news())
+    there.sessions.apply_held(here.sessions.drain_updates())
     await clock.advance(2.0)
     # Half continue at the other entry, which received them from the first.
     assert not moved_sessions(there, names[:200])
-    here.sessions.take(there.sessions.take_news())
+    here.sessions.apply_held(there.sessions.drain_updates())
     await clock.advance(4.0)
     # These are still active, the rest have ended.
     assert not moved_sessions(here, names[:200])
