--- a/src/rattanpier/_internal/programs/relay_store.py
+++ b/src/rattanpier/_internal/programs/relay_store.py
@@ -126,7 +126,7 @@
         kernel.find("store_clock"),
         routes,
         rollouts.status_row,
-        lambda order: routes.seen.total_running_old(
+        lambda order: routes.answer_counts.total_running_old(
             order, [news.member.incarnation for news in fleet.live()]
         ),
         fleet.drives,
--- a/src/rattanpier/_internal/relay/dispatch.py
+++ b/src/rattanpier/_internal/relay/dispatch.py
@@ -150,7 +150,7 @@
         leaving = self.directory.leaving_of_service(progress.service)
         if leaving:
             self.count_excluded(progress, LEAVING, leaving)
-        for group in (split.first, split.otherwise):
+        for group in (split.preferred, split.fallback):
             found = filter_eligible(self.conditions, progress, group)
             self.record_excluded(progress, group, found)
             choice = self.chooser.choose(request, found.workers, model)
@@ -363,7 +363,9 @@
             # A request that crashes any worker is no evidence against a
             # version.
             return
-        self.rollouts.note(worker, progress.request.route.name, bad, relative_s)
+        self.rollouts.record_answer(
+            worker, progress.request.route.name, bad, relative_s
+        )
 
     def record_worker_failure(
         self,
--- a/src/rattanpier/_internal/relay/gossip.py
+++ b/src/rattanpier/_internal/relay/gossip.py
@@ -408,7 +408,7 @@
           UnreadableError: The evidence can't be decoded.
         """
         evidence = decode(Evidence, call.report.text)
-        self.shared_state.rollouts.seen.apply_evidence(evidence)
+        self.shared_state.rollouts.answer_counts.apply_evidence(evidence)
         return peer_pb2.Reply(report=peer_pb2.EvidenceReport())
 
     # Pages that watchers read from the store.
--- a/src/rattanpier/_internal/relay/rollout_driver.py
+++ b/src/rattanpier/_internal/relay/rollout_driver.py
@@ -48,7 +48,7 @@
     rows_with_prefix,
 )
 from rattanpier._internal.relay.restoring import LostRow
-from rattanpier._internal.relay.rollouts import TRIALS, Rollouts
+from rattanpier._internal.relay.rollouts import TRIAL_PHASES, Rollouts
 from rattanpier._internal.relay.store import RelayStore, StoreClock, StoreHealth
 from rattanpier._internal.relay.verdict import MIN_EXPOSED_ANSWERS
 from rattanpier._internal.utils.codec import decode, encode
@@ -102,7 +102,7 @@
         return phase
     if progress.worse:
         return RolloutPhase.ROLLED_BACK
-    if phase in TRIALS:
+    if phase in TRIAL_PHASES:
         return phase_after_trial(progress, bound)
     if phase is RolloutPhase.WIDENING:
         ready = progress.phase_age >= WIDENING_DURATION
@@ -217,8 +217,8 @@
         rows = rows_with_prefix(page, ROLLOUT_PREFIX)
         self.read_at = {row.key: row.revision for row in rows}
         for _, record in read_records(rows):
-            self.rollouts.take_record(record)
-        self.rollouts.known = True
+            self.rollouts.apply_record(record)
+        self.rollouts.records_known = True
         self.loaded = True
 
     def lost(self, page: Page) -> Iterator[LostRow]:
@@ -265,12 +265,12 @@
         age = (now_ms - record.begun_ms) / whole_ms
         if not self.drives(stand_ins(record.phase, age, order.deadline_s)):
             return
-        self.rollouts.judge(order)
+        self.rollouts.evaluate(order)
         progress = Progress(
             phase=record.phase,
             age=age,
             phase_age=(now_ms - record.since_ms) / whole_ms,
-            exposure=self.rollouts.seen.exposure(order.id),
+            exposure=self.rollouts.answer_counts.exposure(order.id),
             worse=order.id in self.rollouts.stopped,
             old_running=self.old_running(order.id),
         )
@@ -318,7 +318,7 @@
         )
         if isinstance(outcome, WrittenAt):
             self.read_at[order.service] = outcome.revision
-            self.rollouts.take_record(record)
+            self.rollouts.apply_record(record)
             return
         log.info(
             "Roll-out step not written.",
--- a/src/rattanpier/_internal/relay/rollouts.py
+++ b/src/rattanpier/_internal/relay/rollouts.py
@@ -20,8 +20,8 @@
 )
 from rattanpier._internal.models.worker import RegisteredWorker
 from rattanpier._internal.relay.evidence import (
-    Evidence,
     AnswerCounts,
+    Evidence,
     TallyKey,
 )
 from rattanpier._internal.relay.exposure import (
@@ -41,8 +41,8 @@
 )
 from rattanpier._internal.relay.verdict import (
     EMPTY_TALLY,
-    Tally,
     Regression,
+    Tally,
     find_regression,
 )
 from rattanpier._internal.utils.clock import Clock
@@ -51,22 +51,22 @@
 
 # After an order is known nothing goes to the new version for so long: entries
 # tell each other which sessions are under way, within two rounds of news.
-HOLD_S = 1.2
+ORDER_SYNC_S = 1.2
 # While a version is tried, old workers that fail are no reason for more of it.
-TRIALS = (RolloutPhase.TRYING, RolloutPhase.EXTENDING)
+TRIAL_PHASES = (RolloutPhase.TRYING, RolloutPhase.EXTENDING)
 
 
 @attrs.frozen
-class Split:
+class VersionSplit:
     """Workers for one request.
 
     Attributes:
-      first: Of the version that the request should go to.
-      otherwise: Of the other one, used if none of the first can be.
+      preferred: Of the version that the request should go to.
+      fallback: Of the other one, used if none of the first can be.
     """
 
-    first: Sequence[RegisteredWorker]
-    otherwise: Sequence[RegisteredWorker] = ()
+    preferred: Sequence[RegisteredWorker]
+    fallback: Sequence[RegisteredWorker] = ()
 
 
 @attrs.define(eq=False, repr=False)
@@ -82,10 +82,10 @@
       known_at: When each order became known here, in monotonic seconds.
       known_orders: The newest order of each service, and those before.
       records: How far each went, by service.
-      seen: Answers that this entry and others saw.
+      answer_counts: Answers that this entry and others saw.
       stopped: Orders whose version this entry found, or was told, to be worse.
       in_service: Versions that served before an order named another.
-      known: It is known how far earlier orders went.
+      records_known: It is known how far earlier orders went.
       warms_up: Says whether a worker bears less than usual yet.
     """
 
@@ -102,10 +102,10 @@
     known_at: dict[int, float] = attrs.Factory(dict)
     known_orders: KnownOrders = attrs.Factory(KnownOrders)
     records: dict[str, RolloutRecord] = attrs.Factory(dict)
-    seen: AnswerCounts = attrs.Factory(AnswerCounts)
+    answer_counts: AnswerCounts = attrs.Factory(AnswerCounts)
     stopped: set[int] = attrs.Factory(set)
     in_service: dict[str, str] = attrs.Factory(dict)
-    known: bool = False
+    records_known: bool = False
     warms_up: Callable[[RegisteredWorker], bool] = attrs.field(
         default=lambda _worker: False
     )
@@ -115,28 +115,28 @@
         """The newest order of each service."""
         return self.known_orders.newest
 
-    def take_order(self, order: RolloutOrder) -> None:
+    def apply_order(self, order: RolloutOrder) -> None:
         """Takes an order in; an older one is done with."""
-        begins = self.known_orders.take(order)
-        if begins:
-            self.begin(order)
+        starts = self.known_orders.take(order)
+        if starts:
+            self.start_order(order)
         record = self.records.get(order.service)
         if record is None:
             return
-        if begins:
-            self.name_as(record)
+        if starts:
+            self.adopt_record_id(record)
         newest = self.orders[order.service]
         if record.order == newest.id and record.seen < newest.revision.number:
             self.records[order.service] = attrs.evolve(
                 record, seen=newest.revision.number
             )
 
-    def take_unconfirmed(self, orders: Iterable[RolloutOrder]) -> None:
+    def apply_unconfirmed(self, orders: Iterable[RolloutOrder]) -> None:
         """Takes in orders that another entry knows and the store lost."""
         for order in self.known_orders.take_unconfirmed(orders):
-            self.begin(order)
+            self.start_order(order)
 
-    def begin(self, order: RolloutOrder) -> None:
+    def start_order(self, order: RolloutOrder) -> None:
         """Begins with an order."""
         self.known_at[order.id] = self.clock.monotonic()
         share = self.share(RolloutPhase.TRYING)
@@ -149,7 +149,7 @@
             deadline_s=order.deadline_s,
         )
 
-    def take_record(self, record: RolloutRecord) -> None:
+    def apply_record(self, record: RolloutRecord) -> None:
         """Takes in how far an order went; it never goes back."""
         before = self.records.get(record.service)
         if before is not None:
@@ -157,12 +157,12 @@
                 before, record
             ):
                 record = further(before, record)
-            elif not is_later(record, before):
+            elif not is_newer(record, before):
                 return
             if record == before:
                 return
         self.records[record.service] = record
-        self.name_as(record)
+        self.adopt_record_id(record)
         if record.phase is RolloutPhase.COMPLETED:
             self.in_service[record.service] = record.version
         log.info(
@@ -173,7 +173,7 @@
             phase=record.phase.value,
         )
 
-    def name_as(self, record: RolloutRecord) -> None:
+    def adopt_record_id(self, record: RolloutRecord) -> None:
         """Lets an order bear the number under which its record stands.
 
         An entry that started after the store came back read its row under
@@ -189,7 +189,7 @@
         self.known_at[id] = self.known_at.get(before, self.clock.monotonic())
         if before in self.stopped:
             self.stopped.add(id)
-        self.seen.move_counts(before, id)
+        self.answer_counts.move_counts(before, id)
         share = self.share(record.phase)
         self.sessions.hold_active(id, order.service, share)
         log.info(
@@ -223,27 +223,27 @@
         request: RelayRequest,
         service: str,
         workers: Sequence[RegisteredWorker],
-    ) -> Split:
+    ) -> VersionSplit:
         """Returns the workers of the version that a request goes to."""
         order = self.orders.get(service)
         if order is None:
-            return self.split_unordered(service, workers)
+            return self.split_without_order(service, workers)
         new = [each for each in workers if each.version == order.version]
         old = [each for each in workers if each.version != order.version]
         phase = self.phase(order)
         if phase is RolloutPhase.ROLLED_BACK:
-            return Split(old)
+            return VersionSplit(old)
         if phase is RolloutPhase.COMPLETED:
-            return Split(new, old)
+            return VersionSplit(new, old)
         if order.id in self.stopped:
-            return Split(old)
-        if self.goes_to_new(request, order, phase, new):
-            return Split(new, old)
-        if phase in TRIALS and old:
-            return Split(old)
-        return Split(old, new)
-
-    def goes_to_new(
+            return VersionSplit(old)
+        if self.routes_to_new_version(request, order, phase, new):
+            return VersionSplit(new, old)
+        if phase in TRIAL_PHASES and old:
+            return VersionSplit(old)
+        return VersionSplit(old, new)
+
+    def routes_to_new_version(
         self,
         request: RelayRequest,
         order: RolloutOrder,
@@ -256,7 +256,7 @@
         and a growing share moves a session only once. A session that was
         under way when the order came stays where it is while the order is
         tried, until it has ended. While all new workers warm up few of its
-        requests could go there, and it would go back and forth: none begins
+        requests could go there, and it would go back and forth: none starts
         there before.
         """
         point = session_point(order.id, request.session or request.id)
@@ -267,7 +267,7 @@
         if not self.policy.hold_sessions:
             return True
         now = self.clock.monotonic()
-        held = now - self.known_at.get(order.id, now) < HOLD_S
+        held = now - self.known_at.get(order.id, now) < ORDER_SYNC_S
         if held or all(map(self.warms_up, new)):
             self.sessions.hold(order.id, point, now)
             return False
@@ -287,30 +287,32 @@
             case _:
                 return 1.0
 
-    def split_unordered(
+    def split_without_order(
         self, service: str, workers: Sequence[RegisteredWorker]
-    ) -> Split:
+    ) -> VersionSplit:
         """Keeps a version that nobody ordered out while there is another.
 
         Workers of a new version may register before their order is known.
         """
-        known = self.in_service.get(service)
-        if known is None and workers:
-            known = most_common(workers)
-            self.in_service[service] = known
-        old = [each for each in workers if each.version == known]
+        stable = self.in_service.get(service)
+        if stable is None and workers:
+            stable = most_common(workers)
+            self.in_service[service] = stable
+        old = [each for each in workers if each.version == stable]
         if old:
-            return Split(old)
-        return Split(workers)
+            return VersionSplit(old)
+        return VersionSplit(workers)
 
-    def is_new(self, service: str, worker: RegisteredWorker) -> bool | None:
+    def is_candidate(
+        self, service: str, worker: RegisteredWorker
+    ) -> bool | None:
         """Says whether a worker has the ordered version; None: no order."""
         order = self.orders.get(service)
         if order is None or self.phase(order).final:
             return None
         return worker.version == order.version
 
-    def note(
+    def record_answer(
         self,
         worker: RegisteredWorker,
         route: str,
@@ -325,22 +327,22 @@
           bad: A failure, or not a whole answer.
           relative_s: Time to the first byte against the work, or None.
         """
-        candidate = self.is_new(worker.service, worker)
+        candidate = self.is_candidate(worker.service, worker)
         if candidate is None:
             return
         order = self.orders[worker.service]
         key = TallyKey(order.id, route, candidate)
         timed = 0 if relative_s is None else 1
         added = Tally(1, int(bad), timed, relative_s or 0.0)
-        self.seen.add(key, added)
+        self.answer_counts.add(key, added)
         if candidate and bad:
-            self.judge(order)
+            self.evaluate(order)
 
-    def judge(self, order: RolloutOrder) -> Regression | None:
+    def evaluate(self, order: RolloutOrder) -> Regression | None:
         """Stops an order's version if the evidence is against it."""
         stable: dict[str, Tally] = {}
         candidate: dict[str, Tally] = {}
-        for key, tally in self.seen.tallies(order.id):
+        for key, tally in self.answer_counts.tallies(order.id):
             side = candidate if key.candidate else stable
             side[key.route] = side.get(key.route, EMPTY_TALLY) + tally
         regression = find_regression(stable, candidate)
@@ -366,15 +368,17 @@
             for order in self.orders.values()
             if not self.phase(order).final
         }
-        return self.seen.evidence(origin, orders) if orders else None
+        return self.answer_counts.evidence(origin, orders) if orders else None
 
-    def note_running(self, worker: RegisteredWorker, change: int) -> None:
+    def record_running(self, worker: RegisteredWorker, change: int) -> None:
         """Counts requests that run at an old version."""
-        if self.is_new(worker.service, worker) is False:
-            self.seen.record_running(self.orders[worker.service].id, change)
+        if self.is_candidate(worker.service, worker) is False:
+            self.answer_counts.record_running(
+                self.orders[worker.service].id, change
+            )
 
 
-def is_later(record: RolloutRecord, before: RolloutRecord) -> bool:
+def is_newer(record: RolloutRecord, before: RolloutRecord) -> bool:
     """Says whether a record is newer than another of the same service."""
     if record.order != before.order:
         return record.order > before.order
--- a/src/rattanpier/_internal/relay/shared_state.py
+++ b/src/rattanpier/_internal/relay/shared_state.py
@@ -56,9 +56,9 @@
         self.peer_table_version = max(
             self.peer_table_version, update.table_version
         )
-        self.rollouts.take_unconfirmed(update.orders)
+        self.rollouts.apply_unconfirmed(update.orders)
         for record in update.records:
-            self.rollouts.take_record(record)
+            self.rollouts.apply_record(record)
         for order in update.stopped:
             self.rollouts.stop(order, "told by a peer")
         self.rollouts.sessions.apply_held(update.held)
--- a/src/rattanpier/_internal/relay/state.py
+++ b/src/rattanpier/_internal/relay/state.py
@@ -63,7 +63,7 @@
         return (
             self.table is not None
             and self.directory.known
-            and self.rollouts.known
+            and self.rollouts.records_known
         )
 
     def take_operator_page(self, page: Page, after_outage: bool) -> None:
@@ -76,7 +76,7 @@
                 case RouteTable():
                     self.take_table(item, "store")
                 case RolloutOrder():
-                    self.rollouts.take_order(item)
+                    self.rollouts.apply_order(item)
                 case DomainOrder():
                     domain_orders.append(item)
         if page.whole:
@@ -190,10 +190,10 @@
             if table is not None:
                 self.take_table(table, "peer")
         for order in snapshot.orders:
-            self.rollouts.take_order(order)
+            self.rollouts.apply_order(order)
         for record in snapshot.records:
-            self.rollouts.take_record(record)
-        self.rollouts.known |= snapshot.from_store
+            self.rollouts.apply_record(record)
+        self.rollouts.records_known |= snapshot.from_store
         workers, as_of = snapshot.workers, snapshot.as_of
         if self.health.available or as_of.era < self.directory.as_of.era:
             return
@@ -201,4 +201,4 @@
             self.forget(self.directory.replace(workers, False, as_of))
         elif not self.directory.known and workers:
             self.directory.replace(workers, False, as_of)
-            self.rollouts.known = True
+            self.rollouts.records_known = True
--- a/src/rattanpier/_internal/relay/stream_answers.py
+++ b/src/rattanpier/_internal/relay/stream_answers.py
@@ -77,7 +77,7 @@
         worker.id, course.model, request.prompt, choice.read_s
     )
     model = course.model
-    dispatcher.rollouts.note_running(worker, 1)
+    dispatcher.rollouts.record_running(worker, 1)
     began = dispatcher.clock.monotonic()
     try:
         async with dispatcher.sender.send(
@@ -140,7 +140,7 @@
         dispatcher.record_timeout(course, worker)
     finally:
         dispatcher.loads.end(worker.id, flight)
-        dispatcher.rollouts.note_running(worker, -1)
+        dispatcher.rollouts.record_running(worker, -1)
         ran_s = dispatcher.clock.monotonic() - began
         dispatcher.chooser.record_run(request, model, ran_s, worker.slots)
 
--- a/tests/placement/test_eligibility.py
+++ b/tests/placement/test_eligibility.py
@@ -18,7 +18,7 @@
     RequestProgress,
     final_answer,
 )
-from rattanpier._internal.relay.rollouts import HOLD_S, Rollouts
+from rattanpier._internal.relay.rollouts import ORDER_SYNC_S, Rollouts
 from tests.lib.clock import ManualClock
 from tests.lib.platform_site import (
     HOST,
@@ -110,8 +110,8 @@
     rollouts = Rollouts(ExposureBound(0.15, 30.0), Bounds().session_s, clock)
     cold = True
     rollouts.warms_up = lambda worker: cold and worker.version == "v2"
-    rollouts.take_order(ORDER)
-    await clock.advance(HOLD_S + 0.1)
+    rollouts.apply_order(ORDER)
+    await clock.advance(ORDER_SYNC_S + 0.1)
     workers = [make_worker("old"), make_worker("new", version="v2")]
 
     def new_ones(names):
@@ -119,7 +119,7 @@
             rollouts.split(make_request(session=name), "s", workers)
             for name in names
         ]
-        return [split for split in splits if split.first[0].id == "new"]
+        return [split for split in splits if split.preferred[0].id == "new"]
 
     names = [f"session-{number}" for number in range(400)]
     assert rollouts.phase(ORDER) is RolloutPhase.TRYING
--- a/tests/relay/test_crashing_requests.py
+++ b/tests/relay/test_crashing_requests.py
@@ -195,7 +195,7 @@
     def note(self, worker, route, bad, relative_s):
         judged.append((worker.id, bad))
 
-    monkeypatch.setattr(Rollouts, "note", note)
+    monkeypatch.setattr(Rollouts, "record_answer", note)
     pool = await start_crashing_pool(site, "engine", 4)
     await site.add_entry()
     await ask_engine(site, "/chat/x", "entry-1", CRASHING_BODY)
--- a/tests/relay/test_decisions.py
+++ b/tests/relay/test_decisions.py
@@ -286,7 +286,7 @@
 
 def order(rollouts):
     """Orders a roll-out whose initial hold of sessions has passed."""
-    rollouts.take_order(ORDER)
+    rollouts.apply_order(ORDER)
     rollouts.known_at[ORDER.id] = -100.0
 
 
@@ -301,16 +301,16 @@
     chosen = 0
     for number in range(count):
         request = make_request(session=f"session-{number}")
-        chosen += rollouts.split(request, "s", old + new).first == new
+        chosen += rollouts.split(request, "s", old + new).preferred == new
     return chosen / count
 
 
 def test_a_version_without_a_rollout_order_gets_no_requests():
     rollouts = make_rollouts()
     old, new = both_versions()
-    assert rollouts.split(make_request(), "s", old).first == old
-    assert rollouts.split(make_request(), "s", old + new).first == old
-    assert rollouts.split(make_request(), "s", new).first == new
+    assert rollouts.split(make_request(), "s", old).preferred == old
+    assert rollouts.split(make_request(), "s", old + new).preferred == old
+    assert rollouts.split(make_request(), "s", new).preferred == new
 
 
 def test_the_share_grows_with_phases_and_moves_no_session_back():
@@ -320,14 +320,14 @@
     shares = []
     moved = set()
     for phase in PHASES:
-        rollouts.take_record(record(phase))
+        rollouts.apply_record(record(phase))
         shares.append(share_of_new(rollouts))
         now = {
             number
             for number in range(400)
             if rollouts.split(
                 make_request(session=f"session-{number}"), "s", old + new
-            ).first
+            ).preferred
             == new
         }
         assert moved <= now
@@ -341,7 +341,7 @@
     return {
         name
         for name in names
-        if rollouts.split(make_request(session=name), "s", old + new).first
+        if rollouts.split(make_request(session=name), "s", old + new).preferred
         == new
     }
 
@@ -352,7 +352,7 @@
     for name in names:
         here.sessions.record_request("s", name)
     for rollouts in (here, there):
-        rollouts.take_order(ORDER)
+        rollouts.apply_order(ORDER)
         assert not moved_sessions(rollouts, names)
     there.sessions.apply_held(here.sessions.drain_updates())
     await clock.advance(2.0)
@@ -368,20 +368,20 @@
 def test_a_rolled_back_version_gets_no_requests_even_if_no_other_is_left():
     rollouts = make_rollouts()
     order(rollouts)
-    rollouts.take_record(record(RolloutPhase.ROLLED_BACK))
+    rollouts.apply_record(record(RolloutPhase.ROLLED_BACK))
     old, new = both_versions()
-    assert rollouts.split(make_request(), "s", old + new).first == old
-    assert not rollouts.split(make_request(), "s", new).first
-    assert not rollouts.split(make_request(), "s", new).otherwise
+    assert rollouts.split(make_request(), "s", old + new).preferred == old
+    assert not rollouts.split(make_request(), "s", new).preferred
+    assert not rollouts.split(make_request(), "s", new).fallback
 
 
 def test_a_final_record_is_not_replaced_and_an_older_one_is_ignored():
     rollouts = make_rollouts()
     order(rollouts)
-    rollouts.take_record(record(RolloutPhase.ROLLED_BACK))
-    rollouts.take_record(record(RolloutPhase.COMPLETED))
+    rollouts.apply_record(record(RolloutPhase.ROLLED_BACK))
+    rollouts.apply_record(record(RolloutPhase.COMPLETED))
     assert rollouts.phase(ORDER) is RolloutPhase.ROLLED_BACK
-    rollouts.take_record(record(RolloutPhase.FULL, order=6))
+    rollouts.apply_record(record(RolloutPhase.FULL, order=6))
     assert rollouts.phase(ORDER) is RolloutPhase.ROLLED_BACK
 
 
@@ -390,9 +390,9 @@
     order(rollouts)
     old, new = both_versions()
     for number in range(60):
-        rollouts.note(old[0], "r", number % 30 == 0, None)
+        rollouts.record_answer(old[0], "r", number % 30 == 0, None)
     for number in range(10):
-        rollouts.note(new[0], "r", number % 2 == 0, None)
+        rollouts.record_answer(new[0], "r", number % 2 == 0, None)
     assert 7 in rollouts.stopped
     assert share_of_new(rollouts) == 0.0
 
@@ -559,4 +559,4 @@
     order(rollouts)
     _, new = both_versions()
     split = rollouts.split(make_request(), "s", new)
-    assert new in (split.first, split.otherwise)
+    assert new in (split.preferred, split.fallback)
--- a/tests/relay/test_resting_workers.py
+++ b/tests/relay/test_resting_workers.py
@@ -5,7 +5,7 @@
 import pytest
 
 from rattanpier._internal.relay.request_progress import RequestProgress
-from rattanpier._internal.relay.rollouts import Split
+from rattanpier._internal.relay.rollouts import VersionSplit
 from rattanpier._internal.standin.platform_worker import WorkerFault
 from tests.lib.platform_site import platform_site, until
 from tests.lib.relay_parts import make_request
@@ -100,7 +100,7 @@
     entry = await site.add_entry()
     dispatcher = entry.edge.dispatcher
     workers = entry.state.directory.workers
-    split = Split([workers["new"]], [workers["old"]])
+    split = VersionSplit([workers["new"]], [workers["old"]])
     dispatcher.rollouts = types.SimpleNamespace(split=lambda *_: split)
     dispatcher.rests.record_backoff(workers["new"].incarnation, BACKOFF_S)
     course = RequestProgress(make_request(session=session), 1e9, "plain")
--- a/tests/relay/test_restored_rollouts.py
+++ b/tests/relay/test_restored_rollouts.py
@@ -53,7 +53,7 @@
         for number in range(100)
         for worker in rollouts.split(
             make_request(str(number)), "s", workers
-        ).first
+        ).preferred
     }
 
 
@@ -62,46 +62,46 @@
 def test_an_order_that_is_written_again_does_not_begin_again(
     rollouts, version, final
 ):
-    rollouts.take_order(order("v2", at(9)))
-    rollouts.take_record(record("v2", at(9), final))
+    rollouts.apply_order(order("v2", at(9)))
+    rollouts.apply_record(record("v2", at(9), final))
     before = versions_for_all(rollouts)
     rollouts.known_orders.note_whole(at(3, 2))
-    rollouts.take_order(order("v2", at(version, 2)))
+    rollouts.apply_order(order("v2", at(version, 2)))
     assert phase(rollouts) is final
     assert versions_for_all(rollouts) == before
 
 
 def test_the_same_order_once_more_in_the_new_era_is_another_one(rollouts):
-    rollouts.take_order(order("v2", at(9)))
-    rollouts.take_record(record("v2", at(9), PHASE.ROLLED_BACK))
+    rollouts.apply_order(order("v2", at(9)))
+    rollouts.apply_record(record("v2", at(9), PHASE.ROLLED_BACK))
     rollouts.known_orders.note_whole(at(9, 2))
-    rollouts.take_order(order("v2", at(9, 2)))
+    rollouts.apply_order(order("v2", at(9, 2)))
     assert phase(rollouts) is PHASE.ROLLED_BACK
-    rollouts.take_order(order("v2", at(12, 2)))
+    rollouts.apply_order(order("v2", at(12, 2)))
     assert phase(rollouts) is PHASE.TRYING
-    rollouts.take_record(record("v2", at(12, 2), PHASE.WIDENING))
+    rollouts.apply_record(record("v2", at(12, 2), PHASE.WIDENING))
     assert phase(rollouts) is PHASE.WIDENING
 
 
 def test_an_order_before_the_newest_one_is_none(rollouts):
-    rollouts.take_order(order("v2", at(5)))
-    rollouts.take_record(record("v2", at(5), PHASE.COMPLETED))
-    rollouts.take_order(order("v3", at(9)))
-    rollouts.take_record(record("v3", at(9), PHASE.WIDENING))
+    rollouts.apply_order(order("v2", at(5)))
+    rollouts.apply_record(record("v2", at(5), PHASE.COMPLETED))
+    rollouts.apply_order(order("v3", at(9)))
+    rollouts.apply_record(record("v3", at(9), PHASE.WIDENING))
     rollouts.known_orders.note_whole(at(6, 2))
-    rollouts.take_order(order("v2", at(5, 2)))
+    rollouts.apply_order(order("v2", at(5, 2)))
     assert rollouts.orders["s"].version == "v3"
     assert rollouts.known_orders.unconfirmed() == [rollouts.orders["s"]]
-    rollouts.take_order(order("v3", at(8, 2)))
+    rollouts.apply_order(order("v3", at(8, 2)))
     assert phase(rollouts) is PHASE.WIDENING
     assert rollouts.known_orders.unconfirmed() == []
 
 
 def test_a_new_order_of_the_new_era_begins(rollouts):
-    rollouts.take_order(order("v2", at(5)))
-    rollouts.take_record(record("v2", at(5), PHASE.COMPLETED))
+    rollouts.apply_order(order("v2", at(5)))
+    rollouts.apply_record(record("v2", at(5), PHASE.COMPLETED))
     rollouts.known_orders.note_whole(at(5, 2))
-    rollouts.take_order(order("v3", at(5, 2)))
+    rollouts.apply_order(order("v3", at(5, 2)))
     assert rollouts.orders["s"].version == "v3"
     assert phase(rollouts) is PHASE.TRYING
 
@@ -109,54 +109,54 @@
 def test_a_newcomer_knows_the_order_by_its_record(clock):
     newcomer = make_rollouts(clock)
     newcomer.known_orders.note_whole(at(8, 2))
-    newcomer.take_order(order("v2", at(8, 2)))
+    newcomer.apply_order(order("v2", at(8, 2)))
     newcomer.stop(at(8, 2).number, "seen here")
-    newcomer.take_record(record("v2", at(9), PHASE.FULL))
+    newcomer.apply_record(record("v2", at(9), PHASE.FULL))
     assert phase(newcomer) is PHASE.FULL
     assert newcomer.orders["s"].id in newcomer.stopped
     # The other way round: the record was known first.
     other = make_rollouts(clock)
-    other.take_record(record("v2", at(9), PHASE.ROLLED_BACK))
-    other.take_order(order("v2", at(8, 2)))
+    other.apply_record(record("v2", at(9), PHASE.ROLLED_BACK))
+    other.apply_order(order("v2", at(8, 2)))
     assert phase(other) is PHASE.ROLLED_BACK
 
 
 def test_a_newcomer_is_told_of_an_order_that_the_copy_lacks(rollouts, clock):
-    rollouts.take_order(order("v2", at(5)))
-    rollouts.take_order(order("v3", at(9)))
+    rollouts.apply_order(order("v2", at(5)))
+    rollouts.apply_order(order("v3", at(9)))
     newcomer = make_rollouts(clock)
     for each in (rollouts, newcomer):
         each.known_orders.note_whole(at(6, 2))
-        each.take_order(order("v2", at(5, 2)))
+        each.apply_order(order("v2", at(5, 2)))
     assert newcomer.orders["s"].version == "v2"
     digests = [each.known_orders.digest() for each in (rollouts, newcomer)]
     assert digests[0] != digests[1]
-    newcomer.take_unconfirmed(rollouts.known_orders.unconfirmed())
+    newcomer.apply_unconfirmed(rollouts.known_orders.unconfirmed())
     assert newcomer.orders["s"].version == "v3"
     assert newcomer.known_orders.digest() == rollouts.known_orders.digest()
-    newcomer.take_order(order("v3", at(8, 2)))
+    newcomer.apply_order(order("v3", at(8, 2)))
     assert newcomer.known_orders.unconfirmed() == []
 
 
 def test_a_newcomers_first_record_takes_no_order_back(rollouts):
-    rollouts.take_order(order("v2", at(9)))
-    rollouts.take_record(record("v2", at(9), PHASE.FULL))
+    rollouts.apply_order(order("v2", at(9)))
+    rollouts.apply_record(record("v2", at(9), PHASE.FULL))
     rollouts.known_orders.note_whole(at(8, 2))
     newcomers = record("v2", at(8, 2), PHASE.TRYING)
-    rollouts.take_record(newcomers)
+    rollouts.apply_record(newcomers)
     assert phase(rollouts) is PHASE.FULL
-    rollouts.take_order(order("v2", at(8, 2)))
+    rollouts.apply_order(order("v2", at(8, 2)))
     assert phase(rollouts) is PHASE.FULL
     assert rollouts.records["s"].order == at(8, 2).number
-    rollouts.take_record(attrs.evolve(newcomers, phase=PHASE.ROLLED_BACK))
+    rollouts.apply_record(attrs.evolve(newcomers, phase=PHASE.ROLLED_BACK))
     assert phase(rollouts) is PHASE.ROLLED_BACK
 
 
 def test_what_was_counted_goes_on_counting(rollouts):
-    rollouts.take_order(order("v2", at(8, 2)))
+    rollouts.apply_order(order("v2", at(8, 2)))
     (worker,) = make_workers(1, version="v2")
     for _ in range(3):
-        rollouts.note(worker, "r", bad=False, relative_s=None)
-    rollouts.take_record(record("v2", at(9), PHASE.TRYING))
-    exposure = rollouts.seen.exposure(rollouts.orders["s"].id)
+        rollouts.record_answer(worker, "r", bad=False, relative_s=None)
+    rollouts.apply_record(record("v2", at(9), PHASE.TRYING))
+    exposure = rollouts.answer_counts.exposure(rollouts.orders["s"].id)
     assert exposure.exposed == 3
--- a/tests/relay/test_restoring.py
+++ b/tests/relay/test_restoring.py
@@ -52,7 +52,7 @@
         phase=RolloutPhase.COMPLETED,
     )
     for entry in entries:
-        entry.state.rollouts.take_record(record)
+        entry.state.rollouts.apply_record(record)
 
 
 def quarantine_request(site):
--- a/tests/relay/test_rollout_driver.py
+++ b/tests/relay/test_rollout_driver.py
@@ -50,9 +50,11 @@
 def make_driver(clock, rank, phase, age):
     """An entry's driver; `rank` 0 is the first of those that may drive."""
     rollouts = Rollouts(ExposureBound(0.15), 5.0, clock)
-    rollouts.take_order(ORDER)
+    rollouts.apply_order(ORDER)
     begun_ms = 1000 * (clock.now - age * DEADLINE_S)
-    rollouts.take_record(RolloutRecord(7, "s", "v2", phase, begun_ms, begun_ms))
+    rollouts.apply_record(
+        RolloutRecord(7, "s", "v2", phase, begun_ms, begun_ms)
+    )
     health = StoreHealth(clock)
     health.record_answer()
     store = Store()
--- a/tests/relay/test_rollout_slow.py
+++ b/tests/relay/test_rollout_slow.py
@@ -21,7 +21,7 @@
             assert (await site.chat(headers=headers)).whole
             if order.id in entry.state.rollouts.stopped:
                 break
-            entry.state.rollouts.judge(order)
+            entry.state.rollouts.evaluate(order)
         assert order.id in entry.state.rollouts.stopped
         assert len(old.runs) > 5
         assert len(new.runs) > 5
--- a/tests/relay/test_spread.py
+++ b/tests/relay/test_spread.py
@@ -89,7 +89,7 @@
 async def test_stopped_version_spreads_in_seconds_on_lossy_links(size):
     ring = make_ring(size)
     ring.loss_ratio = 0.1
-    ring.entries["e007"].gossip.shared_state.rollouts.take_order(ORDER)
+    ring.entries["e007"].gossip.shared_state.rollouts.apply_order(ORDER)
     ring.entries["e007"].gossip.shared_state.rollouts.stop(ORDER.id, "test")
     await ring.run_rounds(6)
     knowing = sum(
