--- a/src/rattanpier/_internal/programs/relay_store.py
+++ b/src/rattanpier/_internal/programs/relay_store.py
@@ -111,7 +111,7 @@
         kernel.find("clock"),
         lambda: health.available,
         lambda era: entry.gossip.broadcast(StateUpdate(restored=era)),
-        (rows.lost, held.find_lost_rows, driver.lost),
+        (rows.lost, held.find_lost_rows, driver.find_lost_rows),
     )
     kernel.spawn(driver.run())
     kernel.spawn(restorer.run())
--- a/src/rattanpier/_internal/relay/rollout_driver.py
+++ b/src/rattanpier/_internal/relay/rollout_driver.py
@@ -55,27 +55,27 @@
 
 log = structlog.get_logger(part="rollout")
 
-AWAY_RETRY_S = 1.0  # All entries look for the store after a common start.
-DRIVE_EVERY_S = 0.25  # A step late by that is nothing to an order's time.
+STORE_RETRY_S = 1.0  # All entries look for the store after a common start.
+STEP_INTERVAL_S = 0.25  # A step late by that is nothing to an order's time.
 # Shares of an order's time. In the first half of it no session may be moved to
 # the new version; when it takes over follows from what it may still get.
-TRY_UNTIL = 0.5
-EXTEND_UNTIL = 0.8  # Later more answers would come too late to tell.
-FULL_FOR = 0.04  # Two rounds of evidence with all traffic.
+MIN_TRIAL_AGE = 0.5
+MAX_EXTENSION_AGE = 0.8  # Later more answers would come too late to tell.
+MIN_FULL_DURATION = 0.04  # Two rounds of evidence with all traffic.
 # Then the old workers may be stopped: what they still do goes on elsewhere. The
 # rest of the time is for a write whose answer is lost, and for another entry to
 # notice that the driving one lost the store: 1.3 s of 24 where the store turned
 # it away just before, and operators see it a little after the write.
-GIVE_UP_AT = 0.93
+FORCE_COMPLETION_AGE = 0.93
 # For each such time that the last step is overdue, one more entry may take it:
 # the writes are conditional. A step that was taken is known everywhere sooner.
-STAND_IN_AFTER_S = 0.3
+BACKUP_DELAY_S = 0.3
 
 StatusRow = Callable[[str, str, RolloutPhase], RowPut]
 
 
 @attrs.frozen
-class Progress:
+class RolloutProgress:
     """What decides on the next step of an order.
 
     Attributes:
@@ -95,7 +95,7 @@
     old_running: int
 
 
-def next_phase(progress: Progress, bound: ExposureBound) -> RolloutPhase:
+def next_phase(progress: RolloutProgress, bound: ExposureBound) -> RolloutPhase:
     """Returns the phase that an order should be in."""
     phase = progress.phase
     if phase.final:
@@ -107,44 +107,48 @@
     if phase is RolloutPhase.WIDENING:
         ready = progress.phase_age >= WIDENING_DURATION
         return RolloutPhase.FULL if ready else phase
-    seen = progress.phase_age >= FULL_FOR and progress.old_running == 0
-    if seen or progress.age >= GIVE_UP_AT:
+    settled = (
+        progress.phase_age >= MIN_FULL_DURATION and progress.old_running == 0
+    )
+    if settled or progress.age >= FORCE_COMPLETION_AGE:
         return RolloutPhase.COMPLETED
     return phase
 
 
-def phase_after_trial(progress: Progress, bound: ExposureBound) -> RolloutPhase:
+def phase_after_trial(
+    progress: RolloutProgress, bound: ExposureBound
+) -> RolloutPhase:
     """Returns the phase that an order should be in that is being tried."""
     phase, exposed = progress.phase, progress.exposure.exposed
-    if progress.age < TRY_UNTIL:
+    if progress.age < MIN_TRIAL_AGE:
         return phase
     if exposed >= MIN_EXPOSED_ANSWERS and may_widen(
         bound, progress.exposure, progress.age
     ):
         return RolloutPhase.WIDENING
-    few = exposed < MIN_TRIAL_ANSWERS and progress.age < EXTEND_UNTIL
-    if phase is RolloutPhase.TRYING and few:
+    too_few = exposed < MIN_TRIAL_ANSWERS and progress.age < MAX_EXTENSION_AGE
+    if phase is RolloutPhase.TRYING and too_few:
         return RolloutPhase.EXTENDING
     return phase
 
 
-def stand_ins(phase: RolloutPhase, age: float, deadline_s: float) -> int:
+def backup_drivers(phase: RolloutPhase, age: float, deadline_s: float) -> int:
     """Returns how many entries behind the first may take an order's next step.
 
     Only the last step needs no evidence, which goes to the first one alone.
 
-    >>> stand_ins(RolloutPhase.FULL, GIVE_UP_AT + 0.03, 24.0)
+    >>> backup_drivers(RolloutPhase.FULL, FORCE_COMPLETION_AGE + 0.03, 24.0)
     2
-    >>> stand_ins(RolloutPhase.TRYING, GIVE_UP_AT + 0.03, 24.0)
+    >>> backup_drivers(RolloutPhase.TRYING, FORCE_COMPLETION_AGE + 0.03, 24.0)
     0
     """
     if phase is not RolloutPhase.FULL:
         return 0
-    overdue_s = (age - GIVE_UP_AT) * deadline_s
-    return max(0, int(overdue_s / STAND_IN_AFTER_S))
+    overdue_s = (age - FORCE_COMPLETION_AGE) * deadline_s
+    return max(0, int(overdue_s / BACKUP_DELAY_S))
 
 
-def read_records(
+def decode_records(
     rows: Iterable[FeedRow],
 ) -> Iterator[tuple[str, RolloutRecord]]:
     """Yields the records that can be read, with their services."""
@@ -166,13 +170,13 @@
 
     Attributes:
       own_table: Holds the records.
-      read_at: Revisions of the rows in the store, by service.
+      revisions: Revisions of the rows in the store, by service.
       old_running: Requests at old workers in all entries, by order.
-      drives: Whether this entry is the one to drive, or among so many more
+      may_drive: Whether this entry is the one to drive, or among so many more
         that may.
       health: Whether this entry reaches the store.
       loaded: All records that stood at the last reading are known.
-      read_before: There was one.
+      has_read: There was one.
     """
 
     store: RelayStore
@@ -181,11 +185,11 @@
     rollouts: Rollouts
     status_row: StatusRow
     old_running: Callable[[int], int]
-    drives: Callable[[int], bool]
+    may_drive: Callable[[int], bool]
     health: StoreHealth
-    read_at: dict[str, Revision] = attrs.Factory(dict)
+    revisions: dict[str, Revision] = attrs.Factory(dict)
     loaded: bool = False
-    read_before: bool = False
+    has_read: bool = False
 
     async def run(self) -> None:
         """Takes roll-outs further, again and again, until cancelled."""
@@ -197,8 +201,8 @@
             except (StoreUnavailableError, HistoryGoneError) as error:
                 log.info("Roll-outs can't be driven.", error=str(error))
                 self.health.record_failure(error)
-                await asyncio.sleep(AWAY_RETRY_S)
-            await asyncio.sleep(DRIVE_EVERY_S)
+                await asyncio.sleep(STORE_RETRY_S)
+            await asyncio.sleep(STEP_INTERVAL_S)
 
     async def load(self) -> None:
         """Reads all records.
@@ -208,24 +212,22 @@
         """
         # After a write of another only a new reading tells where orders stand.
         read = (
-            self.own_table.read
-            if self.read_before
-            else self.own_table.read_cached
+            self.own_table.read if self.has_read else self.own_table.read_cached
         )
         page = await read()
-        self.read_before = True
+        self.has_read = True
         rows = rows_with_prefix(page, ROLLOUT_PREFIX)
-        self.read_at = {row.key: row.revision for row in rows}
-        for _, record in read_records(rows):
+        self.revisions = {row.key: row.revision for row in rows}
+        for _, record in decode_records(rows):
             self.rollouts.apply_record(record)
         self.rollouts.records_known = True
         self.loaded = True
 
-    def lost(self, page: Page) -> Iterator[LostRow]:
+    def find_lost_rows(self, page: Page) -> Iterator[LostRow]:
         """Yields the records that are further than the table shows."""
-        standing = dict(read_records(rows_with_prefix(page, ROLLOUT_PREFIX)))
+        stored = dict(decode_records(rows_with_prefix(page, ROLLOUT_PREFIX)))
         for service, known in self.rollouts.records.items():
-            record = more_than(standing.get(service), known)
+            record = more_than(stored.get(service), known)
             if record is None:
                 continue
             status = self.status_row(service, record.version, record.phase)
@@ -256,20 +258,22 @@
         record = self.rollouts.records.get(order.service)
         now_ms = self.clock.now_ms()
         if record is None or record.order != order.id:
-            if self.drives(0):
+            if self.may_drive(0):
                 # The deadline counts from the order, not from its first record.
                 begun_ms = now_ms - 1000 * self.rollouts.known_for_s(order)
                 await self.write(order, RolloutPhase.TRYING, begun_ms, now_ms)
             return
-        whole_ms = order.deadline_s * 1000
-        age = (now_ms - record.begun_ms) / whole_ms
-        if not self.drives(stand_ins(record.phase, age, order.deadline_s)):
+        deadline_ms = order.deadline_s * 1000
+        age = (now_ms - record.begun_ms) / deadline_ms
+        if not self.may_drive(
+            backup_drivers(record.phase, age, order.deadline_s)
+        ):
             return
         self.rollouts.evaluate(order)
-        progress = Progress(
+        progress = RolloutProgress(
             phase=record.phase,
             age=age,
-            phase_age=(now_ms - record.since_ms) / whole_ms,
+            phase_age=(now_ms - record.since_ms) / deadline_ms,
             exposure=self.rollouts.answer_counts.exposure(order.id),
             worse=order.id in self.rollouts.stopped,
             old_running=self.old_running(order.id),
@@ -308,7 +312,7 @@
             order.revision.number,
         )
         key = ROLLOUT_PREFIX + order.service
-        revision = self.read_at.get(order.service, Revision())
+        revision = self.revisions.get(order.service, Revision())
         outcome = await self.store.transact(
             [RowCheck(TABLE, key, revision)],
             [
@@ -317,7 +321,7 @@
             ],
         )
         if isinstance(outcome, WrittenAt):
-            self.read_at[order.service] = outcome.revision
+            self.revisions[order.service] = outcome.revision
             self.rollouts.apply_record(record)
             return
         log.info(
--- a/tests/relay/test_decisions.py
+++ b/tests/relay/test_decisions.py
@@ -35,8 +35,8 @@
 from rattanpier._internal.relay.model_timings import ModelTimings
 from rattanpier._internal.relay.placement import Chooser, home_of
 from rattanpier._internal.relay.rollout_driver import (
-    GIVE_UP_AT,
-    Progress,
+    FORCE_COMPLETION_AGE,
+    RolloutProgress,
     next_phase,
 )
 from rattanpier._internal.relay.rollouts import Rollouts
@@ -434,47 +434,85 @@
 @pytest.mark.parametrize(
     ("progress", "phase"),
     [
-        (Progress("trying", 0.4, 0.4, LARGE_SAMPLE, False, 5), "trying"),
-        (Progress("trying", 0.6, 0.6, LARGE_SAMPLE, False, 5), "trying"),
+        (RolloutProgress("trying", 0.4, 0.4, LARGE_SAMPLE, False, 5), "trying"),
+        (RolloutProgress("trying", 0.6, 0.6, LARGE_SAMPLE, False, 5), "trying"),
         (
-            Progress("trying", 0.95, 0.95, LARGE_SAMPLE, False, 5),
+            RolloutProgress("trying", 0.95, 0.95, LARGE_SAMPLE, False, 5),
             "widening",
         ),
-        (Progress("trying", 0.95, 0.95, Exposure(900, 2), False, 5), "trying"),
         (
-            Progress("trying", 0.1, 0.1, SMALL_SAMPLE, True, 5),
+            RolloutProgress("trying", 0.95, 0.95, Exposure(900, 2), False, 5),
+            "trying",
+        ),
+        (
+            RolloutProgress("trying", 0.1, 0.1, SMALL_SAMPLE, True, 5),
             "rolled_back",
         ),
         (
-            Progress("widening", 0.92, 0.01, LARGE_SAMPLE, False, 5),
+            RolloutProgress("widening", 0.92, 0.01, LARGE_SAMPLE, False, 5),
             "widening",
         ),
         (
-            Progress("widening", 0.92, 0.03, LARGE_SAMPLE, False, 5),
+            RolloutProgress("widening", 0.92, 0.03, LARGE_SAMPLE, False, 5),
             "full",
         ),
         (
-            Progress("full", GIVE_UP_AT - 0.005, 0.01, LARGE_SAMPLE, False, 0),
+            RolloutProgress(
+                "full",
+                FORCE_COMPLETION_AGE - 0.005,
+                0.01,
+                LARGE_SAMPLE,
+                False,
+                0,
+            ),
             "full",
         ),
         (
-            Progress("full", GIVE_UP_AT - 0.005, 0.05, LARGE_SAMPLE, False, 5),
+            RolloutProgress(
+                "full",
+                FORCE_COMPLETION_AGE - 0.005,
+                0.05,
+                LARGE_SAMPLE,
+                False,
+                5,
+            ),
             "full",
         ),
         (
-            Progress("full", GIVE_UP_AT - 0.005, 0.05, LARGE_SAMPLE, False, 0),
+            RolloutProgress(
+                "full",
+                FORCE_COMPLETION_AGE - 0.005,
+                0.05,
+                LARGE_SAMPLE,
+                False,
+                0,
+            ),
             "completed",
         ),
         (
-            Progress("full", GIVE_UP_AT + 0.005, 0.05, LARGE_SAMPLE, False, 5),
+            RolloutProgress(
+                "full",
+                FORCE_COMPLETION_AGE + 0.005,
+                0.05,
+                LARGE_SAMPLE,
+                False,
+                5,
+            ),
             "completed",
         ),
         (
-            Progress("full", GIVE_UP_AT - 0.005, 0.05, LARGE_SAMPLE, True, 0),
+            RolloutProgress(
+                "full",
+                FORCE_COMPLETION_AGE - 0.005,
+                0.05,
+                LARGE_SAMPLE,
+                True,
+                0,
+            ),
             "rolled_back",
         ),
         (
-            Progress("completed", 0.97, 0.05, LARGE_SAMPLE, True, 0),
+            RolloutProgress("completed", 0.97, 0.05, LARGE_SAMPLE, True, 0),
             "completed",
         ),
     ],
--- a/tests/relay/test_exposure.py
+++ b/tests/relay/test_exposure.py
@@ -12,7 +12,10 @@
     ExposureBound,
     may_widen,
 )
-from rattanpier._internal.relay.rollout_driver import Progress, next_phase
+from rattanpier._internal.relay.rollout_driver import (
+    RolloutProgress,
+    next_phase,
+)
 from rattanpier._internal.relay.rollouts import Rollouts
 from rattanpier._internal.relay.verdict import Tally, find_regression
 from tests.lib.clock import ManualClock
@@ -41,7 +44,7 @@
         for _ in range(int(rate + rng.random())):
             served += 1
             exposed += rng.random() < shares.get(phase, 1.0)
-        progress = Progress(
+        progress = RolloutProgress(
             phase, age, age - since, Exposure(served, exposed), False, 3
         )
         after = next_phase(progress, bound)
@@ -123,7 +126,7 @@
         )
         worse = find_regression({"r": old}, {"r": new}) is not None
         exposure = Exposure(len(known), new.total)
-        progress = Progress(phase, age, age - since, exposure, worse, 3)
+        progress = RolloutProgress(phase, age, age - since, exposure, worse, 3)
         after = next_phase(progress, bound)
         if after is not phase:
             phase, since = after, age
--- a/tests/relay/test_rollout_driver.py
+++ b/tests/relay/test_rollout_driver.py
@@ -13,8 +13,8 @@
 from rattanpier._internal.relay.exposure import ExposureBound
 from rattanpier._internal.relay.own_table import OwnTable
 from rattanpier._internal.relay.rollout_driver import (
-    GIVE_UP_AT,
-    STAND_IN_AFTER_S,
+    BACKUP_DELAY_S,
+    FORCE_COMPLETION_AGE,
     RolloutDriver,
 )
 from rattanpier._internal.relay.rollouts import Rollouts
@@ -23,7 +23,7 @@
 from tests.lib.relay_parts import at
 
 DEADLINE_S = 20.0
-OVERDUE_AT = GIVE_UP_AT + STAND_IN_AFTER_S / DEADLINE_S
+OVERDUE_AT = FORCE_COMPLETION_AGE + BACKUP_DELAY_S / DEADLINE_S
 ORDER = RolloutOrder(7, "s", "v2", DEADLINE_S)
 
 
@@ -73,9 +73,9 @@
 @pytest.mark.parametrize(
     ("rank", "phase", "age", "writes"),
     [
-        (0, RolloutPhase.FULL, GIVE_UP_AT + 0.001, 1),
-        (0, RolloutPhase.FULL, GIVE_UP_AT - 0.01, 0),
-        (1, RolloutPhase.FULL, GIVE_UP_AT + 0.001, 0),
+        (0, RolloutPhase.FULL, FORCE_COMPLETION_AGE + 0.001, 1),
+        (0, RolloutPhase.FULL, FORCE_COMPLETION_AGE - 0.01, 0),
+        (1, RolloutPhase.FULL, FORCE_COMPLETION_AGE + 0.001, 0),
         (1, RolloutPhase.FULL, OVERDUE_AT + 0.001, 1),
         (2, RolloutPhase.FULL, OVERDUE_AT + 0.001, 0),
         # Steps that rest on evidence are the first one's alone.
