--- a/src/rattanpier/_internal/relay/rollouts.py
+++ b/src/rattanpier/_internal/relay/rollouts.py
@@ -1,7 +1,8 @@
-"""Which version of a service a request goes to while it is rolled out.
+"""Chooses the version of a service for each request during a roll-out.
 
-What narrows acts at once in each entry: evidence that the new version is worse
-stops it here, whatever the store does. What widens is a record in the store.
+Evidence that the new version is worse stops it in each entry at once, even
+while the store is unavailable. The share of the new version grows only by a
+record in the store.
 """
 
 from __future__ import annotations
@@ -49,20 +50,22 @@
 
 log = structlog.get_logger(part="rollout")
 
-# After an order is known nothing goes to the new version for so long: entries
-# tell each other which sessions are under way, within two rounds of news.
+# No session is moved to the new version for this long after an order is known:
+# entries exchange their active sessions within two rounds of updates.
 ORDER_SYNC_S = 1.2
-# While a version is tried, old workers that fail are no reason for more of it.
+# In these phases, requests for the old version don't fall back to the new one:
+# failing old workers must not increase the exposure of an unproven version.
 TRIAL_PHASES = (RolloutPhase.TRYING, RolloutPhase.EXTENDING)
 
 
 @attrs.frozen
 class VersionSplit:
-    """Workers for one request.
+    """Workers for one request, by version.
 
     Attributes:
-      preferred: Of the version that the request should go to.
-      fallback: Of the other one, used if none of the first can be.
+      preferred: Workers of the version that the request should go to.
+      fallback: Workers of the other version, used if no preferred worker can
+        be.
     """
 
     preferred: Sequence[RegisteredWorker]
@@ -71,22 +74,25 @@
 
 @attrs.define(eq=False, repr=False)
 class Rollouts:
-    """Orders, how far they went, and the evidence.
+    """Roll-out orders of all services, their progress and the evidence.
 
     Attributes:
-      bound: What a bad version may get.
-      session_s: Requests of a session follow each other within this time.
-      clock: Monotonic.
-      policy: Mechanisms that are on.
-      sessions: Those under way, and those that stay with the old version.
-      known_at: When each order became known here, in monotonic seconds.
-      known_orders: The newest order of each service, and those before.
-      records: How far each went, by service.
-      answer_counts: Answers that this entry and others saw.
-      stopped: Orders whose version this entry found, or was told, to be worse.
-      in_service: Versions that served before an order named another.
-      records_known: It is known how far earlier orders went.
-      warms_up: Says whether a worker bears less than usual yet.
+      bound: Limit on the requests that a bad version may get.
+      session_s: Seconds after its last request for which a session is active.
+      clock: Monotonic clock.
+      policy: Mechanisms that are enabled.
+      sessions: Active sessions, and those held at the old version.
+      known_at: When each order became known here, in monotonic seconds, by
+        order id.
+      known_orders: The newest order of each service, and earlier ones.
+      records: Record of the newest known progress, by service.
+      answer_counts: Answers that this entry and its peers counted.
+      stopped: Ids of orders whose version this entry or a peer found worse.
+      in_service: Version that served before an order named another, by
+        service.
+      records_known: Whether the progress of earlier orders is known.
+      warms_up: Returns whether a worker still warms up and takes less load
+        than usual.
     """
 
     bound: ExposureBound
@@ -116,7 +122,7 @@
         return self.known_orders.newest
 
     def apply_order(self, order: RolloutOrder) -> None:
-        """Takes an order in; an older one is done with."""
+        """Applies an order; an older order of the service is superseded."""
         starts = self.known_orders.take(order)
         if starts:
             self.start_order(order)
@@ -132,12 +138,12 @@
             )
 
     def apply_unconfirmed(self, orders: Iterable[RolloutOrder]) -> None:
-        """Takes in orders that another entry knows and the store lost."""
+        """Applies orders that a peer knows and the store lost."""
         for order in self.known_orders.take_unconfirmed(orders):
             self.start_order(order)
 
     def start_order(self, order: RolloutOrder) -> None:
-        """Begins with an order."""
+        """Starts a roll-out and holds the sessions that it would move."""
         self.known_at[order.id] = self.clock.monotonic()
         share = self.share(RolloutPhase.TRYING)
         self.sessions.hold_active(order.id, order.service, share)
@@ -150,7 +156,7 @@
         )
 
     def apply_record(self, record: RolloutRecord) -> None:
-        """Takes in how far an order went; it never goes back."""
+        """Applies a record of an order's progress, which never goes back."""
         before = self.records.get(record.service)
         if before is not None:
             if before.order != record.order and are_of_one_order(
@@ -166,7 +172,7 @@
         if record.phase is RolloutPhase.COMPLETED:
             self.in_service[record.service] = record.version
         log.info(
-            "Roll-out went on.",
+            "Roll-out advanced.",
             service=record.service,
             version=record.version,
             order=record.order,
@@ -174,10 +180,11 @@
         )
 
     def adopt_record_id(self, record: RolloutRecord) -> None:
-        """Lets an order bear the number under which its record stands.
+        """Gives an order the id under which its record is stored.
 
-        An entry that started after the store came back read its row under
-        another version than the others.
+        An entry that started after the store was restored from a backup read
+        the order's row at another revision than its peers, and so derived
+        another id from it.
         """
         order = self.orders.get(record.service)
         if order is None or order.id == record.order:
@@ -193,7 +200,7 @@
         share = self.share(record.phase)
         self.sessions.hold_active(id, order.service, share)
         log.info(
-            "Order goes by its record.",
+            "Order took the id of its record.",
             service=order.service,
             version=order.version,
             order=id,
@@ -206,14 +213,19 @@
         return now - self.known_at.get(order.id, now)
 
     def phase(self, order: RolloutOrder) -> RolloutPhase:
-        """Returns how far an order went."""
+        """Returns the phase that an order has reached."""
         record = self.records.get(order.service)
         if record is None or record.order != order.id:
             return RolloutPhase.TRYING
         return record.phase
 
     def stop(self, order: int, reason: str) -> None:
-        """Sends an order's version nothing new from here."""
+        """Stops new requests of this entry to an order's version.
+
+        Args:
+          order: The order's id.
+          reason: Why, for the log.
+        """
         if order not in self.stopped:
             self.stopped.add(order)
             log.warning("Version stopped.", order=order, reason=reason)
@@ -224,7 +236,13 @@
         service: str,
         workers: Sequence[RegisteredWorker],
     ) -> VersionSplit:
-        """Returns the workers of the version that a request goes to."""
+        """Returns the workers for a request, by version.
+
+        Args:
+          request: The request.
+          service: Name of its service.
+          workers: Workers of the service, of all versions.
+        """
         order = self.orders.get(service)
         if order is None:
             return self.split_without_order(service, workers)
@@ -250,14 +268,14 @@
         phase: RolloutPhase,
         new: Sequence[RegisteredWorker],
     ) -> bool:
-        """Says whether a request is among those for the new version.
-
-        It follows from its session alone, so that all entries answer alike
-        and a growing share moves a session only once. A session that was
-        under way when the order came stays where it is while the order is
-        tried, until it has ended. While all new workers warm up few of its
-        requests could go there, and it would go back and forth: none starts
-        there before.
+        """Returns whether a request belongs to the share of the new version.
+
+        The share is decided by a hash of the session alone, so that all entries
+        decide alike and a growing share moves a session only once. During the
+        trying phase, a session that was active when the order came stays at the
+        old version until it has ended. No session starts at the new version
+        while all its workers warm up: they could take only a few of its
+        requests, and it would switch back and forth.
         """
         point = session_point(order.id, request.session or request.id)
         if point >= self.share(phase) * HASH_RANGE:
@@ -274,7 +292,7 @@
         return not self.sessions.is_held(order.id, point)
 
     def share(self, phase: RolloutPhase) -> float:
-        """Returns the share of sessions for the new version."""
+        """Returns the share of sessions for the new version, 0 to 1."""
         match phase:
             case RolloutPhase.TRYING:
                 return self.bound.trying_share
@@ -290,9 +308,11 @@
     def split_without_order(
         self, service: str, workers: Sequence[RegisteredWorker]
     ) -> VersionSplit:
-        """Keeps a version that nobody ordered out while there is another.
+        """Returns the workers for a request to a service without an order.
 
-        Workers of a new version may register before their order is known.
+        A version that was not ordered gets no requests while the version in
+        service has workers: workers of a new version may register before their
+        order is known.
         """
         stable = self.in_service.get(service)
         if stable is None and workers:
@@ -306,7 +326,10 @@
     def is_candidate(
         self, service: str, worker: RegisteredWorker
     ) -> bool | None:
-        """Says whether a worker has the ordered version; None: no order."""
+        """Returns whether a worker has the ordered version.
+
+        None if the service has no order, or only a finished one.
+        """
         order = self.orders.get(service)
         if order is None or self.phase(order).final:
             return None
@@ -319,13 +342,14 @@
         bad: bool,
         relative_s: float | None,
     ) -> None:
-        """Counts an answer.
+        """Counts an answer as evidence for or against the new version.
 
         Args:
-          worker: Whose answer it is.
+          worker: The worker that answered.
           route: Name of the route.
-          bad: A failure, or not a whole answer.
-          relative_s: Time to the first byte against the work, or None.
+          bad: Whether the answer is a failure or incomplete.
+          relative_s: Time to the first byte in relation to the work of the
+            request, or None if unknown.
         """
         candidate = self.is_candidate(worker.service, worker)
         if candidate is None:
@@ -339,7 +363,7 @@
             self.evaluate(order)
 
     def evaluate(self, order: RolloutOrder) -> Regression | None:
-        """Stops an order's version if the evidence is against it."""
+        """Stops an order's version if the evidence shows that it is worse."""
         stable: dict[str, Tally] = {}
         candidate: dict[str, Tally] = {}
         for key, tally in self.answer_counts.tallies(order.id):
@@ -362,7 +386,11 @@
         return regression
 
     def evidence(self, origin: str) -> Evidence | None:
-        """Returns what this entry saw; None while nothing is rolled out."""
+        """Returns the evidence of this entry, or None without a roll-out.
+
+        Args:
+          origin: Incarnation of this entry.
+        """
         orders = {
             order.id
             for order in self.orders.values()
@@ -371,7 +399,12 @@
         return self.answer_counts.evidence(origin, orders) if orders else None
 
     def record_running(self, worker: RegisteredWorker, change: int) -> None:
-        """Counts requests that run at an old version."""
+        """Counts the requests in progress at a worker of the old version.
+
+        Args:
+          worker: The worker; ignored unless it has the old version.
+          change: 1 for a request that starts, -1 for one that ends.
+        """
         if self.is_candidate(worker.service, worker) is False:
             self.answer_counts.record_running(
                 self.orders[worker.service].id, change
@@ -379,7 +412,7 @@
 
 
 def is_newer(record: RolloutRecord, before: RolloutRecord) -> bool:
-    """Says whether a record is newer than another of the same service."""
+    """Returns whether a record is newer than another of the same service."""
     if record.order != before.order:
         return record.order > before.order
     if before.phase.final:
@@ -389,7 +422,7 @@
 
 
 def most_common(workers: Sequence[RegisteredWorker]) -> str:
-    """Returns the version that most workers have."""
+    """Returns the version of most workers; of a tie, the first by name."""
     counts: dict[str, int] = {}
     for worker in workers:
         counts[worker.version] = counts.get(worker.version, 0) + 1
