--- a/src/rattanpier/_internal/relay/rollout_driver.py
+++ b/src/rattanpier/_internal/relay/rollout_driver.py
@@ -1,8 +1,8 @@
-"""Takes roll-outs further, and tells the operators.
+"""Advances roll-outs through their phases and publishes their status.
 
-One entry drives: the first by name among those that are live and reach the
-store. That is only to save calls: each step is a conditional write, so two
-drivers can't take an order two ways.
+One entry drives all roll-outs: the first by name among the live entries that
+reach the store. This only saves calls to the store: each step is a conditional
+write, so two drivers can't advance an order in different ways.
 """
 
 from __future__ import annotations
@@ -55,20 +55,27 @@
 
 log = structlog.get_logger(part="rollout")
 
-STORE_RETRY_S = 1.0  # All entries look for the store after a common start.
-STEP_INTERVAL_S = 0.25  # A step late by that is nothing to an order's time.
-# Shares of an order's time. In the first half of it no session may be moved to
-# the new version; when it takes over follows from what it may still get.
+# After a common start, all entries look for the store at once.
+STORE_RETRY_S = 1.0
+# A delay of this length is negligible against the deadline of an order.
+STEP_INTERVAL_S = 0.25
+# Ages and durations are fractions of the time between an order and its
+# deadline. In the first half of that time no session may be moved to the new
+# version; when the version takes over follows from the requests that it may
+# still get.
 MIN_TRIAL_AGE = 0.5
-MAX_EXTENSION_AGE = 0.8  # Later more answers would come too late to tell.
+# Answers gathered after this age would come too late for a decision.
+MAX_EXTENSION_AGE = 0.8
 MIN_FULL_DURATION = 0.04  # Two rounds of evidence with all traffic.
-# Then the old workers may be stopped: what they still do goes on elsewhere. The
-# rest of the time is for a write whose answer is lost, and for another entry to
-# notice that the driving one lost the store: 1.3 s of 24 where the store turned
-# it away just before, and operators see it a little after the write.
+# At this age the old workers may be stopped, as their requests continue
+# elsewhere. The remaining time covers a write whose answer is lost, and a
+# failover to another entry if the driver lost the store, which takes 1.3 s of
+# 24 s if the store rejected the driver just before. Operators see the status a
+# little after the write.
 FORCE_COMPLETION_AGE = 0.93
-# For each such time that the last step is overdue, one more entry may take it:
-# the writes are conditional. A step that was taken is known everywhere sooner.
+# For each such interval that the last step is overdue, one more entry may take
+# it, which is safe since the writes are conditional. All entries learn of a
+# completed step in less time.
 BACKUP_DELAY_S = 0.3
 
 StatusRow = Callable[[str, str, RolloutPhase], RowPut]
@@ -76,15 +83,15 @@
 
 @attrs.frozen
 class RolloutProgress:
-    """What decides on the next step of an order.
+    """Inputs of the decision on the next phase of an order.
 
     Attributes:
-      phase: Where it stands.
-      age: Share of its time that has passed.
-      phase_age: Share of its time since it entered the phase.
-      exposure: What the new version got.
-      worse: The new version was found to be worse.
-      old_running: Requests that run at old workers, in all entries.
+      phase: Its present phase.
+      age: Time since the order, as a fraction of its deadline.
+      phase_age: Time since it entered the phase, as a fraction of its deadline.
+      exposure: Answers counted so far.
+      worse: Whether the new version was found to be worse.
+      old_running: Requests in progress at old workers, sent by any entry.
     """
 
     phase: RolloutPhase
@@ -118,7 +125,7 @@
 def phase_after_trial(
     progress: RolloutProgress, bound: ExposureBound
 ) -> RolloutPhase:
-    """Returns the phase that an order should be in that is being tried."""
+    """Returns the phase that an order in a trial phase should be in."""
     phase, exposed = progress.phase, progress.exposure.exposed
     if progress.age < MIN_TRIAL_AGE:
         return phase
@@ -133,9 +140,15 @@
 
 
 def backup_drivers(phase: RolloutPhase, age: float, deadline_s: float) -> int:
-    """Returns how many entries behind the first may take an order's next step.
+    """Returns how many backup entries may take an order's next step.
 
-    Only the last step needs no evidence, which goes to the first one alone.
+    Evidence is reported to the first entry alone, so that backups may only take
+    the last step, which needs none.
+
+    Args:
+      phase: The order's present phase.
+      age: Time since the order, as a fraction of its deadline.
+      deadline_s: The order's deadline, in seconds.
 
     >>> backup_drivers(RolloutPhase.FULL, FORCE_COMPLETION_AGE + 0.03, 24.0)
     2
@@ -151,14 +164,14 @@
 def decode_records(
     rows: Iterable[FeedRow],
 ) -> Iterator[tuple[str, RolloutRecord]]:
-    """Yields the records that can be read, with their services."""
+    """Yields the records that can be decoded, with their services."""
     for row in rows:
         try:
             yield row.key, decode(RolloutRecord, row.value)
         except UnreadableError as error:
-            # The order's next step writes over it.
+            # The order's next step overwrites the row.
             log.error(
-                "Roll-out's record can't be read.",
+                "Roll-out record can't be decoded.",
                 row=row.key,
                 error=error.message,
             )
@@ -166,17 +179,24 @@
 
 @attrs.define(eq=False, repr=False)
 class RolloutDriver:
-    """Writes the records of orders.
+    """Advances roll-out orders and writes their records.
 
     Attributes:
-      own_table: Holds the records.
-      revisions: Revisions of the rows in the store, by service.
-      old_running: Requests at old workers in all entries, by order.
-      may_drive: Whether this entry is the one to drive, or among so many more
-        that may.
+      store: Store that the records are written to.
+      own_table: Reads the table of the records.
+      clock: The store's steady clock.
+      rollouts: Orders, records and evidence as known to this entry.
+      status_row: Returns the status row for operators, from a service, a
+        version and a phase.
+      old_running: Returns the requests in progress at old workers, sent by any
+        entry, for an order's id.
+      may_drive: Returns whether this entry is the driver, or among the given
+        number of backups.
       health: Whether this entry reaches the store.
-      loaded: All records that stood at the last reading are known.
-      has_read: There was one.
+      revisions: Revisions of the record rows in the store, by service.
+      loaded: Whether all records of the last full read are known, and no later
+        write made them stale.
+      has_read: Whether the table has been read before.
     """
 
     store: RelayStore
@@ -192,14 +212,14 @@
     has_read: bool = False
 
     async def run(self) -> None:
-        """Takes roll-outs further, again and again, until cancelled."""
+        """Advances roll-outs at a fixed interval until cancelled."""
         while True:
             try:
-                # Those who follow the store look whether it is back.
+                # The store's followers detect when it is available again.
                 if self.health.available:
                     await self.step()
             except (StoreUnavailableError, HistoryGoneError) as error:
-                log.info("Roll-outs can't be driven.", error=str(error))
+                log.info("Roll-outs can't be advanced.", error=str(error))
                 self.health.record_failure(error)
                 await asyncio.sleep(STORE_RETRY_S)
             await asyncio.sleep(STEP_INTERVAL_S)
@@ -210,7 +230,8 @@
         Raises:
           StoreUnavailableError: The store does not answer.
         """
-        # After a write of another only a new reading tells where orders stand.
+        # The shared first read may predate a write by another entry, so that
+        # every later load needs a new read.
         read = (
             self.own_table.read if self.has_read else self.own_table.read_cached
         )
@@ -224,7 +245,11 @@
         self.loaded = True
 
     def find_lost_rows(self, page: Page) -> Iterator[LostRow]:
-        """Yields the records that are further than the table shows."""
+        """Yields known records that are newer than the rows of the store.
+
+        Args:
+          page: Full read of the table.
+        """
         stored = dict(decode_records(rows_with_prefix(page, ROLLOUT_PREFIX)))
         for service, known in self.rollouts.records.items():
             record = more_than(stored.get(service), known)
@@ -235,12 +260,12 @@
             yield LostRow(ROLLOUT_PREFIX + service, value, (status,))
 
     async def step(self) -> None:
-        """Takes each order as far as the evidence allows.
+        """Advances each order by one phase if the evidence allows it.
 
         Raises:
           StoreUnavailableError: The store does not answer.
         """
-        # An entry that starts late has to know where orders stand.
+        # An entry that starts late has to read the progress of orders first.
         if not self.loaded:
             await self.load()
         for order in list(self.rollouts.orders.values()):
@@ -248,13 +273,13 @@
                 continue
             await self.drive(order)
             if not self.loaded:
-                # An entry that just took over knows no row's version yet: it
-                # tries once more at once, since an order may be all but late.
+                # An entry that just took over doesn't know the revisions of the
+                # rows. It retries at once, as the deadline may be close.
                 await self.load()
                 await self.drive(order)
 
     async def drive(self, order: RolloutOrder) -> None:
-        """Writes the first record of an order, or the next."""
+        """Writes the first or the next record of an order, if one is due."""
         record = self.rollouts.records.get(order.service)
         now_ms = self.clock.now_ms()
         if record is None or record.order != order.id:
@@ -281,7 +306,7 @@
         phase = next_phase(progress, self.rollouts.bound)
         if phase is not record.phase:
             log.info(
-                "Roll-out step.",
+                "Roll-out enters its next phase.",
                 service=order.service,
                 version=order.version,
                 order=order.id,
@@ -301,7 +326,14 @@
         begun_ms: float,
         since_ms: float,
     ) -> None:
-        """Writes a record and the operators' status in one transaction."""
+        """Writes a record and the operators' status in one transaction.
+
+        Args:
+          order: The order.
+          phase: Its new phase.
+          begun_ms: Time of the order, by the store's steady clock.
+          since_ms: Start of the phase, by the same clock.
+        """
         record = RolloutRecord(
             order.id,
             order.service,
@@ -325,13 +357,14 @@
             self.rollouts.apply_record(record)
             return
         log.info(
-            "Roll-out step not written.",
+            "Roll-out record not written.",
             service=order.service,
             order=order.id,
             outcome=json.dumps(repr(outcome)),
         )
         if isinstance(outcome, NotRun):
-            # Others are to know at once that this entry can't drive.
+            # Peers have to learn at once that this entry can't drive.
             self.health.record_failure(StoreUnavailableError(outcome.reason))
-        # Someone else wrote, or it is not known: read before anything else.
+        # Another entry wrote the row, or the outcome is unknown: read again
+        # before the next step.
         self.loaded = False
