--- a/src/rattanpier/_internal/relay/verdict.py
+++ b/src/rattanpier/_internal/relay/verdict.py
@@ -1,8 +1,8 @@
-"""Whether a version that is rolled out is worse than the one in service.
+"""Decides whether a candidate version is worse than the stable version.
 
-Code without a clock or a network: counts go in, a verdict comes out. It
-answers versions that fail part of their requests, on all routes or on one, at
-once, later or under load, and versions that answer several times slower.
+Pure functions of answer counts, without a clock or a network. They detect
+versions that fail part of their requests, on all routes or on one, at once,
+later or under load, and versions that answer several times slower.
 """
 
 from __future__ import annotations
@@ -12,15 +12,16 @@
 
 import attrs
 
-# Chance that as many bad answers come from a version that is as good: small,
-# because all entries look several times a second, at each route.
+# A version is called worse if a version that is no worse would give as many bad
+# answers with less than this probability. It is small because all entries test
+# several times a second, on each route.
 SIGNIFICANCE_LEVEL = 0.002
-# Share of bad answers that operators put up with in any version.
+# Share of bad answers that operators tolerate in any version.
 TOLERATED_FAILURE_RATE = 0.02
 MIN_BAD_ANSWERS = 2  # One bad answer proves nothing.
-MIN_SLOWDOWN = 2.5  # Slow versions answer several times slower.
-MIN_TIMED_ANSWERS = 6  # Answers on each side before their times are compared.
-MIN_EXPOSED_ANSWERS = 8  # Answers without which a version is not called good.
+MIN_SLOWDOWN = 2.5  # Slow versions take several times as long.
+MIN_TIMED_ANSWERS = 6  # Of each version, before their times are compared.
+MIN_EXPOSED_ANSWERS = 8  # Of the candidate, before it may take over.
 
 
 @attrs.frozen
@@ -28,11 +29,11 @@
     """Answers of one version on one route.
 
     Attributes:
-      total: Answers that a worker of the version began to work on.
-      bad: Of these, failures, spoiled and broken answers.
-      timed: Answers with a time.
-      seconds: Sum of the times to their first byte, each against what the
-        work needs, so that long and short requests can be added.
+      total: Answers to requests that a worker of the version began to process.
+      bad: Of these, failures and corrupt or incomplete answers.
+      timed: Answers with a measured time.
+      seconds: Sum of the times to their first byte, each in relation to the
+        work of its request, so that long and short requests can be added.
     """
 
     total: int = 0
@@ -41,7 +42,7 @@
     seconds: float = 0.0
 
     def __add__(self, other: Tally) -> Tally:
-        """Returns the sums of both."""
+        """Returns the sum of both tallies, field by field."""
         return Tally(
             self.total + other.total,
             self.bad + other.bad,
@@ -55,13 +56,13 @@
 
 @attrs.frozen
 class Regression:
-    """A version is worse.
+    """Finding that the candidate is worse than the stable version.
 
     Attributes:
-      route: Where, or empty for all routes together.
-      reason: In what.
-      stable: Answers of the version in service there.
-      candidate: Answers of the version rolled out there.
+      route: Name of the route, or empty for all routes together.
+      reason: In which respect it is worse, for the log.
+      stable: Answers of the stable version on the route.
+      candidate: Answers of the candidate on the route.
     """
 
     route: str
@@ -73,11 +74,14 @@
 def find_regression(
     stable: Mapping[str, Tally], candidate: Mapping[str, Tally]
 ) -> Regression | None:
-    """Returns where a candidate is worse than the stable version, or None.
+    """Returns the first regression of the candidate, or None.
+
+    A route without answers of the stable version is compared with all answers
+    of that version.
 
     Args:
-      stable: Answers of the version in service, by route.
-      candidate: Answers of the version rolled out, by route.
+      stable: Answers of the stable version, by route.
+      candidate: Answers of the candidate, by route.
     """
     all_stable = sum(stable.values(), EMPTY_TALLY)
     all_candidate = sum(candidate.values(), EMPTY_TALLY)
@@ -95,10 +99,12 @@
 
 
 def fails_more(stable: Tally, candidate: Tally) -> bool:
-    """Says whether so many bad answers are no chance.
+    """Returns whether the candidate's bad answers can't be due to chance.
 
-    >>> fails_more(Tally(100, 1), Tally(8, 4)), fails_more(EMPTY_TALLY, Tally(9, 0))
-    (True, False)
+    >>> fails_more(Tally(100, 1), Tally(8, 4))
+    True
+    >>> fails_more(EMPTY_TALLY, Tally(9, 0))
+    False
     """
     if candidate.bad < MIN_BAD_ANSWERS:
         return False
@@ -110,7 +116,7 @@
 
 
 def binomial_tail(trials: int, min_events: int, rate: float) -> float:
-    """Returns the chance of at min_events so many events.
+    """Returns the binomial probability of at least `min_events` events.
 
     >>> round(binomial_tail(2, 1, 0.5), 2)
     0.75
@@ -123,7 +129,7 @@
 
 
 def is_slower(stable: Tally, candidate: Tally) -> bool:
-    """Says whether answers take several times as long."""
+    """Returns whether the candidate takes several times as long."""
     if min(stable.timed, candidate.timed) < MIN_TIMED_ANSWERS:
         return False
     baseline = stable.seconds / stable.timed
