--- a/src/rattanpier/_internal/relay/exposure.py
+++ b/src/rattanpier/_internal/relay/exposure.py
@@ -1,42 +1,46 @@
-"""How late a version that is rolled out has to take over.
+"""Limits the requests that a new version gets before an order's deadline.
 
-Operators bound the requests that a bad version gets between its order and the
-order's deadline. Some versions are bad only under a load that never comes in
-that time: nothing tells them from good ones. So the bound is kept for every
-version, by what is left of it, and not by evidence alone.
+Operators limit the requests that a bad version may get between its order and
+the order's deadline. Some versions are bad only under a load that doesn't occur
+in that time, and can't be told from good ones. Therefore the limit is kept for
+every version: it takes over only when the rest of the limit covers the
+remaining requests, however good the evidence is.
 
-Code without a clock or a network: counts go in, a verdict comes out.
+Pure functions of answer counts, without a clock or a network.
 """
 
 from __future__ import annotations
 
 import attrs
 
-# Of the bound's ratio, the share of sessions by which a version is tried. More
-# would show a bad version sooner, but what it gets while it is tried is no
-# longer there for the take-over, which then comes too late for what still runs
-# at old workers. At a ratio of 0.15 and 1,000 requests it leaves 3 s of 24.
+# Share of sessions in the trying phase, as a fraction of the bound's ratio. A
+# larger share would show a bad version sooner, but would use up more of the
+# bound before the take-over, which would then come too late for requests still
+# in progress at old workers. At a ratio of 0.15 and 1,000 requests, this
+# fraction leaves 3 s of 24 s.
 TRYING_FRACTION = 0.25
-# The same where few answers came by half of the time: among few a version that
-# fails a third of its requests may show too few failures by chance.
+# The same in the extending phase, for orders with fewer than
+# `MIN_TRIAL_ANSWERS` answers after half of the time: among so few, a version
+# that fails a third of its requests may show too few failures by chance.
 EXTENDING_FRACTION = 0.75
 MIN_TRIAL_ANSWERS = 20
-WIDENING_SHARE = 0.4  # Of the sessions: a last look before all move.
-WIDENING_DURATION = (
-    0.02  # Of the order's time: two rounds of evidence between entries.
-)
-# Of what is allowed. Counts reach the driver half a second late, and traffic
-# may rise by a third after the take-over was decided on.
+# Share of sessions in the widening phase, the last check before all move.
+WIDENING_SHARE = 0.4
+# Fraction of the time until the deadline: two rounds of evidence between
+# entries.
+WIDENING_DURATION = 0.02
+# Fraction of the bound that may be planned for: counts reach the driver half a
+# second late, and traffic may rise by a third after the decision to widen.
 USABLE_FRACTION = 0.82
 
 
 @attrs.frozen
 class ExposureBound:
-    """What operators allow a bad version to get of its service's requests.
+    """Limit on the requests of a service that a bad version may get.
 
     Attributes:
-      ratio: Of all requests between an order and its deadline.
-      slack: Requests beyond that.
+      ratio: Allowed fraction of all requests between an order and its deadline.
+      slack: Number of requests allowed in addition.
     """
 
     ratio: float
@@ -44,22 +48,22 @@
 
     @property
     def trying_share(self) -> float:
-        """Share of sessions while a version is tried."""
+        """Share of sessions for the new version in the trying phase."""
         return TRYING_FRACTION * self.ratio
 
     @property
     def extending_share(self) -> float:
-        """The same where few answers came."""
+        """Share of sessions for the new version in the extending phase."""
         return EXTENDING_FRACTION * self.ratio
 
 
 @attrs.frozen
 class Exposure:
-    """What a version got so far.
+    """Answers counted since an order.
 
     Attributes:
-      served: Answers of all versions since the order.
-      exposed: Of these, answers of the new version.
+      served: Answers of all versions.
+      exposed: Answers of the new version among them.
     """
 
     served: int
@@ -67,12 +71,14 @@
 
 
 def may_widen(bound: ExposureBound, exposure: Exposure, age: float) -> bool:
-    """Says whether a version may take over and stay within its bound.
+    """Returns whether a version that widens now stays within its bound.
+
+    The total is extrapolated from the answers so far at a constant rate.
 
     Args:
-      bound: What is allowed.
-      exposure: What the version got.
-      age: Share of the order's time that has passed, above 0.
+      bound: Limit on the requests of a bad version.
+      exposure: Answers counted so far.
+      age: Time since the order as a fraction of its deadline, above 0.
 
     >>> bound, tried = ExposureBound(0.1, 10.0), Exposure(850, 26)
     >>> may_widen(bound, tried, 0.85), may_widen(bound, tried, 0.95)
