--- a/src/rattanpier/_internal/relay/evidence.py
+++ b/src/rattanpier/_internal/relay/evidence.py
@@ -1,4 +1,4 @@
-"""What entries saw of versions that are rolled out."""
+"""Counts the answers of all entries as evidence for roll-outs."""
 
 from __future__ import annotations
 
@@ -12,7 +12,13 @@
 
 @attrs.frozen
 class TallyKey:
-    """What answers are counted by."""
+    """Key by which answers are counted.
+
+    Attributes:
+      order: The order's id.
+      route: Name of the route.
+      candidate: Whether the answers are of the new version.
+    """
 
     order: int
     route: str
@@ -21,12 +27,12 @@
 
 @attrs.frozen
 class Evidence:
-    """What one entry saw of versions that are rolled out.
+    """Counts of one entry, as reported to the driver of roll-outs.
 
     Attributes:
-      origin: Its incarnation.
+      origin: Incarnation of the entry.
       counts: Answers by key.
-      running_old: Requests at old versions, by order.
+      running_old: Requests in progress at old versions, by order.
     """
 
     origin: str
@@ -36,13 +42,14 @@
 
 @attrs.define(eq=False, repr=False)
 class AnswerCounts:
-    """Answers of all entries, as far as they were reported here.
+    """Counts of this entry, and those that peers reported to it.
 
     Attributes:
-      own_counts: Answers that this entry saw.
-      peer_counts: Answers that others saw, by their incarnation.
-      own_running_old: Own requests at old versions, by order.
-      peer_running_old: Requests at old versions that others reported.
+      own_counts: Answers that this entry received, by key.
+      peer_counts: Answers that peers reported, by their incarnation.
+      own_running_old: Requests of this entry in progress at old versions, by
+        order.
+      peer_running_old: The same of peers, by their incarnation.
     """
 
     own_counts: dict[TallyKey, Tally] = attrs.Factory(dict)
@@ -51,16 +58,26 @@
     peer_running_old: dict[str, dict[int, int]] = attrs.Factory(dict)
 
     def add(self, key: TallyKey, tally: Tally) -> None:
-        """Counts what this entry saw."""
+        """Adds answers that this entry received."""
         self.own_counts[key] = self.own_counts.get(key, EMPTY_TALLY) + tally
 
     def record_running(self, order: int, change: int) -> None:
-        """Counts requests of this entry that run at an order's old version."""
+        """Counts requests of this entry in progress at the old version.
+
+        Args:
+          order: The order's id.
+          change: 1 for a request that starts, -1 for one that ends.
+        """
         running = self.own_running_old.get(order, 0) + change
         self.own_running_old[order] = max(0, running)
 
     def evidence(self, origin: str, orders: Collection[int]) -> Evidence:
-        """Returns what this entry saw under some orders."""
+        """Returns the counts of this entry for a report.
+
+        Args:
+          origin: Incarnation of this entry.
+          orders: Ids of the orders whose answers are included.
+        """
         counts = [
             (key, tally)
             for key, tally in self.own_counts.items()
@@ -69,12 +86,15 @@
         return Evidence(origin, counts, dict(self.own_running_old))
 
     def apply_evidence(self, evidence: Evidence) -> None:
-        """Takes in what another entry saw; its counts only rise."""
+        """Replaces the counts of a peer by a newer report.
+
+        The counts are totals and never decrease.
+        """
         self.peer_counts[evidence.origin] = dict(evidence.counts)
         self.peer_running_old[evidence.origin] = evidence.running_old
 
     def total_running_old(self, order: int, live: Iterable[str]) -> int:
-        """Returns the requests at an order's old version in all entries.
+        """Returns the requests of all entries in progress at the old version.
 
         Args:
           order: The order's id.
@@ -87,21 +107,26 @@
         return self.own_running_old.get(order, 0) + sum(reported)
 
     def tallies(self, order: int) -> Iterable[tuple[TallyKey, Tally]]:
-        """Yields all answers to requests under an order."""
+        """Yields the counts of all entries for an order, with their keys."""
         for source in (self.own_counts, *self.peer_counts.values()):
             for key, tally in source.items():
                 if key.order == order:
                     yield key, tally
 
     def exposure(self, order: int) -> Exposure:
-        """Returns what all entries saw of an order's version."""
+        """Returns the exposure of an order's version, over all entries."""
         found = list(self.tallies(order))
         served = sum(tally.total for _, tally in found)
         exposed = sum(tally.total for key, tally in found if key.candidate)
         return Exposure(served, exposed)
 
     def move_counts(self, before: int, order: int) -> None:
-        """Counts what was counted under one id of an order under another."""
+        """Moves the counts of an order to another id of the same order.
+
+        Args:
+          before: Its id so far.
+          order: Its new id.
+        """
         for tallies in (self.own_counts, *self.peer_counts.values()):
             for key in [key for key in tallies if key.order == before]:
                 renamed = attrs.evolve(key, order=order)
