--- a/src/rattanpier/_internal/relay/held_sessions.py
+++ b/src/rattanpier/_internal/relay/held_sessions.py
@@ -1,8 +1,8 @@
-"""Sessions that stay with the old version while an order is tried.
+"""Holds active sessions at the old version while a new one is on trial.
 
-A session keeps its version. Those under way when an order comes would be moved
-by it: each entry holds its own back and tells the others, since a session's
-next request may come to any of them.
+A session should not change its version. Sessions that are active when an order
+comes would be moved by it. Each entry holds those that it serves and sends them
+to its peers, since the next request of a session may come to any entry.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 
 @attrs.frozen
 class HeldSession:
-    """A session that is under way at the old version.
+    """An active session that is held at the old version.
 
     Attributes:
-      order: The order under which it would be moved.
-      point: Its place among all sessions.
+      order: Id of the order that would move it.
+      point: Hash of the session under the order, below `HASH_RANGE`.
       age_s: Seconds since its last request.
     """
 
@@ -33,21 +33,27 @@
 
 
 def session_point(order: int, session: str) -> int:
-    """Returns a session's place among all, the same in each entry."""
+    """Returns a session's hash, which is the same in each entry.
+
+    Args:
+      order: The order's id.
+      session: The session's id.
+    """
     return stable_hash(f"{order}/{session}")
 
 
 @attrs.define(eq=False, repr=False)
 class HeldSessions:
-    """Which sessions are under way, and which are held.
+    """Active sessions, and those among them that are held.
 
     Attributes:
-      session_s: Requests of a session follow each other within this time.
-      clock: Monotonic.
-      recent: When each session was last served, by service and id.
-      held: When each session that stays with the old version was last
-        served, by order and point.
-      changed: Keys of `held` that changed here.
+      session_s: Seconds after its last request for which a session is active.
+      clock: Monotonic clock.
+      recent: When each session was last served, in monotonic seconds, by
+        service and session id; the oldest first.
+      held: When each held session was last served, in monotonic seconds, by
+        order and point.
+      changed: Keys of `held` that changed here and are yet to be sent.
     """
 
     session_s: float
@@ -57,7 +63,12 @@
     changed: set[tuple[int, int]] = attrs.Factory(set)
 
     def record_request(self, service: str, session: str) -> None:
-        """Notes that a session is under way, in case an order comes."""
+        """Records that a session is active, in case an order comes.
+
+        Args:
+          service: Name of the service.
+          session: The session's id; an empty one is ignored.
+        """
         if not session:
             return
         now = self.clock.monotonic()
@@ -69,17 +80,23 @@
             oldest = next(iter(self.recent))
 
     def hold(self, order: int, point: int, served_at: float) -> None:
-        """Keeps a session with the old version, and has others told."""
+        """Holds a session at the old version and queues it for peers.
+
+        Args:
+          order: The order's id.
+          point: Hash of the session under the order.
+          served_at: When it was last served, in monotonic seconds.
+        """
         self.held[order, point] = served_at
         self.changed.add((order, point))
 
     def hold_active(self, order: int, service: str, share: float) -> None:
-        """Holds the sessions under way that an order would move.
+        """Holds the active sessions that an order would move.
 
         Args:
-          order: Its id.
-          service: That it is for.
-          share: Of all sessions that it moves at first.
+          order: The order's id.
+          service: Name of the order's service.
+          share: Share of sessions that the order moves at first, 0 to 1.
         """
         limit = share * HASH_RANGE
         now = self.clock.monotonic()
@@ -90,7 +107,14 @@
                 self.hold(order, point, served_at)
 
     def is_held(self, order: int, point: int) -> bool:
-        """Says whether a session that is served now stays where it is."""
+        """Returns whether a session is held, and prolongs the hold if so.
+
+        It is called as the session is served.
+
+        Args:
+          order: The order's id.
+          point: Hash of the session under the order.
+        """
         now = self.clock.monotonic()
         served_at = self.held.get((order, point))
         if served_at is None or now - served_at > self.session_s:
@@ -98,10 +122,10 @@
         self.hold(order, point, now)
         return True
 
-    # What entries tell each other.
+    # Exchange between entries.
 
     def apply_held(self, sessions: Iterable[HeldSession]) -> None:
-        """Takes in which sessions others hold."""
+        """Applies the sessions that a peer holds."""
         now = self.clock.monotonic()
         for session in sessions:
             key = session.order, session.point
@@ -109,18 +133,18 @@
             self.held[key] = max(self.held.get(key, served_at), served_at)
 
     def drain_updates(self) -> list[HeldSession]:
-        """Returns the sessions that this entry holds since it was asked."""
+        """Returns the sessions held or prolonged since the last call."""
         changed, self.changed = self.changed, set()
         return list(self.to_messages(changed))
 
     def all_updates(self) -> list[HeldSession]:
-        """Returns all sessions that are held."""
+        """Returns all held sessions."""
         return list(self.to_messages(self.held))
 
     def to_messages(
         self, keys: Iterable[tuple[int, int]]
     ) -> Iterable[HeldSession]:
-        """Yields sessions with their age."""
+        """Yields the held sessions of some keys that are still active."""
         now = self.clock.monotonic()
         for order, point in keys:
             age_s = now - self.held[order, point]
