--- a/tests/relay/test_rollout_driver.py
+++ b/tests/relay/test_rollout_driver.py
@@ -83,7 +83,7 @@
         (1, RolloutPhase.TRYING, OVERDUE_AT + 0.001, 0),
     ],
 )
-async def test_a_second_entry_ends_what_is_overdue(
+async def test_a_backup_driver_completes_an_overdue_roll_out(
     clock, rank, phase, age, writes
 ):
     driver = make_driver(clock, rank, phase, age)
@@ -93,14 +93,16 @@
         assert driver.rollouts.phase(ORDER) is RolloutPhase.COMPLETED
 
 
-async def test_one_that_the_store_turns_away_says_so_at_once(clock):
+async def test_a_driver_rejected_by_the_store_reports_it_unavailable_at_once(
+    clock,
+):
     driver = make_driver(clock, 0, RolloutPhase.FULL, OVERDUE_AT)
     driver.store.outcomes = [NotRun("store answered 429")] * 2
     await driver.step()
     assert not driver.health.available
 
 
-async def test_an_answer_that_is_lost_does_not_mean_that_the_store_is(clock):
+async def test_a_lost_answer_does_not_mark_the_store_unavailable(clock):
     driver = make_driver(clock, 0, RolloutPhase.FULL, OVERDUE_AT)
     driver.store.outcomes = [Uncertain("timeout")] * 2
     await driver.step()
@@ -108,7 +110,7 @@
     assert not driver.loaded
 
 
-async def test_one_that_took_over_reads_the_rows_and_writes_at_once(clock):
+async def test_a_new_driver_reads_the_rows_and_retries_at_once(clock):
     driver = make_driver(clock, 0, RolloutPhase.FULL, OVERDUE_AT)
     driver.store.outcomes = [Conflict("s"), WrittenAt(at(9), 0.0)]
     await driver.step()
