--- a/tests/relay/test_rollout_restart.py
+++ b/tests/relay/test_rollout_restart.py
@@ -12,7 +12,7 @@
 from tests.lib.relay_parts import at
 
 
-async def site_with_record(site, phase):
+async def add_versions_and_record(site, phase):
     """Two versions, an order for the second, and how far it went."""
     await site.add_worker("old", version="v1")
     await site.add_worker("new", version="v2")
@@ -28,25 +28,25 @@
     )
 
 
-async def test_a_completed_one_is_known_before_callers_come():
+async def test_a_restarted_entry_uses_the_new_version_of_a_completed_roll_out():
     async with platform_site() as site:
-        await site_with_record(site, RolloutPhase.COMPLETED)
+        await add_versions_and_record(site, RolloutPhase.COMPLETED)
         await site.add_entry()
         for _ in range(8):
             answer = await site.ask()
             assert answer.body.startswith(b"new ran")
 
 
-async def test_a_rolled_back_one_gets_nothing_after_a_restart():
+async def test_a_restarted_entry_avoids_a_version_that_was_rolled_back():
     async with platform_site() as site:
-        await site_with_record(site, RolloutPhase.ROLLED_BACK)
+        await add_versions_and_record(site, RolloutPhase.ROLLED_BACK)
         await site.add_entry()
         for _ in range(8):
             answer = await site.ask()
             assert answer.body.startswith(b"old ran")
 
 
-async def test_an_order_is_tried_and_told_to_the_operators():
+async def test_a_started_roll_out_is_shown_to_operators_as_in_progress():
     async with platform_site() as site:
         await site.add_worker("old", version="v1")
         await site.add_worker("new", version="v2")
@@ -61,7 +61,7 @@
         assert (status["state"], status["to"]) == ("in_progress", "v2")
 
 
-async def test_an_orders_time_counts_from_the_order():
+async def test_the_deadline_counts_from_the_order_not_from_its_first_record():
     async with platform_site() as site:
         await site.add_worker("old", version="v1")
         await site.add_worker("new", version="v2")
@@ -73,9 +73,9 @@
             {"service": "plain", "to": "v2", "deadlineS": 20},
         )
         await until(lambda: rollouts.orders)
-        told_ms = time.monotonic() * 1000  # The stand-in's steady clock.
+        known_ms = time.monotonic() * 1000  # The stand-in's steady clock.
         order = rollouts.orders["plain"]
         rollouts.known_at[order.id] -= 3.0
         await until(lambda: "plain" in rollouts.records)
         begun_ms = rollouts.records["plain"].begun_ms
-        assert told_ms - 4000 < begun_ms < told_ms - 2000
+        assert known_ms - 4000 < begun_ms < known_ms - 2000
