--- a/tests/relay/test_rollout_slow.py
+++ b/tests/relay/test_rollout_slow.py
@@ -3,7 +3,7 @@
 from tests.lib.platform_site import platform_site, until
 
 
-async def test_a_version_that_streams_slowly_is_stopped():
+async def test_a_version_that_streams_several_times_slower_is_stopped():
     async with platform_site() as site:
         old = await site.add_worker("old", "engine", "v1", work_s=0.02)
         new = await site.add_worker("new", "engine", "v2", work_s=0.4)
