--- a/tests/relay/test_exposure.py
+++ b/tests/relay/test_exposure.py
@@ -23,12 +23,12 @@
 STEPS = 400
 
 
-def play(bound, requests, rise=1.0):
+def simulate_order(bound, requests, rate_increase=1.0):
     """Plays an order step by step; returns (exposed, final age, phases).
 
     Args:
       requests: Between the order and its deadline, at an even rate.
-      rise: What the rate is multiplied by in the last fifth of the time.
+      rate_increase: What the rate is multiplied by in the last fifth of the time.
     """
     rng = random.Random(3)
     shares = {
@@ -40,7 +40,7 @@
     phases, completed = [phase], None
     for step in range(1, STEPS + 1):
         age = step / STEPS
-        rate = requests / STEPS * (rise if age > 0.8 else 1.0)
+        rate = requests / STEPS * (rate_increase if age > 0.8 else 1.0)
         for _ in range(int(rate + rng.random())):
             served += 1
             exposed += rng.random() < shares.get(phase, 1.0)
@@ -56,7 +56,7 @@
     return exposed, served, completed, phases
 
 
-@pytest.mark.parametrize("rise", [1.0, 1.3])
+@pytest.mark.parametrize("rate_increase", [1.0, 1.3])
 @pytest.mark.parametrize(
     ("ratio", "slack", "requests"),
     [
@@ -67,11 +67,13 @@
         (0.05, 100, 20000),
     ],
 )
-def test_a_version_that_shows_nothing_bad_stays_within_its_bound(
-    ratio, slack, requests, rise
+def test_a_version_without_visible_faults_stays_within_its_bound(
+    ratio, slack, requests, rate_increase
 ):
     bound = ExposureBound(ratio, slack)
-    exposed, served, completed, phases = play(bound, requests, rise)
+    exposed, served, completed, phases = simulate_order(
+        bound, requests, rate_increase
+    )
     assert exposed <= ratio * served + slack
     assert completed is not None and completed < 0.985
     tried = [RolloutPhase.TRYING]
@@ -85,7 +87,7 @@
     ]
 
 
-def test_the_more_it_got_the_later_it_takes_over():
+def test_a_larger_exposure_delays_the_take_over():
     bound = ExposureBound(0.1, 10.0)
     assert may_widen(bound, Exposure(900, 20), 0.93)
     assert not may_widen(bound, Exposure(900, 60), 0.93)
@@ -95,12 +97,12 @@
 # requests got 19 of 792 while it was tried. By chance few of these failed; it
 # took over, and failed 800 requests.
 
-BAD_SHARE, USUAL_BAD_SHARE = 0.33, 0.05
-LATE = 0.03  # Of an order's time: evidence reaches the driver so late.
-HELD_SHARE = 0.5  # Of the sessions that are tried: under way when it began.
+NEW_FAILURE_RATE, OLD_FAILURE_RATE = 0.33, 0.05
+REPORT_DELAY = 0.03  # Of an order's time: evidence reaches the driver so late.
+HELD_FRACTION = 0.5  # Of the sessions that are tried: under way when it began.
 
 
-def play_bad(seed, requests=850):
+def simulate_bad_version(seed, requests=850):
     """Plays an order of a bad version; returns its last phase."""
     rng = random.Random(seed)
     bound = ExposureBound(0.15, 30)
@@ -112,11 +114,11 @@
         for _ in range(int(requests / STEPS + rng.random())):
             share = rollouts.share(phase)
             if phase is RolloutPhase.TRYING:
-                share *= HELD_SHARE
+                share *= HELD_FRACTION
             new = rng.random() < share
-            bad = rng.random() < (BAD_SHARE if new else USUAL_BAD_SHARE)
+            bad = rng.random() < (NEW_FAILURE_RATE if new else OLD_FAILURE_RATE)
             answers.append((age, new, bad))
-        known = [each for each in answers if each[0] <= age - LATE]
+        known = [each for each in answers if each[0] <= age - REPORT_DELAY]
         old, new = (
             Tally(len(found), sum(bad for _, _, bad in found))
             for found in (
@@ -135,11 +137,11 @@
     return phase
 
 
-def test_a_version_that_fails_a_third_is_found_out():
-    ends = [play_bad(seed) for seed in range(300)]
-    assert ends.count(RolloutPhase.ROLLED_BACK) == len(ends)
+def test_a_version_that_fails_a_third_of_its_requests_is_rolled_back():
+    final_phases = [simulate_bad_version(seed) for seed in range(300)]
+    assert final_phases.count(RolloutPhase.ROLLED_BACK) == len(final_phases)
 
 
-def test_few_requests_fit_into_the_slack():
+def test_a_version_with_little_traffic_widens_within_the_slack():
     bound = ExposureBound(0.1, 30.0)
     assert may_widen(bound, Exposure(20, 5), 0.5)
