--- a/tests/relay/test_restored_rollouts.py
+++ b/tests/relay/test_restored_rollouts.py
@@ -45,7 +45,7 @@
     return rollouts.phase(rollouts.orders["s"])
 
 
-def versions_for_all(rollouts):
+def versions_of_requests(rollouts):
     """Versions that a hundred requests go to first."""
     workers = make_workers(2, version="v1") + make_workers(2, version="v2")
     return {
@@ -59,19 +59,19 @@
 
 @pytest.mark.parametrize("final", [PHASE.COMPLETED, PHASE.ROLLED_BACK])
 @pytest.mark.parametrize("version", [4, 9, 12])
-def test_an_order_that_is_written_again_does_not_begin_again(
+def test_a_finished_order_written_again_after_a_restore_does_not_restart(
     rollouts, version, final
 ):
     rollouts.apply_order(order("v2", at(9)))
     rollouts.apply_record(record("v2", at(9), final))
-    before = versions_for_all(rollouts)
+    before = versions_of_requests(rollouts)
     rollouts.known_orders.note_whole(at(3, 2))
     rollouts.apply_order(order("v2", at(version, 2)))
     assert phase(rollouts) is final
-    assert versions_for_all(rollouts) == before
+    assert versions_of_requests(rollouts) == before
 
 
-def test_the_same_order_once_more_in_the_new_era_is_another_one(rollouts):
+def test_a_repeated_order_of_the_new_era_starts_a_new_roll_out(rollouts):
     rollouts.apply_order(order("v2", at(9)))
     rollouts.apply_record(record("v2", at(9), PHASE.ROLLED_BACK))
     rollouts.known_orders.note_whole(at(9, 2))
@@ -83,7 +83,7 @@
     assert phase(rollouts) is PHASE.WIDENING
 
 
-def test_an_order_before_the_newest_one_is_none(rollouts):
+def test_a_superseded_order_of_a_restored_store_is_ignored(rollouts):
     rollouts.apply_order(order("v2", at(5)))
     rollouts.apply_record(record("v2", at(5), PHASE.COMPLETED))
     rollouts.apply_order(order("v3", at(9)))
@@ -97,7 +97,7 @@
     assert rollouts.known_orders.unconfirmed() == []
 
 
-def test_a_new_order_of_the_new_era_begins(rollouts):
+def test_a_new_order_of_the_new_era_starts(rollouts):
     rollouts.apply_order(order("v2", at(5)))
     rollouts.apply_record(record("v2", at(5), PHASE.COMPLETED))
     rollouts.known_orders.note_whole(at(5, 2))
@@ -106,14 +106,14 @@
     assert phase(rollouts) is PHASE.TRYING
 
 
-def test_a_newcomer_knows_the_order_by_its_record(clock):
-    newcomer = make_rollouts(clock)
-    newcomer.known_orders.note_whole(at(8, 2))
-    newcomer.apply_order(order("v2", at(8, 2)))
-    newcomer.stop(at(8, 2).number, "seen here")
-    newcomer.apply_record(record("v2", at(9), PHASE.FULL))
-    assert phase(newcomer) is PHASE.FULL
-    assert newcomer.orders["s"].id in newcomer.stopped
+def test_a_new_entry_takes_the_id_of_an_order_from_its_record(clock):
+    new_entry = make_rollouts(clock)
+    new_entry.known_orders.note_whole(at(8, 2))
+    new_entry.apply_order(order("v2", at(8, 2)))
+    new_entry.stop(at(8, 2).number, "seen here")
+    new_entry.apply_record(record("v2", at(9), PHASE.FULL))
+    assert phase(new_entry) is PHASE.FULL
+    assert new_entry.orders["s"].id in new_entry.stopped
     # The other way round: the record was known first.
     other = make_rollouts(clock)
     other.apply_record(record("v2", at(9), PHASE.ROLLED_BACK))
@@ -121,38 +121,42 @@
     assert phase(other) is PHASE.ROLLED_BACK
 
 
-def test_a_newcomer_is_told_of_an_order_that_the_copy_lacks(rollouts, clock):
+def test_a_new_entry_learns_an_order_that_the_backup_lacks_from_a_peer(
+    rollouts, clock
+):
     rollouts.apply_order(order("v2", at(5)))
     rollouts.apply_order(order("v3", at(9)))
-    newcomer = make_rollouts(clock)
-    for each in (rollouts, newcomer):
+    new_entry = make_rollouts(clock)
+    for each in (rollouts, new_entry):
         each.known_orders.note_whole(at(6, 2))
         each.apply_order(order("v2", at(5, 2)))
-    assert newcomer.orders["s"].version == "v2"
-    digests = [each.known_orders.digest() for each in (rollouts, newcomer)]
+    assert new_entry.orders["s"].version == "v2"
+    digests = [each.known_orders.digest() for each in (rollouts, new_entry)]
     assert digests[0] != digests[1]
-    newcomer.apply_unconfirmed(rollouts.known_orders.unconfirmed())
-    assert newcomer.orders["s"].version == "v3"
-    assert newcomer.known_orders.digest() == rollouts.known_orders.digest()
-    newcomer.apply_order(order("v3", at(8, 2)))
-    assert newcomer.known_orders.unconfirmed() == []
+    new_entry.apply_unconfirmed(rollouts.known_orders.unconfirmed())
+    assert new_entry.orders["s"].version == "v3"
+    assert new_entry.known_orders.digest() == rollouts.known_orders.digest()
+    new_entry.apply_order(order("v3", at(8, 2)))
+    assert new_entry.known_orders.unconfirmed() == []
 
 
-def test_a_newcomers_first_record_takes_no_order_back(rollouts):
+def test_the_first_record_of_a_new_entry_does_not_reset_an_order(rollouts):
     rollouts.apply_order(order("v2", at(9)))
     rollouts.apply_record(record("v2", at(9), PHASE.FULL))
     rollouts.known_orders.note_whole(at(8, 2))
-    newcomers = record("v2", at(8, 2), PHASE.TRYING)
-    rollouts.apply_record(newcomers)
+    new_entrys_record = record("v2", at(8, 2), PHASE.TRYING)
+    rollouts.apply_record(new_entrys_record)
     assert phase(rollouts) is PHASE.FULL
     rollouts.apply_order(order("v2", at(8, 2)))
     assert phase(rollouts) is PHASE.FULL
     assert rollouts.records["s"].order == at(8, 2).number
-    rollouts.apply_record(attrs.evolve(newcomers, phase=PHASE.ROLLED_BACK))
+    rollouts.apply_record(
+        attrs.evolve(new_entrys_record, phase=PHASE.ROLLED_BACK)
+    )
     assert phase(rollouts) is PHASE.ROLLED_BACK
 
 
-def test_what_was_counted_goes_on_counting(rollouts):
+def test_counts_are_kept_when_an_order_takes_the_id_of_its_record(rollouts):
     rollouts.apply_order(order("v2", at(8, 2)))
     (worker,) = make_workers(1, version="v2")
     for _ in range(3):
