--- a/tests/relay/test_rollout_driver.py
+++ b/tests/relay/test_rollout_driver.py
@@ -1,4 +1,8 @@
-"""Who takes a roll-out further when the entry that drives can't."""
+"""Failover of the roll-out driver if the driving entry can't proceed.
+
+Guards against roll-outs that miss their deadline because the driver lost the
+store, was rejected by it, or doesn't know the revisions of the rows.
+"""
 
 import pytest
 
@@ -28,7 +32,7 @@
 
 
 class Store:
-    """A store that answers writes as it is told to."""
+    """A store that answers writes with prepared outcomes."""
 
     def __init__(self):
         self.outcomes = [WrittenAt(at(9), 0.0)]
@@ -48,7 +52,7 @@
 
 
 def make_driver(clock, rank, phase, age):
-    """An entry's driver; `rank` 0 is the first of those that may drive."""
+    """Returns an entry's driver; rank 0 is the first entry that may drive."""
     rollouts = Rollouts(ExposureBound(0.15), 5.0, clock)
     rollouts.apply_order(ORDER)
     begun_ms = 1000 * (clock.now - age * DEADLINE_S)
@@ -78,7 +82,7 @@
         (1, RolloutPhase.FULL, FORCE_COMPLETION_AGE + 0.001, 0),
         (1, RolloutPhase.FULL, OVERDUE_AT + 0.001, 1),
         (2, RolloutPhase.FULL, OVERDUE_AT + 0.001, 0),
-        # Steps that rest on evidence are the first one's alone.
+        # Only the first entry takes steps that depend on evidence.
         (1, RolloutPhase.WIDENING, OVERDUE_AT + 0.001, 0),
         (1, RolloutPhase.TRYING, OVERDUE_AT + 0.001, 0),
     ],
