--- a/tests/relay/test_rollout_restart.py
+++ b/tests/relay/test_rollout_restart.py
@@ -1,4 +1,8 @@
-"""Entries that start when a roll-out was decided before."""
+"""Entries that start during or after a roll-out.
+
+Guards against entries that serve requests before they have read how far the
+roll-out went, and against a deadline that counts from its first record.
+"""
 
 import time
 
@@ -13,7 +17,7 @@
 
 
 async def add_versions_and_record(site, phase):
-    """Two versions, an order for the second, and how far it went."""
+    """Adds two versions, an order for the second and a record of its phase."""
     await site.add_worker("old", version="v1")
     await site.add_worker("new", version="v2")
     site.store.put(
