--- a/tests/relay/test_rollout_slow.py
+++ b/tests/relay/test_rollout_slow.py
@@ -1,4 +1,7 @@
-"""A version of a model engine that answers, but slowly."""
+"""Guards against a slow version that answers without failures.
+
+The new version of a model engine takes 20 times as long as the old one.
+"""
 
 from tests.lib.platform_site import platform_site, until
 
