--- a/tests/relay/test_exposure.py
+++ b/tests/relay/test_exposure.py
@@ -1,4 +1,9 @@
-"""A version that nothing shows to be bad still stays within its bound."""
+"""Limits on the requests that a new version gets before the deadline.
+
+Guards against a version that exceeds its bound without visible faults, and
+against a bad version that takes over because few of its answers failed by
+chance.
+"""
 
 import random
 
@@ -24,11 +29,16 @@
 
 
 def simulate_order(bound, requests, rate_increase=1.0):
-    """Plays an order step by step; returns (exposed, final age, phases).
+    """Simulates an order step by step.
 
     Args:
-      requests: Between the order and its deadline, at an even rate.
-      rate_increase: What the rate is multiplied by in the last fifth of the time.
+      bound: Limit on the requests of the new version.
+      requests: Requests between the order and its deadline, at an even rate.
+      rate_increase: Factor on the rate in the last fifth of the time.
+
+    Returns:
+      Answers of the new version, answers of all versions, the age at completion
+      or None, and the phases in order.
     """
     rng = random.Random(3)
     shares = {
@@ -93,17 +103,19 @@
     assert not may_widen(bound, Exposure(900, 60), 0.93)
 
 
-# What was seen: on a small deployment a version that failed a third of its
-# requests got 19 of 792 while it was tried. By chance few of these failed; it
+# On a small deployment, a version that failed a third of its requests got 19 of
+# 792 requests in the trying phase. By chance few of these failed, so that it
 # took over, and failed 800 requests.
 
 NEW_FAILURE_RATE, OLD_FAILURE_RATE = 0.33, 0.05
-REPORT_DELAY = 0.03  # Of an order's time: evidence reaches the driver so late.
-HELD_FRACTION = 0.5  # Of the sessions that are tried: under way when it began.
+# Delay of evidence on its way to the driver, as a fraction of the deadline.
+REPORT_DELAY = 0.03
+# Fraction of the sessions on trial that are held, as they were active before.
+HELD_FRACTION = 0.5
 
 
 def simulate_bad_version(seed, requests=850):
-    """Plays an order of a bad version; returns its last phase."""
+    """Simulates the order of a bad version; returns its last phase."""
     rng = random.Random(seed)
     bound = ExposureBound(0.15, 30)
     rollouts = Rollouts(bound, 5.0, ManualClock())
