--- a/tests/relay/test_restored_rollouts.py
+++ b/tests/relay/test_restored_rollouts.py
@@ -1,4 +1,8 @@
-"""Roll-out orders as a store shows them that came back from an older copy."""
+"""Roll-out orders in a store that was restored from a backup.
+
+Guards against orders that restart, are reversed or get lost because the
+restored store shows them at other revisions, again, or not at all.
+"""
 
 import attrs
 import pytest
@@ -46,7 +50,7 @@
 
 
 def versions_of_requests(rollouts):
-    """Versions that a hundred requests go to first."""
+    """Returns the preferred versions of a hundred requests."""
     workers = make_workers(2, version="v1") + make_workers(2, version="v2")
     return {
         worker.version
@@ -114,7 +118,7 @@
     new_entry.apply_record(record("v2", at(9), PHASE.FULL))
     assert phase(new_entry) is PHASE.FULL
     assert new_entry.orders["s"].id in new_entry.stopped
-    # The other way round: the record was known first.
+    # The same if the record is known before the order.
     other = make_rollouts(clock)
     other.apply_record(record("v2", at(9), PHASE.ROLLED_BACK))
     other.apply_order(order("v2", at(8, 2)))
