--- a/tests/relay/test_rollout_driver.py
+++ b/tests/relay/test_rollout_driver.py
@@ -69,7 +69,7 @@
         rollouts,
         status_row,
         lambda _order: 3,
-        lambda stand_ins: rank <= stand_ins,
+        lambda backups: rank <= backups,
         health,
     )
 
