--- a/src/rattanpier/_internal/programs/relay_dispatch.py
+++ b/src/rattanpier/_internal/programs/relay_dispatch.py
@@ -172,7 +172,7 @@
     state.domains.on_undrained = lambda domain: warm_ups.presume_cold(
         directory.of_domain(domain)
     )
-    state.rollouts.warms_up = warm_ups.is_warming_up
+    state.rollouts.is_warming_up = warm_ups.is_warming_up
     return warm_ups
 
 
--- a/src/rattanpier/_internal/relay/rollouts.py
+++ b/src/rattanpier/_internal/relay/rollouts.py
@@ -91,7 +91,7 @@
       in_service: Version that served before an order named another, by
         service.
       records_known: Whether the progress of earlier orders is known.
-      warms_up: Returns whether a worker still warms up and takes less load
+      is_warming_up: Returns whether a worker still warms up and takes less load
         than usual.
     """
 
@@ -112,7 +112,7 @@
     stopped: set[int] = attrs.Factory(set)
     in_service: dict[str, str] = attrs.Factory(dict)
     records_known: bool = False
-    warms_up: Callable[[RegisteredWorker], bool] = attrs.field(
+    is_warming_up: Callable[[RegisteredWorker], bool] = attrs.field(
         default=lambda _worker: False
     )
 
@@ -286,7 +286,7 @@
             return True
         now = self.clock.monotonic()
         held = now - self.known_at.get(order.id, now) < ORDER_SYNC_S
-        if held or all(map(self.warms_up, new)):
+        if held or all(map(self.is_warming_up, new)):
             self.sessions.hold(order.id, point, now)
             return False
         return not self.sessions.is_held(order.id, point)
--- a/tests/placement/test_eligibility.py
+++ b/tests/placement/test_eligibility.py
@@ -109,7 +109,7 @@
     clock = ManualClock()
     rollouts = Rollouts(ExposureBound(0.15, 30.0), Bounds().session_s, clock)
     cold = True
-    rollouts.warms_up = lambda worker: cold and worker.version == "v2"
+    rollouts.is_warming_up = lambda worker: cold and worker.version == "v2"
     rollouts.apply_order(ORDER)
     await clock.advance(ORDER_SYNC_S + 0.1)
     workers = [make_worker("old"), make_worker("new", version="v2")]
