--- a/src/rattanpier/_internal/programs/relay_store.py
+++ b/src/rattanpier/_internal/programs/relay_store.py
@@ -111,7 +111,7 @@
         kernel.find("clock"),
         lambda: health.available,
         lambda era: entry.gossip.broadcast(StateUpdate(restored=era)),
-        (rows.lost, held.find_lost_rows, driver.lost),
+        (rows.lost, held.find_lost_rows, driver.find_lost_rows),
     )
     kernel.spawn(driver.run())
     kernel.spawn(restorer.run())
@@ -126,7 +126,7 @@
         kernel.find("store_clock"),
         routes,
         rollouts.status_row,
-        lambda order: routes.seen.all_running_old(
+        lambda order: routes.answer_counts.total_running_old(
             order, [news.member.incarnation for news in fleet.live()]
         ),
         fleet.drives,
--- a/src/rattanpier/_internal/relay/gossip.py
+++ b/src/rattanpier/_internal/relay/gossip.py
@@ -231,7 +231,7 @@
             members=[self.fleet.me],
             records=list(rollouts.records.values()),
             stopped=stopped,
-            held=rollouts.sessions.take_news(),
+            held=rollouts.sessions.drain_updates(),
         )
         previous, self.published = (
             self.published,
@@ -408,7 +408,7 @@
           UnreadableError: The evidence can't be decoded.
         """
         evidence = decode(Evidence, call.report.text)
-        self.shared_state.rollouts.seen.take(evidence)
+        self.shared_state.rollouts.answer_counts.apply_evidence(evidence)
         return peer_pb2.Reply(report=peer_pb2.EvidenceReport())
 
     # Pages that watchers read from the store.
--- a/src/rattanpier/_internal/relay/rollouts.py
+++ b/src/rattanpier/_internal/relay/rollouts.py
@@ -1,7 +1,8 @@
-"""Which version of a service a request goes to while it is rolled out.
+"""Chooses the version of a service for each request during a roll-out.
 
-What narrows acts at once in each entry: evidence that the new version is worse
-stops it here, whatever the store does. What widens is a record in the store.
+Evidence that the new version is worse stops it in each entry at once, even
+while the store is unavailable. The share of the new version grows only by a
+record in the store.
 """
 
 from __future__ import annotations
@@ -20,8 +21,8 @@
 )
 from rattanpier._internal.models.worker import RegisteredWorker
 from rattanpier._internal.relay.evidence import (
+    AnswerCounts,
     Evidence,
-    SeenAnswers,
     TallyKey,
 )
 from rattanpier._internal.relay.exposure import (
@@ -31,7 +32,7 @@
 from rattanpier._internal.relay.held_sessions import (
     HASH_RANGE,
     HeldSessions,
-    point_of,
+    session_point,
 )
 from rattanpier._internal.relay.known_orders import (
     KnownOrders,
@@ -40,53 +41,58 @@
     is_of,
 )
 from rattanpier._internal.relay.verdict import (
-    NOTHING,
+    EMPTY_TALLY,
+    Regression,
     Tally,
-    Worse,
-    find_worse,
+    find_regression,
 )
 from rattanpier._internal.utils.clock import Clock
 
 log = structlog.get_logger(part="rollout")
 
-# After an order is known nothing goes to the new version for so long: entries
-# tell each other which sessions are under way, within two rounds of news.
-HOLD_S = 1.2
-# While a version is tried, old workers that fail are no reason for more of it.
-TRIALS = (RolloutPhase.TRYING, RolloutPhase.EXTENDING)
+# No session is moved to the new version for this long after an order is known:
+# entries exchange their active sessions within two rounds of updates.
+ORDER_SYNC_S = 1.2
+# In these phases, requests for the old version don't fall back to the new one:
+# failing old workers must not increase the exposure of an unproven version.
+TRIAL_PHASES = (RolloutPhase.TRYING, RolloutPhase.EXTENDING)
 
 
 @attrs.frozen
-class Split:
-    """Workers for one request.
+class VersionSplit:
+    """Workers for one request, by version.
 
     Attributes:
-      first: Of the version that the request should go to.
-      otherwise: Of the other one, used if none of the first can be.
+      preferred: Workers of the version that the request should go to.
+      fallback: Workers of the other version, used if no preferred worker can
+        be.
     """
 
-    first: Sequence[RegisteredWorker]
-    otherwise: Sequence[RegisteredWorker] = ()
+    preferred: Sequence[RegisteredWorker]
+    fallback: Sequence[RegisteredWorker] = ()
 
 
 @attrs.define(eq=False, repr=False)
 class Rollouts:
-    """Orders, how far they went, and the evidence.
+    """Roll-out orders of all services, their progress and the evidence.
 
     Attributes:
-      bound: What a bad version may get.
-      session_s: Requests of a session follow each other within this time.
-      clock: Monotonic.
-      policy: Mechanisms that are on.
-      sessions: Those under way, and those that stay with the old version.
-      known_at: When each order became known here, in monotonic seconds.
-      known_orders: The newest order of each service, and those before.
-      records: How far each went, by service.
-      seen: Answers that this entry and others saw.
-      stopped: Orders whose version this entry found, or was told, to be worse.
-      in_service: Versions that served before an order named another.
-      known: It is known how far earlier orders went.
-      warms_up: Says whether a worker bears less than usual yet.
+      bound: Limit on the requests that a bad version may get.
+      session_s: Seconds after its last request for which a session is active.
+      clock: Monotonic clock.
+      policy: Mechanisms that are enabled.
+      sessions: Active sessions, and those held at the old version.
+      known_at: When each order became known here, in monotonic seconds, by
+        order id.
+      known_orders: The newest order of each service, and earlier ones.
+      records: Record of the newest known progress, by service.
+      answer_counts: Answers that this entry and its peers counted.
+      stopped: Ids of orders whose version this entry or a peer found worse.
+      in_service: Version that served before an order named another, by
+        service.
+      records_known: Whether the progress of earlier orders is known.
+      is_warming_up: Returns whether a worker still warms up and takes less load
+        than usual.
     """
 
     bound: ExposureBound
@@ -102,11 +108,11 @@
     known_at: dict[int, float] = attrs.Factory(dict)
     known_orders: KnownOrders = attrs.Factory(KnownOrders)
     records: dict[str, RolloutRecord] = attrs.Factory(dict)
-    seen: SeenAnswers = attrs.Factory(SeenAnswers)
+    answer_counts: AnswerCounts = attrs.Factory(AnswerCounts)
     stopped: set[int] = attrs.Factory(set)
     in_service: dict[str, str] = attrs.Factory(dict)
-    known: bool = False
-    warms_up: Callable[[RegisteredWorker], bool] = attrs.field(
+    records_known: bool = False
+    is_warming_up: Callable[[RegisteredWorker], bool] = attrs.field(
         default=lambda _worker: False
     )
 
@@ -115,32 +121,32 @@
         """The newest order of each service."""
         return self.known_orders.newest
 
-    def take_order(self, order: RolloutOrder) -> None:
-        """Takes an order in; an older one is done with."""
-        begins = self.known_orders.take(order)
-        if begins:
-            self.begin(order)
+    def apply_order(self, order: RolloutOrder) -> None:
+        """Applies an order; an older order of the service is superseded."""
+        starts = self.known_orders.take(order)
+        if starts:
+            self.start_order(order)
         record = self.records.get(order.service)
         if record is None:
             return
-        if begins:
-            self.name_as(record)
+        if starts:
+            self.adopt_record_id(record)
         newest = self.orders[order.service]
         if record.order == newest.id and record.seen < newest.revision.number:
             self.records[order.service] = attrs.evolve(
                 record, seen=newest.revision.number
             )
 
-    def take_unconfirmed(self, orders: Iterable[RolloutOrder]) -> None:
-        """Takes in orders that another entry knows and the store lost."""
+    def apply_unconfirmed(self, orders: Iterable[RolloutOrder]) -> None:
+        """Applies orders that a peer knows and the store lost."""
         for order in self.known_orders.take_unconfirmed(orders):
-            self.begin(order)
+            self.start_order(order)
 
-    def begin(self, order: RolloutOrder) -> None:
-        """Begins with an order."""
+    def start_order(self, order: RolloutOrder) -> None:
+        """Starts a roll-out and holds the sessions that it would move."""
         self.known_at[order.id] = self.clock.monotonic()
         share = self.share(RolloutPhase.TRYING)
-        self.sessions.hold_recent(order.id, order.service, share)
+        self.sessions.hold_active(order.id, order.service, share)
         log.info(
             "Roll-out ordered.",
             service=order.service,
@@ -149,35 +155,36 @@
             deadline_s=order.deadline_s,
         )
 
-    def take_record(self, record: RolloutRecord) -> None:
-        """Takes in how far an order went; it never goes back."""
+    def apply_record(self, record: RolloutRecord) -> None:
+        """Applies a record of an order's progress, which never goes back."""
         before = self.records.get(record.service)
         if before is not None:
             if before.order != record.order and are_of_one_order(
                 before, record
             ):
                 record = further(before, record)
-            elif not is_later(record, before):
+            elif not is_newer(record, before):
                 return
             if record == before:
                 return
         self.records[record.service] = record
-        self.name_as(record)
+        self.adopt_record_id(record)
         if record.phase is RolloutPhase.COMPLETED:
             self.in_service[record.service] = record.version
         log.info(
-            "Roll-out went on.",
+            "Roll-out advanced.",
             service=record.service,
             version=record.version,
             order=record.order,
             phase=record.phase.value,
         )
 
-    def name_as(self, record: RolloutRecord) -> None:
-        """Lets an order bear the number under which its record stands.
+    def adopt_record_id(self, record: RolloutRecord) -> None:
+        """Gives an order the id under which its record is stored.
 
-        An entry that started after the store came back read its row under
-        another version than the others.
+        An entry that started after the store was restored from a backup read
+        the order's row at another revision than its peers, and so derived
+        another id from it.
         """
         order = self.orders.get(record.service)
         if order is None or order.id == record.order:
@@ -189,11 +196,11 @@
         self.known_at[id] = self.known_at.get(before, self.clock.monotonic())
         if before in self.stopped:
             self.stopped.add(id)
-        self.seen.rename(before, id)
+        self.answer_counts.move_counts(before, id)
         share = self.share(record.phase)
-        self.sessions.hold_recent(id, order.service, share)
+        self.sessions.hold_active(id, order.service, share)
         log.info(
-            "Order goes by its record.",
+            "Order took the id of its record.",
             service=order.service,
             version=order.version,
             order=id,
@@ -206,14 +213,19 @@
         return now - self.known_at.get(order.id, now)
 
     def phase(self, order: RolloutOrder) -> RolloutPhase:
-        """Returns how far an order went."""
+        """Returns the phase that an order has reached."""
         record = self.records.get(order.service)
         if record is None or record.order != order.id:
             return RolloutPhase.TRYING
         return record.phase
 
     def stop(self, order: int, reason: str) -> None:
-        """Sends an order's version nothing new from here."""
+        """Stops new requests of this entry to an order's version.
+
+        Args:
+          order: The order's id.
+          reason: Why, for the log.
+        """
         if order not in self.stopped:
             self.stopped.add(order)
             log.warning("Version stopped.", order=order, reason=reason)
@@ -223,43 +235,49 @@
         request: RelayRequest,
         service: str,
         workers: Sequence[RegisteredWorker],
-    ) -> Split:
-        """Returns the workers of the version that a request goes to."""
+    ) -> VersionSplit:
+        """Returns the workers for a request, by version.
+
+        Args:
+          request: The request.
+          service: Name of its service.
+          workers: Workers of the service, of all versions.
+        """
         order = self.orders.get(service)
         if order is None:
-            return self.split_unordered(service, workers)
+            return self.split_without_order(service, workers)
         new = [each for each in workers if each.version == order.version]
         old = [each for each in workers if each.version != order.version]
         phase = self.phase(order)
         if phase is RolloutPhase.ROLLED_BACK:
-            return Split(old)
+            return VersionSplit(old)
         if phase is RolloutPhase.COMPLETED:
-            return Split(new, old)
+            return VersionSplit(new, old)
         if order.id in self.stopped:
-            return Split(old)
-        if self.goes_to_new(request, order, phase, new):
-            return Split(new, old)
-        if phase in TRIALS and old:
-            return Split(old)
-        return Split(old, new)
-
-    def goes_to_new(
+            return VersionSplit(old)
+        if self.routes_to_new_version(request, order, phase, new):
+            return VersionSplit(new, old)
+        if phase in TRIAL_PHASES and old:
+            return VersionSplit(old)
+        return VersionSplit(old, new)
+
+    def routes_to_new_version(
         self,
         request: RelayRequest,
         order: RolloutOrder,
         phase: RolloutPhase,
         new: Sequence[RegisteredWorker],
     ) -> bool:
-        """Says whether a request is among those for the new version.
-
-        It follows from its session alone, so that all entries answer alike
-        and a growing share moves a session only once. A session that was
-        under way when the order came stays where it is while the order is
-        tried, until it has ended. While all new workers warm up few of its
-        requests could go there, and it would go back and forth: none begins
-        there before.
+        """Returns whether a request belongs to the share of the new version.
+
+        The share is decided by a hash of the session alone, so that all entries
+        decide alike and a growing share moves a session only once. During the
+        trying phase, a session that was active when the order came stays at the
+        old version until it has ended. No session starts at the new version
+        while all its workers warm up: they could take only a few of its
+        requests, and it would switch back and forth.
         """
-        point = point_of(order.id, request.session or request.id)
+        point = session_point(order.id, request.session or request.id)
         if point >= self.share(phase) * HASH_RANGE:
             return False
         if phase is not RolloutPhase.TRYING or not request.session:
@@ -267,14 +285,14 @@
         if not self.policy.hold_sessions:
             return True
         now = self.clock.monotonic()
-        held = now - self.known_at.get(order.id, now) < HOLD_S
-        if held or all(map(self.warms_up, new)):
+        held = now - self.known_at.get(order.id, now) < ORDER_SYNC_S
+        if held or all(map(self.is_warming_up, new)):
             self.sessions.hold(order.id, point, now)
             return False
-        return not self.sessions.stays(order.id, point)
+        return not self.sessions.is_held(order.id, point)
 
     def share(self, phase: RolloutPhase) -> float:
-        """Returns the share of sessions for the new version."""
+        """Returns the share of sessions for the new version, 0 to 1."""
         match phase:
             case RolloutPhase.TRYING:
                 return self.bound.trying_share
@@ -287,95 +305,114 @@
             case _:
                 return 1.0
 
-    def split_unordered(
+    def split_without_order(
         self, service: str, workers: Sequence[RegisteredWorker]
-    ) -> Split:
-        """Keeps a version that nobody ordered out while there is another.
+    ) -> VersionSplit:
+        """Returns the workers for a request to a service without an order.
 
-        Workers of a new version may register before their order is known.
+        A version that was not ordered gets no requests while the version in
+        service has workers: workers of a new version may register before their
+        order is known.
         """
-        known = self.in_service.get(service)
-        if known is None and workers:
-            known = most_common(workers)
-            self.in_service[service] = known
-        old = [each for each in workers if each.version == known]
+        stable = self.in_service.get(service)
+        if stable is None and workers:
+            stable = most_common(workers)
+            self.in_service[service] = stable
+        old = [each for each in workers if each.version == stable]
         if old:
-            return Split(old)
-        return Split(workers)
+            return VersionSplit(old)
+        return VersionSplit(workers)
 
-    def is_new(self, service: str, worker: RegisteredWorker) -> bool | None:
-        """Says whether a worker has the ordered version; None: no order."""
+    def is_candidate(
+        self, service: str, worker: RegisteredWorker
+    ) -> bool | None:
+        """Returns whether a worker has the ordered version.
+
+        None if the service has no order, or only a finished one.
+        """
         order = self.orders.get(service)
         if order is None or self.phase(order).final:
             return None
         return worker.version == order.version
 
-    def note(
+    def record_answer(
         self,
         worker: RegisteredWorker,
         route: str,
         bad: bool,
         relative_s: float | None,
     ) -> None:
-        """Counts an answer.
+        """Counts an answer as evidence for or against the new version.
 
         Args:
-          worker: Whose answer it is.
+          worker: The worker that answered.
           route: Name of the route.
-          bad: A failure, or not a whole answer.
-          relative_s: Time to the first byte against the work, or None.
+          bad: Whether the answer is a failure or incomplete.
+          relative_s: Time to the first byte in relation to the work of the
+            request, or None if unknown.
         """
-        candidate = self.is_new(worker.service, worker)
+        candidate = self.is_candidate(worker.service, worker)
         if candidate is None:
             return
         order = self.orders[worker.service]
         key = TallyKey(order.id, route, candidate)
         timed = 0 if relative_s is None else 1
         added = Tally(1, int(bad), timed, relative_s or 0.0)
-        self.seen.add(key, added)
+        self.answer_counts.add(key, added)
         if candidate and bad:
-            self.judge(order)
+            self.evaluate(order)
 
-    def judge(self, order: RolloutOrder) -> Worse | None:
-        """Stops an order's version if the evidence is against it."""
+    def evaluate(self, order: RolloutOrder) -> Regression | None:
+        """Stops an order's version if the evidence shows that it is worse."""
         stable: dict[str, Tally] = {}
         candidate: dict[str, Tally] = {}
-        for key, tally in self.seen.tallies(order.id):
+        for key, tally in self.answer_counts.tallies(order.id):
             side = candidate if key.candidate else stable
-            side[key.route] = side.get(key.route, NOTHING) + tally
-        worse = find_worse(stable, candidate)
-        if worse is not None and order.id not in self.stopped:
+            side[key.route] = side.get(key.route, EMPTY_TALLY) + tally
+        regression = find_regression(stable, candidate)
+        if regression is not None and order.id not in self.stopped:
             log.warning(
                 "New version is worse.",
                 service=order.service,
                 version=order.version,
-                route=worse.route,
-                reason=worse.reason,
-                old_bad=worse.stable.bad,
-                old_total=worse.stable.total,
-                new_bad=worse.candidate.bad,
-                new_total=worse.candidate.total,
+                route=regression.route,
+                reason=regression.reason,
+                old_bad=regression.stable.bad,
+                old_total=regression.stable.total,
+                new_bad=regression.candidate.bad,
+                new_total=regression.candidate.total,
             )
-            self.stop(order.id, worse.reason)
-        return worse
+            self.stop(order.id, regression.reason)
+        return regression
 
     def evidence(self, origin: str) -> Evidence | None:
-        """Returns what this entry saw; None while nothing is rolled out."""
+        """Returns the evidence of this entry, or None without a roll-out.
+
+        Args:
+          origin: Incarnation of this entry.
+        """
         orders = {
             order.id
             for order in self.orders.values()
             if not self.phase(order).final
         }
-        return self.seen.evidence(origin, orders) if orders else None
+        return self.answer_counts.evidence(origin, orders) if orders else None
+
+    def record_running(self, worker: RegisteredWorker, change: int) -> None:
+        """Counts the requests in progress at a worker of the old version.
 
-    def note_running(self, worker: RegisteredWorker, change: int) -> None:
-        """Counts requests that run at an old version."""
-        if self.is_new(worker.service, worker) is False:
-            self.seen.note_running(self.orders[worker.service].id, change)
+        Args:
+          worker: The worker; ignored unless it has the old version.
+          change: 1 for a request that starts, -1 for one that ends.
+        """
+        if self.is_candidate(worker.service, worker) is False:
+            self.answer_counts.record_running(
+                self.orders[worker.service].id, change
+            )
 
 
-def is_later(record: RolloutRecord, before: RolloutRecord) -> bool:
-    """Says whether a record is newer than another of the same service."""
+def is_newer(record: RolloutRecord, before: RolloutRecord) -> bool:
+    """Returns whether a record is newer than another of the same service."""
     if record.order != before.order:
         return record.order > before.order
     if before.phase.final:
@@ -385,7 +422,7 @@
 
 
 def most_common(workers: Sequence[RegisteredWorker]) -> str:
-    """Returns the version that most workers have."""
+    """Returns the version of most workers; of a tie, the first by name."""
     counts: dict[str, int] = {}
     for worker in workers:
         counts[worker.version] = counts.get(worker.version, 0) + 1
--- a/tests/relay/test_exposure.py
+++ b/tests/relay/test_exposure.py
@@ -1,4 +1,9 @@
-"""A version that nothing shows to be bad still stays within its bound."""
+"""Limits on the requests that a new version gets before the deadline.
+
+Guards against a version that exceeds its bound without visible faults, and
+against a bad version that takes over because few of its answers failed by
+chance.
+"""
 
 import random
 
@@ -6,26 +11,34 @@
 
 from rattanpier._internal.models.rollout_order import RolloutPhase
 from rattanpier._internal.relay.exposure import (
-    FEW_ANSWERS,
+    MIN_TRIAL_ANSWERS,
     WIDENING_SHARE,
     Exposure,
     ExposureBound,
     may_widen,
 )
-from rattanpier._internal.relay.rollout_driver import Progress, next_phase
+from rattanpier._internal.relay.rollout_driver import (
+    RolloutProgress,
+    next_phase,
+)
 from rattanpier._internal.relay.rollouts import Rollouts
-from rattanpier._internal.relay.verdict import Tally, find_worse
+from rattanpier._internal.relay.verdict import Tally, find_regression
 from tests.lib.clock import ManualClock
 
 STEPS = 400
 
 
-def play(bound, requests, rise=1.0):
-    """Plays an order step by step; returns (exposed, final age, phases).
+def simulate_order(bound, requests, rate_increase=1.0):
+    """Simulates an order step by step.
 
     Args:
-      requests: Between the order and its deadline, at an even rate.
-      rise: What the rate is multiplied by in the last fifth of the time.
+      bound: Limit on the requests of the new version.
+      requests: Requests between the order and its deadline, at an even rate.
+      rate_increase: Factor on the rate in the last fifth of the time.
+
+    Returns:
+      Answers of the new version, answers of all versions, the age at completion
+      or None, and the phases in order.
     """
     rng = random.Random(3)
     shares = {
@@ -37,11 +50,11 @@
     phases, completed = [phase], None
     for step in range(1, STEPS + 1):
         age = step / STEPS
-        rate = requests / STEPS * (rise if age > 0.8 else 1.0)
+        rate = requests / STEPS * (rate_increase if age > 0.8 else 1.0)
         for _ in range(int(rate + rng.random())):
             served += 1
             exposed += rng.random() < shares.get(phase, 1.0)
-        progress = Progress(
+        progress = RolloutProgress(
             phase, age, age - since, Exposure(served, exposed), False, 3
         )
         after = next_phase(progress, bound)
@@ -53,7 +66,7 @@
     return exposed, served, completed, phases
 
 
-@pytest.mark.parametrize("rise", [1.0, 1.3])
+@pytest.mark.parametrize("rate_increase", [1.0, 1.3])
 @pytest.mark.parametrize(
     ("ratio", "slack", "requests"),
     [
@@ -64,15 +77,17 @@
         (0.05, 100, 20000),
     ],
 )
-def test_a_version_that_shows_nothing_bad_stays_within_its_bound(
-    ratio, slack, requests, rise
+def test_a_version_without_visible_faults_stays_within_its_bound(
+    ratio, slack, requests, rate_increase
 ):
     bound = ExposureBound(ratio, slack)
-    exposed, served, completed, phases = play(bound, requests, rise)
+    exposed, served, completed, phases = simulate_order(
+        bound, requests, rate_increase
+    )
     assert exposed <= ratio * served + slack
     assert completed is not None and completed < 0.985
     tried = [RolloutPhase.TRYING]
-    if bound.trying_share * requests / 2 < FEW_ANSWERS:
+    if bound.trying_share * requests / 2 < MIN_TRIAL_ANSWERS:
         tried.append(RolloutPhase.EXTENDING)
     assert phases == [
         *tried,
@@ -82,23 +97,25 @@
     ]
 
 
-def test_the_more_it_got_the_later_it_takes_over():
+def test_a_larger_exposure_delays_the_take_over():
     bound = ExposureBound(0.1, 10.0)
     assert may_widen(bound, Exposure(900, 20), 0.93)
     assert not may_widen(bound, Exposure(900, 60), 0.93)
 
 
-# What was seen: on a small deployment a version that failed a third of its
-# requests got 19 of 792 while it was tried. By chance few of these failed; it
+# On a small deployment, a version that failed a third of its requests got 19 of
+# 792 requests in the trying phase. By chance few of these failed, so that it
 # took over, and failed 800 requests.
 
-BAD_SHARE, USUAL_BAD_SHARE = 0.33, 0.05
-LATE = 0.03  # Of an order's time: evidence reaches the driver so late.
-HELD_SHARE = 0.5  # Of the sessions that are tried: under way when it began.
+NEW_FAILURE_RATE, OLD_FAILURE_RATE = 0.33, 0.05
+# Delay of evidence on its way to the driver, as a fraction of the deadline.
+REPORT_DELAY = 0.03
+# Fraction of the sessions on trial that are held, as they were active before.
+HELD_FRACTION = 0.5
 
 
-def play_bad(seed, requests=850):
-    """Plays an order of a bad version; returns its last phase."""
+def simulate_bad_version(seed, requests=850):
+    """Simulates the order of a bad version; returns its last phase."""
     rng = random.Random(seed)
     bound = ExposureBound(0.15, 30)
     rollouts = Rollouts(bound, 5.0, ManualClock())
@@ -109,11 +126,11 @@
         for _ in range(int(requests / STEPS + rng.random())):
             share = rollouts.share(phase)
             if phase is RolloutPhase.TRYING:
-                share *= HELD_SHARE
+                share *= HELD_FRACTION
             new = rng.random() < share
-            bad = rng.random() < (BAD_SHARE if new else USUAL_BAD_SHARE)
+            bad = rng.random() < (NEW_FAILURE_RATE if new else OLD_FAILURE_RATE)
             answers.append((age, new, bad))
-        known = [each for each in answers if each[0] <= age - LATE]
+        known = [each for each in answers if each[0] <= age - REPORT_DELAY]
         old, new = (
             Tally(len(found), sum(bad for _, _, bad in found))
             for found in (
@@ -121,9 +138,9 @@
                 [each for each in known if each[1]],
             )
         )
-        worse = find_worse({"r": old}, {"r": new}) is not None
+        worse = find_regression({"r": old}, {"r": new}) is not None
         exposure = Exposure(len(known), new.total)
-        progress = Progress(phase, age, age - since, exposure, worse, 3)
+        progress = RolloutProgress(phase, age, age - since, exposure, worse, 3)
         after = next_phase(progress, bound)
         if after is not phase:
             phase, since = after, age
@@ -132,11 +149,11 @@
     return phase
 
 
-def test_a_version_that_fails_a_third_is_found_out():
-    ends = [play_bad(seed) for seed in range(300)]
-    assert ends.count(RolloutPhase.ROLLED_BACK) == len(ends)
+def test_a_version_that_fails_a_third_of_its_requests_is_rolled_back():
+    final_phases = [simulate_bad_version(seed) for seed in range(300)]
+    assert final_phases.count(RolloutPhase.ROLLED_BACK) == len(final_phases)
 
 
-def test_few_requests_fit_into_the_slack():
+def test_a_version_with_little_traffic_widens_within_the_slack():
     bound = ExposureBound(0.1, 30.0)
     assert may_widen(bound, Exposure(20, 5), 0.5)
--- a/tests/relay/test_rollout_driver.py
+++ b/tests/relay/test_rollout_driver.py
@@ -1,4 +1,8 @@
-"""Who takes a roll-out further when the entry that drives can't."""
+"""Failover of the roll-out driver if the driving entry can't proceed.
+
+Guards against roll-outs that miss their deadline because the driver lost the
+store, was rejected by it, or doesn't know the revisions of the rows.
+"""
 
 import pytest
 
@@ -13,8 +17,8 @@
 from rattanpier._internal.relay.exposure import ExposureBound
 from rattanpier._internal.relay.own_table import OwnTable
 from rattanpier._internal.relay.rollout_driver import (
-    GIVE_UP_AT,
-    STAND_IN_AFTER_S,
+    BACKUP_DELAY_S,
+    FORCE_COMPLETION_AGE,
     RolloutDriver,
 )
 from rattanpier._internal.relay.rollouts import Rollouts
@@ -23,12 +27,12 @@
 from tests.lib.relay_parts import at
 
 DEADLINE_S = 20.0
-OVERDUE_AT = GIVE_UP_AT + STAND_IN_AFTER_S / DEADLINE_S
+OVERDUE_AT = FORCE_COMPLETION_AGE + BACKUP_DELAY_S / DEADLINE_S
 ORDER = RolloutOrder(7, "s", "v2", DEADLINE_S)
 
 
 class Store:
-    """A store that answers writes as it is told to."""
+    """A store that answers writes with prepared outcomes."""
 
     def __init__(self):
         self.outcomes = [WrittenAt(at(9), 0.0)]
@@ -48,11 +52,13 @@
 
 
 def make_driver(clock, rank, phase, age):
-    """An entry's driver; `rank` 0 is the first of those that may drive."""
+    """Returns an entry's driver; rank 0 is the first entry that may drive."""
     rollouts = Rollouts(ExposureBound(0.15), 5.0, clock)
-    rollouts.take_order(ORDER)
+    rollouts.apply_order(ORDER)
     begun_ms = 1000 * (clock.now - age * DEADLINE_S)
-    rollouts.take_record(RolloutRecord(7, "s", "v2", phase, begun_ms, begun_ms))
+    rollouts.apply_record(
+        RolloutRecord(7, "s", "v2", phase, begun_ms, begun_ms)
+    )
     health = StoreHealth(clock)
     health.record_answer()
     store = Store()
@@ -63,7 +69,7 @@
         rollouts,
         status_row,
         lambda _order: 3,
-        lambda stand_ins: rank <= stand_ins,
+        lambda backups: rank <= backups,
         health,
     )
 
@@ -71,17 +77,17 @@
 @pytest.mark.parametrize(
     ("rank", "phase", "age", "writes"),
     [
-        (0, RolloutPhase.FULL, GIVE_UP_AT + 0.001, 1),
-        (0, RolloutPhase.FULL, GIVE_UP_AT - 0.01, 0),
-        (1, RolloutPhase.FULL, GIVE_UP_AT + 0.001, 0),
+        (0, RolloutPhase.FULL, FORCE_COMPLETION_AGE + 0.001, 1),
+        (0, RolloutPhase.FULL, FORCE_COMPLETION_AGE - 0.01, 0),
+        (1, RolloutPhase.FULL, FORCE_COMPLETION_AGE + 0.001, 0),
         (1, RolloutPhase.FULL, OVERDUE_AT + 0.001, 1),
         (2, RolloutPhase.FULL, OVERDUE_AT + 0.001, 0),
-        # Steps that rest on evidence are the first one's alone.
+        # Only the first entry takes steps that depend on evidence.
         (1, RolloutPhase.WIDENING, OVERDUE_AT + 0.001, 0),
         (1, RolloutPhase.TRYING, OVERDUE_AT + 0.001, 0),
     ],
 )
-async def test_a_second_entry_ends_what_is_overdue(
+async def test_a_backup_driver_completes_an_overdue_roll_out(
     clock, rank, phase, age, writes
 ):
     driver = make_driver(clock, rank, phase, age)
@@ -91,14 +97,16 @@
         assert driver.rollouts.phase(ORDER) is RolloutPhase.COMPLETED
 
 
-async def test_one_that_the_store_turns_away_says_so_at_once(clock):
+async def test_a_driver_rejected_by_the_store_reports_it_unavailable_at_once(
+    clock,
+):
     driver = make_driver(clock, 0, RolloutPhase.FULL, OVERDUE_AT)
     driver.store.outcomes = [NotRun("store answered 429")] * 2
     await driver.step()
     assert not driver.health.available
 
 
-async def test_an_answer_that_is_lost_does_not_mean_that_the_store_is(clock):
+async def test_a_lost_answer_does_not_mark_the_store_unavailable(clock):
     driver = make_driver(clock, 0, RolloutPhase.FULL, OVERDUE_AT)
     driver.store.outcomes = [Uncertain("timeout")] * 2
     await driver.step()
@@ -106,7 +114,7 @@
     assert not driver.loaded
 
 
-async def test_one_that_took_over_reads_the_rows_and_writes_at_once(clock):
+async def test_a_new_driver_reads_the_rows_and_retries_at_once(clock):
     driver = make_driver(clock, 0, RolloutPhase.FULL, OVERDUE_AT)
     driver.store.outcomes = [Conflict("s"), WrittenAt(at(9), 0.0)]
     await driver.step()
--- a/tests/relay/test_rollout_slow.py
+++ b/tests/relay/test_rollout_slow.py
@@ -1,9 +1,12 @@
-"""A version of a model engine that answers, but slowly."""
+"""Guards against a slow version that answers without failures.
+
+The new version of a model engine takes 20 times as long as the old one.
+"""
 
 from tests.lib.platform_site import platform_site, until
 
 
-async def test_a_version_that_streams_slowly_is_stopped():
+async def test_a_version_that_streams_several_times_slower_is_stopped():
     async with platform_site() as site:
         old = await site.add_worker("old", "engine", "v1", work_s=0.02)
         new = await site.add_worker("new", "engine", "v2", work_s=0.4)
@@ -21,7 +24,7 @@
             assert (await site.chat(headers=headers)).whole
             if order.id in entry.state.rollouts.stopped:
                 break
-            entry.state.rollouts.judge(order)
+            entry.state.rollouts.evaluate(order)
         assert order.id in entry.state.rollouts.stopped
         assert len(old.runs) > 5
         assert len(new.runs) > 5
