--- a/src/rattanpier/_internal/dispatch/engine.py
+++ b/src/rattanpier/_internal/dispatch/engine.py
@@ -114,9 +114,7 @@
         raise UpstreamError(f"can't connect: {error}", True) from error
     except (aiohttp.ClientError, OSError, TimeoutError, ValueError) as error:
         if body.withheld:
-            raise UpstreamError(
-                "request body withheld: dispatch no longer allowed", True
-            ) from error
+            raise UpstreamError("the body was held back", True) from error
         raise UpstreamError(
             f"connection failed: {error!r}", False, resumable=True
         ) from error
@@ -174,7 +172,7 @@
     given = response.headers.get(REQUEST_ID)
     if given != request_id:
         raise UpstreamError(
-            f"response belongs to another request, {given!r}",
+            f"the answer is for request {given!r}",
             False,
             resumable=False,
         )
@@ -189,7 +187,7 @@
     not_run = isinstance(body, dict) and body.get("not_run") is True
     status = response.status
     return UpstreamError(
-        f"HTTP status {status}",
+        f"it answered {status}",
         not_run,
         retry_after(response),
         final=400 <= status < 500 and status not in RETRYABLE_CLIENT_ERRORS,
@@ -229,9 +227,7 @@
                 raise chunk_gap(event.number, expected)
             expected += 1
             yield parse_chunk(event, index < len(events))
-    raise UpstreamError(
-        "event stream ended before [DONE]", False, resumable=True
-    )
+    raise UpstreamError("the stream ended early", False, resumable=True)
 
 
 class Event(NamedTuple):
@@ -260,7 +256,7 @@
     async for block in response.content.iter_any():
         *lines, partial_line = (partial_line + block).split(b"\n")
         if len(partial_line) > MAX_EVENT_BYTES:
-            raise ValueError("server-sent event exceeds 1 MiB")
+            raise ValueError("an event is too large")
         events = []
         for line in lines:
             if line.startswith(b"id:"):
@@ -273,7 +269,7 @@
 def chunk_gap(number: int, expected: int) -> UpstreamError:
     """Returns the error for a gap in the chunk numbers."""
     return UpstreamError(
-        f"received chunk {number}, expected chunk {expected}",
+        f"chunk {number} came in place of {expected}",
         False,
         resumable=True,
     )
@@ -290,7 +286,7 @@
     # around the value.
     body, end = decode_json(source)
     if end != len(source):
-        raise ValueError("event contains more than one JSON value")
+        raise ValueError("more than one value in an event")
     try:
         choices = body.get("choices") or [{}]
         text = choices[0].get("delta", {}).get("content") or ""
@@ -312,4 +308,4 @@
             more_buffered,
         )
     except (AttributeError, KeyError, TypeError, IndexError) as error:
-        raise ValueError(f"malformed chunk: {error!r}") from error
+        raise ValueError(f"not a chunk: {error!r}") from error
--- a/src/rattanpier/_internal/dispatch/plain.py
+++ b/src/rattanpier/_internal/dispatch/plain.py
@@ -165,9 +165,7 @@
         raise await read_refusal(response)
     given = response.headers.get(REQUEST_ID)
     if given is not None and given != request_id:
-        raise UpstreamError(
-            f"response belongs to another request, {given!r}", False
-        )
+        raise UpstreamError(f"the answer is for request {given!r}", False)
     check_delimited(response, method)
     body = await read_limited(response)
     return ServiceAnswer(
@@ -183,9 +181,7 @@
         return
     if response.headers.get("Transfer-Encoding", "").lower() == "chunked":
         return
-    raise UpstreamError(
-        "response has neither a length nor chunked encoding", False
-    )
+    raise UpstreamError("the answer does not say where it ends", False)
 
 
 async def read_limited(response: aiohttp.ClientResponse) -> bytes:
@@ -199,8 +195,6 @@
     async for part in response.content.iter_chunked(READ_BYTES):
         size += len(part)
         if size > MAX_ANSWER_BYTES:
-            raise UpstreamError(
-                "response body exceeds 16 MiB", False, final=True
-            )
+            raise UpstreamError("the answer is too large", False, final=True)
         parts.append(part)
     return b"".join(parts)
--- a/src/rattanpier/_internal/dispatch/upstream_dispatcher.py
+++ b/src/rattanpier/_internal/dispatch/upstream_dispatcher.py
@@ -384,6 +384,6 @@
     before = released[chunk.number]
     if (chunk.text, chunk.finish) != (before.text, before.finish):
         raise UpstreamError(
-            "rerun differs from the chunks already released", False, final=True
+            "a rerun differs from what was released", False, final=True
         )
     return True
