--- a/src/rattanpier/_internal/dispatch/admission.py
+++ b/src/rattanpier/_internal/dispatch/admission.py
@@ -16,7 +16,7 @@
 from rattanpier._internal.utils.clock import Clock
 from rattanpier._internal.utils.metrics import Metrics
 
-DRAIN_MEMORY = 0.9  # Weight of the past in the measured drain.
+DRAIN_SMOOTHING = 0.9  # Weight of the past in the measured drain.
 DRAIN_SAMPLE_S = 0.25  # Shortest time over which the drain is measured.
 MIN_RETRY_AFTER_S = 0.5
 MAX_RETRY_AFTER_S = 60.0
@@ -64,7 +64,9 @@
             return
         sample = self.finished / elapsed
         if self.rate:
-            sample = DRAIN_MEMORY * self.rate + (1 - DRAIN_MEMORY) * sample
+            sample = (
+                DRAIN_SMOOTHING * self.rate + (1 - DRAIN_SMOOTHING) * sample
+            )
         self.rate = sample
         self.finished = 0.0
         self.since = now
@@ -93,7 +95,7 @@
 
 
 @attrs.define
-class Pool:
+class PoolState:
     """The gate before one upstream.
 
     Attributes:
@@ -108,7 +110,7 @@
 
 
 @attrs.define
-class Ticket:
+class Permit:
     """Leave to use a pool; has to be given back."""
 
     pool: str
@@ -127,9 +129,9 @@
     limit: Callable[[str], int]
     clock: Clock
     metrics: Metrics
-    pools: dict[str, Pool] = attrs.Factory(dict)
+    pools: dict[str, PoolState] = attrs.Factory(dict)
 
-    async def enter(self, name: str, demand: Demand) -> Ticket | Refusal:
+    async def acquire(self, name: str, demand: Demand) -> Permit | Refusal:
         """Waits for a place before a pool.
 
         Args:
@@ -137,24 +139,24 @@
           demand: What the request asks.
 
         Returns:
-          A ticket to be given to `leave`, or an immediate refusal.
+          A permit to be given to `release`, or an immediate refusal.
         """
         pool = self.pools.get(name)
         if pool is None:
             drain = DrainMeter(since=self.clock.monotonic())
-            pool = self.pools[name] = Pool(drain=drain)
+            pool = self.pools[name] = PoolState(drain=drain)
         if not pool.running:
             pool.drain.restart(self.clock.monotonic())
         if pool.running < self.limit(name) and not pool.queue.size:
             pool.running += 1
             pool.queue.charge(demand.workspace, demand.cost, demand.share)
-            return Ticket(name, demand)
-        refusal = self.refuse(pool, demand)
+            return Permit(name, demand)
+        refusal = self.refusal_for(pool, demand)
         if refusal is not None:
             return refusal
         return await self.wait(name, pool, demand)
 
-    def refuse(self, pool: Pool, demand: Demand) -> Refusal | None:
+    def refusal_for(self, pool: PoolState, demand: Demand) -> Refusal | None:
         """Returns a refusal if waiting is of no use."""
         wait_s = pool.drain.wait_s(self.cost_ahead(pool, demand))
         if (
@@ -168,65 +170,69 @@
                 retry_after(wait_s),
             )
         if self.clock.monotonic() + wait_s > demand.deadline:
-            return late(pool)
+            return deadline_refusal(pool)
         return None
 
-    def cost_ahead(self, pool: Pool, demand: Demand) -> float:
+    def cost_ahead(self, pool: PoolState, demand: Demand) -> float:
         """Returns the cost that is expected to be served before a request.
 
         Its own workspace's queue, and of each other workspace no more than
         the share that falls to it in the same time.
         """
         waiting = pool.queue.waiting
-        own = sum(entry.cost for entry in waiting.get(demand.workspace, ()))
-        own += demand.cost
-        ahead = own
+        own_cost = sum(
+            entry.cost for entry in waiting.get(demand.workspace, ())
+        )
+        own_cost += demand.cost
+        ahead = own_cost
         for name, queue in waiting.items():
             if name != demand.workspace:
-                theirs = sum(entry.cost for entry in queue)
-                ahead += min(theirs, own * queue[0].share / demand.share)
+                other_cost = sum(entry.cost for entry in queue)
+                ahead += min(
+                    other_cost, own_cost * queue[0].share / demand.share
+                )
         return ahead
 
     async def wait(
-        self, name: str, pool: Pool, demand: Demand
-    ) -> Ticket | Refusal:
+        self, name: str, pool: PoolState, demand: Demand
+    ) -> Permit | Refusal:
         """Waits in the queue until admitted, shed or out of time."""
         done = asyncio.get_running_loop().create_future()
         entry = Entry(
             Waiter(demand, done), demand.workspace, demand.cost, demand.share
         )
         pool.queue.push(entry)
-        left = demand.deadline - self.clock.monotonic()
+        remaining_s = demand.deadline - self.clock.monotonic()
         try:
             # Not wait_for: in Python 3.11 it swallows a cancellation that
             # comes together with the result.
-            async with asyncio.timeout(left):
+            async with asyncio.timeout(remaining_s):
                 refusal = await asyncio.shield(done)
         except TimeoutError:
             pool.queue.remove(entry)
-            refusal = done.result() if done.done() else late(pool)
+            refusal = done.result() if done.done() else deadline_refusal(pool)
         except asyncio.CancelledError:
             pool.queue.remove(entry)
             if done.done() and done.result() is None:
-                self.leave(Ticket(name, demand), 0.0)
+                self.release(Permit(name, demand), 0.0)
             raise
-        return refusal or Ticket(name, demand)
+        return refusal or Permit(name, demand)
 
-    def leave(self, ticket: Ticket, cost: float) -> None:
+    def release(self, permit: Permit, cost: float) -> None:
         """Gives a place back.
 
         Args:
-          ticket: From `enter`.
+          permit: From `acquire`.
           cost: What the request really cost; corrects the estimate.
         """
-        pool = self.pools[ticket.pool]
+        pool = self.pools[permit.pool]
         pool.running -= 1
-        demand = ticket.demand
+        demand = permit.demand
         pool.queue.charge(demand.workspace, cost - demand.cost, demand.share)
         pool.drain.add(cost, self.clock.monotonic())
-        self.admit(ticket.pool)
+        self.admit_waiting(permit.pool)
 
-    def admit(self, name: str) -> None:
+    def admit_waiting(self, name: str) -> None:
         """Admits waiting requests while there are places."""
         pool = self.pools[name]
         while pool.running < self.limit(name):
@@ -243,7 +249,7 @@
             for pool in self.pools.values():
                 self.shed(pool)
 
-    def shed(self, pool: Pool) -> None:
+    def shed(self, pool: PoolState) -> None:
         """Refuses at once what would wait beyond its deadline.
 
         Without this a request that was let into the queue would learn only
@@ -253,13 +259,13 @@
             return
         now = self.clock.monotonic()
         pool.drain.add(0.0, now)
-        for entry in list(doomed(pool, now)):
+        for entry in list(find_unservable(pool, now)):
             pool.queue.remove(entry)
             self.metrics.count("admission.shed")
-            entry.item.done.set_result(late(pool))
+            entry.item.done.set_result(deadline_refusal(pool))
 
 
-def doomed(pool: Pool, now: float) -> Iterator[Entry[Waiter]]:
+def find_unservable(pool: PoolState, now: float) -> Iterator[Entry[Waiter]]:
     """Yields requests that can't be admitted before their deadlines."""
     for queue in pool.queue.waiting.values():
         ahead = 0.0
@@ -271,7 +277,7 @@
                 yield entry
 
 
-def late(pool: Pool) -> Refusal:
+def deadline_refusal(pool: PoolState) -> Refusal:
     """Returns the refusal of a request that can't be served in time."""
     return Refusal(
         RefusalCode.DEADLINE,
--- a/src/rattanpier/_internal/dispatch/gates.py
+++ b/src/rattanpier/_internal/dispatch/gates.py
@@ -68,14 +68,14 @@
             yield None  # That no worker has the version is found out later.
             return
         demand = self.demand(configuration, request)
-        ticket = await self.admission.enter(pool, demand)
-        if isinstance(ticket, Refusal):
-            yield ticket
+        permit = await self.admission.acquire(pool, demand)
+        if isinstance(permit, Refusal):
+            yield permit
             return
         try:
             yield None
         finally:
-            self.admission.leave(ticket, demand.cost)
+            self.admission.release(permit, demand.cost)
 
     def demand(
         self, configuration: Configuration, request: RouteRequest
--- a/tests/unit/test_admission.py
+++ b/tests/unit/test_admission.py
@@ -8,7 +8,7 @@
     DRAIN_SAMPLE_S,
     Admission,
     Demand,
-    Ticket,
+    Permit,
 )
 from rattanpier._internal.dispatch.fairness import Entry, TokenCounterQueue
 from rattanpier._internal.models.refusal import Refusal, RefusalCode
@@ -24,14 +24,14 @@
 
 async def fill(admission, demand=DEMAND, rate=100.0):
     """Takes the only place and makes the drain known."""
-    ticket = await admission.enter("pool", demand)
+    permit = await admission.acquire("pool", demand)
     admission.pools["pool"].drain.rate = rate
-    return ticket
+    return permit
 
 
 async def enter_soon(admission, demand):
     task = asyncio.get_running_loop().create_task(
-        admission.enter("pool", demand)
+        admission.acquire("pool", demand)
     )
     await asyncio.sleep(0)
     return task
@@ -42,15 +42,15 @@
     first = await fill(admission)
     second = await enter_soon(admission, DEMAND)
     assert not second.done()
-    admission.leave(first, 100.0)
-    assert isinstance(await second, Ticket)
+    admission.release(first, 100.0)
+    assert isinstance(await second, Permit)
 
 
 async def test_full_queue_is_refused_at_once_with_the_drain_time():
     admission = build()
     await fill(admission)
     waiting = [await enter_soon(admission, DEMAND) for _ in range(4)]
-    refusal = await admission.enter("pool", DEMAND)
+    refusal = await admission.acquire("pool", DEMAND)
     assert refusal.code is RefusalCode.QUEUE_FULL
     assert refusal.not_run
     # Five requests of 100 at 100 a second.
@@ -63,7 +63,9 @@
     admission = build()
     await fill(admission)
     task = await enter_soon(admission, DEMAND)
-    refusal = await admission.enter("pool", attrs.evolve(DEMAND, deadline=1.5))
+    refusal = await admission.acquire(
+        "pool", attrs.evolve(DEMAND, deadline=1.5)
+    )
     assert refusal.code is RefusalCode.DEADLINE
     task.cancel()
 
@@ -83,20 +85,20 @@
 
 async def test_cancelled_waiter_leaves_no_trace():
     admission = build()
-    ticket = await fill(admission)
+    permit = await fill(admission)
     task = await enter_soon(admission, DEMAND)
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
-    admission.leave(ticket, 100.0)
+    admission.release(permit, 100.0)
     assert admission.pools["pool"].running == 0
-    assert isinstance(await admission.enter("pool", DEMAND), Ticket)
+    assert isinstance(await admission.acquire("pool", DEMAND), Permit)
 
 
 async def test_waiter_cancelled_as_it_is_admitted_gives_its_place_back():
     admission = build()
-    ticket = await fill(admission)
+    permit = await fill(admission)
     task = await enter_soon(admission, DEMAND)
-    admission.leave(ticket, 100.0)
+    admission.release(permit, 100.0)
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
     assert admission.pools["pool"].running == 0
