--- a/src/rattanpier/_internal/dispatch/admission.py
+++ b/src/rattanpier/_internal/dispatch/admission.py
@@ -1,7 +1,8 @@
-"""Admission: bounded waiting before a pool of workers, fair and honest.
+"""Admission control: bounded queues of requests for a pool of workers.
 
-A request that can't be served in time is refused at once, with the time after
-which the queue is expected to have drained.
+A request that can't be served before its deadline is refused at once, so that
+the caller need not wait for a certain failure. Retry-After then states when the
+queue is expected to have drained.
 """
 
 from __future__ import annotations
@@ -16,23 +17,27 @@
 from rattanpier._internal.utils.clock import Clock
 from rattanpier._internal.utils.metrics import Metrics
 
-DRAIN_SMOOTHING = 0.9  # Weight of the past in the measured drain.
-DRAIN_SAMPLE_S = 0.25  # Shortest time over which the drain is measured.
+# Weight of the previous value in the moving average of the drain rate.
+DRAIN_SMOOTHING = 0.9
+# Minimum interval over which the drain rate is measured, and the interval of
+# shedding.
+DRAIN_SAMPLE_S = 0.25
 MIN_RETRY_AFTER_S = 0.5
 MAX_RETRY_AFTER_S = 60.0
-MAX_QUEUED = 1024  # Requests waiting before one pool on one entry.
+MAX_QUEUED = 1024  # Requests queued for one pool on one entry.
 
 
 @attrs.frozen
 class Demand:
-    """What a request asks of a pool.
+    """Demand of a request on a pool.
 
     Attributes:
-      workspace: Whose it is.
+      workspace: Workspace of the request.
       share: Weight of the workspace.
-      max_queued: Requests the workspace may have waiting here.
-      cost: Estimated cost, see `fairness.request_cost`.
-      deadline: Monotonic seconds at which the caller gives up.
+      max_queued: Maximum number of requests that the workspace may have in
+        the pool's queue.
+      cost: Estimated cost in prompt tokens, see `fairness.request_cost`.
+      deadline: Deadline of the request in monotonic seconds.
     """
 
     workspace: str
@@ -44,12 +49,13 @@
 
 @attrs.define
 class DrainMeter:
-    """Measures how much cost a pool works off in a second.
+    """Measures the rate at which a pool finishes requests.
 
     Attributes:
-      rate: Cost per second; 0 while nothing is known.
+      rate: Moving average of the cost finished per second; 0 until it was
+        measured.
       finished: Cost finished since `since`.
-      since: Monotonic seconds.
+      since: Start of the current measurement in monotonic seconds.
     """
 
     rate: float = 0.0
@@ -57,7 +63,14 @@
     since: float = 0.0
 
     def add(self, cost: float, now: float) -> None:
-        """Takes in the cost of a request that ended."""
+        """Adds the cost of a finished request.
+
+        The rate is updated once DRAIN_SAMPLE_S have passed.
+
+        Args:
+          cost: Cost of the request; 0 only updates the rate.
+          now: Current time in monotonic seconds.
+        """
         self.finished += cost
         elapsed = now - self.since
         if elapsed < DRAIN_SAMPLE_S:
@@ -72,22 +85,25 @@
         self.since = now
 
     def restart(self, now: float) -> None:
-        """Leaves out a time in which there was nothing to do."""
+        """Restarts the measurement so that idle time does not count."""
         self.finished = 0.0
         self.since = now
 
     def wait_s(self, cost: float) -> float:
-        """Returns how long a queue of some cost takes to drain."""
+        """Returns the seconds that a queue of some cost takes to drain.
+
+        Returns 0 while the rate is unknown.
+        """
         return cost / self.rate if self.rate else 0.0
 
 
 @attrs.frozen(eq=False)
 class Waiter:
-    """A request that waits.
+    """A request in the queue of a pool.
 
     Attributes:
-      demand: What it asks.
-      done: Set to None when admitted, or to its refusal.
+      demand: Demand of the request.
+      done: Resolved with None on admission, or with the refusal.
     """
 
     demand: Demand
@@ -96,12 +112,12 @@
 
 @attrs.define
 class PoolState:
-    """The gate before one upstream.
+    """Admission state of one upstream.
 
     Attributes:
-      queue: Requests that wait.
-      drain: How fast the pool works.
-      running: Requests admitted and not ended.
+      queue: Requests that wait for admission.
+      drain: Measures the rate at which the pool finishes requests.
+      running: Number of requests that were admitted and have not finished.
     """
 
     queue: TokenCounterQueue[Waiter] = attrs.Factory(TokenCounterQueue)
@@ -111,7 +127,12 @@
 
 @attrs.define
 class Permit:
-    """Leave to use a pool; has to be given back."""
+    """Permit to use a pool; it has to be released.
+
+    Attributes:
+      pool: Name of the upstream.
+      demand: Demand of the admitted request.
+    """
 
     pool: str
     demand: Demand
@@ -119,11 +140,12 @@
 
 @attrs.define
 class Admission:
-    """The gates of one entry.
+    """Admission control of one entry.
 
     Attributes:
-      limit: Returns how many requests an upstream may run for this entry.
-      pools: Gates by upstream.
+      limit: Returns the maximum number of requests that this entry may have
+        running at an upstream, given its name.
+      pools: Admission state by upstream.
     """
 
     limit: Callable[[str], int]
@@ -132,14 +154,14 @@
     pools: dict[str, PoolState] = attrs.Factory(dict)
 
     async def acquire(self, name: str, demand: Demand) -> Permit | Refusal:
-        """Waits for a place before a pool.
+        """Waits until a request may use a pool.
 
         Args:
-          name: The upstream.
-          demand: What the request asks.
+          name: Name of the upstream.
+          demand: Demand of the request.
 
         Returns:
-          A permit to be given to `release`, or an immediate refusal.
+          A permit, to be passed to `release`, or a refusal.
         """
         pool = self.pools.get(name)
         if pool is None:
@@ -157,7 +179,11 @@
         return await self.wait(name, pool, demand)
 
     def refusal_for(self, pool: PoolState, demand: Demand) -> Refusal | None:
-        """Returns a refusal if waiting is of no use."""
+        """Returns the refusal of a request that must not be queued, or None.
+
+        A request is refused if the queue is full or if its deadline would pass
+        while it waits.
+        """
         wait_s = pool.drain.wait_s(self.cost_ahead(pool, demand))
         if (
             pool.queue.queued(demand.workspace) >= demand.max_queued
@@ -174,10 +200,11 @@
         return None
 
     def cost_ahead(self, pool: PoolState, demand: Demand) -> float:
-        """Returns the cost that is expected to be served before a request.
+        """Returns the cost to be finished until a request would be admitted.
 
-        Its own workspace's queue, and of each other workspace no more than
-        the share that falls to it in the same time.
+        This is the cost of its own workspace's queue, including the request,
+        and of each other workspace's queue at most the cost that the share of
+        that workspace allows in the same time.
         """
         waiting = pool.queue.waiting
         own_cost = sum(
@@ -196,7 +223,7 @@
     async def wait(
         self, name: str, pool: PoolState, demand: Demand
     ) -> Permit | Refusal:
-        """Waits in the queue until admitted, shed or out of time."""
+        """Queues a request until it is admitted or shed, or times out."""
         done = asyncio.get_running_loop().create_future()
         entry = Entry(
             Waiter(demand, done), demand.workspace, demand.cost, demand.share
@@ -204,8 +231,8 @@
         pool.queue.push(entry)
         remaining_s = demand.deadline - self.clock.monotonic()
         try:
-            # Not wait_for: in Python 3.11 it swallows a cancellation that
-            # comes together with the result.
+            # In Python 3.11, asyncio.wait_for swallows a cancellation that
+            # coincides with the result.
             async with asyncio.timeout(remaining_s):
                 refusal = await asyncio.shield(done)
         except TimeoutError:
@@ -219,11 +246,11 @@
         return refusal or Permit(name, demand)
 
     def release(self, permit: Permit, cost: float) -> None:
-        """Gives a place back.
+        """Releases a permit and admits waiting requests.
 
         Args:
-          permit: From `acquire`.
-          cost: What the request really cost; corrects the estimate.
+          permit: Returned by `acquire`.
+          cost: Actual cost of the request, which replaces the estimate.
         """
         pool = self.pools[permit.pool]
         pool.running -= 1
@@ -233,7 +260,7 @@
         self.admit_waiting(permit.pool)
 
     def admit_waiting(self, name: str) -> None:
-        """Admits waiting requests while there are places."""
+        """Admits waiting requests up to the limit of a pool."""
         pool = self.pools[name]
         while pool.running < self.limit(name):
             entry = pool.queue.pop()
@@ -243,17 +270,17 @@
             entry.item.done.set_result(None)
 
     async def run(self) -> None:
-        """Sheds what can't be served in time, until cancelled."""
+        """Sheds requests periodically, until cancelled."""
         while True:
             await self.clock.sleep(DRAIN_SAMPLE_S)
             for pool in self.pools.values():
                 self.shed(pool)
 
     def shed(self, pool: PoolState) -> None:
-        """Refuses at once what would wait beyond its deadline.
+        """Refuses queued requests that would wait beyond their deadlines.
 
-        Without this a request that was let into the queue would learn only
-        at its deadline that the pool has become slow.
+        Otherwise, if the pool slows down after a request was queued, its caller
+        would be refused only at the deadline.
         """
         if not pool.queue.size:
             return
@@ -266,7 +293,10 @@
 
 
 def find_unservable(pool: PoolState, now: float) -> Iterator[Entry[Waiter]]:
-    """Yields requests that can't be admitted before their deadlines."""
+    """Yields the queued requests that can't be admitted by their deadlines.
+
+    The cost of a request that is yielded does not count for those behind it.
+    """
     for queue in pool.queue.waiting.values():
         ahead = 0.0
         for entry in queue:
@@ -278,7 +308,7 @@
 
 
 def deadline_refusal(pool: PoolState) -> Refusal:
-    """Returns the refusal of a request that can't be served in time."""
+    """Returns the refusal of a request that would miss its deadline."""
     return Refusal(
         RefusalCode.DEADLINE,
         "The request would wait beyond its deadline.",
@@ -288,7 +318,7 @@
 
 
 def retry_after(wait_s: float) -> float:
-    """Returns the seconds to tell a caller.
+    """Returns a waiting time in seconds, clamped to the bounds of Retry-After.
 
     >>> retry_after(0.0), retry_after(3.0), retry_after(1e9)
     (0.5, 3.0, 60.0)
