--- a/src/rattanpier/_internal/dispatch/admit.py
+++ b/src/rattanpier/_internal/dispatch/admit.py
@@ -1,4 +1,4 @@
-"""The step before dispatch that may hold a request back or refuse it."""
+"""Interface of admission control, which may delay or refuse a request."""
 
 from __future__ import annotations
 
@@ -9,8 +9,9 @@
 from rattanpier._internal.models.refusal import Refusal
 from rattanpier._internal.models.request import RouteRequest
 
-# Entered before anything is claimed or sent, left when the answer ended. It
-# yields a refusal, or None once the request may go on.
+# Returns a context that is entered before a request is dispatched (or claimed,
+# unless it has an idempotency key) and exited when its answer has ended.
+# Entering it waits for admission and returns None, or a refusal.
 Admit = Callable[
     [RouteRequest, Plan], AbstractAsyncContextManager[Refusal | None]
 ]
@@ -20,5 +21,5 @@
 async def admit_all(
     _request: RouteRequest, _plan: Plan
 ) -> AsyncIterator[Refusal | None]:
-    """Lets every request through at once."""
+    """Admits every request immediately."""
     yield None
