--- a/benchmarks/placement_cost.py
+++ b/benchmarks/placement_cost.py
@@ -20,7 +20,7 @@
 import attrs
 import fire
 
-from rattanpier._internal.dispatch.gates import Gates
+from rattanpier._internal.dispatch.pool_admission import PoolAdmission
 from rattanpier._internal.models.configuration import (
     Configuration,
     UpstreamKind,
@@ -89,7 +89,9 @@
 def admission_us(workers: int, calls: int = 300) -> float:
     """Returns the cost of admission to a pool, in microseconds."""
     configuration = pool_of(workers, 1)
-    gates = Gates(lambda: configuration, lambda: 1, SystemClock(), Metrics())
+    gates = PoolAdmission(
+        lambda: configuration, lambda: 1, SystemClock(), Metrics()
+    )
     request = build_request(deadline=float("inf"))
     plan = Plan("all", [SMALL])
 
--- a/src/rattanpier/_internal/dispatch/gates.py
+++ b/src/rattanpier/_internal/dispatch/pool_admission.py
@@ -23,19 +23,19 @@
 from rattanpier._internal.utils.clock import Clock
 from rattanpier._internal.utils.metrics import Metrics
 
-OUTPUT_MEMORY = 0.95  # Weight of the past in a workspace's mean output.
-FIRST_GUESS = 128.0  # Tokens of an answer, before any was seen.
+OUTPUT_SMOOTHING = 0.95  # Weight of the past in a workspace's mean output.
+DEFAULT_OUTPUT_TOKENS = 128.0  # Tokens of an answer, before any was seen.
 
 
 @attrs.define
-class Gates:
+class PoolAdmission:
     """Lets requests through to the pools of their plans.
 
     Attributes:
       configuration: Returns the configuration in force.
       entries: Returns the number of live entries.
       limits: What this entry may have at each pool.
-      output: Mean tokens of the answers of each workspace.
+      mean_output_tokens: Mean tokens of the answers of each workspace.
       admission: The queues before the pools.
       index: Pools of the configuration that was in force last.
     """
@@ -47,7 +47,7 @@
     limits: dict[str, PoolLimit] = attrs.Factory(
         lambda: collections.defaultdict(PoolLimit)
     )
-    output: dict[str, float] = attrs.Factory(dict)
+    mean_output_tokens: dict[str, float] = attrs.Factory(dict)
     admission: Admission = attrs.field(
         default=attrs.Factory(
             lambda self: Admission(self.limit, self.clock, self.metrics),
@@ -62,12 +62,12 @@
     ) -> AsyncIterator[Refusal | None]:
         """Waits for a place before the pool of a plan's first step."""
         configuration = self.configuration()
-        by_version = self.pools().by_version
+        by_version = self.current_index().by_version
         pool = by_version.get(plan.steps[0]) if plan.steps else None
         if pool is None:
             yield None  # That no worker has the version is found out later.
             return
-        demand = self.demand(configuration, request)
+        demand = self.make_demand(configuration, request)
         permit = await self.admission.acquire(pool, demand)
         if isinstance(permit, Refusal):
             yield permit
@@ -77,13 +77,15 @@
         finally:
             self.admission.release(permit, demand.cost)
 
-    def demand(
+    def make_demand(
         self, configuration: Configuration, request: RouteRequest
     ) -> Demand:
         """Returns what a request asks of a pool."""
         workspace = configuration.workspaces[request.workspace]
-        guess = self.output.get(request.workspace, FIRST_GUESS)
-        tokens = min(request.max_tokens, int(guess) + 1)
+        expected_tokens = self.mean_output_tokens.get(
+            request.workspace, DEFAULT_OUTPUT_TOKENS
+        )
+        tokens = min(request.max_tokens, int(expected_tokens) + 1)
         return Demand(
             request.workspace,
             workspace.share,
@@ -92,25 +94,28 @@
             request.deadline,
         )
 
-    def note(self, result: AttemptResult) -> None:
+    def record_result(self, result: AttemptResult) -> None:
         """Learns from an attempt: the pool's pace and answers' lengths."""
-        pool = self.pools().by_version.get(result.version)
+        pool = self.current_index().by_version.get(result.version)
         if pool is not None and result.first_token_s is not None:
             self.limits[pool].note(result.first_token_s)
         elif pool is not None:
             self.limits[pool].note_refused()
         if result.outcome is AttemptOutcome.COMPLETE:
-            before = self.output.get(result.workspace, float(result.chunks))
-            self.output[result.workspace] = (
-                OUTPUT_MEMORY * before + (1 - OUTPUT_MEMORY) * result.chunks
+            before = self.mean_output_tokens.get(
+                result.workspace, float(result.chunks)
+            )
+            self.mean_output_tokens[result.workspace] = (
+                OUTPUT_SMOOTHING * before
+                + (1 - OUTPUT_SMOOTHING) * result.chunks
             )
 
     def limit(self, pool: str) -> int:
         """Returns how many requests may be at a pool."""
-        slots = self.pools().slots.get(pool, 0)
+        slots = self.current_index().slots.get(pool, 0)
         return self.limits[pool].limit(slots, self.entries())
 
-    def pools(self) -> PoolIndex:
+    def current_index(self) -> PoolIndex:
         """Returns the pools of the configuration in force."""
         configuration = self.configuration()
         if configuration is not self.index.configuration:
--- a/src/rattanpier/_internal/programs/entry.py
+++ b/src/rattanpier/_internal/programs/entry.py
@@ -12,8 +12,8 @@
 from rattanpier._internal.cascade.sharing import ring_spread
 from rattanpier._internal.claims.service import Claims
 from rattanpier._internal.dispatch.budget import RetryBudget
-from rattanpier._internal.dispatch.gates import Gates
 from rattanpier._internal.dispatch.keeper import ClaimKeeper
+from rattanpier._internal.dispatch.pool_admission import PoolAdmission
 from rattanpier._internal.dispatch.quarantining import QuarantineSharing
 from rattanpier._internal.dispatch.runner import Runner
 from rattanpier._internal.dispatch.service_runner import ServiceRunner
@@ -255,14 +255,14 @@
 def add_gates(kernel: Kernel, runner: Runner) -> None:
     """Adds admission and lets it learn from the runner's attempts."""
     members = kernel.find("members")
-    gates = Gates(
+    gates = PoolAdmission(
         runner.configuration,
         lambda: len(members.entries()),
         kernel.find("clock"),
         kernel.find("metrics"),
     )
     runner.admit = gates.admit
-    runner.attempts.subscribe(gates.note)
+    runner.attempts.subscribe(gates.record_result)
     kernel.add("gates", gates)
     kernel.spawn(gates.admission.run())
 
--- a/tests/unit/test_gates.py
+++ b/tests/unit/test_pool_admission.py
@@ -3,7 +3,7 @@
 import attrs
 import pytest
 
-from rattanpier._internal.dispatch.gates import Gates
+from rattanpier._internal.dispatch.pool_admission import PoolAdmission
 from rattanpier._internal.models.plan import Plan
 from rattanpier._internal.utils.metrics import Metrics
 from tests.lib.builders import SMALL, build_request
@@ -26,31 +26,33 @@
     return attrs.evolve(configuration, upstreams={"pool": pool})
 
 
-def gates_over(current):
-    return Gates(lambda: current[0], lambda: 1, ManualClock(), Metrics())
+def admission_over(current):
+    return PoolAdmission(
+        lambda: current[0], lambda: 1, ManualClock(), Metrics()
+    )
 
 
-async def admit(gates, request):
+async def admit(admission, request):
     plan = Plan("all", [SMALL])
-    async with gates.admit(request, plan) as refusal:
+    async with admission.admit(request, plan) as refusal:
         assert refusal is None
 
 
 async def test_requests_do_not_look_at_all_workers():
     configuration = pool_of(600, 1)
     workers = Watched(configuration.upstreams["pool"].workers)
-    gates = gates_over([with_workers(configuration, workers)])
+    admission = admission_over([with_workers(configuration, workers)])
     request = build_request(deadline=60.0)
     for _ in range(20):
-        await admit(gates, request)
+        await admit(admission, request)
     assert workers.looks == 1
 
 
 @pytest.mark.parametrize("left", [0, 1, 5])
 async def test_a_drained_worker_counts_no_more_at_once(left):
     current = [pool_of(20, 1)]
-    gates = gates_over(current)
-    before = gates.limit("pool")
+    admission = admission_over(current)
+    before = admission.limit("pool")
     workers = {
         name: attrs.evolve(worker, draining=number >= left)
         for number, (name, worker) in enumerate(
@@ -58,15 +60,15 @@
         )
     }
     current[0] = with_workers(current[0], workers)
-    assert gates.pools().slots["pool"] == 16 * left
-    assert gates.limit("pool") < before
+    assert admission.current_index().slots["pool"] == 16 * left
+    assert admission.limit("pool") < before
 
 
 async def test_a_version_that_moved_is_found_at_its_new_pool():
     current = [pool_of(4, 1)]
-    gates = gates_over(current)
-    assert gates.pools().by_version[SMALL] == "pool"
+    admission = admission_over(current)
+    assert admission.current_index().by_version[SMALL] == "pool"
     pool = current[0].upstreams["pool"]
     current[0] = attrs.evolve(current[0], upstreams={"other": pool})
-    assert gates.pools().by_version[SMALL] == "other"
-    assert gates.limit("pool") <= gates.limit("other")
+    assert admission.current_index().by_version[SMALL] == "other"
+    assert admission.limit("pool") <= admission.limit("other")
