--- a/src/rattanpier/_internal/dispatch/pool_admission.py
+++ b/src/rattanpier/_internal/dispatch/pool_admission.py
@@ -1,4 +1,8 @@
-"""Admission as a step of the runner: pools, limits and costs from the rest."""
+"""Admits the requests of a runner to the pool of their plan's first step.
+
+Derives from the configuration and from the results of earlier requests what
+admission needs: the pool, its limit and the estimated cost.
+"""
 
 from __future__ import annotations
 
@@ -23,21 +27,23 @@
 from rattanpier._internal.utils.clock import Clock
 from rattanpier._internal.utils.metrics import Metrics
 
-OUTPUT_SMOOTHING = 0.95  # Weight of the past in a workspace's mean output.
-DEFAULT_OUTPUT_TOKENS = 128.0  # Tokens of an answer, before any was seen.
+# Weight of the previous value in the moving average of answer lengths.
+OUTPUT_SMOOTHING = 0.95
+DEFAULT_OUTPUT_TOKENS = 128.0  # Assumed until a workspace had an answer.
 
 
 @attrs.define
 class PoolAdmission:
-    """Lets requests through to the pools of their plans.
+    """Admission control of one entry for the pools of the configuration.
 
     Attributes:
       configuration: Returns the configuration in force.
       entries: Returns the number of live entries.
-      limits: What this entry may have at each pool.
-      mean_output_tokens: Mean tokens of the answers of each workspace.
-      admission: The queues before the pools.
-      index: Pools of the configuration that was in force last.
+      limits: Limit of this entry at each pool, by upstream.
+      mean_output_tokens: Moving average of the tokens of an answer, by
+        workspace.
+      admission: Queues of the pools.
+      index: Index of the configuration last seen in force.
     """
 
     configuration: Callable[[], Configuration]
@@ -60,12 +66,16 @@
     async def admit(
         self, request: RouteRequest, plan: Plan
     ) -> AsyncIterator[Refusal | None]:
-        """Waits for a place before the pool of a plan's first step."""
+        """Waits for admission to the pool of a plan's first step.
+
+        Yields None once the request is admitted, or a refusal.
+        """
         configuration = self.configuration()
         by_version = self.current_index().by_version
         pool = by_version.get(plan.steps[0]) if plan.steps else None
         if pool is None:
-            yield None  # That no worker has the version is found out later.
+            # Dispatch refuses a request whose version no worker serves.
+            yield None
             return
         demand = self.make_demand(configuration, request)
         permit = await self.admission.acquire(pool, demand)
@@ -80,7 +90,7 @@
     def make_demand(
         self, configuration: Configuration, request: RouteRequest
     ) -> Demand:
-        """Returns what a request asks of a pool."""
+        """Returns the demand of a request on a pool."""
         workspace = configuration.workspaces[request.workspace]
         expected_tokens = self.mean_output_tokens.get(
             request.workspace, DEFAULT_OUTPUT_TOKENS
@@ -95,7 +105,7 @@
         )
 
     def record_result(self, result: AttemptResult) -> None:
-        """Learns from an attempt: the pool's pace and answers' lengths."""
+        """Updates the pool's limit and the mean answer length from a result."""
         pool = self.current_index().by_version.get(result.version)
         if pool is not None and result.first_token_s is not None:
             self.limits[pool].note(result.first_token_s)
@@ -111,12 +121,12 @@
             )
 
     def limit(self, pool: str) -> int:
-        """Returns how many requests may be at a pool."""
+        """Returns how many requests this entry may have running at a pool."""
         slots = self.current_index().slots.get(pool, 0)
         return self.limits[pool].limit(slots, self.entries())
 
     def current_index(self) -> PoolIndex:
-        """Returns the pools of the configuration in force."""
+        """Returns the index of the configuration in force."""
         configuration = self.configuration()
         if configuration is not self.index.configuration:
             self.index = index_pools(configuration)
