--- a/benchmarks/fairness.py
+++ b/benchmarks/fairness.py
@@ -21,7 +21,7 @@
 
 from benchmarks.queues import DeficitQueue, FifoQueue
 from rattanpier._internal.dispatch.fairness import (
-    Entry,
+    QueuedRequest,
     TokenCounterQueue,
     request_cost,
 )
@@ -103,10 +103,10 @@
 
     def start(now: float) -> None:
         while len(ends) < SLOTS:
-            entry = queue.pop()
-            if entry is None:
+            queued_request = queue.pop()
+            if queued_request is None:
                 return
-            job = entry.item
+            job = queued_request.item
             queued[job.workspace] -= 1
             result.waits[job.workspace].append(now - job.arrival)
             heapq.heappush(ends, (now + job.service_s, next(ids), job))
@@ -126,7 +126,7 @@
             continue
         queued[job.workspace] += 1
         cost = request_cost(job.prompt, job.guess)
-        queue.push(Entry(job, job.workspace, cost, 1.0))
+        queue.push(QueuedRequest(job, job.workspace, cost, 1.0))
         start(job.arrival)
     return result
 
--- a/benchmarks/queues.py
+++ b/benchmarks/queues.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from rattanpier._internal.dispatch.fairness import Entry
+from rattanpier._internal.dispatch.fairness import QueuedRequest
 
 JOB_QUANTUM = 4  # Jobs per visit, times the share, as in the paper.
 COST_QUANTUM = 500.0  # Cost per visit, times the share.
@@ -23,13 +23,13 @@
       entries: Waiting requests, the oldest first.
     """
 
-    entries: collections.deque[Entry] = attrs.Factory(collections.deque)
+    entries: collections.deque[QueuedRequest] = attrs.Factory(collections.deque)
 
-    def push(self, entry: Entry) -> None:
+    def push(self, entry: QueuedRequest) -> None:
         """Adds a request."""
         self.entries.append(entry)
 
-    def pop(self) -> Entry | None:
+    def pop(self) -> QueuedRequest | None:
         """Removes and returns the oldest request; None if there is none."""
         return self.entries.popleft() if self.entries else None
 
@@ -54,11 +54,11 @@
     """
 
     by_cost: bool
-    waiting: dict[str, collections.deque[Entry]] = attrs.Factory(dict)
+    waiting: dict[str, collections.deque[QueuedRequest]] = attrs.Factory(dict)
     rotation: collections.deque[str] = attrs.Factory(collections.deque)
     deficit: dict[str, float] = attrs.Factory(dict)
 
-    def push(self, entry: Entry) -> None:
+    def push(self, entry: QueuedRequest) -> None:
         """Adds a request; a new workspace joins the end of the rotation."""
         name = entry.workspace
         if name not in self.waiting:
@@ -67,7 +67,7 @@
             self.deficit[name] = min(0.0, self.deficit.get(name, 0.0))
         self.waiting[name].append(entry)
 
-    def pop(self) -> Entry | None:
+    def pop(self) -> QueuedRequest | None:
         """Removes and returns the next request; None if there is none."""
         if not self.rotation:
             return None
@@ -86,7 +86,7 @@
         quantum = COST_QUANTUM if self.by_cost else JOB_QUANTUM
         self.deficit[name] += quantum * self.waiting[name][0].share
 
-    def pop_first(self, name: str, price: float) -> Entry:
+    def pop_first(self, name: str, price: float) -> QueuedRequest:
         """Removes and returns a workspace's first request.
 
         Args:
--- a/src/rattanpier/_internal/dispatch/admission.py
+++ b/src/rattanpier/_internal/dispatch/admission.py
@@ -12,7 +12,10 @@
 
 import attrs
 
-from rattanpier._internal.dispatch.fairness import Entry, TokenCounterQueue
+from rattanpier._internal.dispatch.fairness import (
+    QueuedRequest,
+    TokenCounterQueue,
+)
 from rattanpier._internal.models.refusal import Refusal, RefusalCode
 from rattanpier._internal.utils.clock import Clock
 from rattanpier._internal.utils.metrics import Metrics
@@ -208,13 +211,13 @@
         """
         waiting = pool.queue.waiting
         own_cost = sum(
-            entry.cost for entry in waiting.get(demand.workspace, ())
+            queued.cost for queued in waiting.get(demand.workspace, ())
         )
         own_cost += demand.cost
         ahead = own_cost
         for name, queue in waiting.items():
             if name != demand.workspace:
-                other_cost = sum(entry.cost for entry in queue)
+                other_cost = sum(queued.cost for queued in queue)
                 ahead += min(
                     other_cost, own_cost * queue[0].share / demand.share
                 )
@@ -225,10 +228,10 @@
     ) -> Permit | Refusal:
         """Queues a request until it is admitted or shed, or times out."""
         done = asyncio.get_running_loop().create_future()
-        entry = Entry(
+        queued = QueuedRequest(
             Waiter(demand, done), demand.workspace, demand.cost, demand.share
         )
-        pool.queue.push(entry)
+        pool.queue.push(queued)
         remaining_s = demand.deadline - self.clock.monotonic()
         try:
             # In Python 3.11, asyncio.wait_for swallows a cancellation that
@@ -236,10 +239,10 @@
             async with asyncio.timeout(remaining_s):
                 refusal = await asyncio.shield(done)
         except TimeoutError:
-            pool.queue.remove(entry)
+            pool.queue.remove(queued)
             refusal = done.result() if done.done() else deadline_refusal(pool)
         except asyncio.CancelledError:
-            pool.queue.remove(entry)
+            pool.queue.remove(queued)
             if done.done() and done.result() is None:
                 self.release(Permit(name, demand), 0.0)
             raise
@@ -263,11 +266,11 @@
         """Admits waiting requests up to the limit of a pool."""
         pool = self.pools[name]
         while pool.running < self.limit(name):
-            entry = pool.queue.pop()
-            if entry is None:
+            queued = pool.queue.pop()
+            if queued is None:
                 return
             pool.running += 1
-            entry.item.done.set_result(None)
+            queued.item.done.set_result(None)
 
     async def run(self) -> None:
         """Sheds requests periodically, until cancelled."""
@@ -286,25 +289,27 @@
             return
         now = self.clock.monotonic()
         pool.drain.add(0.0, now)
-        for entry in list(find_unservable(pool, now)):
-            pool.queue.remove(entry)
+        for queued in list(find_unservable(pool, now)):
+            pool.queue.remove(queued)
             self.metrics.count("admission.shed")
-            entry.item.done.set_result(deadline_refusal(pool))
+            queued.item.done.set_result(deadline_refusal(pool))
 
 
-def find_unservable(pool: PoolState, now: float) -> Iterator[Entry[Waiter]]:
+def find_unservable(
+    pool: PoolState, now: float
+) -> Iterator[QueuedRequest[Waiter]]:
     """Yields the queued requests that can't be admitted by their deadlines.
 
     The cost of a request that is yielded does not count for those behind it.
     """
     for queue in pool.queue.waiting.values():
         ahead = 0.0
-        for entry in queue:
-            ahead += entry.cost
+        for queued in queue:
+            ahead += queued.cost
             wait_s = pool.drain.wait_s(ahead)
-            if now + wait_s > entry.item.demand.deadline:
-                ahead -= entry.cost
-                yield entry
+            if now + wait_s > queued.item.demand.deadline:
+                ahead -= queued.cost
+                yield queued
 
 
 def deadline_refusal(pool: PoolState) -> Refusal:
--- a/src/rattanpier/_internal/dispatch/fairness.py
+++ b/src/rattanpier/_internal/dispatch/fairness.py
@@ -14,7 +14,7 @@
 
 T = TypeVar("T")
 
-OUTPUT_WEIGHT = 4.0  # A generated token costs about as much as 4 read ones.
+OUTPUT_TOKEN_COST = 4.0  # A generated token costs about as much as 4 read ones.
 
 
 def request_cost(prompt_tokens: int, output_tokens: int) -> float:
@@ -23,11 +23,11 @@
     >>> request_cost(100, 50)
     300.0
     """
-    return prompt_tokens + OUTPUT_WEIGHT * output_tokens
+    return prompt_tokens + OUTPUT_TOKEN_COST * output_tokens
 
 
 @attrs.frozen(eq=False)
-class Entry(Generic[T]):
+class QueuedRequest(Generic[T]):
     """Something that waits.
 
     Attributes:
@@ -49,59 +49,63 @@
 
     Attributes:
       waiting: Requests of each workspace that has any, in order of arrival.
-      served: Counter of each workspace: cost served divided by share.
-      floor: Lowest counter that a workspace may come back with.
+      counters: Counter of each workspace: cost served divided by share.
+      min_counter: Lowest counter that a workspace may come back with.
       cost: Estimated cost of all that wait.
       size: How many wait.
     """
 
-    waiting: dict[str, collections.deque[Entry[T]]] = attrs.Factory(dict)
-    served: dict[str, float] = attrs.Factory(dict)
-    floor: float = 0.0
+    waiting: dict[str, collections.deque[QueuedRequest[T]]] = attrs.Factory(
+        dict
+    )
+    counters: dict[str, float] = attrs.Factory(dict)
+    min_counter: float = 0.0
     cost: float = 0.0
     size: int = 0
 
-    def push(self, entry: Entry[T]) -> None:
+    def push(self, queued: QueuedRequest[T]) -> None:
         """Adds a request behind those of its workspace."""
-        name = entry.workspace
+        name = queued.workspace
         if name not in self.waiting:
             self.waiting[name] = collections.deque()
             # Time spent away earns no credit against those who stayed.
-            self.served[name] = max(self.served.get(name, 0.0), self.floor)
-        self.waiting[name].append(entry)
-        self.cost += entry.cost
+            self.counters[name] = max(
+                self.counters.get(name, 0.0), self.min_counter
+            )
+        self.waiting[name].append(queued)
+        self.cost += queued.cost
         self.size += 1
 
-    def pop(self) -> Entry[T] | None:
+    def pop(self) -> QueuedRequest[T] | None:
         """Takes the next request and charges its estimated cost."""
         if not self.waiting:
             return None
-        name = min(self.waiting, key=lambda key: self.served[key])
-        self.floor = max(self.floor, self.served[name])
-        entry = self.waiting[name].popleft()
-        self.forget(entry)
-        self.charge(name, entry.cost, entry.share)
-        return entry
-
-    def remove(self, entry: Entry[T]) -> None:
+        name = min(self.waiting, key=lambda key: self.counters[key])
+        self.min_counter = max(self.min_counter, self.counters[name])
+        queued = self.waiting[name].popleft()
+        self.subtract_from_totals(queued)
+        self.charge(name, queued.cost, queued.share)
+        return queued
+
+    def remove(self, queued: QueuedRequest[T]) -> None:
         """Removes a request that no longer waits."""
-        queue = self.waiting.get(entry.workspace)
-        if queue is None or entry not in queue:
+        queue = self.waiting.get(queued.workspace)
+        if queue is None or queued not in queue:
             return
-        queue.remove(entry)
-        self.forget(entry)
+        queue.remove(queued)
+        self.subtract_from_totals(queued)
 
-    def forget(self, entry: Entry[T]) -> None:
+    def subtract_from_totals(self, queued: QueuedRequest[T]) -> None:
         """Takes a request that left its queue out of the sums."""
-        self.cost = max(0.0, self.cost - entry.cost)
+        self.cost = max(0.0, self.cost - queued.cost)
         self.size -= 1
-        if not self.waiting[entry.workspace]:
-            del self.waiting[entry.workspace]
+        if not self.waiting[queued.workspace]:
+            del self.waiting[queued.workspace]
 
     def charge(self, workspace: str, cost: float, share: float) -> None:
         """Adds to a counter; a negative cost corrects an estimate."""
-        before = self.served.get(workspace, self.floor)
-        self.served[workspace] = before + cost / share
+        before = self.counters.get(workspace, self.min_counter)
+        self.counters[workspace] = before + cost / share
 
     def queued(self, workspace: str) -> int:
         """Returns how many requests of a workspace wait."""
--- a/tests/unit/test_admission.py
+++ b/tests/unit/test_admission.py
@@ -10,7 +10,10 @@
     Demand,
     Permit,
 )
-from rattanpier._internal.dispatch.fairness import Entry, TokenCounterQueue
+from rattanpier._internal.dispatch.fairness import (
+    QueuedRequest,
+    TokenCounterQueue,
+)
 from rattanpier._internal.models.refusal import Refusal, RefusalCode
 from rattanpier._internal.utils.metrics import Metrics
 from tests.lib.clock import ManualClock
@@ -107,10 +110,10 @@
 def test_flood_of_one_workspace_does_not_delay_another():
     queue = TokenCounterQueue()
     for number in range(100):
-        queue.push(Entry(number, "flood", 100.0, 1.0))
+        queue.push(QueuedRequest(number, "flood", 100.0, 1.0))
     for _ in range(10):
         queue.pop()
-    queue.push(Entry("small", "desk", 100.0, 1.0))
+    queue.push(QueuedRequest("small", "desk", 100.0, 1.0))
     served = [queue.pop().item for _ in range(2)]
     assert "small" in served
 
@@ -118,22 +121,22 @@
 def test_shares_are_kept_in_units_of_cost():
     queue = TokenCounterQueue()
     for _ in range(400):
-        queue.push(Entry(None, "long", 300.0, 3.0))
-        queue.push(Entry(None, "short", 100.0, 1.0))
+        queue.push(QueuedRequest(None, "long", 300.0, 3.0))
+        queue.push(QueuedRequest(None, "short", 100.0, 1.0))
     cost = {"long": 0.0, "short": 0.0}
     for _ in range(200):
-        entry = queue.pop()
-        cost[entry.workspace] += entry.cost
+        queued_request = queue.pop()
+        cost[queued_request.workspace] += queued_request.cost
     assert 2.9 < cost["long"] / cost["short"] < 3.1
 
 
 def test_absence_earns_no_credit():
     queue = TokenCounterQueue()
     for _ in range(50):
-        queue.push(Entry(None, "busy", 100.0, 1.0))
+        queue.push(QueuedRequest(None, "busy", 100.0, 1.0))
         queue.pop()
     for _ in range(20):
-        queue.push(Entry(None, "busy", 100.0, 1.0))
-        queue.push(Entry(None, "back", 100.0, 1.0))
+        queue.push(QueuedRequest(None, "busy", 100.0, 1.0))
+        queue.push(QueuedRequest(None, "back", 100.0, 1.0))
     names = [queue.pop().workspace for _ in range(20)]
     assert 9 <= names.count("back") <= 11
