--- a/src/rattanpier/_internal/dispatch/fairness.py
+++ b/src/rattanpier/_internal/dispatch/fairness.py
@@ -1,8 +1,8 @@
-"""Which waiting request goes next: a virtual token counter per workspace.
+"""Fair queue with a virtual token counter for each workspace.
 
-Each workspace has a counter of the cost it was served, divided by its share.
-The workspace with the lowest counter goes next, so one that floods the entry
-waits behind its own requests and not before those of others.
+The counter of a workspace is the cost that it was served, divided by its share.
+The workspace with the lowest counter is served next. A workspace that floods
+the entry therefore delays its own requests, not those of others.
 """
 
 from __future__ import annotations
@@ -14,7 +14,8 @@
 
 T = TypeVar("T")
 
-OUTPUT_TOKEN_COST = 4.0  # A generated token costs about as much as 4 read ones.
+# A generated token costs about as much as 4 prompt tokens.
+OUTPUT_TOKEN_COST = 4.0
 
 
 def request_cost(prompt_tokens: int, output_tokens: int) -> float:
@@ -28,12 +29,12 @@
 
 @attrs.frozen(eq=False)
 class QueuedRequest(Generic[T]):
-    """Something that waits.
+    """A request in a queue.
 
     Attributes:
-      item: What waits.
-      workspace: Whose it is.
-      cost: Its estimated cost.
+      item: Data of the queue's user.
+      workspace: Workspace of the request.
+      cost: Estimated cost in prompt tokens.
       share: Weight of the workspace.
     """
 
@@ -45,14 +46,15 @@
 
 @attrs.define
 class TokenCounterQueue(Generic[T]):
-    """Waiting requests of one pool, fair between workspaces.
+    """Queue of the requests for one pool, fair between workspaces.
 
     Attributes:
-      waiting: Requests of each workspace that has any, in order of arrival.
-      counters: Counter of each workspace: cost served divided by share.
-      min_counter: Lowest counter that a workspace may come back with.
-      cost: Estimated cost of all that wait.
-      size: How many wait.
+      waiting: Queued requests by workspace, the oldest first; without empty
+        queues.
+      counters: Cost served divided by share, by workspace.
+      min_counter: Minimum counter of a workspace that starts to queue again.
+      cost: Total estimated cost of the queued requests.
+      size: Number of queued requests.
     """
 
     waiting: dict[str, collections.deque[QueuedRequest[T]]] = attrs.Factory(
@@ -64,11 +66,11 @@
     size: int = 0
 
     def push(self, queued: QueuedRequest[T]) -> None:
-        """Adds a request behind those of its workspace."""
+        """Adds a request to the end of its workspace's queue."""
         name = queued.workspace
         if name not in self.waiting:
             self.waiting[name] = collections.deque()
-            # Time spent away earns no credit against those who stayed.
+            # A workspace that was idle must not gain credit against the others.
             self.counters[name] = max(
                 self.counters.get(name, 0.0), self.min_counter
             )
@@ -77,7 +79,10 @@
         self.size += 1
 
     def pop(self) -> QueuedRequest[T] | None:
-        """Takes the next request and charges its estimated cost."""
+        """Removes and returns the next request; None if there is none.
+
+        Its estimated cost is charged to its workspace.
+        """
         if not self.waiting:
             return None
         name = min(self.waiting, key=lambda key: self.counters[key])
@@ -88,7 +93,7 @@
         return queued
 
     def remove(self, queued: QueuedRequest[T]) -> None:
-        """Removes a request that no longer waits."""
+        """Removes a request; does nothing if it is not queued any more."""
         queue = self.waiting.get(queued.workspace)
         if queue is None or queued not in queue:
             return
@@ -96,17 +101,24 @@
         self.subtract_from_totals(queued)
 
     def subtract_from_totals(self, queued: QueuedRequest[T]) -> None:
-        """Takes a request that left its queue out of the sums."""
+        """Subtracts a removed request from the totals."""
         self.cost = max(0.0, self.cost - queued.cost)
         self.size -= 1
         if not self.waiting[queued.workspace]:
             del self.waiting[queued.workspace]
 
     def charge(self, workspace: str, cost: float, share: float) -> None:
-        """Adds to a counter; a negative cost corrects an estimate."""
+        """Adds a cost to a workspace's counter.
+
+        Args:
+          workspace: Workspace to charge.
+          cost: Cost in prompt tokens; negative to correct an estimate that was
+            too high.
+          share: Weight of the workspace.
+        """
         before = self.counters.get(workspace, self.min_counter)
         self.counters[workspace] = before + cost / share
 
     def queued(self, workspace: str) -> int:
-        """Returns how many requests of a workspace wait."""
+        """Returns the number of queued requests of a workspace."""
         return len(self.waiting.get(workspace, ()))
