--- a/src/rattanpier/_internal/dispatch/runner.py
+++ b/src/rattanpier/_internal/dispatch/runner.py
@@ -27,6 +27,10 @@
 )
 from rattanpier._internal.dispatch.attempts import Attempts
 from rattanpier._internal.dispatch.bills import make_answer, make_bill
+from rattanpier._internal.dispatch.claim_manager import (
+    ClaimManager,
+    refuse_claim,
+)
 from rattanpier._internal.dispatch.detach import detached
 from rattanpier._internal.dispatch.engine import Chunk
 from rattanpier._internal.dispatch.failures import (
@@ -34,7 +38,6 @@
     deadline_exceeded,
     not_current,
 )
-from rattanpier._internal.dispatch.keeper import ClaimKeeper, refuse_claim
 from rattanpier._internal.dispatch.parts import (
     Completed,
     Flush,
@@ -88,7 +91,7 @@
     configuration: Callable[[], Configuration]
     claims: Claims
     dispatcher: UpstreamDispatcher
-    keeper: ClaimKeeper
+    keeper: ClaimManager
     clock: Clock
     metrics: Metrics
     holder: str
@@ -116,7 +119,7 @@
         parts = self.attempt(request, request_id)
         if request.idempotent:
             return parts
-        return detached(parts, self.keeper.track)
+        return detached(parts, self.keeper.spawn_tracked)
 
     async def attempt(
         self, request: RouteRequest, request_id: str
@@ -148,7 +151,7 @@
         if request.keyed:
             # The outcome of an earlier attempt takes precedence over any
             # refusal of this one.
-            self.keeper.begin(attempt)
+            self.keeper.start(attempt)
         for plans in range(1, MAX_PLANS + 1):
             try:
                 async with aclosing(self.plan_and_run(attempt)) as parts:
@@ -157,7 +160,7 @@
                 return
             except DispatchError as error:
                 if plans == MAX_PLANS or not is_plan_stale(error, attempt):
-                    yield await self.keeper.give_up(attempt, error.refusal)
+                    yield await self.keeper.refuse(attempt, error.refusal)
                     return
                 self.metrics.count("dispatch.planned_again")
 
@@ -170,11 +173,11 @@
         configuration = self.configuration()
         plan = self.plan(configuration, attempt.request)
         if isinstance(plan, Refusal):
-            yield await self.keeper.give_up(attempt, plan)
+            yield await self.keeper.refuse(attempt, plan)
             return
         async with self.admit(attempt.request, plan) as refusal:
             if refusal is not None:
-                yield await self.keeper.give_up(attempt, refusal)
+                yield await self.keeper.refuse(attempt, refusal)
                 return
             run = self.claim_and_run(attempt, configuration, plan)
             async with aclosing(run) as parts:
@@ -207,7 +210,7 @@
         Raises:
           DispatchError: There is no answer, or no more of it.
         """
-        reply = await self.keeper.claim_first(attempt)
+        reply = await self.keeper.claim_before_dispatch(attempt)
         if reply is not None and not may_dispatch(attempt.request, reply):
             yield refuse_claim(attempt, reply)
             return
@@ -292,7 +295,7 @@
         # The key of an unkeyed request was generated here, so no caller can
         # ask for its answer.
         keep = attempt.request.keyed
-        outcome = await self.keeper.end(
+        outcome = await self.keeper.settle(
             attempt,
             ClaimResult.ANSWERED,
             bill,
--- a/src/rattanpier/_internal/dispatch/service_runner.py
+++ b/src/rattanpier/_internal/dispatch/service_runner.py
@@ -20,12 +20,15 @@
     is_granted,
     make_attempt,
 )
+from rattanpier._internal.dispatch.claim_manager import (
+    ClaimManager,
+    refuse_claim,
+)
 from rattanpier._internal.dispatch.failures import (
     DispatchError,
     deadline_exceeded,
     not_current,
 )
-from rattanpier._internal.dispatch.keeper import ClaimKeeper, refuse_claim
 from rattanpier._internal.dispatch.parts import Recorded, Refused
 from rattanpier._internal.dispatch.plain import ServiceAnswer, ServiceCall
 from rattanpier._internal.dispatch.repeatable import may_repeat
@@ -63,7 +66,7 @@
 
     configuration: Callable[[], Configuration]
     dispatcher: UpstreamDispatcher
-    keeper: ClaimKeeper
+    keeper: ClaimManager
     holder: str
     admit: Admit = admit_all
 
@@ -84,7 +87,7 @@
         work = self.attempt(request, plan, call, request_id)
         if request.idempotent:
             return await work
-        return await asyncio.shield(self.keeper.track(work))
+        return await asyncio.shield(self.keeper.spawn_tracked(work))
 
     def mark(
         self, request: RouteRequest, service: str, call: ServiceCall
@@ -124,15 +127,15 @@
             if request.keyed:
                 # The outcome of an earlier attempt takes precedence over any
                 # refusal of this one.
-                self.keeper.begin(attempt)
+                self.keeper.start(attempt)
             if isinstance(plan, Refusal):
-                return await self.keeper.give_up(attempt, plan)
+                return await self.keeper.refuse(attempt, plan)
             async with self.admit(request, plan) as refusal:
                 if refusal is not None:
-                    return await self.keeper.give_up(attempt, refusal)
+                    return await self.keeper.refuse(attempt, refusal)
                 return await self.claim_and_run(attempt, plan.service, call)
         except DispatchError as error:
-            return await self.keeper.give_up(attempt, error.refusal)
+            return await self.keeper.refuse(attempt, error.refusal)
         except AssertionError:
             raise
         except Exception:
@@ -145,7 +148,7 @@
         self, attempt: Attempt, service: str, call: ServiceCall
     ) -> ServiceResult:
         """Claims and runs a call unless its claim is refused."""
-        reply = await self.keeper.claim_first(attempt)
+        reply = await self.keeper.claim_before_dispatch(attempt)
         if reply is not None and not may_dispatch(attempt.request, reply):
             return refuse_claim(attempt, reply)
         answer = await dispatch_call(self.dispatcher, attempt, service, call)
@@ -164,7 +167,7 @@
           None if the answer may be released, else the refusal.
         """
         request = attempt.request
-        outcome = await self.keeper.end(
+        outcome = await self.keeper.settle(
             attempt,
             ClaimResult.ANSWERED,
             Bill(request.workspace, request.key, service, 0, 0, 0.0),
--- a/src/rattanpier/_internal/programs/entry.py
+++ b/src/rattanpier/_internal/programs/entry.py
@@ -12,7 +12,7 @@
 from rattanpier._internal.cascade.sharing import ring_spread
 from rattanpier._internal.claims.service import Claims
 from rattanpier._internal.dispatch.budget import RetryBudget
-from rattanpier._internal.dispatch.keeper import ClaimKeeper
+from rattanpier._internal.dispatch.claim_manager import ClaimManager
 from rattanpier._internal.dispatch.pool_admission import PoolAdmission
 from rattanpier._internal.dispatch.quarantining import QuarantineSharing
 from rattanpier._internal.dispatch.runner import Runner
@@ -148,12 +148,14 @@
     return gate
 
 
-def add_detached_drain(kernel: Kernel, gate: Gate, keeper: ClaimKeeper) -> None:
+def add_detached_drain(
+    kernel: Kernel, gate: Gate, keeper: ClaimManager
+) -> None:
     """Lets a planned stop wait for requests whose caller went away."""
 
     async def finish() -> None:
         await gate.idle.wait()
-        await keeper.finished()
+        await keeper.drain()
 
     kernel.find("drain").add(
         DrainPhase.FINISH, "requests without a caller", finish
@@ -200,7 +202,7 @@
     follower = kernel.find("follower")
     clock = kernel.find("clock")
     metrics = kernel.find("metrics")
-    keeper = ClaimKeeper(claims, clock, metrics, kernel.spawn)
+    keeper = ClaimManager(claims, clock, metrics, kernel.spawn)
     dispatcher = UpstreamDispatcher(
         session=kernel.find("http"),
         unpooled_session=add_fresh_session(kernel),
--- a/tests/lib/dispatch.py
+++ b/tests/lib/dispatch.py
@@ -10,7 +10,7 @@
 from rattanpier._internal.claims.records import SettleOp
 from rattanpier._internal.claims.service import ClaimReply
 from rattanpier._internal.dispatch.budget import RetryBudget
-from rattanpier._internal.dispatch.keeper import ClaimKeeper
+from rattanpier._internal.dispatch.claim_manager import ClaimManager
 from rattanpier._internal.dispatch.runner import Runner
 from rattanpier._internal.dispatch.upstream_dispatcher import UpstreamDispatcher
 from rattanpier._internal.models.configuration import (
@@ -96,7 +96,7 @@
 
     async def __aenter__(self):
         self.session = aiohttp.ClientSession()
-        self.keeper = ClaimKeeper(
+        self.keeper = ClaimManager(
             self.claims, self.clock, self.metrics, self.spawn
         )
         dispatcher = UpstreamDispatcher(
@@ -127,7 +127,7 @@
         return self
 
     async def __aexit__(self, *_):
-        await self.keeper.finished()
+        await self.keeper.drain()
         while self.tasks:
             await asyncio.wait(list(self.tasks))
         await self.session.close()
--- a/tests/unit/test_keeper.py
+++ b/tests/unit/test_claim_manager.py
@@ -1,4 +1,4 @@
-"""The keeper of claims: a claim is ended however long the store is down."""
+"""The manager of claims: a claim is ended however long the store is down."""
 
 import asyncio
 
@@ -8,7 +8,10 @@
 from rattanpier._internal.claims.records import ClaimResult
 from rattanpier._internal.claims.service import ClaimReply
 from rattanpier._internal.dispatch.attempt import Attempt
-from rattanpier._internal.dispatch.keeper import END_DRAIN_S, ClaimKeeper
+from rattanpier._internal.dispatch.claim_manager import (
+    SETTLE_DRAIN_S,
+    ClaimManager,
+)
 from rattanpier._internal.models.outcomes import ClaimOutcome, SettleOutcome
 from rattanpier._internal.utils.metrics import Metrics
 from tests.lib.builders import build_request
@@ -31,32 +34,32 @@
         return SettleOutcome.SETTLED
 
 
-async def end_in_outage(clock, claims):
-    """Gives up a claim while the store is down; returns its keeper."""
+async def settle_in_outage(clock, claims):
+    """Gives up a claim while the store is down; returns its manager."""
     spawn = asyncio.get_running_loop().create_task
-    keeper = ClaimKeeper(claims, clock, Metrics(), spawn)
+    manager = ClaimManager(claims, clock, Metrics(), spawn)
     ask = Ask("desk", "k1", "entry-1/i/r", True, "digest")
     attempt = Attempt(build_request(), ask)
     attempt.claim_task = spawn(granted())
     await settle()
-    outcome = await keeper.end(attempt, ClaimResult.UNKNOWN)
+    outcome = await manager.settle(attempt, ClaimResult.UNKNOWN)
     assert outcome is SettleOutcome.UNAVAILABLE
-    return keeper
+    return manager
 
 
 async def test_claim_is_ended_after_a_long_outage():
     clock = ManualClock()
     claims = ClaimsInOutage(clock)
-    await end_in_outage(clock, claims)
+    await settle_in_outage(clock, claims)
     await clock.advance(OUTAGE_S + 10.0)
     assert [op.key for op in claims.settled] == ["k1"]
 
 
 async def test_planned_stop_does_not_wait_for_the_end_of_an_outage():
     clock = ManualClock()
-    keeper = await end_in_outage(clock, ClaimsInOutage(clock))
-    stop = asyncio.create_task(keeper.finished())
-    await clock.advance(END_DRAIN_S - 1.0)
+    manager = await settle_in_outage(clock, ClaimsInOutage(clock))
+    stop = asyncio.create_task(manager.drain())
+    await clock.advance(SETTLE_DRAIN_S - 1.0)
     assert not stop.done()
     await clock.advance(2.0)
     assert stop.done()
--- a/tests/unit/test_dispatch_order.py
+++ b/tests/unit/test_dispatch_order.py
@@ -79,7 +79,7 @@
         assert up.runs == []
         assert part.refusal.code is RefusalCode.DEADLINE
         assert part.refusal.not_run is True
-        await harness.keeper.finished()
+        await harness.keeper.drain()
         claim = harness.claims.book.claims["desk", "k1"]
         assert claim.result is ClaimResult.RELEASED
 
@@ -96,7 +96,7 @@
     async with RawUpstream() as up, make_harness(up) as harness:
         harness.claims.lose_replies = True
         part = await harness.ask(ONCE)
-        await harness.keeper.finished()
+        await harness.keeper.drain()
         assert part.refusal.code is RefusalCode.CLAIM_UNAVAILABLE
         claim = harness.claims.book.claims["desk", "k1"]
         assert claim.result is ClaimResult.RELEASED
@@ -209,7 +209,7 @@
     async with RawUpstream() as up, make_harness(up) as harness:
         harness.runner.admit = refuse
         part = await harness.ask(build_request(keyed=keyed))
-        await harness.keeper.finished()
+        await harness.keeper.drain()
         assert part.refusal.code is RefusalCode.QUEUE_FULL
         assert part.refusal.not_run is True
         assert part.refusal.retry_after_s == 3.0
