--- a/src/rattanpier/_internal/dispatch/claim_manager.py
+++ b/src/rattanpier/_internal/dispatch/claim_manager.py
@@ -1,4 +1,8 @@
-"""Obtains, confirms and ends the claims of attempts."""
+"""Obtains, confirms and settles the claims of attempts.
+
+A claim is settled even if its caller has disconnected or the store is
+unavailable, so that a repeat of its key need not wait until this process ends.
+"""
 
 from __future__ import annotations
 
@@ -28,23 +32,22 @@
 
 CLAIM_TIMEOUT_S = 3.0
 SETTLE_TIMEOUT_S = 5.0
-CLAIM_WAIT_S = 0.1  # Before the dispatch of a keyed request.
-REFUSAL_CLAIM_WAIT_S = 0.5  # A refusal waits no longer for its claim.
-JOIN_POLL_INTERVAL_S = (
-    0.1  # Between looks at a claim that another attempt runs.
-)
-RECONFIRM_AGE_S = 1.0  # A claim older than this is asked for again.
+# Maximum wait for the claim before the dispatch of an idempotent request that
+# has an idempotency key.
+CLAIM_WAIT_S = 0.1
+REFUSAL_CLAIM_WAIT_S = 0.5  # Maximum wait for the claim before a refusal.
+# Interval of asking for a claim while another attempt runs the request.
+JOIN_POLL_INTERVAL_S = 0.1
+RECONFIRM_AGE_S = 1.0  # An older claim is requested again before a dispatch.
 MAX_CONFIRM_REQUESTS = 3
-SETTLE_RETRY_INTERVAL_S = 1.0  # Between tries to end a claim in the background.
-SETTLE_DRAIN_S = 10.0  # That a planned stop waits for claims to be ended.
-SETTLE_RETRY_LIMIT_S = (
-    3600.0  # An outage may be long; a claim must not run for ever.
-)
-MAX_PENDING_SETTLEMENTS = (
-    10_000  # Claims that wait to be ended; further ones lapse.
-)
+SETTLE_RETRY_INTERVAL_S = 1.0
+SETTLE_DRAIN_S = 10.0  # Maximum wait of a planned stop for settlements.
+# Outages of the store may be long, and a claim must not stay running forever.
+SETTLE_RETRY_LIMIT_S = 3600.0
+MAX_PENDING_SETTLEMENTS = 10_000  # Claims beyond this are left unsettled.
 CLAIM_RETRY_S = 2.0
-# Outcomes of a claim that tell a caller more than any refusal.
+# Outcomes of a claim that are returned in place of another refusal, since they
+# tell the caller more.
 OVERRIDING_OUTCOMES = (
     ClaimOutcome.ANSWERED,
     ClaimOutcome.MISMATCH,
@@ -54,11 +57,13 @@
 
 @attrs.define
 class ClaimManager:
-    """Looks after the claims of the attempts of one entry.
+    """Manages the claims of the attempts of one entry.
 
     Attributes:
-      tasks: Runs that go on without a caller; a planned stop waits for them.
-      settlements: Claims being ended; a planned stop waits a little for them.
+      tasks: Runs and settlements that a planned stop waits for, even if their
+        callers disconnect.
+      settlements: Background settlements; a planned stop waits for them up to
+        SETTLE_DRAIN_S.
     """
 
     claims: Claims
@@ -69,17 +74,18 @@
     settlements: set[asyncio.Task] = attrs.Factory(set)
 
     def spawn_tracked(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task:
-        """Runs work that a planned stop has to wait for."""
+        """Starts and returns a task that a planned stop has to wait for."""
         task = self.spawn(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return task
 
     async def drain(self) -> None:
-        """Waits until nothing goes on without a caller.
+        """Waits until all tracked tasks and background settlements are done.
 
-        A claim that can't be ended, since the store is down, does not hold
-        up a planned stop: it is then taken for one of a dead holder.
+        A claim that can't be settled because the store is unavailable does not
+        delay a planned stop by more than SETTLE_DRAIN_S. It is then treated as
+        a claim whose holder terminated.
         """
         while self.tasks:
             await asyncio.wait(list(self.tasks))
@@ -92,18 +98,25 @@
         drain_limit.cancel()
 
     def start(self, attempt: Attempt) -> None:
-        """Starts to obtain the claim, unless that was done."""
+        """Starts to obtain the claim unless that was done before."""
         if attempt.claim_task is None:
             attempt.claim_task = self.spawn(self.obtain(attempt))
 
     async def obtain(self, attempt: Attempt) -> ClaimReply:
-        """Claims a request; waits while another attempt runs it."""
+        """Claims a request, waiting while another attempt runs it.
+
+        Returns:
+          The reply to the claim; RUNNING if the other attempt did not end
+          before the deadline or this one was closed, UNAVAILABLE if the
+          deadline has passed.
+        """
         while True:
             now = self.clock.monotonic()
             remaining_s = attempt.request.deadline - now
             if remaining_s <= 0:
                 return UNAVAILABLE
-            # Taken before the ask: a pause at any later moment counts.
+            # Read before the request, so that the age of the claim includes any
+            # later suspension of the process.
             attempt.claim_asked_at = now
             reply = await self.claims.claim(
                 attempt.ask, min(CLAIM_TIMEOUT_S, remaining_s)
@@ -116,39 +129,42 @@
             await self.clock.sleep(JOIN_POLL_INTERVAL_S)
 
     async def wait(self, attempt: Attempt) -> ClaimReply:
-        """Returns what came of the claim."""
+        """Waits for the claim and returns the reply."""
         assert attempt.claim_task is not None
-        # The claim goes on when its caller goes away: it has to be ended.
+        # The claim is not cancelled when the caller disconnects, because a
+        # granted claim has to be settled.
         return await asyncio.shield(attempt.claim_task)
 
     async def wait_at_most(self, attempt: Attempt, seconds: float) -> None:
-        """Waits a little for the claim."""
+        """Waits for the claim, for at most the given seconds."""
         if attempt.claim_task is not None:
             await asyncio.wait({attempt.claim_task}, timeout=seconds)
 
     async def claim_before_dispatch(
         self, attempt: Attempt
     ) -> ClaimReply | None:
-        """Claims a request, as far as its first dispatch has to wait for it.
+        """Starts the claim and waits as long as the first dispatch has to.
 
         Returns:
-          What came of the claim; None if that is not known yet and the
-          dispatch may go ahead of it.
+          The reply to the claim; None if it is not known yet and the request
+          may be dispatched before it.
         """
         self.start(attempt)
         if not attempt.request.idempotent:
-            # At most one dispatch: the claim has to be certain first.
+            # May be dispatched only once, so the claim has to be certain first.
             return await self.wait(attempt)
         if attempt.request.keyed:
-            # A repeat of a key is mostly known before an engine is troubled.
+            # Usually long enough to recognize a repeated key, which then causes
+            # no load on an engine.
             await self.wait_at_most(attempt, CLAIM_WAIT_S)
         return attempt.reply
 
     async def confirm(self, attempt: Attempt) -> bool:
-        """Says, right before a dispatch, whether the claim still holds.
+        """Returns whether the claim still holds, right before a dispatch.
 
-        A process that was frozen since its claim notices by the clock and
-        asks again; by then the claim may have been given up as unknown.
+        A process that was suspended after its claim detects this by the clock
+        and requests the claim again. Meanwhile the claim may have been settled
+        as unknown.
         """
         reply = attempt.reply
         assert reply is not None and is_granted(reply)
@@ -170,10 +186,14 @@
         bill: Bill | None = None,
         answer: Answer | None = None,
     ) -> SettleOutcome:
-        """Settles the claim; goes on trying when it can't be done now."""
+        """Settles the claim, and retries in the background if that fails.
+
+        Returns:
+          The outcome of the first try.
+        """
         op = make_settle_op(attempt, result, bill, answer)
         attempt.closed = True
-        # A caller that goes away now must not leave the claim half ended.
+        # The settlement must not be cancelled when the caller disconnects.
         return await asyncio.shield(
             self.spawn_tracked(self.settle_once(attempt, op))
         )
@@ -181,7 +201,7 @@
     async def settle_once(
         self, attempt: Attempt, op: SettleOp
     ) -> SettleOutcome:
-        """Settles a claim once, and in the background if that failed."""
+        """Settles a claim; on failure, starts retries in the background."""
         outcome = await self.claims.settle(
             op, attempt.ask.holder, SETTLE_TIMEOUT_S
         )
@@ -192,10 +212,10 @@
     async def settle_in_background(
         self, attempt: Attempt, op: SettleOp
     ) -> None:
-        """Settles a claim in the background."""
+        """Retries a settlement for at most SETTLE_RETRY_LIMIT_S."""
         retry_until = self.clock.monotonic() + SETTLE_RETRY_LIMIT_S
         while self.clock.monotonic() < retry_until:
-            # While the store is known to be down the answer comes at once.
+            # While the store is known to be down, settling fails immediately.
             await self.clock.sleep(SETTLE_RETRY_INTERVAL_S)
             outcome = await self.claims.settle(
                 op, attempt.ask.holder, SETTLE_TIMEOUT_S
@@ -206,10 +226,10 @@
         self.metrics.count("claims.not_ended")
 
     def abandon(self, attempt: Attempt) -> None:
-        """Ends a claim without an answer, in the background.
+        """Ends the claim of an attempt without an answer, in the background.
 
-        For callers that went away and for refusals: a repeat of the key has
-        not to wait for this process to die.
+        Used for disconnected callers and for refusals, so that a repeat of the
+        key need not wait until this process ends.
         """
         if attempt.closed or attempt.claim_task is None:
             return
@@ -217,14 +237,17 @@
         self.spawn_settlement(self.disown_abandoned(attempt))
 
     async def disown_abandoned(self, attempt: Attempt) -> None:
-        """Ends a claim once it is known whether it was asked for in vain."""
+        """Waits for the reply to a claim and disowns the claim if needed."""
         reply = await self.wait(attempt)
-        # Where no reply came, the claim may have been granted all the same.
+        # If the reply was lost, the claim may nevertheless have been granted.
         if is_granted(reply) or reply.outcome is ClaimOutcome.UNAVAILABLE:
             self.claims.disown(attempt.ask, result_without_answer(attempt))
 
     def spawn_settlement(self, work: Coroutine[Any, Any, Any]) -> None:
-        """Runs the ending of a claim in the background, within a bound."""
+        """Runs a settlement in the background.
+
+        If MAX_PENDING_SETTLEMENTS are running already, it is dropped.
+        """
         if len(self.settlements) >= MAX_PENDING_SETTLEMENTS:
             self.metrics.count("claims.not_ended")
             work.close()
@@ -234,7 +257,11 @@
         task.add_done_callback(self.settlements.discard)
 
     async def refuse(self, attempt: Attempt, refusal: Refusal) -> Part:
-        """Ends an attempt without an answer and returns its last part."""
+        """Ends an attempt without an answer and returns its last part.
+
+        For a request with an idempotency key, the outcome of an earlier attempt
+        takes precedence over the refusal.
+        """
         if attempt.request.keyed:
             await self.wait_at_most(attempt, REFUSAL_CLAIM_WAIT_S)
         reply = attempt.reply
@@ -245,7 +272,7 @@
 
 
 def result_without_answer(attempt: Attempt) -> ClaimResult:
-    """Returns the truth about an attempt that gave no answer."""
+    """Returns the result to record for an attempt without an answer."""
     if attempt.may_have_run:
         return ClaimResult.UNKNOWN
     return ClaimResult.RELEASED
@@ -257,7 +284,7 @@
     bill: Bill | None,
     answer: Answer | None,
 ) -> SettleOp:
-    """Returns the operation that ends a granted claim."""
+    """Returns the operation that settles a granted claim."""
     reply = attempt.reply
     assert reply is not None and is_granted(reply)
     return SettleOp(
