--- a/src/rattanpier/_internal/dispatch/bills.py
+++ b/src/rattanpier/_internal/dispatch/bills.py
@@ -13,35 +13,37 @@
 from rattanpier._internal.models.configuration import Configuration
 from rattanpier._internal.models.request import RouteRequest
 
-MILLION = 1_000_000
-JSON_TYPE = "application/json"
+PRICE_UNIT_TOKENS = 1_000_000
+JSON_CONTENT_TYPE = "application/json"
 
 
 @attrs.frozen
-class Spent:
+class StepUsage:
     """What one step of a cascade used."""
 
     version: str
     usage: Usage
 
 
-def is_whole(chunks: Sequence[Chunk]) -> bool:
+def is_complete(chunks: Sequence[Chunk]) -> bool:
     """Says whether chunks are a whole answer that can be billed."""
     finished = any(chunk.finish is not None for chunk in chunks)
     return finished and any(chunk.usage is not None for chunk in chunks)
 
 
-def spent_by(version: str, chunks: Sequence[Chunk]) -> Spent:
+def step_usage(version: str, chunks: Sequence[Chunk]) -> StepUsage:
     """Returns what a whole answer used."""
     # Some engines send the usage after the chunk that says why it ended.
     for chunk in reversed(chunks):
         if chunk.usage is not None:
-            return Spent(version, chunk.usage)
+            return StepUsage(version, chunk.usage)
     raise AssertionError("a whole answer has its usage")
 
 
 def make_bill(
-    configuration: Configuration, request: RouteRequest, steps: Sequence[Spent]
+    configuration: Configuration,
+    request: RouteRequest,
+    steps: Sequence[StepUsage],
 ) -> Bill:
     """Returns the one bill for all steps of a request.
 
@@ -56,25 +58,27 @@
         version=steps[-1].version,
         prompt_tokens=sum(step.usage.prompt_tokens for step in steps),
         output_tokens=sum(step.usage.output_tokens for step in steps),
-        credits=sum(price(configuration, step) for step in steps),
+        credits=sum(step_credits(configuration, step) for step in steps),
     )
 
 
-def price(configuration: Configuration, step: Spent) -> float:
+def step_credits(configuration: Configuration, step: StepUsage) -> float:
     """Returns the credits for one step."""
     version = configuration.versions[step.version]
     return (
         step.usage.prompt_tokens * version.input_price
         + step.usage.output_tokens * version.output_price
-    ) / MILLION
+    ) / PRICE_UNIT_TOKENS
 
 
 def make_answer(version: str, chunks: Sequence[Chunk]) -> Answer:
     """Returns the answer to record: the whole chat completion."""
-    return Answer(200, JSON_TYPE, json.dumps(completion(chunks)), version)
+    return Answer(
+        200, JSON_CONTENT_TYPE, json.dumps(make_completion(chunks)), version
+    )
 
 
-def completion(chunks: Sequence[Chunk]) -> dict[str, Any]:
+def make_completion(chunks: Sequence[Chunk]) -> dict[str, Any]:
     """Returns a chat completion from the chunks of its stream."""
     last = json.loads(chunks[-1].data)
     finishes = [chunk.finish for chunk in chunks if chunk.finish is not None]
--- a/src/rattanpier/_internal/dispatch/steps.py
+++ b/src/rattanpier/_internal/dispatch/steps.py
@@ -15,7 +15,11 @@
     answer_of,
     go_on,
 )
-from rattanpier._internal.dispatch.bills import Spent, is_whole, spent_by
+from rattanpier._internal.dispatch.bills import (
+    StepUsage,
+    is_complete,
+    step_usage,
+)
 from rattanpier._internal.dispatch.engine import Chunk
 from rattanpier._internal.dispatch.failures import (
     DispatchError,
@@ -67,7 +71,7 @@
     open_stream: OpenStream
     may_serve: MayServe
     may_retry: Callable[[], bool]
-    spent: list[Spent] = attrs.Factory(list)
+    spent: list[StepUsage] = attrs.Factory(list)
 
     async def chunks(self) -> AsyncIterator[StepChunk]:
         """Yields the chunks of the first step whose answer is accepted.
@@ -105,7 +109,7 @@
             if not self.may_retry():
                 raise
             return None
-        self.spent.append(spent_by(version, chunks))
+        self.spent.append(step_usage(version, chunks))
         verdict = self.policy.judge(
             self.walk, answer_of(chunks), self.may_serve
         )
@@ -115,7 +119,7 @@
         """Returns all chunks of the complete answer of a step."""
         async with aclosing(self.open_stream(version)) as source:
             chunks = [chunk async for chunk in source]
-        if not is_whole(chunks):
+        if not is_complete(chunks):
             raise incomplete_answer()
         return chunks
 
@@ -127,8 +131,8 @@
             async for chunk in source:
                 chunks.append(chunk)
                 yield chunk
-        if not is_whole(chunks):
+        if not is_complete(chunks):
             raise incomplete_answer()
-        self.spent.append(spent_by(version, chunks))
+        self.spent.append(step_usage(version, chunks))
         # The verdict is not used, but the policy may still rate the answer.
         self.policy.judge(self.walk, answer_of(chunks), self.may_serve)
--- a/src/rattanpier/_internal/edge/chat.py
+++ b/src/rattanpier/_internal/edge/chat.py
@@ -10,7 +10,7 @@
 from aiohttp import web
 
 from rattanpier._internal.claims.records import Answer
-from rattanpier._internal.dispatch.bills import completion
+from rattanpier._internal.dispatch.bills import make_completion
 from rattanpier._internal.dispatch.engine import Chunk
 from rattanpier._internal.dispatch.parts import (
     Completed,
@@ -173,7 +173,7 @@
                     return self.refuse(refusal, request_id)
                 case Completed():
                     return web.json_response(
-                        completion(chunks), headers=headers
+                        make_completion(chunks), headers=headers
                     )
         raise AssertionError("an answer ended without a last part")
 
