--- a/src/rattanpier/_internal/dispatch/bills.py
+++ b/src/rattanpier/_internal/dispatch/bills.py
@@ -1,4 +1,4 @@
-"""Bills and recorded answers, made from the chunks of an answer."""
+"""Makes bills and recorded answers from the chunks of answers."""
 
 from __future__ import annotations
 
@@ -13,31 +13,36 @@
 from rattanpier._internal.models.configuration import Configuration
 from rattanpier._internal.models.request import RouteRequest
 
-PRICE_UNIT_TOKENS = 1_000_000
+PRICE_UNIT_TOKENS = 1_000_000  # Prices are in credits per this many tokens.
 JSON_CONTENT_TYPE = "application/json"
 
 
 @attrs.frozen
 class StepUsage:
-    """What one step of a cascade used."""
+    """Token usage of one step of a cascade.
+
+    Attributes:
+      version: Version that the step ran.
+      usage: Token counts of its answer.
+    """
 
     version: str
     usage: Usage
 
 
 def is_complete(chunks: Sequence[Chunk]) -> bool:
-    """Says whether chunks are a whole answer that can be billed."""
+    """Returns whether chunks are a complete answer that can be billed."""
     finished = any(chunk.finish is not None for chunk in chunks)
     return finished and any(chunk.usage is not None for chunk in chunks)
 
 
 def step_usage(version: str, chunks: Sequence[Chunk]) -> StepUsage:
-    """Returns what a whole answer used."""
-    # Some engines send the usage after the chunk that says why it ended.
+    """Returns the token usage of a complete answer."""
+    # Some engines send the usage after the chunk with the finish reason.
     for chunk in reversed(chunks):
         if chunk.usage is not None:
             return StepUsage(version, chunk.usage)
-    raise AssertionError("a whole answer has its usage")
+    raise AssertionError("complete answer without token usage")
 
 
 def make_bill(
@@ -45,12 +50,14 @@
     request: RouteRequest,
     steps: Sequence[StepUsage],
 ) -> Bill:
-    """Returns the one bill for all steps of a request.
+    """Returns the bill for all steps of a request.
 
     Args:
-      configuration: For the prices; the one that the plan was made from.
-      request: Names the bill.
-      steps: Whole answers that were generated; the last was released.
+      configuration: Configuration that the request was planned with; gives the
+        prices.
+      request: Request to bill.
+      steps: Usage of each complete answer that was generated; the last one was
+        released to the caller.
     """
     return Bill(
         workspace=request.workspace,
@@ -63,7 +70,7 @@
 
 
 def step_credits(configuration: Configuration, step: StepUsage) -> float:
-    """Returns the credits for one step."""
+    """Returns the price of one step in credits."""
     version = configuration.versions[step.version]
     return (
         step.usage.prompt_tokens * version.input_price
@@ -72,14 +79,14 @@
 
 
 def make_answer(version: str, chunks: Sequence[Chunk]) -> Answer:
-    """Returns the answer to record: the whole chat completion."""
+    """Returns the answer to record: the complete chat completion."""
     return Answer(
         200, JSON_CONTENT_TYPE, json.dumps(make_completion(chunks)), version
     )
 
 
 def make_completion(chunks: Sequence[Chunk]) -> dict[str, Any]:
-    """Returns a chat completion from the chunks of its stream."""
+    """Returns the chat completion that consists of streamed chunks."""
     last = json.loads(chunks[-1].data)
     finishes = [chunk.finish for chunk in chunks if chunk.finish is not None]
     text = "".join(chunk.text for chunk in chunks)
