--- a/src/rattanpier/_internal/dispatch/limits.py
+++ b/src/rattanpier/_internal/dispatch/limits.py
@@ -12,9 +12,9 @@
 import attrs
 
 SLOW_FACTOR = 4.0  # Prompts differ in length; this much is not yet a queue.
-SLACK_S = 0.05
-DECREASE = 0.95  # For each first token that came late.
-BEST_DRIFT = 1.001  # The best time is forgotten slowly.
+SLOW_SLACK_S = 0.05
+DECREASE_FACTOR = 0.95  # For each first token that came late.
+BEST_TIME_GROWTH = 1.001  # The best time is forgotten slowly.
 
 
 @attrs.define
@@ -23,23 +23,26 @@
 
     Attributes:
       extra: What is taken beyond the entry's own part.
-      best_s: Shortest time to the first token seen, slowly forgotten.
+      best_first_token_s: Shortest time to the first token seen, slowly
+        forgotten.
     """
 
     extra: float = 0.0
-    best_s: float = math.inf
+    best_first_token_s: float = math.inf
 
-    def note(self, first_token_s: float) -> None:
+    def record_first_token(self, first_token_s: float) -> None:
         """Takes in the time to a first token."""
-        self.best_s = min(self.best_s * BEST_DRIFT, first_token_s)
-        if first_token_s > SLOW_FACTOR * self.best_s + SLACK_S:
-            self.extra *= DECREASE
+        self.best_first_token_s = min(
+            self.best_first_token_s * BEST_TIME_GROWTH, first_token_s
+        )
+        if first_token_s > SLOW_FACTOR * self.best_first_token_s + SLOW_SLACK_S:
+            self.extra *= DECREASE_FACTOR
         else:
             self.extra += 1.0 / (1.0 + self.extra)
 
-    def note_refused(self) -> None:
+    def record_failure(self) -> None:
         """Takes in that a worker was full or gave nothing."""
-        self.extra *= DECREASE
+        self.extra *= DECREASE_FACTOR
 
     def limit(self, slots: int, entries: int) -> int:
         """Returns how many requests may be at the pool.
@@ -48,6 +51,6 @@
           slots: Requests that all its workers run at once.
           entries: Live entries.
         """
-        own = math.ceil(slots / max(1, entries))
-        self.extra = min(self.extra, float(max(0, slots - own)))
-        return max(1, own + int(self.extra))
+        own_slots = math.ceil(slots / max(1, entries))
+        self.extra = min(self.extra, float(max(0, slots - own_slots)))
+        return max(1, own_slots + int(self.extra))
--- a/src/rattanpier/_internal/dispatch/pool_admission.py
+++ b/src/rattanpier/_internal/dispatch/pool_admission.py
@@ -108,9 +108,9 @@
         """Updates the pool's limit and the mean answer length from a result."""
         pool = self.current_index().by_version.get(result.version)
         if pool is not None and result.first_token_s is not None:
-            self.limits[pool].note(result.first_token_s)
+            self.limits[pool].record_first_token(result.first_token_s)
         elif pool is not None:
-            self.limits[pool].note_refused()
+            self.limits[pool].record_failure()
         if result.outcome is AttemptOutcome.COMPLETE:
             before = self.mean_output_tokens.get(
                 result.workspace, float(result.chunks)
--- a/tests/unit/test_limits.py
+++ b/tests/unit/test_limits.py
@@ -6,14 +6,14 @@
 def test_own_part_is_sure():
     limit = PoolLimit()
     for _ in range(100):
-        limit.note_refused()
+        limit.record_failure()
     assert limit.limit(slots=64, entries=8) == 8
 
 
 def test_lone_busy_entry_takes_what_the_others_leave():
     limit = PoolLimit()
     for _ in range(3000):
-        limit.note(0.1)
+        limit.record_first_token(0.1)
         limit.limit(slots=64, entries=8)
     assert limit.limit(slots=64, entries=8) == 64
 
@@ -21,8 +21,8 @@
 def test_late_first_tokens_give_the_extra_back():
     limit = PoolLimit()
     for _ in range(3000):
-        limit.note(0.1)
+        limit.record_first_token(0.1)
         limit.limit(slots=64, entries=8)
     for _ in range(100):
-        limit.note(2.0)
+        limit.record_first_token(2.0)
     assert limit.limit(slots=64, entries=8) < 12
