--- a/src/rattanpier/_internal/dispatch/pools.py
+++ b/src/rattanpier/_internal/dispatch/pools.py
@@ -1,6 +1,7 @@
-"""What admission asks of the configuration, worked out once for each.
+"""Index of the pools of a configuration, as needed by admission.
 
-Looking at all workers for each request would cost more the more there are.
+It is built once for each configuration, because visiting all workers for each
+request would cost more the more workers there are.
 """
 
 from __future__ import annotations
@@ -15,12 +16,14 @@
 
 @attrs.frozen
 class PoolIndex:
-    """The pools of one configuration.
+    """Index of the pools of one configuration.
 
     Attributes:
-      configuration: The one that it was made from.
-      by_version: The first engine upstream that serves a version.
-      slots: Requests that an upstream runs at once, by its name.
+      configuration: Configuration that the index was built from.
+      by_version: Name of the first engine upstream that serves a version, by
+        version.
+      slots: Number of requests that an upstream's workers can run at once, by
+        upstream; without draining workers.
     """
 
     configuration: Configuration
@@ -29,7 +32,7 @@
 
 
 def index_pools(configuration: Configuration) -> PoolIndex:
-    """Returns the index of a configuration."""
+    """Builds and returns the index of a configuration."""
     by_version: dict[str, str] = {}
     slots: dict[str, int] = {}
     for name, upstream in configuration.upstreams.items():
