--- a/tests/unit/test_admission.py
+++ b/tests/unit/test_admission.py
@@ -21,18 +21,18 @@
 DEMAND = Demand("desk", 1.0, 4, 100.0, 1000.0)
 
 
-def build(limit=1):
+def build_admission(limit=1):
     return Admission(lambda _name: limit, ManualClock(), Metrics())
 
 
-async def fill(admission, demand=DEMAND, rate=100.0):
+async def occupy(admission, demand=DEMAND, rate=100.0):
     """Takes the only place and makes the drain known."""
     permit = await admission.acquire("pool", demand)
     admission.pools["pool"].drain.rate = rate
     return permit
 
 
-async def enter_soon(admission, demand):
+async def start_acquire(admission, demand):
     task = asyncio.get_running_loop().create_task(
         admission.acquire("pool", demand)
     )
@@ -40,19 +40,19 @@
     return task
 
 
-async def test_place_is_given_on():
-    admission = build()
-    first = await fill(admission)
-    second = await enter_soon(admission, DEMAND)
+async def test_released_place_goes_to_the_next_waiter():
+    admission = build_admission()
+    first = await occupy(admission)
+    second = await start_acquire(admission, DEMAND)
     assert not second.done()
     admission.release(first, 100.0)
     assert isinstance(await second, Permit)
 
 
-async def test_full_queue_is_refused_at_once_with_the_drain_time():
-    admission = build()
-    await fill(admission)
-    waiting = [await enter_soon(admission, DEMAND) for _ in range(4)]
+async def test_full_queue_refuses_at_once_with_the_drain_time():
+    admission = build_admission()
+    await occupy(admission)
+    waiting = [await start_acquire(admission, DEMAND) for _ in range(4)]
     refusal = await admission.acquire("pool", DEMAND)
     assert refusal.code is RefusalCode.QUEUE_FULL
     assert refusal.not_run
@@ -62,10 +62,10 @@
         task.cancel()
 
 
-async def test_hopeless_request_is_refused_before_it_waits():
-    admission = build()
-    await fill(admission)
-    task = await enter_soon(admission, DEMAND)
+async def test_request_that_would_miss_its_deadline_is_not_queued():
+    admission = build_admission()
+    await occupy(admission)
+    task = await start_acquire(admission, DEMAND)
     refusal = await admission.acquire(
         "pool", attrs.evolve(DEMAND, deadline=1.5)
     )
@@ -74,9 +74,9 @@
 
 
 async def test_request_is_shed_when_the_pool_becomes_slow():
-    admission = build()
-    await fill(admission)
-    task = await enter_soon(admission, attrs.evolve(DEMAND, deadline=20.0))
+    admission = build_admission()
+    await occupy(admission)
+    task = await start_acquire(admission, attrs.evolve(DEMAND, deadline=20.0))
     for _ in range(40):
         admission.clock.now += DRAIN_SAMPLE_S
         admission.shed(admission.pools["pool"])
@@ -86,10 +86,10 @@
     assert admission.pools["pool"].queue.size == 0
 
 
-async def test_cancelled_waiter_leaves_no_trace():
-    admission = build()
-    permit = await fill(admission)
-    task = await enter_soon(admission, DEMAND)
+async def test_cancelled_waiter_is_removed_from_the_queue():
+    admission = build_admission()
+    permit = await occupy(admission)
+    task = await start_acquire(admission, DEMAND)
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
     admission.release(permit, 100.0)
@@ -97,10 +97,10 @@
     assert isinstance(await admission.acquire("pool", DEMAND), Permit)
 
 
-async def test_waiter_cancelled_as_it_is_admitted_gives_its_place_back():
-    admission = build()
-    permit = await fill(admission)
-    task = await enter_soon(admission, DEMAND)
+async def test_waiter_cancelled_on_admission_releases_its_place():
+    admission = build_admission()
+    permit = await occupy(admission)
+    task = await start_acquire(admission, DEMAND)
     admission.release(permit, 100.0)
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
@@ -118,7 +118,7 @@
     assert "small" in served
 
 
-def test_shares_are_kept_in_units_of_cost():
+def test_cost_is_divided_by_share():
     queue = TokenCounterQueue()
     for _ in range(400):
         queue.push(QueuedRequest(None, "long", 300.0, 3.0))
@@ -130,7 +130,7 @@
     assert 2.9 < cost["long"] / cost["short"] < 3.1
 
 
-def test_absence_earns_no_credit():
+def test_idle_workspace_gains_no_credit():
     queue = TokenCounterQueue()
     for _ in range(50):
         queue.push(QueuedRequest(None, "busy", 100.0, 1.0))
