--- a/tests/unit/test_admission.py
+++ b/tests/unit/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: bounds, fairness, immediate refusals."""
+"""Tests of admission: bounded queues, fairness and immediate refusals."""
 
 import asyncio
 
@@ -26,7 +26,7 @@
 
 
 async def occupy(admission, demand=DEMAND, rate=100.0):
-    """Takes the only place and makes the drain known."""
+    """Takes the only place and sets the drain rate; returns the permit."""
     permit = await admission.acquire("pool", demand)
     admission.pools["pool"].drain.rate = rate
     return permit
@@ -56,7 +56,7 @@
     refusal = await admission.acquire("pool", DEMAND)
     assert refusal.code is RefusalCode.QUEUE_FULL
     assert refusal.not_run
-    # Five requests of 100 at 100 a second.
+    # Five requests with a cost of 100 each, at a rate of 100 per second.
     assert refusal.retry_after_s == 5.0
     for task in waiting:
         task.cancel()
