--- a/tests/unit/test_dispatch_order.py
+++ b/tests/unit/test_dispatch_order.py
@@ -16,10 +16,10 @@
 from tests.lib.dispatch import make_harness
 from tests.lib.raw import RawUpstream
 
-ONCE = build_request(idempotent=False, keyed=True)
+NON_IDEMPOTENT = build_request(idempotent=False, keyed=True)
 
 
-def freeze(harness, seconds, others=True):
+def suspend_after_claim(harness, seconds, others=True):
     """Stops the process after its claim; another entry asks meanwhile."""
 
     def after_claim(ask):
@@ -33,17 +33,20 @@
     harness.claims.after_claim = after_claim
 
 
-async def test_a_thawed_process_does_not_dispatch():
-    async with RawUpstream() as up, make_harness(up) as harness:
-        freeze(harness, 20.0)
-        part = await harness.ask(ONCE)
-        assert up.runs == []
+async def test_resumed_process_with_a_lost_claim_does_not_dispatch():
+    async with RawUpstream() as upstream, make_harness(upstream) as harness:
+        suspend_after_claim(harness, 20.0)
+        part = await harness.ask(NON_IDEMPOTENT)
+        assert upstream.runs == []
         assert part.refusal.code is RefusalCode.CLAIM_UNAVAILABLE
 
 
 @pytest.mark.parametrize("others", [False, True])
-async def test_a_process_frozen_while_connecting_sends_no_body(others):
-    async with RawUpstream() as up, make_harness(up, up) as harness:
+async def test_process_suspended_while_connecting_sends_no_body(others):
+    async with (
+        RawUpstream() as upstream,
+        make_harness(upstream, upstream) as harness,
+    ):
         calls = []
 
         def current():
@@ -59,24 +62,24 @@
             return True
 
         harness.runner.dispatcher.current = current
-        part = await harness.ask(ONCE)
-        assert len(up.runs) == (0 if others else 1)
+        part = await harness.ask(NON_IDEMPOTENT)
+        assert len(upstream.runs) == (0 if others else 1)
         assert isinstance(part, Refused if others else Completed)
 
 
-async def test_a_thawed_process_whose_claim_holds_goes_on():
-    async with RawUpstream() as up, make_harness(up) as harness:
-        freeze(harness, 20.0, others=False)
-        assert isinstance(await harness.ask(ONCE), Completed)
-        assert len(up.runs) == 1
+async def test_resumed_process_dispatches_if_its_claim_holds():
+    async with RawUpstream() as upstream, make_harness(upstream) as harness:
+        suspend_after_claim(harness, 20.0, others=False)
+        assert isinstance(await harness.ask(NON_IDEMPOTENT), Completed)
+        assert len(upstream.runs) == 1
         assert harness.claims.asks == 2
 
 
-async def test_a_process_thawed_after_the_deadline_says_not_run():
-    async with RawUpstream() as up, make_harness(up) as harness:
-        freeze(harness, 40.0, others=False)
-        part = await harness.ask(ONCE)
-        assert up.runs == []
+async def test_process_resumed_after_the_deadline_reports_not_run():
+    async with RawUpstream() as upstream, make_harness(upstream) as harness:
+        suspend_after_claim(harness, 40.0, others=False)
+        part = await harness.ask(NON_IDEMPOTENT)
+        assert upstream.runs == []
         assert part.refusal.code is RefusalCode.DEADLINE
         assert part.refusal.not_run is True
         await harness.keeper.drain()
@@ -84,41 +87,44 @@
         assert claim.result is ClaimResult.RELEASED
 
 
-async def test_a_grant_that_is_not_durable_runs_nothing_non_idempotent():
-    async with RawUpstream() as up, make_harness(up) as harness:
+async def test_non_durable_grant_runs_no_non_idempotent_request():
+    async with RawUpstream() as upstream, make_harness(upstream) as harness:
         harness.claims.durable = False
-        part = await harness.ask(ONCE)
+        part = await harness.ask(NON_IDEMPOTENT)
         assert isinstance(part, Refused)
-        assert up.runs == []
+        assert upstream.runs == []
 
 
-async def test_a_claim_whose_reply_was_lost_is_ended():
-    async with RawUpstream() as up, make_harness(up) as harness:
+async def test_claim_whose_reply_was_lost_is_released():
+    async with RawUpstream() as upstream, make_harness(upstream) as harness:
         harness.claims.lose_replies = True
-        part = await harness.ask(ONCE)
+        part = await harness.ask(NON_IDEMPOTENT)
         await harness.keeper.drain()
         assert part.refusal.code is RefusalCode.CLAIM_UNAVAILABLE
         claim = harness.claims.book.claims["desk", "k1"]
         assert claim.result is ClaimResult.RELEASED
-        assert up.runs == []
+        assert upstream.runs == []
 
 
-async def test_a_version_stopped_after_a_run_is_no_proof():
-    async with RawUpstream("fail") as up, make_harness(up, up) as harness:
+async def test_version_withdrawn_after_a_run_is_not_reported_as_not_run():
+    async with (
+        RawUpstream("fail") as upstream,
+        make_harness(upstream, upstream) as harness,
+    ):
         stopped = {
             name: attrs.evolve(version, state=VersionState.WITHDRAWN)
             for name, version in harness.configuration.versions.items()
         }
         withdrawn = attrs.evolve(harness.configuration, versions=stopped)
-        answer = up.answer
+        answer = upstream.answer
 
         async def withdraw_then_answer(*arguments):
             harness.configuration = withdrawn
             return await answer(*arguments)
 
-        up.answer = withdraw_then_answer
+        upstream.answer = withdraw_then_answer
         part = await harness.ask(build_request())
-        assert len(up.runs) == 1
+        assert len(upstream.runs) == 1
         assert part.refusal.code is RefusalCode.VERSION_WITHDRAWN
         assert part.refusal.not_run is False
 
@@ -136,28 +142,28 @@
     )
 
 
-async def test_a_version_withdrawn_before_the_dispatch_is_planned_around():
-    async with RawUpstream() as up, make_harness(up) as harness:
-        pinned = attrs.evolve(ONCE, pinned=SMALL)
+async def test_version_withdrawn_before_dispatch_is_replanned():
+    async with RawUpstream() as upstream, make_harness(upstream) as harness:
+        pinned = attrs.evolve(NON_IDEMPOTENT, pinned=SMALL)
         harness.claims.after_claim = lambda _ask: withdraw(harness, SMALL)
         part = await harness.ask(pinned)
         assert isinstance(part, Completed)
-        assert len(up.runs) == 1
+        assert len(upstream.runs) == 1
         assert part.bill.version == LARGE
 
 
-async def test_where_all_are_withdrawn_the_request_has_not_run():
-    async with RawUpstream() as up, make_harness(up) as harness:
+async def test_request_is_not_run_if_all_versions_are_withdrawn():
+    async with RawUpstream() as upstream, make_harness(upstream) as harness:
         harness.claims.after_claim = lambda _ask: withdraw(
             harness, SMALL, LARGE
         )
-        part = await harness.ask(ONCE)
-        assert up.runs == []
+        part = await harness.ask(NON_IDEMPOTENT)
+        assert upstream.runs == []
         assert part.refusal.code is RefusalCode.NO_VERSION
         assert part.refusal.not_run is True
 
 
-async def test_a_retry_goes_to_a_worker_that_only_seems_silent():
+async def test_retry_may_use_a_worker_that_missed_a_probe():
     async with (
         RawUpstream("fail") as one,
         RawUpstream() as two,
@@ -169,7 +175,7 @@
         assert (len(one.runs), len(two.runs)) == (1, 1)
 
 
-async def test_a_retry_never_goes_to_a_worker_that_leaves():
+async def test_retry_never_uses_a_worker_announced_as_leaving():
     async with (
         RawUpstream("fail") as one,
         RawUpstream() as two,
@@ -182,45 +188,45 @@
         assert two.runs == []
 
 
-async def test_a_first_try_is_refused_where_all_seem_silent():
-    async with RawUpstream() as up, make_harness(up) as harness:
+async def test_first_dispatch_is_refused_if_all_workers_missed_a_probe():
+    async with RawUpstream() as upstream, make_harness(upstream) as harness:
         harness.runner.dispatcher.leaving = {"w0"}
         part = await harness.ask(build_request())
         assert part.refusal.code is RefusalCode.NO_WORKER
         assert part.refusal.not_run is True
-        assert up.runs == []
+        assert upstream.runs == []
 
 
-async def test_a_repeat_gets_its_answer_though_no_rule_matches_now():
-    async with RawUpstream() as up, make_harness(up) as harness:
+async def test_repeat_gets_its_recorded_answer_without_a_matching_rule():
+    async with RawUpstream() as upstream, make_harness(upstream) as harness:
         request = build_request(keyed=True)
         assert isinstance(await harness.ask(request), Completed)
         harness.configuration = attrs.evolve(harness.configuration, rules=[])
         assert isinstance(await harness.ask(request, "r2"), Recorded)
-        assert len(up.runs) == 1
+        assert len(upstream.runs) == 1
 
 
 @pytest.mark.parametrize("keyed", [False, True])
-async def test_a_refused_admission_sends_nothing(keyed):
+async def test_refused_admission_dispatches_nothing(keyed):
     @asynccontextmanager
     async def refuse(_request, _plan):
         yield Refusal(RefusalCode.QUEUE_FULL, "Full.", True, 3.0)
 
-    async with RawUpstream() as up, make_harness(up) as harness:
+    async with RawUpstream() as upstream, make_harness(upstream) as harness:
         harness.runner.admit = refuse
         part = await harness.ask(build_request(keyed=keyed))
         await harness.keeper.drain()
         assert part.refusal.code is RefusalCode.QUEUE_FULL
         assert part.refusal.not_run is True
         assert part.refusal.retry_after_s == 3.0
-        assert up.runs == []
+        assert upstream.runs == []
         claims = list(harness.claims.book.claims.values())
         results = [claim.result for claim in claims]
         assert results == [ClaimResult.RELEASED] * keyed
 
 
-async def test_a_repeated_key_is_not_said_to_be_not_run():
-    async with RawUpstream() as up, make_harness(up) as harness:
+async def test_repeated_key_is_not_reported_as_not_run():
+    async with RawUpstream() as upstream, make_harness(upstream) as harness:
         lost = Ask("desk", "k1", "entry-9/z/r0", True, "")
         harness.claims.decide(lost)
         harness.claims.dead.add(lost.holder)
@@ -230,11 +236,11 @@
         assert part.refusal.not_run is False
 
 
-async def test_steps_of_a_cascade_share_one_bill():
-    async with RawUpstream() as up, make_harness(up) as harness:
+async def test_cascade_steps_share_one_bill():
+    async with RawUpstream() as upstream, make_harness(upstream) as harness:
         harness.runner.policy = fixed_threshold(0.5)
         part = await harness.ask(build_request())
-        assert len(up.runs) == 2
+        assert len(upstream.runs) == 2
         assert part.bill.version == LARGE
         # Each run reads 1 token and generates 3.
         assert (part.bill.prompt_tokens, part.bill.output_tokens) == (2, 6)
@@ -242,31 +248,34 @@
         assert part.bill.credits == pytest.approx(cost / 1_000_000)
 
 
-async def test_a_non_idempotent_request_runs_one_step():
-    async with RawUpstream() as up, make_harness(up) as harness:
+async def test_non_idempotent_request_runs_one_step():
+    async with RawUpstream() as upstream, make_harness(upstream) as harness:
         harness.runner.policy = fixed_threshold(0.5)
-        part = await harness.ask(ONCE)
+        part = await harness.ask(NON_IDEMPOTENT)
         assert part.bill.version == LARGE
-        assert len(up.runs) == 1
+        assert len(upstream.runs) == 1
 
 
-async def test_a_step_that_was_withdrawn_is_not_asked():
-    async with RawUpstream() as up, make_harness(up) as harness:
+async def test_braked_step_is_not_run():
+    async with RawUpstream() as upstream, make_harness(upstream) as harness:
         harness.runner.policy = fixed_threshold(0.5)
-        answer = up.answer
+        answer = upstream.answer
 
         async def brake_then_answer(*arguments):
             harness.runner.braked = {LARGE}
             return await answer(*arguments)
 
-        up.answer = brake_then_answer
+        upstream.answer = brake_then_answer
         part = await harness.ask(build_request())
         assert part.bill.version == SMALL
-        assert len(up.runs) == 1
+        assert len(upstream.runs) == 1
 
 
-async def test_retries_are_a_bounded_share_of_the_traffic():
-    async with RawUpstream("fail") as up, make_harness(up, up) as harness:
+async def test_retries_are_limited_to_a_share_of_the_requests():
+    async with (
+        RawUpstream("fail") as upstream,
+        make_harness(upstream, upstream) as harness,
+    ):
         codes = set()
         for number in range(100):
             request = build_request(key=f"k{number}")
@@ -278,10 +287,10 @@
             RefusalCode.UPSTREAM_FAILED,
             RefusalCode.RETRY_BUDGET,
         }
-        assert 100 + 20 <= len(up.runs) <= 100 + 20 + 10
+        assert 100 + 20 <= len(upstream.runs) <= 100 + 20 + 10
 
 
-async def test_a_worker_that_asks_for_rest_is_not_asked_again():
+async def test_worker_in_backoff_gets_no_requests():
     async with (
         RawUpstream("tired") as one,
         RawUpstream() as two,
