--- a/tests/unit/test_pool_admission.py
+++ b/tests/unit/test_pool_admission.py
@@ -11,13 +11,13 @@
 from tests.lib.pools import pool_of
 
 
-class Watched(dict):
+class CountingDict(dict):
     """Workers that count how often all are looked at."""
 
-    looks = 0
+    iterations = 0
 
     def values(self):
-        self.looks += 1
+        self.iterations += 1
         return super().values()
 
 
@@ -26,7 +26,7 @@
     return attrs.evolve(configuration, upstreams={"pool": pool})
 
 
-def admission_over(current):
+def make_admission(current):
     return PoolAdmission(
         lambda: current[0], lambda: 1, ManualClock(), Metrics()
     )
@@ -38,20 +38,20 @@
         assert refusal is None
 
 
-async def test_requests_do_not_look_at_all_workers():
+async def test_requests_do_not_iterate_over_all_workers():
     configuration = pool_of(600, 1)
-    workers = Watched(configuration.upstreams["pool"].workers)
-    admission = admission_over([with_workers(configuration, workers)])
+    workers = CountingDict(configuration.upstreams["pool"].workers)
+    admission = make_admission([with_workers(configuration, workers)])
     request = build_request(deadline=60.0)
     for _ in range(20):
         await admit(admission, request)
-    assert workers.looks == 1
+    assert workers.iterations == 1
 
 
 @pytest.mark.parametrize("left", [0, 1, 5])
-async def test_a_drained_worker_counts_no_more_at_once(left):
+async def test_draining_worker_lowers_the_limit_at_once(left):
     current = [pool_of(20, 1)]
-    admission = admission_over(current)
+    admission = make_admission(current)
     before = admission.limit("pool")
     workers = {
         name: attrs.evolve(worker, draining=number >= left)
@@ -64,9 +64,9 @@
     assert admission.limit("pool") < before
 
 
-async def test_a_version_that_moved_is_found_at_its_new_pool():
+async def test_moved_version_is_found_in_its_new_pool():
     current = [pool_of(4, 1)]
-    admission = admission_over(current)
+    admission = make_admission(current)
     assert admission.current_index().by_version[SMALL] == "pool"
     pool = current[0].upstreams["pool"]
     current[0] = attrs.evolve(current[0], upstreams={"other": pool})
