--- a/tests/unit/test_claim_manager.py
+++ b/tests/unit/test_claim_manager.py
@@ -40,14 +40,14 @@
     manager = ClaimManager(claims, clock, Metrics(), spawn)
     ask = Ask("desk", "k1", "entry-1/i/r", True, "digest")
     attempt = Attempt(build_request(), ask)
-    attempt.claim_task = spawn(granted())
+    attempt.claim_task = spawn(grant())
     await settle()
     outcome = await manager.settle(attempt, ClaimResult.UNKNOWN)
     assert outcome is SettleOutcome.UNAVAILABLE
     return manager
 
 
-async def test_claim_is_ended_after_a_long_outage():
+async def test_claim_is_settled_after_a_long_outage():
     clock = ManualClock()
     claims = ClaimsInOutage(clock)
     await settle_in_outage(clock, claims)
@@ -65,5 +65,5 @@
     assert stop.done()
 
 
-async def granted():
+async def grant():
     return ClaimReply(ClaimOutcome.GRANTED, 1)
