--- a/tests/unit/test_dispatch_order.py
+++ b/tests/unit/test_dispatch_order.py
@@ -1,4 +1,4 @@
-"""The order of claim, dispatch and end, on a controlled clock."""
+"""Tests of the order of claim, dispatch and settlement, on a manual clock."""
 
 from contextlib import asynccontextmanager
 
@@ -20,7 +20,11 @@
 
 
 def suspend_after_claim(harness, seconds, others=True):
-    """Stops the process after its claim; another entry asks meanwhile."""
+    """Suspends the process after its next claim by advancing the clock.
+
+    With `others`, another entry asks for the same claim meanwhile, while the
+    holder is taken for dead.
+    """
 
     def after_claim(ask):
         harness.clock.now += seconds
@@ -51,7 +55,7 @@
 
         def current():
             calls.append(harness.clock.now)
-            # Asked by the plan, before the dispatch, and before the body.
+            # Called for the plan, before the dispatch and before the body.
             if len(calls) == 3:
                 harness.clock.now += 20.0
                 ask = next(iter(harness.claims.book.claims.values()))
@@ -130,7 +134,7 @@
 
 
 def withdraw(harness, *names):
-    """Withdraws versions from now on."""
+    """Puts a configuration in force that withdraws the given versions."""
     versions = {
         name: attrs.evolve(version, state=VersionState.WITHDRAWN)
         if name in names
@@ -242,7 +246,7 @@
         part = await harness.ask(build_request())
         assert len(upstream.runs) == 2
         assert part.bill.version == LARGE
-        # Each run reads 1 token and generates 3.
+        # Each run uses 1 prompt token and generates 3.
         assert (part.bill.prompt_tokens, part.bill.output_tokens) == (2, 6)
         cost = (1 * 1 + 3 * 2) + (1 * 10 + 3 * 20)
         assert part.bill.credits == pytest.approx(cost / 1_000_000)
