--- a/tests/unit/test_pool_admission.py
+++ b/tests/unit/test_pool_admission.py
@@ -1,4 +1,4 @@
-"""Admission at pools of any size."""
+"""Tests of admission to pools, on configurations of any size."""
 
 import attrs
 import pytest
@@ -12,7 +12,7 @@
 
 
 class CountingDict(dict):
-    """Workers that count how often all are looked at."""
+    """A dict of workers that counts how often its values are iterated over."""
 
     iterations = 0
 
