--- a/tests/unit/test_claim_manager.py
+++ b/tests/unit/test_claim_manager.py
@@ -1,4 +1,4 @@
-"""The manager of claims: a claim is ended however long the store is down."""
+"""Tests of the claim manager while the store is unavailable."""
 
 import asyncio
 
@@ -22,7 +22,7 @@
 
 @attrs.define
 class ClaimsInOutage:
-    """Refuses settlements at once until the outage is over."""
+    """Claims service whose settlements fail at once until the outage ends."""
 
     clock: ManualClock
     settled: list = attrs.Factory(list)
@@ -35,7 +35,7 @@
 
 
 async def settle_in_outage(clock, claims):
-    """Gives up a claim while the store is down; returns its manager."""
+    """Settles a claim while the store is unavailable; returns its manager."""
     spawn = asyncio.get_running_loop().create_task
     manager = ClaimManager(claims, clock, Metrics(), spawn)
     ask = Ask("desk", "k1", "entry-1/i/r", True, "digest")
