--- a/tests/unit/test_limits.py
+++ b/tests/unit/test_limits.py
@@ -1,4 +1,4 @@
-"""The limit of an entry at a pool."""
+"""Tests of the limit of an entry at a pool."""
 
 from rattanpier._internal.dispatch.limits import PoolLimit
 
