--- a/benchmarks/placement_cost.py
+++ b/benchmarks/placement_cost.py
@@ -37,7 +37,7 @@
 from rattanpier._internal.utils.clock import SystemClock
 from rattanpier._internal.utils.metrics import Metrics
 from tests.lib.builders import SMALL, build_request
-from tests.lib.pools import DOMAINS, pool_of
+from tests.lib.pools import DOMAINS, pool_configuration
 
 ENTRIES = 420
 WORKERS = 600
@@ -53,7 +53,7 @@
 
 def choice_us(workers: int, calls: int = 2000) -> float:
     """Returns the processor time of one choice, in microseconds."""
-    configuration = pool_of(workers, ENTRIES)
+    configuration = pool_configuration(workers, ENTRIES)
     placement = Placement("entry-1")
     return cost_us(
         lambda: placement.of_version(configuration, SMALL, set()), calls
@@ -62,7 +62,7 @@
 
 def listing_us(workers: int, calls: int = 200) -> float:
     """Returns the same if all workers are listed for each request."""
-    configuration = pool_of(workers, ENTRIES)
+    configuration = pool_configuration(workers, ENTRIES)
     leaving: set[str] = set()
     return cost_us(
         lambda: [
@@ -76,7 +76,7 @@
 
 def revision_us(workers: int, calls: int = 20) -> float:
     """Returns the cost of the first choice after a configuration change."""
-    configurations = [pool_of(workers, ENTRIES) for _ in range(2)]
+    configurations = [pool_configuration(workers, ENTRIES) for _ in range(2)]
     placement = Placement("entry-1")
 
     def change() -> None:
@@ -88,7 +88,7 @@
 
 def admission_us(workers: int, calls: int = 300) -> float:
     """Returns the cost of admission to a pool, in microseconds."""
-    configuration = pool_of(workers, 1)
+    configuration = pool_configuration(workers, 1)
     gates = PoolAdmission(
         lambda: configuration, lambda: 1, SystemClock(), Metrics()
     )
@@ -154,7 +154,7 @@
         instead of the requests that the entry itself has in progress.
     """
     rng = random.Random(seed)
-    subsets = list(subsets_of(pool_of(WORKERS, ENTRIES), size))
+    subsets = list(subsets_of(pool_configuration(WORKERS, ENTRIES), size))
     at_worker: collections.Counter[str] = collections.Counter()
     reported_load = Load(at_worker)
     loads = [Load() for _ in range(ENTRIES)]
--- a/tests/lib/pools.py
+++ b/tests/lib/pools.py
@@ -11,7 +11,7 @@
 DOMAINS = ("a", "b", "c", "d")
 
 
-def pool_of(workers, entries, kind=UpstreamKind.ENGINE, **changes):
+def pool_configuration(workers, entries, kind=UpstreamKind.ENGINE, **changes):
     """A configuration with one pool whose workers lie in four domains."""
     pool = Upstream(
         kind,
--- a/tests/unit/test_placement.py
+++ b/tests/unit/test_placement.py
@@ -8,7 +8,7 @@
 from rattanpier._internal.models.configuration import UpstreamKind
 from rattanpier._internal.routing.placement import SUBSET_SIZE, Placement
 from tests.lib.builders import SMALL
-from tests.lib.pools import DOMAINS, pool_of
+from tests.lib.pools import DOMAINS, pool_configuration
 
 
 class CountingSet(set):
@@ -31,14 +31,14 @@
 
 
 def test_small_pool_is_used_completely():
-    found = Placement("e1").of_version(pool_of(9, 8), SMALL, ())
+    found = Placement("e1").of_version(pool_configuration(9, 8), SMALL, ())
     assert len(found) == 9
 
 
 @pytest.mark.parametrize("workers", [120, 600])
 def test_work_per_request_does_not_grow_with_the_pool(workers):
     placement = Placement("e1")
-    configuration = pool_of(workers, 420)
+    configuration = pool_configuration(workers, 420)
     leaving = CountingSet()
     found = placement.of_version(configuration, SMALL, leaving)
     assert len(found) == SUBSET_SIZE
@@ -51,7 +51,7 @@
     ("entries", "workers"), [(2, 40), (8, 120), (60, 600), (420, 600)]
 )
 def test_every_worker_is_used_by_some_entry(entries, workers):
-    configuration = pool_of(workers, entries)
+    configuration = pool_configuration(workers, entries)
     used = set()
     for number in range(entries):
         placement = Placement(f"entry-{number}")
@@ -61,7 +61,7 @@
 
 def test_leaving_worker_is_excluded_at_once():
     placement = Placement("e1")
-    configuration = pool_of(600, 420)
+    configuration = pool_configuration(600, 420)
     before = names(placement.of_version(configuration, SMALL, ()))
     gone = set(sorted(before)[:3])
     assert names(placement.of_version(configuration, SMALL, gone)) == (
@@ -72,7 +72,7 @@
 
 def test_lost_subset_is_replaced_and_used_again_later():
     placement = Placement("e1")
-    configuration = pool_of(600, 420)
+    configuration = pool_configuration(600, 420)
     before = names(placement.of_version(configuration, SMALL, ()))
     leaving = CountingSet(before)
     spare = names(placement.of_version(configuration, SMALL, leaving))
@@ -91,7 +91,7 @@
 
 
 def test_last_domain_replaces_three_lost_domains():
-    configuration = pool_of(600, 420)
+    configuration = pool_configuration(600, 420)
     lost = in_domain(configuration, "a", "b", "c")
     found = Placement("e1").of_version(configuration, SMALL, lost)
     assert len(found) == SUBSET_SIZE
@@ -99,7 +99,7 @@
 
 
 def test_last_remaining_worker_of_a_large_pool_is_found():
-    configuration = pool_of(600, 420)
+    configuration = pool_configuration(600, 420)
     for left in ("w0", "w599"):
         leaving = in_domain(configuration, *DOMAINS) - {left}
         found = Placement("e1").of_version(configuration, SMALL, leaving)
@@ -108,7 +108,7 @@
 
 def test_tried_worker_is_not_returned_again():
     placement = Placement("e1")
-    configuration = pool_of(600, 420)
+    configuration = pool_configuration(600, 420)
     tried = set()
     for _ in range(40):
         found = names(placement.of_version(configuration, SMALL, (), tried))
@@ -119,7 +119,7 @@
 
 def test_new_configuration_takes_effect_at_once():
     placement = Placement("e1")
-    configuration = pool_of(600, 420)
+    configuration = pool_configuration(600, 420)
     before = placement.of_version(configuration, SMALL, ())
     pool = configuration.upstreams["pool"]
     drained = before[0].name
@@ -141,9 +141,9 @@
 
 def test_services_and_versions_do_not_share_workers():
     placement = Placement("e1")
-    plain = pool_of(200, 420, kind=UpstreamKind.PLAIN)
+    plain = pool_configuration(200, 420, kind=UpstreamKind.PLAIN)
     assert len(placement.of_service(plain, "pool", ())) == SUBSET_SIZE
     assert not placement.of_version(plain, SMALL, ())
-    engines = pool_of(200, 420)
+    engines = pool_configuration(200, 420)
     assert not placement.of_service(engines, "pool", ())
     assert not placement.of_service(engines, "other", ())
--- a/tests/unit/test_pool_admission.py
+++ b/tests/unit/test_pool_admission.py
@@ -8,7 +8,7 @@
 from rattanpier._internal.utils.metrics import Metrics
 from tests.lib.builders import SMALL, build_request
 from tests.lib.clock import ManualClock
-from tests.lib.pools import pool_of
+from tests.lib.pools import pool_configuration
 
 
 class CountingDict(dict):
@@ -39,7 +39,7 @@
 
 
 async def test_requests_do_not_iterate_over_all_workers():
-    configuration = pool_of(600, 1)
+    configuration = pool_configuration(600, 1)
     workers = CountingDict(configuration.upstreams["pool"].workers)
     admission = make_admission([with_workers(configuration, workers)])
     request = build_request(deadline=60.0)
@@ -50,7 +50,7 @@
 
 @pytest.mark.parametrize("left", [0, 1, 5])
 async def test_draining_worker_lowers_the_limit_at_once(left):
-    current = [pool_of(20, 1)]
+    current = [pool_configuration(20, 1)]
     admission = make_admission(current)
     before = admission.limit("pool")
     workers = {
@@ -65,7 +65,7 @@
 
 
 async def test_moved_version_is_found_in_its_new_pool():
-    current = [pool_of(4, 1)]
+    current = [pool_configuration(4, 1)]
     admission = make_admission(current)
     assert admission.current_index().by_version[SMALL] == "pool"
     pool = current[0].upstreams["pool"]
