--- a/benchmarks/fairness.py
+++ b/benchmarks/fairness.py
@@ -30,9 +30,9 @@
 PREFILL_S = 1 / 20_000  # A prompt token.
 DECODE_S = 0.02  # A generated token.
 DURATION_S = 600.0
-SMALL = 9
+SMALL_WORKSPACES = 9
 TUNING_SEEDS = (1, 2, 3)
-HELD_BACK_SEEDS = (101, 102, 103, 104, 105)
+HELD_OUT_SEEDS = (101, 102, 103, 104, 105)
 FLOOD = "flood"
 MAX_QUEUED = 64  # Requests of a workspace that may wait.
 
@@ -45,7 +45,7 @@
     workspace: str
     prompt: int
     output: int
-    guess: int
+    expected_output: int
 
     @property
     def service_s(self) -> float:
@@ -74,22 +74,22 @@
     rng = random.Random(seed)
     capacity = SLOTS / (150 * DECODE_S)
     rates = {FLOOD: 3.0 * capacity}
-    for number in range(SMALL):
-        rates[f"small-{number}"] = 0.4 * capacity / SMALL
+    for number in range(SMALL_WORKSPACES):
+        rates[f"small-{number}"] = 0.4 * capacity / SMALL_WORKSPACES
     jobs: list[Job] = []
     for name, rate in rates.items():
-        jobs.extend(stream(rng, name, rate))
+        jobs.extend(workspace_jobs(rng, name, rate))
     return sorted(jobs, key=lambda job: job.arrival)
 
 
-def stream(rng: random.Random, name: str, rate: float) -> Iterator[Job]:
+def workspace_jobs(rng: random.Random, name: str, rate: float) -> Iterator[Job]:
     """Yields the jobs of one workspace; the flood's are longer."""
     mean = 200 if name == FLOOD else 100
     now = rng.expovariate(rate)
     while now < DURATION_S:
         output = max(1, int(rng.expovariate(1 / mean)))
-        guess = max(1, int(mean * rng.uniform(0.5, 1.5)))
-        yield Job(now, name, rng.randrange(20, 2000), output, guess)
+        expected_output = max(1, int(mean * rng.uniform(0.5, 1.5)))
+        yield Job(now, name, rng.randrange(20, 2000), output, expected_output)
         now += rng.expovariate(rate)
 
 
@@ -114,8 +114,8 @@
     def finish(until: float) -> None:
         while ends and ends[0][0] <= until:
             now, _, job = heapq.heappop(ends)
-            guessed = request_cost(job.prompt, job.guess)
-            queue.charge(job.workspace, job.cost - guessed, 1.0)
+            expected_cost = request_cost(job.prompt, job.expected_output)
+            queue.charge(job.workspace, job.cost - expected_cost, 1.0)
             result.cost[job.workspace] += job.cost
             start(now)
 
@@ -125,7 +125,7 @@
             result.refused[job.workspace] += 1
             continue
         queued[job.workspace] += 1
-        cost = request_cost(job.prompt, job.guess)
+        cost = request_cost(job.prompt, job.expected_output)
         queue.push(QueuedRequest(job, job.workspace, cost, 1.0))
         start(job.arrival)
     return result
@@ -188,7 +188,7 @@
     """Prints the tables."""
     console = Console(width=120)
     console.print(report("seeds used for tuning", TUNING_SEEDS))
-    console.print(report("seeds held back", HELD_BACK_SEEDS))
+    console.print(report("seeds held back", HELD_OUT_SEEDS))
 
 
 if __name__ == "__main__":
