--- a/tests/functional/test_overload.py
+++ b/tests/functional/test_overload.py
@@ -9,9 +9,9 @@
 from tests.lib.cluster import Cluster, wait_for
 
 FLOOD_KEY = "flood-key"
-FLOOD = 90
-QUEUED = 40
-REFUSED_LIMIT_S = 20.0
+FLOOD_REQUESTS = 90
+MAX_QUEUED = 40
+REFUSAL_TIMEOUT_S = 20.0
 
 
 @pytest.fixture
@@ -34,7 +34,7 @@
 [workspaces.flood]
 key_sha256 = ["{sha256_hex(FLOOD_KEY)}"]
 versions = ["small@1"]
-max_queued = {QUEUED}
+max_queued = {MAX_QUEUED}
 """
         await cluster.apply(text)
         await cluster.start_entry("entry-1")
@@ -58,29 +58,31 @@
     return task.result()[0].status if task.done() else None
 
 
-async def test_flood_waits_behind_itself_and_is_refused_at_once(cluster):
+async def test_flood_delays_only_its_own_requests_and_is_refused_at_once(
+    cluster,
+):
     flood = [
         asyncio.create_task(ask(cluster, FLOOD_KEY, number))
-        for number in range(FLOOD)
+        for number in range(FLOOD_REQUESTS)
     ]
 
     async def refused():
         return any(status(task) == 429 for task in flood)
 
-    await wait_for(refused, REFUSED_LIMIT_S)
+    await wait_for(refused, REFUSAL_TIMEOUT_S)
     before = sum(status(task) == 200 for task in flood)
     response, _ = await ask(cluster, DESK_KEY, "desk")
     after = sum(status(task) == 200 for task in flood)
     assert response.status == 200
     # First come, first served would have let all that waited go first.
-    assert after - before < QUEUED // 2
+    assert after - before < MAX_QUEUED // 2
     results = await asyncio.gather(*flood)
     refused = [item for item in results if item[0].status == 429]
-    assert 0 < len(refused) < FLOOD
+    assert 0 < len(refused) < FLOOD_REQUESTS
     for response, body in refused:
         assert body["error"]["code"] == "queue_full"
         assert body["error"]["not_run"] is True
         assert int(response.headers["Retry-After"]) >= 1
     # Counted where it matters: what was refused as "not run" did not run.
     runs = await cluster.runs("engine")
-    assert len(runs) == FLOOD + 1 - len(refused)
+    assert len(runs) == FLOOD_REQUESTS + 1 - len(refused)
