--- a/tests/failure/test_allowed.py
+++ b/tests/failure/test_allowed.py
@@ -20,7 +20,7 @@
 )
 
 OTHER_KEY = "other-key"
-OTHER = f"""
+OTHER_WORKSPACE = f"""
 [workspaces.other]
 key_sha256 = ["{sha256_hex(OTHER_KEY)}"]
 versions = ["{LARGE}"]
@@ -46,11 +46,13 @@
         )
         text = configuration_text([url], fleet_size=3)
         text = text.replace("[fleet]", "[fleet]\nvalidity_s = 2.0")
-        await cluster.apply(text[: text.index("[[rules]]")] + RULES + OTHER)
+        await cluster.apply(
+            text[: text.index("[[rules]]")] + RULES + OTHER_WORKSPACE
+        )
         yield cluster, await start_nodes(cluster)
 
 
-async def revoke(operator):
+async def revoke_small_version(operator):
     """Takes the small version from `desk`, for all nodes.
 
     The check refuses a rule that leads to a version which is not allowed, so
@@ -77,12 +79,12 @@
         return {"X-Session-Token": response.headers["X-Session-Token"]}
 
 
-async def test_a_version_taken_from_a_workspace_runs_no_more(system):
+async def test_revoked_version_gets_no_new_runs(system):
     cluster, operator = system
     load = Load(cluster, ENTRIES, **await pinned_token(cluster))
     await wait_for(lambda: has_runs(cluster, 20))
     assert await runs_of(cluster, SMALL) > 0
-    await revoke(operator)
+    await revoke_small_version(operator)
     started = await runs_of(cluster, SMALL)
     before = len(load.answers)
     await wait_for(lambda: has_answers(load, before + 60))
@@ -92,7 +94,7 @@
     assert load.answers[-1][1]["model"] == LARGE
 
 
-async def test_an_entry_frozen_meanwhile_does_not_use_it(system):
+async def test_entry_suspended_during_the_revocation_does_not_run_it(system):
     cluster, operator = system
     frozen = cluster.processes["entry-1"]
     token = await pinned_token(cluster)
@@ -101,14 +103,14 @@
         asyncio.create_task(ask(cluster, "entry-1", **token)) for _ in range(20)
     ]
     await asyncio.sleep(0)
-    await revoke(operator)
+    await revoke_small_version(operator)
     started = await runs_of(cluster, SMALL)
     frozen.send(signal.SIGCONT)
     await asyncio.gather(*waiting)
     assert await runs_of(cluster, SMALL) == started
 
 
-async def test_another_workspaces_session_token_opens_nothing(system):
+async def test_session_token_of_another_workspace_grants_no_access(system):
     cluster, _operator = system
     token = await pinned_token(cluster)
     started = await runs_of(cluster, SMALL)
@@ -118,7 +120,7 @@
     assert await runs_of(cluster, SMALL) == started
 
 
-async def test_a_refused_request_is_not_tried_on_another_version(system):
+async def test_failed_request_is_not_retried_on_a_disallowed_version(system):
     cluster, _operator = system
     for fault in ("refuse", "fail", "cut_before_answer"):
         await cluster.set_faults("engine", fault=fault)
