--- a/benchmarks/fairness.py
+++ b/benchmarks/fairness.py
@@ -1,7 +1,7 @@
-"""Share and waiting time of small workspaces under a flood by one.
+"""Benchmark of the fairness between workspaces under a flood by one.
 
-One pool with a few slots, one workspace that asks three times what the pool
-can do, and nine that ask little. Time is counted, not waited for. Run:
+Simulates one pool with a few slots, one workspace that requests three times the
+pool's capacity, and nine that request little. Time is simulated. Run:
 
     python -m benchmarks.fairness
 """
@@ -27,19 +27,27 @@
 )
 
 SLOTS = 32
-PREFILL_S = 1 / 20_000  # A prompt token.
-DECODE_S = 0.02  # A generated token.
+PREFILL_S = 1 / 20_000  # Time of a prompt token.
+DECODE_S = 0.02  # Time of a generated token.
 DURATION_S = 600.0
 SMALL_WORKSPACES = 9
 TUNING_SEEDS = (1, 2, 3)
 HELD_OUT_SEEDS = (101, 102, 103, 104, 105)
 FLOOD = "flood"
-MAX_QUEUED = 64  # Requests of a workspace that may wait.
+MAX_QUEUED = 64  # Maximum number of queued requests of a workspace.
 
 
 @attrs.frozen(eq=False)
 class Job:
-    """One request with the lengths that only its end reveals."""
+    """A request, with lengths that are unknown until it has finished.
+
+    Attributes:
+      arrival: Simulated time in seconds.
+      workspace: Workspace of the request.
+      prompt: Number of prompt tokens.
+      output: Number of generated tokens.
+      expected_output: Estimate of `output` before the request is run.
+    """
 
     arrival: float
     workspace: str
@@ -49,18 +57,24 @@
 
     @property
     def service_s(self) -> float:
-        """Seconds it holds a slot."""
+        """Seconds for which the request occupies a slot."""
         return self.prompt * PREFILL_S + self.output * DECODE_S
 
     @property
     def cost(self) -> float:
-        """Its real cost."""
+        """Actual cost of the request, see `request_cost`."""
         return request_cost(self.prompt, self.output)
 
 
 @attrs.define
 class Result:
-    """What a policy gave."""
+    """Result of one simulation.
+
+    Attributes:
+      waits: Waiting times in seconds, by workspace.
+      cost: Actual cost served, by workspace.
+      refused: Number of refused requests, by workspace.
+    """
 
     waits: dict[str, list[float]] = attrs.Factory(
         lambda: collections.defaultdict(list)
@@ -70,7 +84,7 @@
 
 
 def arrivals(seed: int) -> list[Job]:
-    """Returns the jobs of one run in order of arrival."""
+    """Returns the jobs of one simulation in order of arrival."""
     rng = random.Random(seed)
     capacity = SLOTS / (150 * DECODE_S)
     rates = {FLOOD: 3.0 * capacity}
@@ -83,7 +97,7 @@
 
 
 def workspace_jobs(rng: random.Random, name: str, rate: float) -> Iterator[Job]:
-    """Yields the jobs of one workspace; the flood's are longer."""
+    """Yields the jobs of one workspace; those of the flood are longer."""
     mean = 200 if name == FLOOD else 100
     now = rng.expovariate(rate)
     while now < DURATION_S:
@@ -94,7 +108,12 @@
 
 
 def simulate(make_queue: Callable[[], object], seed: int) -> Result:
-    """Runs the jobs through a queue before the pool's slots."""
+    """Simulates the jobs of a seed, with a queue in front of the slots.
+
+    Args:
+      make_queue: Returns an empty queue.
+      seed: Seed of the jobs.
+    """
     queue = make_queue()
     result = Result()
     ends: list[tuple[float, int, Job]] = []
@@ -140,7 +159,7 @@
 
 
 def small_waits(results: list[Result]) -> list[float]:
-    """Returns the waiting times of all small workspaces."""
+    """Returns the waiting times of all small workspaces in seconds."""
     return [
         wait
         for result in results
@@ -151,7 +170,7 @@
 
 
 def report(title: str, seeds: tuple[int, ...]) -> Table:
-    """Returns a table of all policies over some seeds."""
+    """Returns a table with all policies, each simulated with all seeds."""
     table = Table(title=title)
     for column in (
         "policy",
