--- a/tests/functional/test_overload.py
+++ b/tests/functional/test_overload.py
@@ -1,4 +1,4 @@
-"""A flood by one workspace, through a real entry."""
+"""Tests admission under a flood by one workspace, through a real entry."""
 
 import asyncio
 
@@ -74,7 +74,8 @@
     response, _ = await ask(cluster, DESK_KEY, "desk")
     after = sum(status(task) == 200 for task in flood)
     assert response.status == 200
-    # First come, first served would have let all that waited go first.
+    # In FIFO order, all queued requests of the flood would have been served
+    # before this one.
     assert after - before < MAX_QUEUED // 2
     results = await asyncio.gather(*flood)
     refused = [item for item in results if item[0].status == 429]
@@ -83,6 +84,6 @@
         assert body["error"]["code"] == "queue_full"
         assert body["error"]["not_run"] is True
         assert int(response.headers["Retry-After"]) >= 1
-    # Counted where it matters: what was refused as "not run" did not run.
+    # Counted at the engine: requests refused with "not_run" were not run.
     runs = await cluster.runs("engine")
     assert len(runs) == FLOOD_REQUESTS + 1 - len(refused)
