--- a/tests/failure/test_allowed.py
+++ b/tests/failure/test_allowed.py
@@ -1,4 +1,4 @@
-"""A request runs only on a version that its workspace allows."""
+"""Tests that a request runs only on versions its workspace allows."""
 
 import asyncio
 import signal
@@ -53,10 +53,11 @@
 
 
 async def revoke_small_version(operator):
-    """Takes the small version from `desk`, for all nodes.
+    """Revokes the small version from `desk`, on all nodes.
 
-    The check refuses a rule that leads to a version which is not allowed, so
-    only a pin or an entry that is behind can still ask for it.
+    The configuration check refuses a rule that selects a version which is not
+    allowed. Afterwards, only a pinned session or an entry with an older
+    revision can still request it.
     """
     text = (await operator.get("config"))["text"]
     text = set_fields(text, ["workspaces", "desk"], {"versions": [LARGE]})
@@ -66,7 +67,7 @@
 
 
 async def pinned_token(cluster):
-    """A session token that pins `desk` to the small version."""
+    """Returns the header of a session token that pins `desk` to it."""
     async with cluster.session.post(
         f"{cluster.urls['entry-1']}/v1/chat/completions",
         json={
