--- a/tests/lib/pools.py
+++ b/tests/lib/pools.py
@@ -1,4 +1,4 @@
-"""Configurations with large pools."""
+"""Builder of configurations with large pools."""
 
 from rattanpier._internal.models.configuration import (
     Fleet,
@@ -12,7 +12,7 @@
 
 
 def pool_configuration(workers, entries, kind=UpstreamKind.ENGINE, **changes):
-    """A configuration with one pool whose workers lie in four domains."""
+    """Returns a configuration with one pool, over four failure domains."""
     pool = Upstream(
         kind,
         {
