--- a/benchmarks/fairness.py
+++ b/benchmarks/fairness.py
@@ -1,7 +1,7 @@
-"""Share and waiting time of small workspaces under a flood by one.
+"""Benchmark of the fairness between workspaces under a flood by one.
 
-One pool with a few slots, one workspace that asks three times what the pool
-can do, and nine that ask little. Time is counted, not waited for. Run:
+Simulates one pool with a few slots, one workspace that requests three times the
+pool's capacity, and nine that request little. Time is simulated. Run:
 
     python -m benchmarks.fairness
 """
@@ -21,46 +21,60 @@
 
 from benchmarks.queues import DeficitQueue, FifoQueue
 from rattanpier._internal.dispatch.fairness import (
-    Entry,
+    QueuedRequest,
     TokenCounterQueue,
     request_cost,
 )
 
 SLOTS = 32
-PREFILL_S = 1 / 20_000  # A prompt token.
-DECODE_S = 0.02  # A generated token.
+PREFILL_S = 1 / 20_000  # Time of a prompt token.
+DECODE_S = 0.02  # Time of a generated token.
 DURATION_S = 600.0
-SMALL = 9
+SMALL_WORKSPACES = 9
 TUNING_SEEDS = (1, 2, 3)
-HELD_BACK_SEEDS = (101, 102, 103, 104, 105)
+HELD_OUT_SEEDS = (101, 102, 103, 104, 105)
 FLOOD = "flood"
-MAX_QUEUED = 64  # Requests of a workspace that may wait.
+MAX_QUEUED = 64  # Maximum number of queued requests of a workspace.
 
 
 @attrs.frozen(eq=False)
 class Job:
-    """One request with the lengths that only its end reveals."""
+    """A request, with lengths that are unknown until it has finished.
+
+    Attributes:
+      arrival: Simulated time in seconds.
+      workspace: Workspace of the request.
+      prompt: Number of prompt tokens.
+      output: Number of generated tokens.
+      expected_output: Estimate of `output` before the request is run.
+    """
 
     arrival: float
     workspace: str
     prompt: int
     output: int
-    guess: int
+    expected_output: int
 
     @property
     def service_s(self) -> float:
-        """Seconds it holds a slot."""
+        """Seconds for which the request occupies a slot."""
         return self.prompt * PREFILL_S + self.output * DECODE_S
 
     @property
     def cost(self) -> float:
-        """Its real cost."""
+        """Actual cost of the request, see `request_cost`."""
         return request_cost(self.prompt, self.output)
 
 
 @attrs.define
 class Result:
-    """What a policy gave."""
+    """Result of one simulation.
+
+    Attributes:
+      waits: Waiting times in seconds, by workspace.
+      cost: Actual cost served, by workspace.
+      refused: Number of refused requests, by workspace.
+    """
 
     waits: dict[str, list[float]] = attrs.Factory(
         lambda: collections.defaultdict(list)
@@ -70,31 +84,36 @@
 
 
 def arrivals(seed: int) -> list[Job]:
-    """Returns the jobs of one run in order of arrival."""
+    """Returns the jobs of one simulation in order of arrival."""
     rng = random.Random(seed)
     capacity = SLOTS / (150 * DECODE_S)
     rates = {FLOOD: 3.0 * capacity}
-    for number in range(SMALL):
-        rates[f"small-{number}"] = 0.4 * capacity / SMALL
+    for number in range(SMALL_WORKSPACES):
+        rates[f"small-{number}"] = 0.4 * capacity / SMALL_WORKSPACES
     jobs: list[Job] = []
     for name, rate in rates.items():
-        jobs.extend(stream(rng, name, rate))
+        jobs.extend(workspace_jobs(rng, name, rate))
     return sorted(jobs, key=lambda job: job.arrival)
 
 
-def stream(rng: random.Random, name: str, rate: float) -> Iterator[Job]:
-    """Yields the jobs of one workspace; the flood's are longer."""
+def workspace_jobs(rng: random.Random, name: str, rate: float) -> Iterator[Job]:
+    """Yields the jobs of one workspace; those of the flood are longer."""
     mean = 200 if name == FLOOD else 100
     now = rng.expovariate(rate)
     while now < DURATION_S:
         output = max(1, int(rng.expovariate(1 / mean)))
-        guess = max(1, int(mean * rng.uniform(0.5, 1.5)))
-        yield Job(now, name, rng.randrange(20, 2000), output, guess)
+        expected_output = max(1, int(mean * rng.uniform(0.5, 1.5)))
+        yield Job(now, name, rng.randrange(20, 2000), output, expected_output)
         now += rng.expovariate(rate)
 
 
 def simulate(make_queue: Callable[[], object], seed: int) -> Result:
-    """Runs the jobs through a queue before the pool's slots."""
+    """Simulates the jobs of a seed, with a queue in front of the slots.
+
+    Args:
+      make_queue: Returns an empty queue.
+      seed: Seed of the jobs.
+    """
     queue = make_queue()
     result = Result()
     ends: list[tuple[float, int, Job]] = []
@@ -103,10 +122,10 @@
 
     def start(now: float) -> None:
         while len(ends) < SLOTS:
-            entry = queue.pop()
-            if entry is None:
+            queued_request = queue.pop()
+            if queued_request is None:
                 return
-            job = entry.item
+            job = queued_request.item
             queued[job.workspace] -= 1
             result.waits[job.workspace].append(now - job.arrival)
             heapq.heappush(ends, (now + job.service_s, next(ids), job))
@@ -114,8 +133,8 @@
     def finish(until: float) -> None:
         while ends and ends[0][0] <= until:
             now, _, job = heapq.heappop(ends)
-            guessed = request_cost(job.prompt, job.guess)
-            queue.charge(job.workspace, job.cost - guessed, 1.0)
+            expected_cost = request_cost(job.prompt, job.expected_output)
+            queue.charge(job.workspace, job.cost - expected_cost, 1.0)
             result.cost[job.workspace] += job.cost
             start(now)
 
@@ -125,8 +144,8 @@
             result.refused[job.workspace] += 1
             continue
         queued[job.workspace] += 1
-        cost = request_cost(job.prompt, job.guess)
-        queue.push(Entry(job, job.workspace, cost, 1.0))
+        cost = request_cost(job.prompt, job.expected_output)
+        queue.push(QueuedRequest(job, job.workspace, cost, 1.0))
         start(job.arrival)
     return result
 
@@ -140,7 +159,7 @@
 
 
 def small_waits(results: list[Result]) -> list[float]:
-    """Returns the waiting times of all small workspaces."""
+    """Returns the waiting times of all small workspaces in seconds."""
     return [
         wait
         for result in results
@@ -151,7 +170,7 @@
 
 
 def report(title: str, seeds: tuple[int, ...]) -> Table:
-    """Returns a table of all policies over some seeds."""
+    """Returns a table with all policies, each simulated with all seeds."""
     table = Table(title=title)
     for column in (
         "policy",
@@ -188,7 +207,7 @@
     """Prints the tables."""
     console = Console(width=120)
     console.print(report("seeds used for tuning", TUNING_SEEDS))
-    console.print(report("seeds held back", HELD_BACK_SEEDS))
+    console.print(report("seeds held back", HELD_OUT_SEEDS))
 
 
 if __name__ == "__main__":
--- a/src/rattanpier/_internal/dispatch/bills.py
+++ b/src/rattanpier/_internal/dispatch/bills.py
@@ -1,4 +1,4 @@
-"""Bills and recorded answers, made from the chunks of an answer."""
+"""Makes bills and recorded answers from the chunks of answers."""
 
 from __future__ import annotations
 
@@ -13,42 +13,51 @@
 from rattanpier._internal.models.configuration import Configuration
 from rattanpier._internal.models.request import RouteRequest
 
-MILLION = 1_000_000
-JSON_TYPE = "application/json"
+PRICE_UNIT_TOKENS = 1_000_000  # Prices are in credits per this many tokens.
+JSON_CONTENT_TYPE = "application/json"
 
 
 @attrs.frozen
-class Spent:
-    """What one step of a cascade used."""
+class StepUsage:
+    """Token usage of one step of a cascade.
+
+    Attributes:
+      version: Version that the step ran.
+      usage: Token counts of its answer.
+    """
 
     version: str
     usage: Usage
 
 
-def is_whole(chunks: Sequence[Chunk]) -> bool:
-    """Says whether chunks are a whole answer that can be billed."""
+def is_complete(chunks: Sequence[Chunk]) -> bool:
+    """Returns whether chunks are a complete answer that can be billed."""
     finished = any(chunk.finish is not None for chunk in chunks)
     return finished and any(chunk.usage is not None for chunk in chunks)
 
 
-def spent_by(version: str, chunks: Sequence[Chunk]) -> Spent:
-    """Returns what a whole answer used."""
-    # Some engines send the usage after the chunk that says why it ended.
+def step_usage(version: str, chunks: Sequence[Chunk]) -> StepUsage:
+    """Returns the token usage of a complete answer."""
+    # Some engines send the usage after the chunk with the finish reason.
     for chunk in reversed(chunks):
         if chunk.usage is not None:
-            return Spent(version, chunk.usage)
-    raise AssertionError("a whole answer has its usage")
+            return StepUsage(version, chunk.usage)
+    raise AssertionError("complete answer without token usage")
 
 
 def make_bill(
-    configuration: Configuration, request: RouteRequest, steps: Sequence[Spent]
+    configuration: Configuration,
+    request: RouteRequest,
+    steps: Sequence[StepUsage],
 ) -> Bill:
-    """Returns the one bill for all steps of a request.
+    """Returns the bill for all steps of a request.
 
     Args:
-      configuration: For the prices; the one that the plan was made from.
-      request: Names the bill.
-      steps: Whole answers that were generated; the last was released.
+      configuration: Configuration that the request was planned with; gives the
+        prices.
+      request: Request to bill.
+      steps: Usage of each complete answer that was generated; the last one was
+        released to the caller.
     """
     return Bill(
         workspace=request.workspace,
@@ -56,26 +65,28 @@
         version=steps[-1].version,
         prompt_tokens=sum(step.usage.prompt_tokens for step in steps),
         output_tokens=sum(step.usage.output_tokens for step in steps),
-        credits=sum(price(configuration, step) for step in steps),
+        credits=sum(step_credits(configuration, step) for step in steps),
     )
 
 
-def price(configuration: Configuration, step: Spent) -> float:
-    """Returns the credits for one step."""
+def step_credits(configuration: Configuration, step: StepUsage) -> float:
+    """Returns the price of one step in credits."""
     version = configuration.versions[step.version]
     return (
         step.usage.prompt_tokens * version.input_price
         + step.usage.output_tokens * version.output_price
-    ) / MILLION
+    ) / PRICE_UNIT_TOKENS
 
 
 def make_answer(version: str, chunks: Sequence[Chunk]) -> Answer:
-    """Returns the answer to record: the whole chat completion."""
-    return Answer(200, JSON_TYPE, json.dumps(completion(chunks)), version)
+    """Returns the answer to record: the complete chat completion."""
+    return Answer(
+        200, JSON_CONTENT_TYPE, json.dumps(make_completion(chunks)), version
+    )
 
 
-def completion(chunks: Sequence[Chunk]) -> dict[str, Any]:
-    """Returns a chat completion from the chunks of its stream."""
+def make_completion(chunks: Sequence[Chunk]) -> dict[str, Any]:
+    """Returns the chat completion that consists of streamed chunks."""
     last = json.loads(chunks[-1].data)
     finishes = [chunk.finish for chunk in chunks if chunk.finish is not None]
     text = "".join(chunk.text for chunk in chunks)
--- a/src/rattanpier/_internal/dispatch/gates.py
+++ b/src/rattanpier/_internal/dispatch/pool_admission.py
@@ -1,4 +1,8 @@
-"""Admission as a step of the runner: pools, limits and costs from the rest."""
+"""Admits the requests of a runner to the pool of their plan's first step.
+
+Derives from the configuration and from the results of earlier requests what
+admission needs: the pool, its limit and the estimated cost.
+"""
 
 from __future__ import annotations
 
@@ -23,21 +27,23 @@
 from rattanpier._internal.utils.clock import Clock
 from rattanpier._internal.utils.metrics import Metrics
 
-OUTPUT_MEMORY = 0.95  # Weight of the past in a workspace's mean output.
-FIRST_GUESS = 128.0  # Tokens of an answer, before any was seen.
+# Weight of the previous value in the moving average of answer lengths.
+OUTPUT_SMOOTHING = 0.95
+DEFAULT_OUTPUT_TOKENS = 128.0  # Assumed until a workspace had an answer.
 
 
 @attrs.define
-class Gates:
-    """Lets requests through to the pools of their plans.
+class PoolAdmission:
+    """Admission control of one entry for the pools of the configuration.
 
     Attributes:
       configuration: Returns the configuration in force.
       entries: Returns the number of live entries.
-      limits: What this entry may have at each pool.
-      output: Mean tokens of the answers of each workspace.
-      admission: The queues before the pools.
-      index: Pools of the configuration that was in force last.
+      limits: Limit of this entry at each pool, by upstream.
+      mean_output_tokens: Moving average of the tokens of an answer, by
+        workspace.
+      admission: Queues of the pools.
+      index: Index of the configuration last seen in force.
     """
 
     configuration: Callable[[], Configuration]
@@ -47,7 +53,7 @@
     limits: dict[str, PoolLimit] = attrs.Factory(
         lambda: collections.defaultdict(PoolLimit)
     )
-    output: dict[str, float] = attrs.Factory(dict)
+    mean_output_tokens: dict[str, float] = attrs.Factory(dict)
     admission: Admission = attrs.field(
         default=attrs.Factory(
             lambda self: Admission(self.limit, self.clock, self.metrics),
@@ -60,30 +66,36 @@
     async def admit(
         self, request: RouteRequest, plan: Plan
     ) -> AsyncIterator[Refusal | None]:
-        """Waits for a place before the pool of a plan's first step."""
+        """Waits for admission to the pool of a plan's first step.
+
+        Yields None once the request is admitted, or a refusal.
+        """
         configuration = self.configuration()
-        by_version = self.pools().by_version
+        by_version = self.current_index().by_version
         pool = by_version.get(plan.steps[0]) if plan.steps else None
         if pool is None:
-            yield None  # That no worker has the version is found out later.
+            # Dispatch refuses a request whose version no worker serves.
+            yield None
             return
-        demand = self.demand(configuration, request)
-        ticket = await self.admission.enter(pool, demand)
-        if isinstance(ticket, Refusal):
-            yield ticket
+        demand = self.make_demand(configuration, request)
+        permit = await self.admission.acquire(pool, demand)
+        if isinstance(permit, Refusal):
+            yield permit
             return
         try:
             yield None
         finally:
-            self.admission.leave(ticket, demand.cost)
+            self.admission.release(permit, demand.cost)
 
-    def demand(
+    def make_demand(
         self, configuration: Configuration, request: RouteRequest
     ) -> Demand:
-        """Returns what a request asks of a pool."""
+        """Returns the demand of a request on a pool."""
         workspace = configuration.workspaces[request.workspace]
-        guess = self.output.get(request.workspace, FIRST_GUESS)
-        tokens = min(request.max_tokens, int(guess) + 1)
+        expected_tokens = self.mean_output_tokens.get(
+            request.workspace, DEFAULT_OUTPUT_TOKENS
+        )
+        tokens = min(request.max_tokens, int(expected_tokens) + 1)
         return Demand(
             request.workspace,
             workspace.share,
@@ -92,26 +104,29 @@
             request.deadline,
         )
 
-    def note(self, result: AttemptResult) -> None:
-        """Learns from an attempt: the pool's pace and answers' lengths."""
-        pool = self.pools().by_version.get(result.version)
+    def record_result(self, result: AttemptResult) -> None:
+        """Updates the pool's limit and the mean answer length from a result."""
+        pool = self.current_index().by_version.get(result.version)
         if pool is not None and result.first_token_s is not None:
-            self.limits[pool].note(result.first_token_s)
+            self.limits[pool].record_first_token(result.first_token_s)
         elif pool is not None:
-            self.limits[pool].note_refused()
+            self.limits[pool].record_failure()
         if result.outcome is AttemptOutcome.COMPLETE:
-            before = self.output.get(result.workspace, float(result.chunks))
-            self.output[result.workspace] = (
-                OUTPUT_MEMORY * before + (1 - OUTPUT_MEMORY) * result.chunks
+            before = self.mean_output_tokens.get(
+                result.workspace, float(result.chunks)
+            )
+            self.mean_output_tokens[result.workspace] = (
+                OUTPUT_SMOOTHING * before
+                + (1 - OUTPUT_SMOOTHING) * result.chunks
             )
 
     def limit(self, pool: str) -> int:
-        """Returns how many requests may be at a pool."""
-        slots = self.pools().slots.get(pool, 0)
+        """Returns how many requests this entry may have running at a pool."""
+        slots = self.current_index().slots.get(pool, 0)
         return self.limits[pool].limit(slots, self.entries())
 
-    def pools(self) -> PoolIndex:
-        """Returns the pools of the configuration in force."""
+    def current_index(self) -> PoolIndex:
+        """Returns the index of the configuration in force."""
         configuration = self.configuration()
         if configuration is not self.index.configuration:
             self.index = index_pools(configuration)
--- a/tests/lib/pools.py
+++ b/tests/lib/pools.py
@@ -1,4 +1,4 @@
-"""Configurations with large pools."""
+"""Builder of configurations with large pools."""
 
 from rattanpier._internal.models.configuration import (
     Fleet,
@@ -11,8 +11,8 @@
 DOMAINS = ("a", "b", "c", "d")
 
 
-def pool_of(workers, entries, kind=UpstreamKind.ENGINE, **changes):
-    """A configuration with one pool whose workers lie in four domains."""
+def pool_configuration(workers, entries, kind=UpstreamKind.ENGINE, **changes):
+    """Returns a configuration with one pool, over four failure domains."""
     pool = Upstream(
         kind,
         {
