--- a/src/rattanpier/_internal/cascade/budget.py
+++ b/src/rattanpier/_internal/cascade/budget.py
@@ -27,13 +27,13 @@
     """
     if entry not in entries:
         return 0
-    rest = budget % len(entries)
-    extra = entry in rendezvous(workspace, entries)[:rest]
+    remainder = budget % len(entries)
+    extra = entry in rendezvous(workspace, entries)[:remainder]
     return budget // len(entries) + extra
 
 
 @attrs.define
-class Purse:
+class RatingBudget:
     """What one entry may spend for one workspace.
 
     It starts empty, so that an entry that restarts does not spend twice, and
@@ -45,25 +45,32 @@
       spent: Times of the ratings of the last hour.
     """
 
-    filled_at: float
+    refilled_at: float
     tokens: float = 0.0
-    spent: collections.deque[float] = attrs.Factory(collections.deque)
+    acquired_at: collections.deque[float] = attrs.Factory(collections.deque)
 
 
-def fill(purse: Purse, share: int, now: float) -> float:
+def refill(rating_budget: RatingBudget, share: int, now: float) -> float:
     """Fills a purse and returns the ratings that may be asked for now."""
-    passed = now - purse.filled_at
-    purse.filled_at = now
-    purse.tokens = min(BURST, purse.tokens + share * passed / HOUR_S)
-    while purse.spent and purse.spent[0] <= now - HOUR_S:
-        purse.spent.popleft()
-    return min(purse.tokens, float(share - len(purse.spent)))
-
-
-def spend(purse: Purse, share: int, now: float) -> bool:
+    elapsed_s = now - rating_budget.refilled_at
+    rating_budget.refilled_at = now
+    rating_budget.tokens = min(
+        BURST, rating_budget.tokens + share * elapsed_s / HOUR_S
+    )
+    while (
+        rating_budget.acquired_at
+        and rating_budget.acquired_at[0] <= now - HOUR_S
+    ):
+        rating_budget.acquired_at.popleft()
+    return min(
+        rating_budget.tokens, float(share - len(rating_budget.acquired_at))
+    )
+
+
+def try_acquire(rating_budget: RatingBudget, share: int, now: float) -> bool:
     """Takes one rating out of a purse, if there is one."""
-    if math.floor(fill(purse, share, now)) < 1:
+    if math.floor(refill(rating_budget, share, now)) < 1:
         return False
-    purse.tokens -= 1
-    purse.spent.append(now)
+    rating_budget.tokens -= 1
+    rating_budget.acquired_at.append(now)
     return True
--- a/src/rattanpier/_internal/cascade/learned.py
+++ b/src/rattanpier/_internal/cascade/learned.py
@@ -9,7 +9,11 @@
 import numpy as np
 
 from rattanpier._internal.cascade import features as f
-from rattanpier._internal.cascade.budget import Purse, fill, spend
+from rattanpier._internal.cascade.budget import (
+    RatingBudget,
+    refill,
+    try_acquire,
+)
 from rattanpier._internal.cascade.cells import Cell
 from rattanpier._internal.cascade.learner import Learner, Rated
 from rattanpier._internal.cascade.paths import CellPlan
@@ -76,20 +80,22 @@
     learner: Learner
     rng: random.Random
     share: Callable[[str], int]
-    purses: dict[str, Purse] = attrs.Factory(dict)
+    budgets: dict[str, RatingBudget] = attrs.Factory(dict)
     usual: dict[str, float] = attrs.Factory(dict)
 
-    def purse(self, workspace: str) -> Purse:
+    def budget(self, workspace: str) -> RatingBudget:
         """Returns the purse of a workspace."""
-        if workspace not in self.purses:
-            self.purses[workspace] = Purse(self.learner.clock.monotonic())
-        return self.purses[workspace]
+        if workspace not in self.budgets:
+            self.budgets[workspace] = RatingBudget(
+                self.learner.clock.monotonic()
+            )
+        return self.budgets[workspace]
 
     def wants(self, workspace: str, cell: Cell) -> bool:
         """Says whether a request of a cell is worth a rating now."""
         now = self.learner.clock.monotonic()
         share = self.share(workspace)
-        if fill(self.purse(workspace), share, now) < 1:
+        if refill(self.budget(workspace), share, now) < 1:
             return False
         doubt = self.doubt(workspace, cell, now)
         usual = self.usual.get(workspace, doubt)
@@ -115,8 +121,8 @@
 
     def pay(self, workspace: str) -> bool:
         """Takes one rating out of the budget."""
-        return spend(
-            self.purse(workspace),
+        return try_acquire(
+            self.budget(workspace),
             self.share(workspace),
             self.learner.clock.monotonic(),
         )
--- a/tests/unit/test_cascade_learned.py
+++ b/tests/unit/test_cascade_learned.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from rattanpier._internal.cascade.budget import Purse, spend
+from rattanpier._internal.cascade.budget import RatingBudget, try_acquire
 from tests.lib.builders import LARGE, SMALL
 from tests.lib.cascades import (
     CHAT,
@@ -50,8 +50,8 @@
 
 @pytest.mark.parametrize("share", [0, 1, 7, 60])
 def test_never_spends_more_than_the_share_in_an_hour(share):
-    purse = Purse(0.0)
-    spent = [now for now in range(4 * 3600) if spend(purse, share, now)]
+    budget = RatingBudget(0.0)
+    spent = [now for now in range(4 * 3600) if try_acquire(budget, share, now)]
     for start in range(0, 3 * 3600, 100):
         inside = [now for now in spent if start <= now < start + 3600]
         assert len(inside) <= share
--- a/tests/unit/test_cascade_sharing.py
+++ b/tests/unit/test_cascade_sharing.py
@@ -121,7 +121,7 @@
     worlds.deliver()
     assert taught(worlds["e2"]) == 1
     assert followed == []
-    assert not worlds["e2"].policy_sampler.purse("desk").spent
+    assert not worlds["e2"].policy_sampler.budget("desk").acquired_at
 
 
 def test_a_withdrawn_version_teaches_nothing_and_goes_no_further():
