--- a/src/rattanpier/_internal/cascade/beliefs.py
+++ b/src/rattanpier/_internal/cascade/beliefs.py
@@ -46,7 +46,7 @@
 
 def prior_mean(quality: float) -> np.ndarray:
     """Returns the weights expected before any rating."""
-    mean = np.zeros(f.SIZE)
+    mean = np.zeros(f.FEATURE_COUNT)
     mean[f.BIAS] = logit(quality)
     mean[f.CONFIDENCE : f.CONFIDENCE + 2] = CONFIDENCE_PRIOR
     mean[f.ESCALATED] = ESCALATED_PRIOR
@@ -57,13 +57,13 @@
     bias: float, length: float, of_class: float, confidence: float
 ) -> np.ndarray:
     """Returns the variances of the weights before any rating."""
-    deviation = np.zeros(f.SIZE)
+    deviation = np.zeros(f.FEATURE_COUNT)
     deviation[f.BIAS] = bias
     deviation[f.LENGTH] = length
     deviation[f.STREAM] = length
     deviation[f.FIRST_CLASS : f.CONFIDENCE] = of_class
-    deviation[f.CONFIDENCE : f.EARLIER] = confidence
-    deviation[f.EARLIER : f.ESCALATED] = confidence / 2
+    deviation[f.CONFIDENCE : f.EARLIER_CONFIDENCE] = confidence
+    deviation[f.EARLIER_CONFIDENCE : f.ESCALATED] = confidence / 2
     deviation[f.ESCALATED] = bias
     return deviation**2
 
@@ -176,7 +176,7 @@
         key = (workspace, version)
         if key not in self.own:
             self.own[key] = new_belief(
-                np.zeros(f.SIZE), OWN_VARIANCE, OWN_MEMORY_S, now
+                np.zeros(f.FEATURE_COUNT), OWN_VARIANCE, OWN_MEMORY_S, now
             )
         age(self.shared[version], now)
         age(self.own[key], now)
--- a/src/rattanpier/_internal/cascade/cells.py
+++ b/src/rattanpier/_internal/cascade/cells.py
@@ -7,7 +7,7 @@
 import attrs
 import numpy as np
 
-from rattanpier._internal.cascade.features import BINS, CellKey
+from rattanpier._internal.cascade.features import CONFIDENCE_BINS, CellKey
 
 MIX_MEMORY_S = 900.0  # Time constant after which old traffic counts a third.
 MAX_CELLS = 64
@@ -15,7 +15,7 @@
 HISTOGRAM_MEMORY = 200.0  # Answers that a histogram of confidence remembers.
 
 # Before any answer: confidences are mostly high.
-PRIOR_HISTOGRAM = np.linspace(0.2, 1.0, BINS) / 2
+PRIOR_HISTOGRAM = np.linspace(0.2, 1.0, CONFIDENCE_BINS) / 2
 
 
 @attrs.define
@@ -55,15 +55,15 @@
 
 
 def note_answer(
-    cell: Cell, version: str, index: int | None, output_tokens: int | None
+    cell: Cell, version: str, bin_index: int | None, output_tokens: int | None
 ) -> None:
     """Takes in what a finished answer tells without a rating."""
     if output_tokens is not None:
         cell.output_tokens += TOKENS_STEP * (output_tokens - cell.output_tokens)
-    if index is None:
+    if bin_index is None:
         return
     histogram = cell.histograms.setdefault(version, PRIOR_HISTOGRAM.copy())
-    histogram[index] += 1
+    histogram[bin_index] += 1
     total = histogram.sum()
     if total > HISTOGRAM_MEMORY:
         histogram *= HISTOGRAM_MEMORY / total
--- a/src/rattanpier/_internal/cascade/features.py
+++ b/src/rattanpier/_internal/cascade/features.py
@@ -15,16 +15,18 @@
 
 from rattanpier._internal.models.request import RouteRequest
 
-CLASSES = 24  # Classes told apart; the first takes all others.
-CLASSES_PER_WORKSPACE = 8  # So that odd labels of one can't use them all up.
-BINS = 11  # Confidence is rounded to tenths.
-USUAL_LENGTH = 8.0  # log2 of a usual prompt's tokens.
+MAX_CLASSES = 24  # Classes told apart; the first takes all others.
+MAX_CLASSES_PER_WORKSPACE = (
+    8  # So that odd labels of one can't use them all up.
+)
+CONFIDENCE_BINS = 11  # Confidence is rounded to tenths.
+TYPICAL_LOG2_TOKENS = 8.0  # log2 of a usual prompt's tokens.
 
 BIAS, LENGTH, STREAM, FIRST_CLASS = 0, 1, 2, 3
-CONFIDENCE = FIRST_CLASS + CLASSES  # Linear and logit.
-EARLIER = CONFIDENCE + 2  # The same of the rejected answer before.
-ESCALATED = EARLIER + 2
-SIZE = ESCALATED + 1
+CONFIDENCE = FIRST_CLASS + MAX_CLASSES  # Linear and logit.
+EARLIER_CONFIDENCE = CONFIDENCE + 2  # The same of the rejected answer before.
+ESCALATED = EARLIER_CONFIDENCE + 2
+FEATURE_COUNT = ESCALATED + 1
 
 
 @attrs.frozen
@@ -37,7 +39,7 @@
     stream: bool
 
 
-def class_of(request: RouteRequest) -> str:
+def class_name_of(request: RouteRequest) -> str:
     """Returns the name of a request's class.
 
     >>> class_of(RouteRequest("w", "k", model="auto", labels={"task": "draft"}))
@@ -50,10 +52,10 @@
 def cell_key(request: RouteRequest, steps: tuple[str, ...]) -> CellKey:
     """Returns the key of a request's cell."""
     length = round(math.log2(request.prompt_tokens + 1))
-    return CellKey(steps, class_of(request), length, request.stream)
+    return CellKey(steps, class_name_of(request), length, request.stream)
 
 
-def bin_of(confidence: float | None) -> int | None:
+def confidence_bin(confidence: float | None) -> int | None:
     """Returns the bin of a confidence.
 
     >>> bin_of(0.84), bin_of(1.7), bin_of(None)
@@ -61,21 +63,21 @@
     """
     if confidence is None or math.isnan(confidence):
         return None
-    return round(min(1.0, max(0.0, confidence)) * (BINS - 1))
+    return round(min(1.0, max(0.0, confidence)) * (CONFIDENCE_BINS - 1))
 
 
 def confidence_features(confidence: np.ndarray) -> np.ndarray:
     """Returns the two features of each confidence, in a last axis."""
-    inner = np.clip(confidence, 0.02, 0.98)
-    logit = np.log(inner / (1 - inner))
+    clipped = np.clip(confidence, 0.02, 0.98)
+    logit = np.log(clipped / (1 - clipped))
     return np.stack([(confidence - 0.5) * 2, logit / 4], axis=-1)
 
 
-BIN_FEATURES = confidence_features(np.linspace(0.0, 1.0, BINS))
+BIN_FEATURES = confidence_features(np.linspace(0.0, 1.0, CONFIDENCE_BINS))
 NO_CONFIDENCE = np.zeros(2)
 
 
-def features_of_bin(index: int | None) -> np.ndarray:
+def bin_features(index: int | None) -> np.ndarray:
     """Returns the two features of a bin; none known: the middle."""
     return NO_CONFIDENCE if index is None else BIN_FEATURES[index]
 
@@ -102,7 +104,7 @@
 
 
 @attrs.define
-class Classes:
+class ClassNumbers:
     """Numbers of classes, in the order of their appearance."""
 
     numbers: dict[str, int] = attrs.Factory(dict)
@@ -112,11 +114,11 @@
         """Returns the number of a class; 0 once there are too many."""
         seen = self.seen.setdefault(workspace, set())
         if name not in seen:
-            if len(seen) >= CLASSES_PER_WORKSPACE:
+            if len(seen) >= MAX_CLASSES_PER_WORKSPACE:
                 return 0
             seen.add(name)
         if name not in self.numbers:
-            if len(self.numbers) >= CLASSES - 1:
+            if len(self.numbers) >= MAX_CLASSES - 1:
                 return 0
             self.numbers[name] = len(self.numbers) + 1
         return self.numbers[name]
@@ -126,9 +128,9 @@
     key: CellKey | AnswerFacts, class_number: int
 ) -> np.ndarray:
     """Returns the features known before dispatch; the others are 0."""
-    features = np.zeros(SIZE)
+    features = np.zeros(FEATURE_COUNT)
     features[BIAS] = 1.0
-    features[LENGTH] = (key.length - USUAL_LENGTH) / 3
+    features[LENGTH] = (key.length - TYPICAL_LOG2_TOKENS) / 3
     features[STREAM] = float(key.stream)
     features[FIRST_CLASS + class_number] = 1.0
     return features
@@ -137,8 +139,8 @@
 def answer_features(facts: AnswerFacts, class_number: int) -> np.ndarray:
     """Returns all features of a finished answer."""
     features = static_features(facts, class_number)
-    features[CONFIDENCE:EARLIER] = features_of_bin(facts.confidence)
+    features[CONFIDENCE:EARLIER_CONFIDENCE] = bin_features(facts.confidence)
     if facts.escalated:
-        features[EARLIER:ESCALATED] = features_of_bin(facts.earlier)
+        features[EARLIER_CONFIDENCE:ESCALATED] = bin_features(facts.earlier)
         features[ESCALATED] = 1.0
     return features
--- a/src/rattanpier/_internal/cascade/learned.py
+++ b/src/rattanpier/_internal/cascade/learned.py
@@ -156,49 +156,51 @@
 
     def judge(walk: Walk, answer: StepAnswer, may_serve: MayServe) -> Verdict:
         memo: Memo = walk.memo
-        index = f.bin_of(answer.confidence)
+        bin_index = f.confidence_bin(answer.confidence)
         tokens = answer.usage.output_tokens if answer.usage else None
-        learner.note(memo.cell, walk.version, index, tokens)
-        sample(walk, memo, answer, index)
+        learner.note(memo.cell, walk.version, bin_index, tokens)
+        sample(walk, memo, answer, bin_index)
         # What runs below the planned start is run just to be rated.
-        if walk.at >= memo.plan.start and accepts(memo.plan, walk.at, index):
+        if walk.at >= memo.plan.start and accepts(
+            memo.plan, walk.at, bin_index
+        ):
             return Verdict.ACCEPT
         verdict = go_on(walk, may_serve)
-        memo.earlier = index
+        memo.earlier = bin_index
         memo.escalated = True
         return verdict
 
     def sample(
-        walk: Walk, memo: Memo, answer: StepAnswer, index: int | None
+        walk: Walk, memo: Memo, answer: StepAnswer, bin_index: int | None
     ) -> None:
         workspace = walk.request.workspace
         if not memo.sampled or not sampler.pay(workspace):
             return
         memo.sampled = sampler.rng.random() < BOTH_SHARE
-        facts = answer_facts(memo, index)
+        facts = answer_facts(memo, bin_index)
         rated = learner.rated(workspace, walk.version, facts)
         send(Sample(walk.request_id, walk.request, answer.text, rated))
 
     return CascadePolicy(begin, judge)
 
 
-def accepts(plan: CellPlan, step: int, index: int | None) -> bool:
+def accepts(plan: CellPlan, step: int, bin_index: int | None) -> bool:
     """Says whether a plan accepts an answer.
 
     Without a confidence the answer is taken as one of middling confidence.
     """
-    middle = f.BINS // 2
-    return bool(plan.accepts[step][middle if index is None else index])
+    middle = f.CONFIDENCE_BINS // 2
+    return bool(plan.accepts[step][middle if bin_index is None else bin_index])
 
 
-def answer_facts(memo: Memo, index: int | None) -> f.AnswerFacts:
+def answer_facts(memo: Memo, bin_index: int | None) -> f.AnswerFacts:
     """Returns what is known of a finished answer."""
     key = memo.cell.key
     return f.AnswerFacts(
         key.class_name,
         key.length,
         key.stream,
-        index,
+        bin_index,
         memo.earlier,
         memo.escalated,
     )
--- a/src/rattanpier/_internal/cascade/learner.py
+++ b/src/rattanpier/_internal/cascade/learner.py
@@ -120,7 +120,7 @@
     workspace: Callable[[str], Workspace | None]
     clock: Clock
     states: dict[str, WorkspaceState] = attrs.Factory(dict)
-    classes: f.Classes = attrs.Factory(f.Classes)
+    class_numbers: f.ClassNumbers = attrs.Factory(f.ClassNumbers)
     beliefs: Beliefs = attrs.field(
         default=attrs.Factory(
             lambda self: Beliefs(self.prior_quality), takes_self=True
@@ -154,7 +154,9 @@
         key = f.cell_key(request, steps)
         if key not in cells:
             drop_lightest(cells, now)
-            number = self.classes.number(request.workspace, key.class_name)
+            number = self.class_numbers.number(
+                request.workspace, key.class_name
+            )
             cells[key] = Cell(
                 key,
                 f.static_features(key, number),
@@ -212,8 +214,8 @@
         doubt = np.einsum("nf,fg,ng->n", features, covariance, features)
         return StepView(
             features @ mean,
-            mean[f.CONFIDENCE : f.EARLIER],
-            mean[f.EARLIER : f.ESCALATED],
+            mean[f.CONFIDENCE : f.EARLIER_CONFIDENCE],
+            mean[f.EARLIER_CONFIDENCE : f.ESCALATED],
             float(mean[f.ESCALATED]),
             1 / np.sqrt(1 + np.pi * doubt / 8),
             np.stack([histogram_of(cell, version) for cell in cells]),
@@ -292,7 +294,7 @@
         self, workspace: str, version: str, facts: f.AnswerFacts
     ) -> Rated:
         """Returns what is learned from when an answer is rated."""
-        number = self.classes.number(workspace, facts.class_name)
+        number = self.class_numbers.number(workspace, facts.class_name)
         features = f.answer_features(facts, number)
         return Rated(workspace, version, features, facts)
 
--- a/src/rattanpier/_internal/cascade/paths.py
+++ b/src/rattanpier/_internal/cascade/paths.py
@@ -19,7 +19,7 @@
 QUALITY, COST, FIRST_GRADIENT = 0, 1, 2
 GRADIENT = 6  # For each step: weight, confidence, earlier one, escalated.
 LEAST_SHARE = 0.5  # An answer worse than this is not accepted knowingly.
-OWN_PLACES = slice(f.CONFIDENCE, f.SIZE)
+OWN_PLACES = slice(f.CONFIDENCE, f.FEATURE_COUNT)
 
 
 @attrs.frozen
--- a/src/rattanpier/_internal/cascade/sharing.py
+++ b/src/rattanpier/_internal/cascade/sharing.py
@@ -150,7 +150,7 @@
     """Returns a bin of confidence, or None where there is none."""
     if not body.HasField(name):
         return None
-    return min(f.BINS - 1, getattr(body, name))
+    return min(f.CONFIDENCE_BINS - 1, getattr(body, name))
 
 
 def ring_spread(
--- a/tests/unit/test_cascade_sharing.py
+++ b/tests/unit/test_cascade_sharing.py
@@ -90,7 +90,7 @@
     worlds.sharing["e1"].tell(news(good=False))
     worlds.deliver()
     numbers = [
-        worlds[name].learner.classes.number("desk", FACTS.class_name)
+        worlds[name].learner.class_numbers.number("desk", FACTS.class_name)
         for name in ("e1", "e2")
     ]
     assert numbers == [1, 2]
