--- a/src/rattanpier/_internal/cascade/cells.py
+++ b/src/rattanpier/_internal/cascade/cells.py
@@ -9,10 +9,12 @@
 
 from rattanpier._internal.cascade.features import CONFIDENCE_BINS, CellKey
 
-MIX_MEMORY_S = 900.0  # Time constant after which old traffic counts a third.
+MIX_DECAY_S = 900.0  # Time constant after which old traffic counts a third.
 MAX_CELLS = 64
-TOKENS_STEP = 0.05  # Weight of one answer in the mean of generated tokens.
-HISTOGRAM_MEMORY = 200.0  # Answers that a histogram of confidence remembers.
+TOKENS_SMOOTHING = 0.05  # Weight of one answer in the mean of generated tokens.
+MAX_HISTOGRAM_WEIGHT = (
+    200.0  # Answers that a histogram of confidence remembers.
+)
 
 # Before any answer: confidences are mostly high.
 PRIOR_HISTOGRAM = np.linspace(0.2, 1.0, CONFIDENCE_BINS) / 2
@@ -35,47 +37,51 @@
     key: CellKey
     features: np.ndarray
     weight: float
-    touched_at: float
+    decayed_at: float
     prompt_tokens: float
     output_tokens: float
     histograms: dict[str, np.ndarray] = attrs.Factory(dict)
 
 
-def weigh(cell: Cell, now: float) -> float:
+def decay_weight(cell: Cell, now: float) -> float:
     """Ages a cell's weight and returns it."""
-    cell.weight *= math.exp(-(now - cell.touched_at) / MIX_MEMORY_S)
-    cell.touched_at = now
+    cell.weight *= math.exp(-(now - cell.decayed_at) / MIX_DECAY_S)
+    cell.decayed_at = now
     return cell.weight
 
 
-def count_request(cell: Cell, prompt_tokens: int, now: float) -> None:
+def record_request(cell: Cell, prompt_tokens: int, now: float) -> None:
     """Counts one more request."""
-    cell.weight = weigh(cell, now) + 1
-    cell.prompt_tokens += TOKENS_STEP * (prompt_tokens - cell.prompt_tokens)
+    cell.weight = decay_weight(cell, now) + 1
+    cell.prompt_tokens += TOKENS_SMOOTHING * (
+        prompt_tokens - cell.prompt_tokens
+    )
 
 
-def note_answer(
+def record_answer(
     cell: Cell, version: str, bin_index: int | None, output_tokens: int | None
 ) -> None:
     """Takes in what a finished answer tells without a rating."""
     if output_tokens is not None:
-        cell.output_tokens += TOKENS_STEP * (output_tokens - cell.output_tokens)
+        cell.output_tokens += TOKENS_SMOOTHING * (
+            output_tokens - cell.output_tokens
+        )
     if bin_index is None:
         return
     histogram = cell.histograms.setdefault(version, PRIOR_HISTOGRAM.copy())
     histogram[bin_index] += 1
     total = histogram.sum()
-    if total > HISTOGRAM_MEMORY:
-        histogram *= HISTOGRAM_MEMORY / total
+    if total > MAX_HISTOGRAM_WEIGHT:
+        histogram *= MAX_HISTOGRAM_WEIGHT / total
 
 
-def histogram_of(cell: Cell, version: str) -> np.ndarray:
+def confidence_distribution(cell: Cell, version: str) -> np.ndarray:
     """Returns the distribution of a version's confidence."""
     histogram = cell.histograms.get(version, PRIOR_HISTOGRAM)
     return histogram / histogram.sum()
 
 
-def drop_lightest(cells: dict[CellKey, Cell], now: float) -> None:
+def evict_lightest(cells: dict[CellKey, Cell], now: float) -> None:
     """Makes room for one more cell."""
     if len(cells) >= MAX_CELLS:
-        del cells[min(cells, key=lambda key: weigh(cells[key], now))]
+        del cells[min(cells, key=lambda key: decay_weight(cells[key], now))]
--- a/src/rattanpier/_internal/cascade/learner.py
+++ b/src/rattanpier/_internal/cascade/learner.py
@@ -16,11 +16,11 @@
 from rattanpier._internal.cascade.beliefs import Beliefs
 from rattanpier._internal.cascade.cells import (
     Cell,
-    count_request,
-    drop_lightest,
-    histogram_of,
-    note_answer,
-    weigh,
+    record_request,
+    evict_lightest,
+    confidence_distribution,
+    record_answer,
+    decay_weight,
 )
 from rattanpier._internal.cascade.paths import (
     QUALITY,
@@ -153,7 +153,7 @@
         cells = self.state(request.workspace).cells
         key = f.cell_key(request, steps)
         if key not in cells:
-            drop_lightest(cells, now)
+            evict_lightest(cells, now)
             number = self.class_numbers.number(
                 request.workspace, key.class_name
             )
@@ -169,7 +169,7 @@
 
     def count(self, request: RouteRequest, cell: Cell) -> None:
         """Counts a request for the mix."""
-        count_request(cell, request.prompt_tokens, self.clock.monotonic())
+        record_request(cell, request.prompt_tokens, self.clock.monotonic())
 
     def plan(self, workspace: str, cell: Cell) -> CellPlan:
         """Returns the decisions for a cell."""
@@ -198,7 +198,7 @@
             self.view(workspace, cells, features, version, now)
             for version in cells[0].key.steps
         ]
-        weights = np.array([weigh(cell, now) for cell in cells])
+        weights = np.array([decay_weight(cell, now) for cell in cells])
         return Group(cells, features, weights, views)
 
     def view(
@@ -218,7 +218,9 @@
             mean[f.EARLIER_CONFIDENCE : f.ESCALATED],
             float(mean[f.ESCALATED]),
             1 / np.sqrt(1 + np.pi * doubt / 8),
-            np.stack([histogram_of(cell, version) for cell in cells]),
+            np.stack(
+                [confidence_distribution(cell, version) for cell in cells]
+            ),
             np.array([self.cost(cell, version) for cell in cells]),
         )
 
@@ -288,7 +290,7 @@
         output_tokens: int | None,
     ) -> None:
         """Takes in what a finished answer tells without a rating."""
-        note_answer(cell, version, index, output_tokens)
+        record_answer(cell, version, index, output_tokens)
 
     def rated(
         self, workspace: str, version: str, facts: f.AnswerFacts
