--- a/src/rattanpier/_internal/cascade/features.py
+++ b/src/rattanpier/_internal/cascade/features.py
@@ -42,7 +42,7 @@
 def class_name_of(request: RouteRequest) -> str:
     """Returns the name of a request's class.
 
-    >>> class_of(RouteRequest("w", "k", model="auto", labels={"task": "draft"}))
+    >>> class_name_of(RouteRequest("w", "k", model="auto", labels={"task": "draft"}))
     'auto task=draft'
     """
     labels = [f"{name}={request.labels[name]}" for name in request.labels]
@@ -58,7 +58,7 @@
 def confidence_bin(confidence: float | None) -> int | None:
     """Returns the bin of a confidence.
 
-    >>> bin_of(0.84), bin_of(1.7), bin_of(None)
+    >>> confidence_bin(0.84), confidence_bin(1.7), confidence_bin(None)
     (8, 10, None)
     """
     if confidence is None or math.isnan(confidence):
--- a/src/rattanpier/_internal/cascade/learner.py
+++ b/src/rattanpier/_internal/cascade/learner.py
@@ -16,11 +16,11 @@
 from rattanpier._internal.cascade.beliefs import Beliefs
 from rattanpier._internal.cascade.cells import (
     Cell,
-    record_request,
-    evict_lightest,
     confidence_distribution,
-    record_answer,
     decay_weight,
+    evict_lightest,
+    record_answer,
+    record_request,
 )
 from rattanpier._internal.cascade.paths import (
     QUALITY,
