--- a/src/rattanpier/_internal/cascade/features.py
+++ b/src/rattanpier/_internal/cascade/features.py
@@ -42,7 +42,8 @@
 def class_name_of(request: RouteRequest) -> str:
     """Returns the name of a request's class.
 
-    >>> class_name_of(RouteRequest("w", "k", model="auto", labels={"task": "draft"}))
+    >>> request = RouteRequest("w", "k", model="auto", labels={"task": "draft"})
+    >>> class_name_of(request)
     'auto task=draft'
     """
     labels = [f"{name}={request.labels[name]}" for name in request.labels]
--- a/src/rattanpier/_internal/cascade/learned.py
+++ b/src/rattanpier/_internal/cascade/learned.py
@@ -114,7 +114,9 @@
         self, workspace: str, cell: Cell, version: str, now: float
     ) -> float:
         """Returns the variance of a step's expected quality in a cell."""
-        mean, covariance = self.learner.beliefs.weights(workspace, version, now)
+        mean, covariance = self.learner.quality_model.weights(
+            workspace, version, now
+        )
         share = 1 / (1 + np.exp(-float(cell.features @ mean)))
         doubt = float(cell.features @ covariance @ cell.features)
         return doubt * (share * (1 - share)) ** 2
--- a/src/rattanpier/_internal/cascade/learner.py
+++ b/src/rattanpier/_internal/cascade/learner.py
@@ -13,7 +13,6 @@
 import numpy as np
 
 from rattanpier._internal.cascade import features as f
-from rattanpier._internal.cascade.beliefs import Beliefs
 from rattanpier._internal.cascade.cells import (
     Cell,
     confidence_distribution,
@@ -30,6 +29,7 @@
     plan_cells,
     step_gradients,
 )
+from rattanpier._internal.cascade.quality_model import QualityModel
 from rattanpier._internal.models.configuration import Version, Workspace
 from rattanpier._internal.models.request import RouteRequest
 from rattanpier._internal.utils.clock import Clock
@@ -121,9 +121,9 @@
     clock: Clock
     states: dict[str, WorkspaceState] = attrs.Factory(dict)
     class_numbers: f.ClassNumbers = attrs.Factory(f.ClassNumbers)
-    beliefs: Beliefs = attrs.field(
+    quality_model: QualityModel = attrs.field(
         default=attrs.Factory(
-            lambda self: Beliefs(self.prior_quality), takes_self=True
+            lambda self: QualityModel(self.prior_quality), takes_self=True
         )
     )
 
@@ -210,7 +210,7 @@
         now: float,
     ) -> StepView:
         """Returns one step of some cells as believed now."""
-        mean, covariance = self.beliefs.weights(workspace, version, now)
+        mean, covariance = self.quality_model.weights(workspace, version, now)
         doubt = np.einsum("nf,fg,ng->n", features, covariance, features)
         return StepView(
             features @ mean,
@@ -279,7 +279,7 @@
         self, workspace: str, version: str, vector: np.ndarray, now: float
     ) -> float:
         """Returns the variance of a linear function of the weights."""
-        _, covariance = self.beliefs.weights(workspace, version, now)
+        _, covariance = self.quality_model.weights(workspace, version, now)
         return max(0.0, float(vector @ covariance @ vector))
 
     def note(
@@ -306,7 +306,7 @@
         state.news += 1
         state.ratings += 1
         state.rated_at = self.clock.monotonic()
-        changed = self.beliefs.learn(
+        changed = self.quality_model.learn(
             rated.workspace,
             rated.version,
             rated.features,
--- a/src/rattanpier/_internal/cascade/paths.py
+++ b/src/rattanpier/_internal/cascade/paths.py
@@ -14,7 +14,7 @@
 import numpy as np
 
 from rattanpier._internal.cascade import features as f
-from rattanpier._internal.cascade.beliefs import sigmoid
+from rattanpier._internal.cascade.quality_model import sigmoid
 
 QUALITY, COST, FIRST_GRADIENT = 0, 1, 2
 GRADIENT = 6  # For each step: weight, confidence, earlier one, escalated.
--- a/src/rattanpier/_internal/cascade/ratings.py
+++ b/src/rattanpier/_internal/cascade/ratings.py
@@ -143,7 +143,7 @@
         if pending is None:
             return "unknown"
         if not may_learn(self.versions(pending.rated.version)):
-            self.learner.beliefs.drop(pending.rated.version)
+            self.learner.quality_model.drop(pending.rated.version)
             return "withdrawn"
         if self.clock.monotonic() - pending.since > MAX_AGE_S:
             return "late"
--- a/src/rattanpier/_internal/cascade/sharing.py
+++ b/src/rattanpier/_internal/cascade/sharing.py
@@ -81,7 +81,7 @@
         if self.learner.workspace(body.workspace) is None:
             return "unknown"
         if not may_learn(self.learner.versions(body.version)):
-            self.learner.beliefs.drop(body.version)
+            self.learner.quality_model.drop(body.version)
             return "withdrawn"
         if not self.may_take():
             return "too_many"
--- a/tests/failure/test_cascade_ratings.py
+++ b/tests/failure/test_cascade_ratings.py
@@ -48,7 +48,7 @@
     counts = world.metrics.counts
     of_small = [item for item in world.service.items if item.version == SMALL]
     assert counts["cascade.rating.withdrawn"] == len(of_small) > 0
-    assert SMALL not in world.learner.beliefs.shared
+    assert SMALL not in world.learner.quality_model.shared
 
 
 async def test_unknown_repeated_and_late_ratings_teach_nothing():
--- a/tests/unit/test_cascade_change.py
+++ b/tests/unit/test_cascade_change.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from rattanpier._internal.cascade.beliefs import (
-    CHANGE_LIMIT,
-    Change,
-    note_surprise,
+from rattanpier._internal.cascade.quality_model import (
+    CHANGE_THRESHOLD,
+    ChangeDetector,
+    detect_change,
 )
 
 EXPECTED = (0.6, 0.8, 0.9, 0.95, 0.98)
@@ -18,19 +18,19 @@
 def alarms(count, share_of_good, seed):
     """Returns the alarms of ratings whose version is as good as given."""
     rng = random.Random(seed)
-    change = Change()
+    detector = ChangeDetector()
     for _ in range(count):
         expected = rng.choice(EXPECTED)
         good = rng.random() < share_of_good(expected)
         good ^= rng.random() < WRONG_RATINGS
-        note_surprise(change, expected, good)
-    return change.alarms
+        detect_change(detector, expected, good)
+    return detector.alarms
 
 
 def test_takes_chance_for_a_change_no_oftener_than_promised():
     runs, count = 20, 3000
     found = sum(alarms(count, lambda share: share, n) for n in range(runs))
-    assert found <= runs * count / math.exp(CHANGE_LIMIT)
+    assert found <= runs * count / math.exp(CHANGE_THRESHOLD)
 
 
 @pytest.mark.parametrize("seed", range(5))
--- a/tests/unit/test_cascade_sharing.py
+++ b/tests/unit/test_cascade_sharing.py
@@ -32,8 +32,8 @@
     return world.learner.state("desk").ratings
 
 
-def beliefs(world):
-    return world.learner.beliefs.shared[SMALL].mean
+def shared_weights(world):
+    return world.learner.quality_model.shared[SMALL].mean
 
 
 async def trained(names=("e1", "e2", "e3"), **faults):
@@ -98,8 +98,8 @@
         worlds[name].learner.rated("desk", SMALL, FACTS).features
         for name in ("e1", "e2")
     )
-    assert beliefs(worlds["e1"]) @ at_origin == pytest.approx(
-        beliefs(worlds["e2"]) @ at_other
+    assert shared_weights(worlds["e1"]) @ at_origin == pytest.approx(
+        shared_weights(worlds["e2"]) @ at_other
     )
 
 
@@ -130,7 +130,7 @@
     worlds.sharing["e1"].tell(news())
     worlds.deliver()
     assert taught(worlds["e2"]) == 0
-    assert SMALL not in worlds["e2"].learner.beliefs.shared
+    assert SMALL not in worlds["e2"].learner.quality_model.shared
     assert worlds.sharing["e2"].heard == {}
     assert worlds["e2"].metrics.counts["cascade.shared.withdrawn"] == 1
 
