--- a/src/rattanpier/_internal/cascade/learner.py
+++ b/src/rattanpier/_internal/cascade/learner.py
@@ -24,8 +24,8 @@
 from rattanpier._internal.cascade.paths import (
     QUALITY,
     CellPlan,
-    Plans,
-    StepView,
+    CellPlans,
+    StepEstimate,
     plan_cells,
     step_gradients,
 )
@@ -89,7 +89,7 @@
     cells: list[Cell]
     features: np.ndarray
     weights: np.ndarray
-    views: list[StepView]
+    estimates: list[StepEstimate]
 
 
 @attrs.frozen
@@ -179,7 +179,9 @@
             self.search(workspace, now)
         if cell.key not in state.plans:
             group = self.group(workspace, [cell], now)
-            state.plans[cell.key] = plan_cells(group.views, state.price).cell(0)
+            state.plans[cell.key] = plan_cells(
+                group.estimates, state.price
+            ).cell(0)
         return state.plans[cell.key]
 
     def groups(self, workspace: str, now: float) -> list[Group]:
@@ -194,25 +196,25 @@
     def group(self, workspace: str, cells: list[Cell], now: float) -> Group:
         """Returns cells of the same steps as believed now."""
         features = np.stack([cell.features for cell in cells])
-        views = [
-            self.view(workspace, cells, features, version, now)
+        estimates = [
+            self.estimate_step(workspace, cells, features, version, now)
             for version in cells[0].key.steps
         ]
         weights = np.array([decay_weight(cell, now) for cell in cells])
-        return Group(cells, features, weights, views)
+        return Group(cells, features, weights, estimates)
 
-    def view(
+    def estimate_step(
         self,
         workspace: str,
         cells: list[Cell],
         features: np.ndarray,
         version: str,
         now: float,
-    ) -> StepView:
+    ) -> StepEstimate:
         """Returns one step of some cells as believed now."""
         mean, covariance = self.quality_model.weights(workspace, version, now)
         doubt = np.einsum("nf,fg,ng->n", features, covariance, features)
-        return StepView(
+        return StepEstimate(
             features @ mean,
             mean[f.CONFIDENCE : f.EARLIER_CONFIDENCE],
             mean[f.EARLIER_CONFIDENCE : f.ESCALATED],
@@ -252,11 +254,11 @@
 
     def try_price(
         self, workspace: str, groups: list[Group], price: float
-    ) -> list[Plans]:
+    ) -> list[CellPlans]:
         """Plans every cell at a price; notes quality and doubt."""
         state = self.state(workspace)
         total = total_weight(groups)
-        plans = [plan_cells(group.views, price) for group in groups]
+        plans = [plan_cells(group.estimates, price) for group in groups]
         quality = 0.0
         gradients: dict[str, np.ndarray] = {}
         for group, planned in zip(groups, plans, strict=True):
@@ -343,7 +345,8 @@
     total = total_weight(groups)
     cost = sum(
         float(
-            np.max([view.cost for view in group.views], axis=0) @ group.weights
+            np.max([estimate.cost for estimate in group.estimates], axis=0)
+            @ group.weights
         )
         for group in groups
     )
--- a/src/rattanpier/_internal/cascade/paths.py
+++ b/src/rattanpier/_internal/cascade/paths.py
@@ -17,13 +17,15 @@
 from rattanpier._internal.cascade.quality_model import sigmoid
 
 QUALITY, COST, FIRST_GRADIENT = 0, 1, 2
-GRADIENT = 6  # For each step: weight, confidence, earlier one, escalated.
-LEAST_SHARE = 0.5  # An answer worse than this is not accepted knowingly.
-OWN_PLACES = slice(f.CONFIDENCE, f.FEATURE_COUNT)
+GRADIENT_SIZE = 6  # For each step: weight, confidence, earlier one, escalated.
+MIN_ACCEPTED_QUALITY = (
+    0.5  # An answer worse than this is not accepted knowingly.
+)
+CONFIDENCE_FEATURES = slice(f.CONFIDENCE, f.FEATURE_COUNT)
 
 
 @attrs.frozen
-class StepView:
+class StepEstimate:
     """One step of some cells' cascade as believed now.
 
     Attributes:
@@ -37,7 +39,7 @@
     """
 
     score: np.ndarray
-    own: np.ndarray
+    confidence: np.ndarray
     earlier: np.ndarray
     escalated: float
     moderation: np.ndarray
@@ -63,7 +65,7 @@
 
 
 @attrs.frozen
-class Plans:
+class CellPlans:
     """The plans of some cells.
 
     Attributes:
@@ -91,36 +93,36 @@
         )
 
 
-def good_shares(view: StepView, escalated: bool) -> np.ndarray:
+def expected_quality(estimate: StepEstimate, escalated: bool) -> np.ndarray:
     """Returns the expected quality; without a rejected answer, one bin."""
-    score = view.score[:, None, None] + f.BIN_FEATURES @ view.own
+    score = estimate.score[:, None, None] + f.BIN_FEATURES @ estimate.confidence
     if escalated:
-        earlier = f.BIN_FEATURES @ view.earlier
-        score = score + view.escalated + earlier[:, None]
-    return sigmoid(score * view.moderation[:, None, None])
+        earlier = f.BIN_FEATURES @ estimate.earlier
+        score = score + estimate.escalated + earlier[:, None]
+    return sigmoid(score * estimate.moderation[:, None, None])
 
 
-def accepted_here(
-    step: int, shares: np.ndarray, escalated: bool, size: int
+def accepted_outcome(
+    step: int, probabilities: np.ndarray, escalated: bool, size: int
 ) -> np.ndarray:
     """Returns quality, cost and gradients if the answer is accepted."""
-    outcome = np.zeros((*shares.shape, size))
-    outcome[..., QUALITY] = shares
-    slope = shares * (1 - shares)
-    at = FIRST_GRADIENT + GRADIENT * step
-    outcome[..., at] = slope
-    outcome[..., at + 1 : at + 3] = slope[..., None] * f.BIN_FEATURES
+    outcome = np.zeros((*probabilities.shape, size))
+    outcome[..., QUALITY] = probabilities
+    slope = probabilities * (1 - probabilities)
+    offset = FIRST_GRADIENT + GRADIENT_SIZE * step
+    outcome[..., offset] = slope
+    outcome[..., offset + 1 : offset + 3] = slope[..., None] * f.BIN_FEATURES
     if escalated:
         earlier = f.BIN_FEATURES[:, None, :]
-        outcome[..., at + 3 : at + 5] = slope[..., None] * earlier
-        outcome[..., at + 5] = slope
+        outcome[..., offset + 3 : offset + 5] = slope[..., None] * earlier
+        outcome[..., offset + 5] = slope
     return outcome
 
 
-def fold(
+def evaluate_step(
     step: int,
-    view: StepView,
-    onward: np.ndarray | None,
+    estimate: StepEstimate,
+    continuation: np.ndarray | None,
     escalated: bool,
     price: float,
     size: int,
@@ -135,41 +137,47 @@
       price: Credits that one more good answer is worth.
       size: Numbers in an outcome.
     """
-    shares = good_shares(view, escalated)
-    outcome = accepted_here(step, shares, escalated, size)
-    accept = np.ones(shares.shape, bool)
-    if onward is not None:
-        worth = price * onward[..., QUALITY] - onward[..., COST]
-        accept = price * shares >= worth[:, None, :]
+    probabilities = expected_quality(estimate, escalated)
+    outcome = accepted_outcome(step, probabilities, escalated, size)
+    accept = np.ones(probabilities.shape, bool)
+    if continuation is not None:
+        escalation_value = (
+            price * continuation[..., QUALITY] - continuation[..., COST]
+        )
+        accept = price * probabilities >= escalation_value[:, None, :]
         # A class is not given up because it is too rare to miss the target.
-        better = onward[:, None, :, QUALITY] > shares
-        accept &= (shares >= LEAST_SHARE) | ~better
-        outcome = np.where(accept[..., None], outcome, onward[:, None])
-    mean = np.matmul(view.histogram[:, None, None, :], outcome)[:, :, 0]
-    mean[..., COST] += view.cost[:, None]
+        better = continuation[:, None, :, QUALITY] > probabilities
+        accept &= (probabilities >= MIN_ACCEPTED_QUALITY) | ~better
+        outcome = np.where(accept[..., None], outcome, continuation[:, None])
+    mean = np.matmul(estimate.histogram[:, None, None, :], outcome)[:, :, 0]
+    mean[..., COST] += estimate.cost[:, None]
     return mean, accept
 
 
-def plan_cells(views: Sequence[StepView], price: float) -> Plans:
+def plan_cells(estimates: Sequence[StepEstimate], price: float) -> CellPlans:
     """Returns the best ways through the cells' steps.
 
     Args:
       views: The steps.
       price: Credits that one more good answer is worth.
     """
-    size = FIRST_GRADIENT + GRADIENT * len(views)
-    onward: np.ndarray | None = None
+    size = FIRST_GRADIENT + GRADIENT_SIZE * len(estimates)
+    continuation: np.ndarray | None = None
     outcomes: list[np.ndarray] = []
     accepts: list[np.ndarray] = []
-    for step in reversed(range(len(views))):
-        started, accept = fold(step, views[step], onward, False, price, size)
+    for step in reversed(range(len(estimates))):
+        started, accept = evaluate_step(
+            step, estimates[step], continuation, False, price, size
+        )
         outcomes.append(started[:, 0])
         accepts.append(accept[:, 0])
         if step:
-            onward, _ = fold(step, views[step], onward, True, price, size)
+            continuation, _ = evaluate_step(
+                step, estimates[step], continuation, True, price, size
+            )
     by_start = np.stack(outcomes[::-1], axis=1)
     value = price * by_start[..., QUALITY] - by_start[..., COST]
-    return Plans(
+    return CellPlans(
         value.argmax(axis=1), np.stack(accepts[::-1], axis=1), by_start
     )
 
@@ -184,7 +192,9 @@
       outcomes: [cell, number] already weighted.
       step: Index of the step.
     """
-    at = FIRST_GRADIENT + GRADIENT * step
-    vector = outcomes[:, at] @ features
-    vector[OWN_PLACES] = outcomes[:, at + 1 : at + GRADIENT].sum(axis=0)
+    offset = FIRST_GRADIENT + GRADIENT_SIZE * step
+    vector = outcomes[:, offset] @ features
+    vector[CONFIDENCE_FEATURES] = outcomes[
+        :, offset + 1 : offset + GRADIENT_SIZE
+    ].sum(axis=0)
     return vector
--- a/src/rattanpier/_internal/cascade/sharing.py
+++ b/src/rattanpier/_internal/cascade/sharing.py
@@ -100,10 +100,10 @@
         """Passes a rating on, unless it went far enough."""
         if notice.rated.hops >= MAX_HOPS:
             return
-        onward = peer_pb2.Notice()
-        onward.CopyFrom(notice)
-        onward.rated.hops += 1
-        self.spread(onward)
+        continuation = peer_pb2.Notice()
+        continuation.CopyFrom(notice)
+        continuation.rated.hops += 1
+        self.spread(continuation)
 
     def may_take(self) -> bool:
         """Takes a token, if there is one: bounds work and traffic."""
