--- a/benchmarks/cascade_run.py
+++ b/benchmarks/cascade_run.py
@@ -323,8 +323,8 @@
         good = trace.good[mine].any(axis=1)
         wanted = int(np.ceil(customer.target * len(mine)))
         spare = max(0, int(good.sum()) - wanted)
-        dearest = mine[np.argsort(-extra[mine])][:spare]
-        chosen[dearest] = 0
+        mean_max_cost = mine[np.argsort(-extra[mine])][:spare]
+        chosen[mean_max_cost] = 0
     return summarise(
         "oracle",
         trace,
--- a/src/rattanpier/_internal/cascade/learned.py
+++ b/src/rattanpier/_internal/cascade/learned.py
@@ -15,7 +15,7 @@
     try_acquire,
 )
 from rattanpier._internal.cascade.cells import Cell
-from rattanpier._internal.cascade.learner import Learner, Rated
+from rattanpier._internal.cascade.learner import Learner, RatedAnswer
 from rattanpier._internal.cascade.paths import CellPlan
 from rattanpier._internal.cascade.policy import (
     CascadePolicy,
@@ -47,7 +47,7 @@
     request_id: str
     request: RouteRequest
     text: str
-    rated: Rated
+    rated: RatedAnswer
 
 
 @attrs.define
@@ -160,7 +160,7 @@
         memo: Memo = walk.memo
         bin_index = f.confidence_bin(answer.confidence)
         tokens = answer.usage.output_tokens if answer.usage else None
-        learner.note(memo.cell, walk.version, bin_index, tokens)
+        learner.record_answer(memo.cell, walk.version, bin_index, tokens)
         sample(walk, memo, answer, bin_index)
         # What runs below the planned start is run just to be rated.
         if walk.at >= memo.plan.start and accepts(
@@ -180,7 +180,7 @@
             return
         memo.sampled = sampler.rng.random() < BOTH_SHARE
         facts = answer_facts(memo, bin_index)
-        rated = learner.rated(workspace, walk.version, facts)
+        rated = learner.rated_answer(workspace, walk.version, facts)
         send(Sample(walk.request_id, walk.request, answer.text, rated))
 
     return CascadePolicy(begin, judge)
--- a/src/rattanpier/_internal/cascade/learner.py
+++ b/src/rattanpier/_internal/cascade/learner.py
@@ -36,13 +36,15 @@
 
 MILLION = 1_000_000
 HOUR_S = 3600.0
-DOUBT = 0.5  # Standard deviations of doubt that the target is kept clear of.
-MORE_DOUBT = 0.5  # Further ones for each hour without a rating.
-FIRST_DOUBT = 3.0  # Further ones while a workspace has few ratings.
-FEW_RATINGS = 10
-SEARCH_EVERY_S = 60.0
+MARGIN_DEVIATIONS = (
+    0.5  # Standard deviations of doubt that the target is kept clear of.
+)
+MARGIN_PER_HOUR = 0.5  # Further ones for each hour without a rating.
+INITIAL_MARGIN = 3.0  # Further ones while a workspace has few ratings.
+INITIAL_RATINGS = 10
+SEARCH_INTERVAL_S = 60.0
 SEARCH_AFTER_RATINGS = 8  # A search comes earlier after so many ratings.
-PRICES = np.geomspace(0.05, 500.0, 48)  # In costs of the dearest step.
+RELATIVE_PRICES = np.geomspace(0.05, 500.0, 48)  # In costs of the dearest step.
 DEFAULT_OUTPUT_TOKENS = 128.0
 
 
@@ -67,23 +69,23 @@
     plans: dict[f.CellKey, CellPlan] = attrs.Factory(dict)
     price: float = 1.0
     quality: float = 0.0
-    doubt: float = 1.0
-    doubts: dict[str, float] = attrs.Factory(dict)
+    quality_deviation: float = 1.0
+    variances: dict[str, float] = attrs.Factory(dict)
     searched_at: float = float("-inf")
-    news: int = 0
+    new_ratings: int = 0
     ratings: int = 0
     rated_at: float = 0.0
 
 
 @attrs.frozen
-class Group:
+class CellGroup:
     """Cells of the same steps.
 
     Attributes:
       cells: The cells.
       features: [cell, feature] known before dispatch.
       weights: [cell] share of the mix, not normed.
-      views: The steps as believed now.
+      estimates: The steps as believed now.
     """
 
     cells: list[Cell]
@@ -93,7 +95,7 @@
 
 
 @attrs.frozen
-class Rated:
+class RatedAnswer:
     """What the learner needs of an answer that was sent to be rated.
 
     Attributes:
@@ -184,7 +186,7 @@
             ).cell(0)
         return state.plans[cell.key]
 
-    def groups(self, workspace: str, now: float) -> list[Group]:
+    def groups(self, workspace: str, now: float) -> list[CellGroup]:
         """Returns the cells of a workspace, grouped by their steps."""
         by_steps: dict[tuple[str, ...], list[Cell]] = {}
         for cell in self.state(workspace).cells.values():
@@ -193,7 +195,7 @@
             self.group(workspace, cells, now) for cells in by_steps.values()
         ]
 
-    def group(self, workspace: str, cells: list[Cell], now: float) -> Group:
+    def group(self, workspace: str, cells: list[Cell], now: float) -> CellGroup:
         """Returns cells of the same steps as believed now."""
         features = np.stack([cell.features for cell in cells])
         estimates = [
@@ -201,7 +203,7 @@
             for version in cells[0].key.steps
         ]
         weights = np.array([decay_weight(cell, now) for cell in cells])
-        return Group(cells, features, weights, estimates)
+        return CellGroup(cells, features, weights, estimates)
 
     def estimate_step(
         self,
@@ -213,13 +215,13 @@
     ) -> StepEstimate:
         """Returns one step of some cells as believed now."""
         mean, covariance = self.quality_model.weights(workspace, version, now)
-        doubt = np.einsum("nf,fg,ng->n", features, covariance, features)
+        variance = np.einsum("nf,fg,ng->n", features, covariance, features)
         return StepEstimate(
             features @ mean,
             mean[f.CONFIDENCE : f.EARLIER_CONFIDENCE],
             mean[f.EARLIER_CONFIDENCE : f.ESCALATED],
             float(mean[f.ESCALATED]),
-            1 / np.sqrt(1 + np.pi * doubt / 8),
+            1 / np.sqrt(1 + np.pi * variance / 8),
             np.stack(
                 [confidence_distribution(cell, version) for cell in cells]
             ),
@@ -231,29 +233,33 @@
         state = self.state(workspace)
         configured = self.workspace(workspace)
         state.searched_at = now
-        state.news = 0
+        state.new_ratings = 0
         state.plans = {}
         if configured is None or not state.cells:
             return
         groups = self.groups(workspace, now)
-        unit = dearest(groups)
-        wanted = configured.quality_target
-        margin = margin_of(state, now)
-        low, high = 0, len(PRICES) - 1
+        cost_unit = mean_max_cost(groups)
+        target = configured.quality_target
+        margin = safety_margin(state, now)
+        low, high = 0, len(RELATIVE_PRICES) - 1
         while low < high:
             middle = (low + high) // 2
-            self.try_price(workspace, groups, float(PRICES[middle]) * unit)
-            if state.quality - margin * state.doubt >= wanted:
+            self.plan_at_price(
+                workspace, groups, float(RELATIVE_PRICES[middle]) * cost_unit
+            )
+            if state.quality - margin * state.quality_deviation >= target:
                 high = middle
             else:
                 low = middle + 1
-        plans = self.try_price(workspace, groups, float(PRICES[low]) * unit)
+        plans = self.plan_at_price(
+            workspace, groups, float(RELATIVE_PRICES[low]) * cost_unit
+        )
         for group, planned in zip(groups, plans, strict=True):
             for index, cell in enumerate(group.cells):
                 state.plans[cell.key] = planned.cell(index)
 
-    def try_price(
-        self, workspace: str, groups: list[Group], price: float
+    def plan_at_price(
+        self, workspace: str, groups: list[CellGroup], price: float
     ) -> list[CellPlans]:
         """Plans every cell at a price; notes quality and doubt."""
         state = self.state(workspace)
@@ -270,11 +276,11 @@
         now = self.clock.monotonic()
         state.price = price
         state.quality = quality
-        state.doubts = {
+        state.variances = {
             version: self.variance(workspace, version, vector, now)
             for version, vector in gradients.items()
         }
-        state.doubt = float(np.sqrt(sum(state.doubts.values())))
+        state.quality_deviation = float(np.sqrt(sum(state.variances.values())))
         return plans
 
     def variance(
@@ -284,28 +290,28 @@
         _, covariance = self.quality_model.weights(workspace, version, now)
         return max(0.0, float(vector @ covariance @ vector))
 
-    def note(
+    def record_answer(
         self,
         cell: Cell,
         version: str,
-        index: int | None,
+        bin_index: int | None,
         output_tokens: int | None,
     ) -> None:
         """Takes in what a finished answer tells without a rating."""
-        record_answer(cell, version, index, output_tokens)
+        record_answer(cell, version, bin_index, output_tokens)
 
-    def rated(
+    def rated_answer(
         self, workspace: str, version: str, facts: f.AnswerFacts
-    ) -> Rated:
+    ) -> RatedAnswer:
         """Returns what is learned from when an answer is rated."""
         number = self.class_numbers.number(workspace, facts.class_name)
         features = f.answer_features(facts, number)
-        return Rated(workspace, version, features, facts)
+        return RatedAnswer(workspace, version, features, facts)
 
-    def learn(self, rated: Rated, good: bool) -> None:
+    def learn(self, rated: RatedAnswer, good: bool) -> None:
         """Takes in a rating."""
         state = self.state(rated.workspace)
-        state.news += 1
+        state.new_ratings += 1
         state.ratings += 1
         state.rated_at = self.clock.monotonic()
         changed = self.quality_model.learn(
@@ -321,26 +327,26 @@
                 state.searched_at = float("-inf")
 
 
-def margin_of(state: WorkspaceState, now: float) -> float:
+def safety_margin(state: WorkspaceState, now: float) -> float:
     """Returns the standard deviations to keep clear of the target."""
     hours = (now - state.rated_at) / HOUR_S
-    first = FIRST_DOUBT / (1 + state.ratings / FEW_RATINGS)
-    return DOUBT + first + MORE_DOUBT * hours
+    first = INITIAL_MARGIN / (1 + state.ratings / INITIAL_RATINGS)
+    return MARGIN_DEVIATIONS + first + MARGIN_PER_HOUR * hours
 
 
 def needs_search(state: WorkspaceState, now: float) -> bool:
     """Says whether a workspace's price of quality is out of date."""
-    if state.news >= SEARCH_AFTER_RATINGS:
+    if state.new_ratings >= SEARCH_AFTER_RATINGS:
         return True
-    return now - state.searched_at >= SEARCH_EVERY_S
+    return now - state.searched_at >= SEARCH_INTERVAL_S
 
 
-def total_weight(groups: list[Group]) -> float:
+def total_weight(groups: list[CellGroup]) -> float:
     """Returns the weight of the mix; above 0 before any request, too."""
     return max(1e-9, sum(float(group.weights.sum()) for group in groups))
 
 
-def dearest(groups: list[Group]) -> float:
+def mean_max_cost(groups: list[CellGroup]) -> float:
     """Returns the mean cost of a request's dearest step, in credits."""
     total = total_weight(groups)
     cost = sum(
--- a/src/rattanpier/_internal/cascade/outlook.py
+++ b/src/rattanpier/_internal/cascade/outlook.py
@@ -67,6 +67,6 @@
         cell.key.class_name,
         starts,
         state.quality,
-        state.doubt,
+        state.quality_deviation,
         state.ratings,
     )
--- a/src/rattanpier/_internal/cascade/paths.py
+++ b/src/rattanpier/_internal/cascade/paths.py
@@ -131,8 +131,8 @@
 
     Args:
       step: Index of the step.
-      view: The step as believed now.
-      onward: [cell, bin, number] outcomes of going on, or None.
+      estimate: The step as believed now.
+      continuation: [cell, bin, number] outcomes of going on, or None.
       escalated: True if an answer was rejected before.
       price: Credits that one more good answer is worth.
       size: Numbers in an outcome.
@@ -158,7 +158,7 @@
     """Returns the best ways through the cells' steps.
 
     Args:
-      views: The steps.
+      estimates: The steps.
       price: Credits that one more good answer is worth.
     """
     size = FIRST_GRADIENT + GRADIENT_SIZE * len(estimates)
--- a/src/rattanpier/_internal/cascade/ratings.py
+++ b/src/rattanpier/_internal/cascade/ratings.py
@@ -15,7 +15,7 @@
 
 from rattanpier._internal.cascade.features import AnswerFacts
 from rattanpier._internal.cascade.learned import Sample
-from rattanpier._internal.cascade.learner import Learner, Rated
+from rattanpier._internal.cascade.learner import Learner, RatedAnswer
 from rattanpier._internal.exceptions import PlatformUnavailableError
 from rattanpier._internal.kernel import Kernel
 from rattanpier._internal.models.configuration import Version, VersionState
@@ -54,7 +54,7 @@
 class Pending:
     """A rating under way."""
 
-    rated: Rated
+    rated: RatedAnswer
     since: float
 
 
@@ -169,7 +169,7 @@
         """Reports how each workspace stands."""
         for name, state in self.learner.states.items():
             self.metrics.gauge(f"cascade.quality.{name}", state.quality)
-            self.metrics.gauge(f"cascade.doubt.{name}", state.doubt)
+            self.metrics.gauge(f"cascade.doubt.{name}", state.quality_deviation)
         self.metrics.gauge("cascade.ratings.pending", len(self.pending))
 
 
--- a/src/rattanpier/_internal/cascade/sharing.py
+++ b/src/rattanpier/_internal/cascade/sharing.py
@@ -12,7 +12,7 @@
 import attrs
 
 from rattanpier._internal.cascade import features as f
-from rattanpier._internal.cascade.learner import Learner, Rated
+from rattanpier._internal.cascade.learner import Learner, RatedAnswer
 from rattanpier._internal.cascade.ratings import RatingNews, may_learn
 from rattanpier._internal.membership.ring import neighbours
 from rattanpier._internal.models.member import Member
@@ -100,10 +100,10 @@
         """Passes a rating on, unless it went far enough."""
         if notice.rated.hops >= MAX_HOPS:
             return
-        continuation = peer_pb2.Notice()
-        continuation.CopyFrom(notice)
-        continuation.rated.hops += 1
-        self.spread(continuation)
+        forwarded = peer_pb2.Notice()
+        forwarded.CopyFrom(notice)
+        forwarded.rated.hops += 1
+        self.spread(forwarded)
 
     def may_take(self) -> bool:
         """Takes a token, if there is one: bounds work and traffic."""
@@ -133,7 +133,7 @@
     )
 
 
-def rated_of(learner: Learner, body: peer_pb2.Rated) -> Rated:
+def rated_of(learner: Learner, body: peer_pb2.Rated) -> RatedAnswer:
     """Returns what a notice teaches, with this entry's class numbers."""
     facts = f.AnswerFacts(
         body.class_name,
@@ -143,7 +143,7 @@
         bin_in(body, "earlier"),
         body.escalated,
     )
-    return learner.rated(body.workspace, body.version, facts)
+    return learner.rated_answer(body.workspace, body.version, facts)
 
 
 def bin_in(body: peer_pb2.Rated, name: str) -> int | None:
--- a/tests/unit/test_cascade_sharing.py
+++ b/tests/unit/test_cascade_sharing.py
@@ -85,7 +85,7 @@
 def test_a_rating_means_the_same_whatever_number_the_class_has():
     worlds = SharedWorlds(("e1", "e2"), small_fails_legal)
     worlds["e2"].begin(LEGAL)  # Takes the number that chat has at e1.
-    rated = worlds["e1"].learner.rated("desk", SMALL, FACTS)
+    rated = worlds["e1"].learner.rated_answer("desk", SMALL, FACTS)
     worlds["e1"].learner.learn(rated, False)
     worlds.sharing["e1"].tell(news(good=False))
     worlds.deliver()
@@ -95,7 +95,7 @@
     ]
     assert numbers == [1, 2]
     at_origin, at_other = (
-        worlds[name].learner.rated("desk", SMALL, FACTS).features
+        worlds[name].learner.rated_answer("desk", SMALL, FACTS).features
         for name in ("e1", "e2")
     )
     assert shared_weights(worlds["e1"]) @ at_origin == pytest.approx(
@@ -109,7 +109,7 @@
     learner = CascadeWorld(small_fails_legal).learner
     rated = s.rated_of(learner, notice.rated)
     assert rated.facts == facts
-    expected = learner.rated("desk", SMALL, facts).features
+    expected = learner.rated_answer("desk", SMALL, facts).features
     assert np.array_equal(rated.features, expected)
 
 
