--- a/src/rattanpier/_internal/cascade/outlook.py
+++ b/src/rattanpier/_internal/cascade/estimate.py
@@ -11,7 +11,7 @@
 
 
 @attrs.frozen
-class StartOutlook:
+class StartEstimate:
     """What is expected if a request starts at a step.
 
     Attributes:
@@ -28,7 +28,7 @@
 
 
 @attrs.frozen
-class Outlook:
+class CascadeEstimate:
     """The cascade of a request as believed now.
 
     Attributes:
@@ -41,21 +41,21 @@
     """
 
     class_name: str
-    starts: list[StartOutlook]
+    starts: list[StartEstimate]
     workspace_quality: float
-    workspace_doubt: float
+    workspace_quality_deviation: float
     ratings: int
 
 
-def outlook(
+def estimate_cascade(
     learner: Learner, request: RouteRequest, steps: Sequence[str]
-) -> Outlook:
+) -> CascadeEstimate:
     """Returns what is expected of a request; counts no request."""
     cell = learner.cell(request, tuple(steps))
     plan = learner.plan(request.workspace, cell)
     state = learner.state(request.workspace)
     starts = [
-        StartOutlook(
+        StartEstimate(
             version,
             float(plan.qualities[index]),
             float(plan.costs[index]),
@@ -63,7 +63,7 @@
         )
         for index, version in enumerate(steps)
     ]
-    return Outlook(
+    return CascadeEstimate(
         cell.key.class_name,
         starts,
         state.quality,
