--- a/benchmarks/cascade_run.py
+++ b/benchmarks/cascade_run.py
@@ -15,11 +15,11 @@
 from rattanpier._internal.cascade.learner import Learner
 from rattanpier._internal.cascade.policy import (
     CascadePolicy,
+    CascadeProgress,
     MayServe,
     StepAnswer,
     Verdict,
-    Walk,
-    go_on,
+    escalate,
 )
 from rattanpier._internal.dispatch.engine import Usage
 from rattanpier._internal.models.configuration import Version, Workspace
@@ -171,16 +171,16 @@
     """Answers one request; returns credits and the step that answered."""
     trace = run.trace
     request = run.request(index)
-    walk = policy.begin(request, run.steps, str(index))
+    progress = policy.begin(request, run.steps, str(index))
     cost = 0.0
     while True:
-        at = walk.at
+        at = progress.step
         cost += costs[index, at]
         usage = Usage(request.prompt_tokens, int(trace.output_tokens[index]))
         answer = StepAnswer(
             "", "stop", usage, float(trace.confidence[index, at])
         )
-        if policy.judge(walk, answer, everything) is Verdict.ACCEPT:
+        if policy.evaluate(progress, answer, everything) is Verdict.ACCEPT:
             return cost, at
 
 
@@ -279,19 +279,21 @@
 
         def begin(
             request: RouteRequest, steps: tuple[str, ...], request_id: str
-        ) -> Walk:
-            return Walk(request, tuple(steps), 0, request_id)
+        ) -> CascadeProgress:
+            return CascadeProgress(request, tuple(steps), 0, request_id)
 
-        def judge(walk: Walk, answer: StepAnswer, may: MayServe) -> Verdict:
-            name = walk.request.workspace
+        def evaluate(
+            progress: CascadeProgress, answer: StepAnswer, may: MayServe
+        ) -> Verdict:
+            name = progress.request.workspace
             threshold = thresholds.setdefault(name, first)
-            if not walk.is_last and (answer.confidence or 0.0) < threshold:
-                return go_on(walk, may)
+            if not progress.is_last and (answer.confidence or 0.0) < threshold:
+                return escalate(progress, may)
             customer = next(
                 c for c in run.trace.workload.customers if c.name == name
             )
             if rng.random() < customer.budget / (customer.rate * HOUR_S):
-                run.rate(name, walk.version, None)
+                run.rate(name, progress.version, None)
             return Verdict.ACCEPT
 
         def take(rating: Rating) -> None:
@@ -302,7 +304,7 @@
             )
             thresholds[rating.workspace] = min(1.01, max(0.0, moved))
 
-        return CascadePolicy(begin, judge), take
+        return CascadePolicy(begin, evaluate), take
 
     return make
 
--- a/src/rattanpier/_internal/cascade/learned.py
+++ b/src/rattanpier/_internal/cascade/learned.py
@@ -19,11 +19,11 @@
 from rattanpier._internal.cascade.paths import CellPlan
 from rattanpier._internal.cascade.policy import (
     CascadePolicy,
+    CascadeProgress,
     MayServe,
     StepAnswer,
     Verdict,
-    Walk,
-    go_on,
+    escalate,
 )
 from rattanpier._internal.models.request import RouteRequest
 
@@ -143,47 +143,52 @@
 
     def begin(
         request: RouteRequest, steps: Sequence[str], request_id: str
-    ) -> Walk:
-        walk = Walk(request, tuple(steps), 0, request_id)
-        cell = learner.cell(request, walk.steps)
+    ) -> CascadeProgress:
+        progress = CascadeProgress(request, tuple(steps), 0, request_id)
+        cell = learner.cell(request, progress.steps)
         learner.count(request, cell)
         plan = learner.plan(request.workspace, cell)
-        walk.memo = Memo(cell, plan)
-        walk.at = plan.start
+        progress.policy_state = Memo(cell, plan)
+        progress.step = plan.start
         if len(steps) > 1 and sampler.wants(request.workspace, cell):
-            walk.memo.sampled = True
-            if walk.at and sampler.rng.random() < PROBE_SHARE:
-                walk.at -= 1
-        return walk
-
-    def judge(walk: Walk, answer: StepAnswer, may_serve: MayServe) -> Verdict:
-        memo: Memo = walk.memo
+            progress.policy_state.sampled = True
+            if progress.step and sampler.rng.random() < PROBE_SHARE:
+                progress.step -= 1
+        return progress
+
+    def evaluate(
+        progress: CascadeProgress, answer: StepAnswer, may_serve: MayServe
+    ) -> Verdict:
+        memo: Memo = progress.policy_state
         bin_index = f.confidence_bin(answer.confidence)
         tokens = answer.usage.output_tokens if answer.usage else None
-        learner.record_answer(memo.cell, walk.version, bin_index, tokens)
-        sample(walk, memo, answer, bin_index)
+        learner.record_answer(memo.cell, progress.version, bin_index, tokens)
+        sample(progress, memo, answer, bin_index)
         # What runs below the planned start is run just to be rated.
-        if walk.at >= memo.plan.start and accepts(
-            memo.plan, walk.at, bin_index
+        if progress.step >= memo.plan.start and accepts(
+            memo.plan, progress.step, bin_index
         ):
             return Verdict.ACCEPT
-        verdict = go_on(walk, may_serve)
+        verdict = escalate(progress, may_serve)
         memo.earlier = bin_index
         memo.escalated = True
         return verdict
 
     def sample(
-        walk: Walk, memo: Memo, answer: StepAnswer, bin_index: int | None
+        progress: CascadeProgress,
+        memo: Memo,
+        answer: StepAnswer,
+        bin_index: int | None,
     ) -> None:
-        workspace = walk.request.workspace
+        workspace = progress.request.workspace
         if not memo.sampled or not sampler.pay(workspace):
             return
         memo.sampled = sampler.rng.random() < BOTH_SHARE
         facts = answer_facts(memo, bin_index)
-        rated = learner.rated_answer(workspace, walk.version, facts)
-        send(Sample(walk.request_id, walk.request, answer.text, rated))
+        rated = learner.rated_answer(workspace, progress.version, facts)
+        send(Sample(progress.request_id, progress.request, answer.text, rated))
 
-    return CascadePolicy(begin, judge)
+    return CascadePolicy(begin, evaluate)
 
 
 def accepts(plan: CellPlan, step: int, bin_index: int | None) -> bool:
--- a/src/rattanpier/_internal/cascade/policy.py
+++ b/src/rattanpier/_internal/cascade/policy.py
@@ -19,7 +19,7 @@
 from rattanpier._internal.models.request import RouteRequest
 
 MayServe = Callable[[str], bool]
-WHOLE_FINISH = "stop"  # The engine ended the answer of its own accord.
+COMPLETE_FINISH = "stop"  # The engine ended the answer of its own accord.
 
 
 @attrs.frozen
@@ -40,7 +40,7 @@
 
 
 @attrs.define
-class Walk:
+class CascadeProgress:
     """One request on its way through the steps of a cascade.
 
     Attributes:
@@ -53,30 +53,30 @@
 
     request: RouteRequest
     steps: tuple[str, ...]
-    at: int
+    step: int
     request_id: str = ""
-    memo: Any = None
+    policy_state: Any = None
 
     @property
     def version(self) -> str:
         """Version of the step to run now."""
-        return self.steps[self.at]
+        return self.steps[self.step]
 
     @property
     def is_last(self) -> bool:
         """True if no step is left, so that the answer may be streamed."""
-        return self.at == len(self.steps) - 1
+        return self.step == len(self.steps) - 1
 
 
 class Verdict(enum.Enum):
     """What becomes of a finished answer."""
 
     ACCEPT = "accept"
-    GO_ON = "go_on"  # `walk.at` names the next step.
+    ESCALATE = "go_on"  # `walk.at` names the next step.
 
 
-Begin = Callable[[RouteRequest, Sequence[str], str], Walk]
-Judge = Callable[[Walk, StepAnswer, MayServe], Verdict]
+Begin = Callable[[RouteRequest, Sequence[str], str], CascadeProgress]
+Evaluate = Callable[[CascadeProgress, StepAnswer, MayServe], Verdict]
 
 
 @attrs.frozen
@@ -91,31 +91,31 @@
     """
 
     begin: Begin
-    judge: Judge
+    evaluate: Evaluate
 
 
-def answer_of(chunks: Sequence[Chunk]) -> StepAnswer:
+def assemble_answer(chunks: Sequence[Chunk]) -> StepAnswer:
     """Returns the finished answer that chunks make up."""
     last = chunks[-1]
     text = "".join(chunk.text for chunk in chunks)
     return StepAnswer(text, last.finish, last.usage, last.confidence)
 
 
-def next_step(walk: Walk, may_serve: MayServe) -> int | None:
+def next_step(progress: CascadeProgress, may_serve: MayServe) -> int | None:
     """Returns the next step whose version may serve, or None."""
-    for index in range(walk.at + 1, len(walk.steps)):
-        if may_serve(walk.steps[index]):
+    for index in range(progress.step + 1, len(progress.steps)):
+        if may_serve(progress.steps[index]):
             return index
     return None
 
 
-def go_on(walk: Walk, may_serve: MayServe) -> Verdict:
+def escalate(progress: CascadeProgress, may_serve: MayServe) -> Verdict:
     """Moves a walk to the next step that may serve, if there is one."""
-    index = next_step(walk, may_serve)
+    index = next_step(progress, may_serve)
     if index is None:
         return Verdict.ACCEPT
-    walk.at = index
-    return Verdict.GO_ON
+    progress.step = index
+    return Verdict.ESCALATE
 
 
 def fixed_threshold(threshold: float) -> CascadePolicy:
@@ -129,15 +129,17 @@
 
     def begin(
         request: RouteRequest, steps: Sequence[str], request_id: str
-    ) -> Walk:
-        return Walk(request, tuple(steps), 0, request_id)
+    ) -> CascadeProgress:
+        return CascadeProgress(request, tuple(steps), 0, request_id)
 
-    def judge(walk: Walk, answer: StepAnswer, may_serve: MayServe) -> Verdict:
+    def evaluate(
+        progress: CascadeProgress, answer: StepAnswer, may_serve: MayServe
+    ) -> Verdict:
         if (answer.confidence or 0.0) >= threshold:
             return Verdict.ACCEPT
-        return go_on(walk, may_serve)
+        return escalate(progress, may_serve)
 
-    return CascadePolicy(begin, judge)
+    return CascadePolicy(begin, evaluate)
 
 
 def always_strong() -> CascadePolicy:
@@ -145,10 +147,14 @@
 
     def begin(
         request: RouteRequest, steps: Sequence[str], request_id: str
-    ) -> Walk:
-        return Walk(request, tuple(steps), len(steps) - 1, request_id)
-
-    def judge(_walk: Walk, _answer: StepAnswer, _may: MayServe) -> Verdict:
+    ) -> CascadeProgress:
+        return CascadeProgress(
+            request, tuple(steps), len(steps) - 1, request_id
+        )
+
+    def evaluate(
+        _walk: CascadeProgress, _answer: StepAnswer, _may: MayServe
+    ) -> Verdict:
         return Verdict.ACCEPT
 
-    return CascadePolicy(begin, judge)
+    return CascadePolicy(begin, evaluate)
--- a/src/rattanpier/_internal/dispatch/steps.py
+++ b/src/rattanpier/_internal/dispatch/steps.py
@@ -9,11 +9,11 @@
 
 from rattanpier._internal.cascade.policy import (
     CascadePolicy,
+    CascadeProgress,
     MayServe,
     Verdict,
-    Walk,
-    answer_of,
-    go_on,
+    assemble_answer,
+    escalate,
 )
 from rattanpier._internal.dispatch.bills import Spent, is_whole, spent_by
 from rattanpier._internal.dispatch.engine import Chunk
@@ -62,7 +62,7 @@
       spent: Usage of each step whose answer was complete.
     """
 
-    walk: Walk
+    walk: CascadeProgress
     policy: CascadePolicy
     open_stream: OpenStream
     may_serve: MayServe
@@ -100,14 +100,14 @@
         except DispatchError:
             # The next step counts as a retry, so that failures don't double
             # the load.
-            if go_on(self.walk, self.may_serve) is Verdict.ACCEPT:
+            if escalate(self.walk, self.may_serve) is Verdict.ACCEPT:
                 raise
             if not self.may_retry():
                 raise
             return None
         self.spent.append(spent_by(version, chunks))
-        verdict = self.policy.judge(
-            self.walk, answer_of(chunks), self.may_serve
+        verdict = self.policy.evaluate(
+            self.walk, assemble_answer(chunks), self.may_serve
         )
         return chunks if verdict is Verdict.ACCEPT else None
 
@@ -131,4 +131,4 @@
             raise incomplete_answer()
         self.spent.append(spent_by(version, chunks))
         # The verdict is not used, but the policy may still rate the answer.
-        self.policy.judge(self.walk, answer_of(chunks), self.may_serve)
+        self.policy.evaluate(self.walk, assemble_answer(chunks), self.may_serve)
--- a/tests/failure/test_cascade_ratings.py
+++ b/tests/failure/test_cascade_ratings.py
@@ -72,13 +72,13 @@
         return version != LARGE
 
     for _ in range(300):
-        walk = world.begin(LEGAL)
-        if walk.version == LARGE:
+        progress = world.begin(LEGAL)
+        if progress.version == LARGE:
             continue  # Dispatch refuses it: its own check, its own test.
         from rattanpier._internal.cascade.policy import StepAnswer
 
-        verdict = world.policy.judge(
-            walk, StepAnswer("text", "stop", None, 0.1), may_serve
+        verdict = world.policy.evaluate(
+            progress, StepAnswer("text", "stop", None, 0.1), may_serve
         )
         assert verdict is Verdict.ACCEPT
-        assert walk.version == SMALL
+        assert progress.version == SMALL
--- a/tests/lib/cascades.py
+++ b/tests/lib/cascades.py
@@ -93,12 +93,12 @@
 
     def answer(self, task, may_serve=lambda version: True):
         """Answers one request; returns the versions that ran."""
-        walk = self.begin(task)
+        progress = self.begin(task)
         ran = []
         while True:
-            ran.append(walk.version)
+            ran.append(progress.version)
             answer = StepAnswer("text", "stop", Usage(100, 50), 0.8)
-            verdict = self.policy.judge(walk, answer, may_serve)
+            verdict = self.policy.evaluate(progress, answer, may_serve)
             if verdict is Verdict.ACCEPT:
                 return ran
 
--- a/tests/unit/test_cascade_policy.py
+++ b/tests/unit/test_cascade_policy.py
@@ -19,37 +19,37 @@
     ("confidence", "verdict", "at"),
     [
         (0.9, Verdict.ACCEPT, 0),
-        (0.3, Verdict.GO_ON, 1),
-        (None, Verdict.GO_ON, 1),
+        (0.3, Verdict.ESCALATE, 1),
+        (None, Verdict.ESCALATE, 1),
     ],
 )
 def test_threshold_decides(confidence, verdict, at):
     policy = fixed_threshold(0.6)
-    walk = policy.begin(build_request(), [SMALL, LARGE], "r1")
+    progress = policy.begin(build_request(), [SMALL, LARGE], "r1")
     answer = StepAnswer("text", "stop", None, confidence)
-    assert policy.judge(walk, answer, everything) is verdict
-    assert walk.at == at
+    assert policy.evaluate(progress, answer, everything) is verdict
+    assert progress.step == at
 
 
 def test_goes_past_a_step_that_may_not_serve():
     policy = fixed_threshold(0.6)
-    walk = policy.begin(build_request(), [SMALL, "mid@1", LARGE], "r1")
+    progress = policy.begin(build_request(), [SMALL, "mid@1", LARGE], "r1")
     answer = StepAnswer("text", "stop", None, 0.1)
-    verdict = policy.judge(walk, answer, lambda name: name != "mid@1")
-    assert verdict is Verdict.GO_ON
-    assert walk.version == LARGE
+    verdict = policy.evaluate(progress, answer, lambda name: name != "mid@1")
+    assert verdict is Verdict.ESCALATE
+    assert progress.version == LARGE
 
 
 def test_accepts_where_no_stronger_step_may_serve():
     policy = fixed_threshold(0.6)
-    walk = policy.begin(build_request(), [SMALL, LARGE], "r1")
+    progress = policy.begin(build_request(), [SMALL, LARGE], "r1")
     answer = StepAnswer("text", "stop", None, 0.1)
-    verdict = policy.judge(walk, answer, lambda name: name != LARGE)
+    verdict = policy.evaluate(progress, answer, lambda name: name != LARGE)
     assert verdict is Verdict.ACCEPT
-    assert walk.version == SMALL
+    assert progress.version == SMALL
 
 
 def test_always_strong_starts_at_the_last_step():
-    walk = always_strong().begin(build_request(), [SMALL, LARGE], "r1")
-    assert walk.version == LARGE
-    assert walk.is_last
+    progress = always_strong().begin(build_request(), [SMALL, LARGE], "r1")
+    assert progress.version == LARGE
+    assert progress.is_last
