--- a/benchmarks/cascade_run.py
+++ b/benchmarks/cascade_run.py
@@ -11,7 +11,11 @@
 import numpy as np
 
 from benchmarks.workloads import HOUR_S, HOURS, Trace
-from rattanpier._internal.cascade.learned import Sample, Sampler, learned
+from rattanpier._internal.cascade.learned_policy import (
+    Sample,
+    Sampler,
+    learned_policy,
+)
 from rattanpier._internal.cascade.learner import Learner
 from rattanpier._internal.cascade.policy import (
     CascadePolicy,
@@ -254,7 +258,7 @@
             learner.learn(rating.sample, rating.good)
 
         sampler = Sampler(learner, random.Random(7), budget)
-        return learned(learner, sampler, send), take
+        return learned_policy(learner, sampler, send), take
 
     return make
 
--- a/src/rattanpier/_internal/cascade/learned.py
+++ b/src/rattanpier/_internal/cascade/learned_policy.py
@@ -28,10 +28,14 @@
 from rattanpier._internal.models.request import RouteRequest
 
 PROBE_SHARE = 0.6  # Of ratings, where the plan starts at a later step.
-BOTH_SHARE = 0.5  # Of rated answers gone on from, to have the next rated too.
-USUAL_CHANCE = 0.3  # To sample a request of usual doubt, budget permitting.
-LEAST_CHANCE = 0.05
-DOUBT_STEP = 0.02  # Weight of one request in the mean doubt.
+FOLLOW_UP_SHARE = (
+    0.5  # Of rated answers gone on from, to have the next rated too.
+)
+TYPICAL_PROBABILITY = (
+    0.3  # To sample a request of usual doubt, budget permitting.
+)
+MIN_PROBABILITY = 0.05
+UNCERTAINTY_SMOOTHING = 0.02  # Weight of one request in the mean doubt.
 
 
 @attrs.frozen
@@ -51,7 +55,7 @@
 
 
 @attrs.define
-class Memo:
+class RequestState:
     """What the learned policy remembers of a request.
 
     Attributes:
@@ -79,9 +83,9 @@
 
     learner: Learner
     rng: random.Random
-    share: Callable[[str], int]
+    hourly_share: Callable[[str], int]
     budgets: dict[str, RatingBudget] = attrs.Factory(dict)
-    usual: dict[str, float] = attrs.Factory(dict)
+    mean_uncertainty: dict[str, float] = attrs.Factory(dict)
 
     def budget(self, workspace: str) -> RatingBudget:
         """Returns the purse of a workspace."""
@@ -91,46 +95,51 @@
             )
         return self.budgets[workspace]
 
-    def wants(self, workspace: str, cell: Cell) -> bool:
+    def should_sample(self, workspace: str, cell: Cell) -> bool:
         """Says whether a request of a cell is worth a rating now."""
         now = self.learner.clock.monotonic()
-        share = self.share(workspace)
+        share = self.hourly_share(workspace)
         if refill(self.budget(workspace), share, now) < 1:
             return False
-        doubt = self.doubt(workspace, cell, now)
-        usual = self.usual.get(workspace, doubt)
-        self.usual[workspace] = usual + DOUBT_STEP * (doubt - usual)
-        chance = USUAL_CHANCE * doubt / max(usual, 1e-9)
-        return self.rng.random() < max(LEAST_CHANCE, chance)
+        uncertainty = self.uncertainty(workspace, cell, now)
+        mean_uncertainty = self.mean_uncertainty.get(workspace, uncertainty)
+        self.mean_uncertainty[workspace] = (
+            mean_uncertainty
+            + UNCERTAINTY_SMOOTHING * (uncertainty - mean_uncertainty)
+        )
+        probability = (
+            TYPICAL_PROBABILITY * uncertainty / max(mean_uncertainty, 1e-9)
+        )
+        return self.rng.random() < max(MIN_PROBABILITY, probability)
 
-    def doubt(self, workspace: str, cell: Cell, now: float) -> float:
+    def uncertainty(self, workspace: str, cell: Cell, now: float) -> float:
         """Returns the largest doubt about a step's quality in a cell."""
         return max(
-            self.step_doubt(workspace, cell, version, now)
+            self.step_uncertainty(workspace, cell, version, now)
             for version in cell.key.steps[:-1]
         )
 
-    def step_doubt(
+    def step_uncertainty(
         self, workspace: str, cell: Cell, version: str, now: float
     ) -> float:
         """Returns the variance of a step's expected quality in a cell."""
         mean, covariance = self.learner.quality_model.weights(
             workspace, version, now
         )
-        share = 1 / (1 + np.exp(-float(cell.features @ mean)))
-        doubt = float(cell.features @ covariance @ cell.features)
-        return doubt * (share * (1 - share)) ** 2
+        probability = 1 / (1 + np.exp(-float(cell.features @ mean)))
+        variance = float(cell.features @ covariance @ cell.features)
+        return variance * (probability * (1 - probability)) ** 2
 
-    def pay(self, workspace: str) -> bool:
+    def try_acquire(self, workspace: str) -> bool:
         """Takes one rating out of the budget."""
         return try_acquire(
             self.budget(workspace),
-            self.share(workspace),
+            self.hourly_share(workspace),
             self.learner.clock.monotonic(),
         )
 
 
-def learned(
+def learned_policy(
     learner: Learner, sampler: Sampler, send: Callable[[Sample], None]
 ) -> CascadePolicy:
     """Returns the policy that learns from ratings.
@@ -148,9 +157,9 @@
         cell = learner.cell(request, progress.steps)
         learner.count(request, cell)
         plan = learner.plan(request.workspace, cell)
-        progress.policy_state = Memo(cell, plan)
+        progress.policy_state = RequestState(cell, plan)
         progress.step = plan.start
-        if len(steps) > 1 and sampler.wants(request.workspace, cell):
+        if len(steps) > 1 and sampler.should_sample(request.workspace, cell):
             progress.policy_state.sampled = True
             if progress.step and sampler.rng.random() < PROBE_SHARE:
                 progress.step -= 1
@@ -159,32 +168,32 @@
     def evaluate(
         progress: CascadeProgress, answer: StepAnswer, may_serve: MayServe
     ) -> Verdict:
-        memo: Memo = progress.policy_state
+        state: RequestState = progress.policy_state
         bin_index = f.confidence_bin(answer.confidence)
         tokens = answer.usage.output_tokens if answer.usage else None
-        learner.record_answer(memo.cell, progress.version, bin_index, tokens)
-        sample(progress, memo, answer, bin_index)
+        learner.record_answer(state.cell, progress.version, bin_index, tokens)
+        sample(progress, state, answer, bin_index)
         # What runs below the planned start is run just to be rated.
-        if progress.step >= memo.plan.start and accepts(
-            memo.plan, progress.step, bin_index
+        if progress.step >= state.plan.start and accepts(
+            state.plan, progress.step, bin_index
         ):
             return Verdict.ACCEPT
         verdict = escalate(progress, may_serve)
-        memo.earlier = bin_index
-        memo.escalated = True
+        state.earlier = bin_index
+        state.escalated = True
         return verdict
 
     def sample(
         progress: CascadeProgress,
-        memo: Memo,
+        state: RequestState,
         answer: StepAnswer,
         bin_index: int | None,
     ) -> None:
         workspace = progress.request.workspace
-        if not memo.sampled or not sampler.pay(workspace):
+        if not state.sampled or not sampler.try_acquire(workspace):
             return
-        memo.sampled = sampler.rng.random() < BOTH_SHARE
-        facts = answer_facts(memo, bin_index)
+        state.sampled = sampler.rng.random() < FOLLOW_UP_SHARE
+        facts = answer_facts(state, bin_index)
         rated = learner.rated_answer(workspace, progress.version, facts)
         send(Sample(progress.request_id, progress.request, answer.text, rated))
 
@@ -200,14 +209,14 @@
     return bool(plan.accepts[step][middle if bin_index is None else bin_index])
 
 
-def answer_facts(memo: Memo, bin_index: int | None) -> f.AnswerFacts:
+def answer_facts(state: RequestState, bin_index: int | None) -> f.AnswerFacts:
     """Returns what is known of a finished answer."""
-    key = memo.cell.key
+    key = state.cell.key
     return f.AnswerFacts(
         key.class_name,
         key.length,
         key.stream,
         bin_index,
-        memo.earlier,
-        memo.escalated,
+        state.earlier,
+        state.escalated,
     )
--- a/src/rattanpier/_internal/cascade/ratings.py
+++ b/src/rattanpier/_internal/cascade/ratings.py
@@ -14,7 +14,7 @@
 from reactivex.subject import Subject
 
 from rattanpier._internal.cascade.features import AnswerFacts
-from rattanpier._internal.cascade.learned import Sample
+from rattanpier._internal.cascade.learned_policy import Sample
 from rattanpier._internal.cascade.learner import Learner, RatedAnswer
 from rattanpier._internal.exceptions import PlatformUnavailableError
 from rattanpier._internal.kernel import Kernel
--- a/src/rattanpier/_internal/cascade/services.py
+++ b/src/rattanpier/_internal/cascade/services.py
@@ -5,7 +5,7 @@
 import random
 
 from rattanpier._internal.cascade.budget import entry_share
-from rattanpier._internal.cascade.learned import Sampler, learned
+from rattanpier._internal.cascade.learned_policy import Sampler, learned_policy
 from rattanpier._internal.cascade.learner import Learner
 from rattanpier._internal.cascade.policy import CascadePolicy
 from rattanpier._internal.cascade.ratings import RatingLoop
@@ -44,7 +44,7 @@
     rng = random.Random(settings.node.name)
     sampler = Sampler(learner, rng, share)
     if not url:
-        return learned(learner, sampler, lambda sample: None)
+        return learned_policy(learner, sampler, lambda sample: None)
     loop = RatingLoop(
         HttpRatings(kernel.find("http"), url, settings.platform.timeout_s),
         learner,
@@ -56,7 +56,7 @@
     kernel.add("ratings", loop)
     share_ratings(kernel, loop)
     kernel.spawn(loop.run(kernel))
-    return learned(learner, sampler, loop.send)
+    return learned_policy(learner, sampler, loop.send)
 
 
 def share_ratings(kernel: Kernel, loop: RatingLoop) -> None:
--- a/tests/lib/cascades.py
+++ b/tests/lib/cascades.py
@@ -2,7 +2,7 @@
 
 import random
 
-from rattanpier._internal.cascade.learned import Sampler, learned
+from rattanpier._internal.cascade.learned_policy import Sampler, learned_policy
 from rattanpier._internal.cascade.learner import Learner
 from rattanpier._internal.cascade.policy import StepAnswer, Verdict
 from rattanpier._internal.cascade.ratings import RatingLoop
@@ -78,7 +78,7 @@
             "e1/1",
             self.versions.get,
         )
-        self.policy = learned(self.learner, sampler, self.loop.send)
+        self.policy = learned_policy(self.learner, sampler, self.loop.send)
         self.number = 0
 
     def begin(self, task):
