--- a/src/rattanpier/_internal/cascade/ratings.py
+++ b/src/rattanpier/_internal/cascade/ratings.py
@@ -30,14 +30,14 @@
 
 log = structlog.get_logger(part="ratings")
 
-EVERY_S = 1.0
-MAX_WAITING = 256  # Samples not handed in yet.
+STEP_INTERVAL_S = 1.0
+MAX_QUEUED = 256  # Samples not handed in yet.
 MAX_PENDING = 4096  # Ratings under way.
 MAX_AGE_S = 3 * 3600.0  # A later rating tells nothing of today.
 
 
 @attrs.frozen
-class RatingNews:
+class RatingUpdate:
     """A rating of this entry that was learned from, for who follows it.
 
     Attributes:
@@ -51,7 +51,7 @@
 
 
 @attrs.frozen
-class Pending:
+class PendingRating:
     """A rating under way."""
 
     rated: RatedAnswer
@@ -80,32 +80,32 @@
     metrics: Metrics
     client: str
     versions: Callable[[str], Version | None]
-    waiting: collections.deque[Sample] = attrs.Factory(collections.deque)
-    pending: dict[str, Pending] = attrs.Factory(dict)
-    news: Subject[RatingNews] = attrs.Factory(Subject)
+    queue: collections.deque[Sample] = attrs.Factory(collections.deque)
+    pending: dict[str, PendingRating] = attrs.Factory(dict)
+    updates: Subject[RatingUpdate] = attrs.Factory(Subject)
     available: bool = True
-    taken: int = 0
+    last_result: int = 0
     last_rating_at: float = float("-inf")
 
-    def send(self, sample: Sample) -> None:
+    def enqueue(self, sample: Sample) -> None:
         """Queues a sample; drops it if the queue is full."""
-        if len(self.waiting) >= MAX_WAITING:
+        if len(self.queue) >= MAX_QUEUED:
             self.metrics.count("cascade.sample.dropped")
             return
-        self.waiting.append(sample)
+        self.queue.append(sample)
 
     async def run(self, kernel: Kernel) -> None:
         """Steps until the kernel stops."""
         while not kernel.stopping.is_set():
             await self.step()
-            await self.clock.sleep(EVERY_S)
+            await self.clock.sleep(STEP_INTERVAL_S)
 
     async def step(self) -> None:
         """Hands in what waits and takes what is ready."""
         try:
             if self.pending or not self.available:
-                await self.take()
-            await self.hand_in()
+                await self.fetch_results()
+            await self.submit()
         except PlatformUnavailableError as error:
             self.metrics.count("cascade.ratings.unavailable")
             if self.available:
@@ -113,16 +113,16 @@
             self.available = False
         else:
             self.available = True
-        self.drop_late()
-        self.report()
+        self.expire_pending()
+        self.report_metrics()
 
-    async def hand_in(self) -> None:
+    async def submit(self) -> None:
         """Hands in what waits, once: a lost answer may have cost money."""
         items = []
-        while self.waiting:
-            sample = self.waiting.popleft()
+        while self.queue:
+            sample = self.queue.popleft()
             item = make_item(self.client, sample)
-            self.pending[item.id] = Pending(
+            self.pending[item.id] = PendingRating(
                 sample.rated, self.clock.monotonic()
             )
             items.append(item)
@@ -130,19 +130,19 @@
             self.metrics.count("cascade.sample.handed_in", len(items))
             await self.ratings.hand_in(items)
 
-    async def take(self) -> None:
+    async def fetch_results(self) -> None:
         """Takes what is ready."""
-        for result in await self.ratings.results(self.client, self.taken):
-            self.taken = max(self.taken, result.number)
-            reason = self.learn(result)
+        for result in await self.ratings.results(self.client, self.last_result):
+            self.last_result = max(self.last_result, result.number)
+            reason = self.apply_result(result)
             self.metrics.count(f"cascade.rating.{reason}")
 
-    def learn(self, result: RatingResult) -> str:
+    def apply_result(self, result: RatingResult) -> str:
         """Learns from a rating; returns what became of it."""
         pending = self.pending.pop(result.id, None)
         if pending is None:
             return "unknown"
-        if not may_learn(self.versions(pending.rated.version)):
+        if not accepts_ratings(self.versions(pending.rated.version)):
             self.learner.quality_model.drop(pending.rated.version)
             return "withdrawn"
         if self.clock.monotonic() - pending.since > MAX_AGE_S:
@@ -150,12 +150,14 @@
         self.last_rating_at = self.clock.monotonic()
         rated = pending.rated
         self.learner.learn(rated, result.good)
-        self.news.on_next(
-            RatingNews(rated.workspace, rated.version, result.good, rated.facts)
+        self.updates.on_next(
+            RatingUpdate(
+                rated.workspace, rated.version, result.good, rated.facts
+            )
         )
         return "good" if result.good else "poor"
 
-    def drop_late(self) -> None:
+    def expire_pending(self) -> None:
         """Gives up ratings that are too old or too many."""
         oldest_allowed = self.clock.monotonic() - MAX_AGE_S
         for name in list(self.pending):
@@ -165,7 +167,7 @@
             del self.pending[name]
             self.metrics.count("cascade.rating.given_up")
 
-    def report(self) -> None:
+    def report_metrics(self) -> None:
         """Reports how each workspace stands."""
         for name, state in self.learner.states.items():
             self.metrics.gauge(f"cascade.quality.{name}", state.quality)
@@ -173,7 +175,7 @@
         self.metrics.gauge("cascade.ratings.pending", len(self.pending))
 
 
-def may_learn(version: Version | None) -> bool:
+def accepts_ratings(version: Version | None) -> bool:
     """Says whether ratings of a version are of use."""
     return version is not None and version.state is not VersionState.WITHDRAWN
 
@@ -186,12 +188,12 @@
         f"{sample.request_id}/{rated.version}",
         rated.workspace,
         rated.version,
-        prompt_of(sample.request),
+        prompt_text(sample.request),
         sample.text,
     )
 
 
-def prompt_of(request: RouteRequest) -> str:
+def prompt_text(request: RouteRequest) -> str:
     """Returns the text of a request's messages."""
     return "\n".join(
         str(message.get("content", ""))
--- a/src/rattanpier/_internal/cascade/services.py
+++ b/src/rattanpier/_internal/cascade/services.py
@@ -56,7 +56,7 @@
     kernel.add("ratings", loop)
     share_ratings(kernel, loop)
     kernel.spawn(loop.run(kernel))
-    return learned_policy(learner, sampler, loop.send)
+    return learned_policy(learner, sampler, loop.enqueue)
 
 
 def share_ratings(kernel: Kernel, loop: RatingLoop) -> None:
@@ -69,6 +69,6 @@
         loop.clock,
         loop.metrics,
     )
-    loop.news.subscribe(sharing.tell)
+    loop.updates.subscribe(sharing.tell)
     kernel.find("peer_server").on_notice("rated", sharing.receive)
     kernel.add("rating_sharing", sharing)
--- a/src/rattanpier/_internal/cascade/sharing.py
+++ b/src/rattanpier/_internal/cascade/sharing.py
@@ -13,7 +13,7 @@
 
 from rattanpier._internal.cascade import features as f
 from rattanpier._internal.cascade.learner import Learner, RatedAnswer
-from rattanpier._internal.cascade.ratings import RatingNews, may_learn
+from rattanpier._internal.cascade.ratings import RatingUpdate, accepts_ratings
 from rattanpier._internal.membership.ring import neighbours
 from rattanpier._internal.models.member import Member
 from rattanpier._internal.peers.links import Links
@@ -57,7 +57,7 @@
         )
     )
 
-    def tell(self, news: RatingNews) -> None:
+    def tell(self, news: RatingUpdate) -> None:
         """Tells others of a rating that was learned from here."""
         if not self.may_take():
             self.metrics.count("cascade.shared.too_many")
@@ -80,7 +80,7 @@
             return "repeated"
         if self.learner.workspace(body.workspace) is None:
             return "unknown"
-        if not may_learn(self.learner.versions(body.version)):
+        if not accepts_ratings(self.learner.versions(body.version)):
             self.learner.quality_model.drop(body.version)
             return "withdrawn"
         if not self.may_take():
@@ -118,7 +118,7 @@
 
 
 def make_notice(
-    origin: str, sequence: int, news: RatingNews
+    origin: str, sequence: int, news: RatingUpdate
 ) -> peer_pb2.Notice:
     """Returns the notice of a rating."""
     return peer_pb2.Notice(
--- a/src/rattanpier/_internal/programs/entry.py
+++ b/src/rattanpier/_internal/programs/entry.py
@@ -7,7 +7,7 @@
 import aiohttp
 import attrs
 
-from rattanpier._internal.cascade.ratings import RatingNews
+from rattanpier._internal.cascade.ratings import RatingUpdate
 from rattanpier._internal.cascade.services import add_cascade
 from rattanpier._internal.cascade.sharing import ring_spread
 from rattanpier._internal.claims.service import Claims
@@ -272,10 +272,10 @@
     if "ratings" not in kernel.services:
         return
 
-    def take(news: RatingNews) -> None:
+    def take(news: RatingUpdate) -> None:
         collector.take_rating(news.workspace, news.version, news.good)
 
-    kernel.find("ratings").news.subscribe(take)
+    kernel.find("ratings").updates.subscribe(take)
 
 
 def make_service_handler(
--- a/tests/failure/test_cascade_ratings.py
+++ b/tests/failure/test_cascade_ratings.py
@@ -1,7 +1,7 @@
 """Faults of the rating service, and steps that may not serve."""
 
 from rattanpier._internal.cascade.policy import Verdict
-from rattanpier._internal.cascade.ratings import MAX_AGE_S, MAX_WAITING
+from rattanpier._internal.cascade.ratings import MAX_AGE_S, MAX_QUEUED
 from rattanpier._internal.models.configuration import Version, VersionState
 from rattanpier._internal.store.ratings import RatingResult
 from tests.lib.builders import LARGE, SMALL
@@ -24,10 +24,10 @@
 
 async def test_a_full_queue_drops_samples_and_not_requests():
     world = CascadeWorld(small_fails_legal, budget=10**9)
-    for _ in range(20 * MAX_WAITING):
+    for _ in range(20 * MAX_QUEUED):
         world.clock.now += 1.0
         assert world.answer(LEGAL)
-    assert len(world.loop.waiting) == MAX_WAITING
+    assert len(world.loop.queue) == MAX_QUEUED
     assert world.metrics.counts["cascade.sample.dropped"] > 0
 
 
@@ -56,12 +56,14 @@
     world.service.keep_back = True
     await world.run(100)
     name = next(iter(world.loop.pending))
-    assert world.loop.learn(RatingResult(1, name, True)) == "good"
-    assert world.loop.learn(RatingResult(2, name, False)) == "unknown"
-    assert world.loop.learn(RatingResult(3, "made up", True)) == "unknown"
+    assert world.loop.apply_result(RatingResult(1, name, True)) == "good"
+    assert world.loop.apply_result(RatingResult(2, name, False)) == "unknown"
+    assert (
+        world.loop.apply_result(RatingResult(3, "made up", True)) == "unknown"
+    )
     name = next(iter(world.loop.pending))
     world.clock.now += MAX_AGE_S + 1
-    assert world.loop.learn(RatingResult(4, name, True)) == "late"
+    assert world.loop.apply_result(RatingResult(4, name, True)) == "late"
 
 
 async def test_a_step_that_may_not_serve_is_never_named():
--- a/tests/lib/cascades.py
+++ b/tests/lib/cascades.py
@@ -78,7 +78,7 @@
             "e1/1",
             self.versions.get,
         )
-        self.policy = learned_policy(self.learner, sampler, self.loop.send)
+        self.policy = learned_policy(self.learner, sampler, self.loop.enqueue)
         self.number = 0
 
     def begin(self, task):
@@ -138,7 +138,7 @@
         sharing = RatingSharing(
             name, world.learner, spread, world.clock, world.metrics
         )
-        world.loop.news.subscribe(sharing.tell)
+        world.loop.updates.subscribe(sharing.tell)
         return sharing
 
     def deliver(self):
--- a/tests/unit/test_cascade_sharing.py
+++ b/tests/unit/test_cascade_sharing.py
@@ -7,7 +7,7 @@
 
 from rattanpier._internal.cascade import sharing as s
 from rattanpier._internal.cascade.features import AnswerFacts
-from rattanpier._internal.cascade.ratings import RatingNews
+from rattanpier._internal.cascade.ratings import RatingUpdate
 from rattanpier._internal.models.configuration import Version, VersionState
 from tests.lib.builders import LARGE, SMALL
 from tests.lib.cascades import (
@@ -25,7 +25,7 @@
 
 
 def news(good=True, version=SMALL, facts=FACTS):
-    return RatingNews("desk", version, good, facts)
+    return RatingUpdate("desk", version, good, facts)
 
 
 def taught(world):
@@ -116,7 +116,7 @@
 async def test_anothers_rating_costs_no_budget_and_is_no_news():
     worlds = SharedWorlds(("e1", "e2"), small_fails_legal)
     followed = []
-    worlds["e2"].loop.news.subscribe(followed.append)
+    worlds["e2"].loop.updates.subscribe(followed.append)
     worlds.sharing["e1"].tell(news())
     worlds.deliver()
     assert taught(worlds["e2"]) == 1
