--- a/src/rattanpier/_internal/cascade/services.py
+++ b/src/rattanpier/_internal/cascade/services.py
@@ -9,7 +9,7 @@
 from rattanpier._internal.cascade.learner import Learner
 from rattanpier._internal.cascade.policy import CascadePolicy
 from rattanpier._internal.cascade.ratings import RatingLoop
-from rattanpier._internal.cascade.sharing import RatingSharing, ring_spread
+from rattanpier._internal.cascade.sharing import RatingSharing, neighbour_sender
 from rattanpier._internal.kernel import Kernel
 from rattanpier._internal.models.configuration import Version, Workspace
 from rattanpier._internal.store.ratings import HttpRatings
@@ -65,10 +65,12 @@
     sharing = RatingSharing(
         members.me.incarnation,
         loop.learner,
-        ring_spread(members.me.name, members.entries, kernel.find("links")),
+        neighbour_sender(
+            members.me.name, members.entries, kernel.find("links")
+        ),
         loop.clock,
         loop.metrics,
     )
-    loop.updates.subscribe(sharing.tell)
+    loop.updates.subscribe(sharing.publish)
     kernel.find("peer_server").on_notice("rated", sharing.receive)
     kernel.add("rating_sharing", sharing)
--- a/src/rattanpier/_internal/programs/entry.py
+++ b/src/rattanpier/_internal/programs/entry.py
@@ -9,7 +9,7 @@
 
 from rattanpier._internal.cascade.ratings import RatingUpdate
 from rattanpier._internal.cascade.services import add_cascade
-from rattanpier._internal.cascade.sharing import ring_spread
+from rattanpier._internal.cascade.sharing import neighbour_sender
 from rattanpier._internal.claims.service import Claims
 from rattanpier._internal.dispatch.budget import RetryBudget
 from rattanpier._internal.dispatch.gates import Gates
@@ -245,7 +245,7 @@
     entries = kernel.find("members").entries
     links = kernel.find("links")
     sharing = QuarantineSharing(
-        quarantine, ring_spread(settings.node.name, entries, links)
+        quarantine, neighbour_sender(settings.node.name, entries, links)
     )
     quarantine.on_update = sharing.schedule_publish
     kernel.find("peer_server").on_notice("spread", sharing.receive)
--- a/tests/lib/cascades.py
+++ b/tests/lib/cascades.py
@@ -130,15 +130,15 @@
         world = self.worlds[name]
         targets = neighbours(self.worlds, name)
 
-        def spread(notice):
+        def send_notice(notice):
             for target in targets:
                 if self.rng.random() >= self.loss:
                     self.waiting += [(target, notice)] * self.copies
 
         sharing = RatingSharing(
-            name, world.learner, spread, world.clock, world.metrics
+            name, world.learner, send_notice, world.clock, world.metrics
         )
-        world.loop.updates.subscribe(sharing.tell)
+        world.loop.updates.subscribe(sharing.publish)
         return sharing
 
     def deliver(self):
--- a/tests/unit/test_cascade_sharing.py
+++ b/tests/unit/test_cascade_sharing.py
@@ -87,7 +87,7 @@
     worlds["e2"].begin(LEGAL)  # Takes the number that chat has at e1.
     rated = worlds["e1"].learner.rated_answer("desk", SMALL, FACTS)
     worlds["e1"].learner.learn(rated, False)
-    worlds.sharing["e1"].tell(news(good=False))
+    worlds.sharing["e1"].publish(news(good=False))
     worlds.deliver()
     numbers = [
         worlds[name].learner.class_numbers.number("desk", FACTS.class_name)
@@ -107,7 +107,7 @@
     facts = AnswerFacts("auto task=chat", 7, True, None, 0, True)
     notice = s.make_notice("o1", 1, news(facts=facts))
     learner = CascadeWorld(small_fails_legal).learner
-    rated = s.rated_of(learner, notice.rated)
+    rated = s.read_rated_answer(learner, notice.rated)
     assert rated.facts == facts
     expected = learner.rated_answer("desk", SMALL, facts).features
     assert np.array_equal(rated.features, expected)
@@ -117,7 +117,7 @@
     worlds = SharedWorlds(("e1", "e2"), small_fails_legal)
     followed = []
     worlds["e2"].loop.updates.subscribe(followed.append)
-    worlds.sharing["e1"].tell(news())
+    worlds.sharing["e1"].publish(news())
     worlds.deliver()
     assert taught(worlds["e2"]) == 1
     assert followed == []
@@ -127,11 +127,11 @@
 def test_a_withdrawn_version_teaches_nothing_and_goes_no_further():
     worlds = SharedWorlds(("e1", "e2"), small_fails_legal)
     worlds["e2"].versions[SMALL] = Version("small", VersionState.WITHDRAWN)
-    worlds.sharing["e1"].tell(news())
+    worlds.sharing["e1"].publish(news())
     worlds.deliver()
     assert taught(worlds["e2"]) == 0
     assert SMALL not in worlds["e2"].learner.quality_model.shared
-    assert worlds.sharing["e2"].heard == {}
+    assert worlds.sharing["e2"].seen == {}
     assert worlds["e2"].metrics.counts["cascade.shared.withdrawn"] == 1
 
 
@@ -139,7 +139,7 @@
     worlds = SharedWorlds(("e1", "e2"), small_fails_legal)
     sent = []
     sharing = worlds.sharing["e2"]
-    sharing.spread = sent.append
+    sharing.send_notice = sent.append
     flood = [s.make_notice("o9", n, news()) for n in range(10 * int(s.BURST))]
     for notice in flood:
         sharing.receive(notice)
@@ -152,11 +152,11 @@
 
 def test_memory_of_heard_ratings_is_bounded_and_notices_end():
     sharing = SharedWorlds(("e1",), small_fails_legal).sharing["e1"]
-    for number in range(s.KEPT + 10):
-        sharing.note_heard(("o9", number))
-    assert len(sharing.heard) == s.KEPT
+    for number in range(s.MAX_SEEN + 10):
+        sharing.record_seen(("o9", number))
+    assert len(sharing.seen) == s.MAX_SEEN
     sent = []
-    sharing.spread = sent.append
+    sharing.send_notice = sent.append
     notice = s.make_notice("o9", 10**6, news())
     notice.rated.hops = s.MAX_HOPS
     sharing.receive(notice)
@@ -166,6 +166,6 @@
 def test_every_entry_of_a_large_fleet_hears_it_once():
     names = [f"entry-{number}" for number in range(420)]
     worlds = SharedWorlds(names, small_fails_legal)
-    worlds.sharing[random.Random(1).choice(names)].tell(news())
+    worlds.sharing[random.Random(1).choice(names)].publish(news())
     worlds.deliver()
     assert sum(taught(worlds[name]) for name in names) == len(names) - 1
