--- a/tests/failure/test_cascade_ratings.py
+++ b/tests/failure/test_cascade_ratings.py
@@ -8,78 +8,78 @@
 from tests.lib.cascades import (
     CHAT,
     LEGAL,
-    CascadeWorld,
+    CascadeHarness,
     small_fails_legal,
 )
 
 
 async def test_requests_go_on_while_the_rating_service_is_down():
-    world = CascadeWorld(small_fails_legal)
-    world.service.down = True
-    ran = await world.run(400)
+    harness = CascadeHarness(small_fails_legal)
+    harness.service.down = True
+    ran = await harness.run(400)
     assert all(run[-1] == LARGE for run in ran[CHAT] + ran[LEGAL])
-    assert world.metrics.counts["cascade.ratings.unavailable"] > 0
-    assert len(world.service.items) == 0
+    assert harness.metrics.counts["cascade.ratings.unavailable"] > 0
+    assert len(harness.service.items) == 0
 
 
 async def test_a_full_queue_drops_samples_and_not_requests():
-    world = CascadeWorld(small_fails_legal, budget=10**9)
+    harness = CascadeHarness(small_fails_legal, budget=10**9)
     for _ in range(20 * MAX_QUEUED):
-        world.clock.now += 1.0
-        assert world.answer(LEGAL)
-    assert len(world.loop.queue) == MAX_QUEUED
-    assert world.metrics.counts["cascade.sample.dropped"] > 0
+        harness.clock.now += 1.0
+        assert harness.answer(LEGAL)
+    assert len(harness.loop.queue) == MAX_QUEUED
+    assert harness.metrics.counts["cascade.sample.dropped"] > 0
 
 
 async def test_an_exhausted_budget_buys_nothing_more():
-    world = CascadeWorld(small_fails_legal, budget=5)
-    await world.run(3600)
-    assert 0 < len(world.service.items) <= 5
+    harness = CascadeHarness(small_fails_legal, budget=5)
+    await harness.run(3600)
+    assert 0 < len(harness.service.items) <= 5
 
 
 async def test_poisoned_ratings_of_a_withdrawn_version_teach_nothing():
-    world = CascadeWorld(small_fails_legal)
-    world.service.keep_back = True
-    await world.run(300)
-    world.versions[SMALL] = Version("small", VersionState.WITHDRAWN)
-    world.service.keep_back = False
-    world.service.is_good = lambda item: True
-    await world.loop.step()
-    counts = world.metrics.counts
-    of_small = [item for item in world.service.items if item.version == SMALL]
+    harness = CascadeHarness(small_fails_legal)
+    harness.service.keep_back = True
+    await harness.run(300)
+    harness.versions[SMALL] = Version("small", VersionState.WITHDRAWN)
+    harness.service.keep_back = False
+    harness.service.is_good = lambda item: True
+    await harness.loop.step()
+    counts = harness.metrics.counts
+    of_small = [item for item in harness.service.items if item.version == SMALL]
     assert counts["cascade.rating.withdrawn"] == len(of_small) > 0
-    assert SMALL not in world.learner.quality_model.shared
+    assert SMALL not in harness.learner.quality_model.shared
 
 
 async def test_unknown_repeated_and_late_ratings_teach_nothing():
-    world = CascadeWorld(small_fails_legal)
-    world.service.keep_back = True
-    await world.run(100)
-    name = next(iter(world.loop.pending))
-    assert world.loop.apply_result(RatingResult(1, name, True)) == "good"
-    assert world.loop.apply_result(RatingResult(2, name, False)) == "unknown"
+    harness = CascadeHarness(small_fails_legal)
+    harness.service.keep_back = True
+    await harness.run(100)
+    name = next(iter(harness.loop.pending))
+    assert harness.loop.apply_result(RatingResult(1, name, True)) == "good"
+    assert harness.loop.apply_result(RatingResult(2, name, False)) == "unknown"
     assert (
-        world.loop.apply_result(RatingResult(3, "made up", True)) == "unknown"
+        harness.loop.apply_result(RatingResult(3, "made up", True)) == "unknown"
     )
-    name = next(iter(world.loop.pending))
-    world.clock.now += MAX_AGE_S + 1
-    assert world.loop.apply_result(RatingResult(4, name, True)) == "late"
+    name = next(iter(harness.loop.pending))
+    harness.clock.now += MAX_AGE_S + 1
+    assert harness.loop.apply_result(RatingResult(4, name, True)) == "late"
 
 
 async def test_a_step_that_may_not_serve_is_never_named():
-    world = CascadeWorld(lambda item: item.version == LARGE)
-    await world.run(1500, (LEGAL,))
+    harness = CascadeHarness(lambda item: item.version == LARGE)
+    await harness.run(1500, (LEGAL,))
 
     def may_serve(version):
         return version != LARGE
 
     for _ in range(300):
-        progress = world.begin(LEGAL)
+        progress = harness.begin(LEGAL)
         if progress.version == LARGE:
             continue  # Dispatch refuses it: its own check, its own test.
         from rattanpier._internal.cascade.policy import StepAnswer
 
-        verdict = world.policy.evaluate(
+        verdict = harness.policy.evaluate(
             progress, StepAnswer("text", "stop", None, 0.1), may_serve
         )
         assert verdict is Verdict.ACCEPT
--- a/tests/lib/cascades.py
+++ b/tests/lib/cascades.py
@@ -18,7 +18,7 @@
 
 CHAT, LEGAL = "chat", "legal"
 STEPS = (SMALL, LARGE)
-PACE_S = 1.0  # Between two requests.
+REQUEST_INTERVAL_S = 1.0  # Between two requests.
 
 
 class FakeRatings:
@@ -47,7 +47,7 @@
         ]
 
 
-class CascadeWorld:
+class CascadeHarness:
     """A learned policy with its ratings, on a clock that the test turns."""
 
     def __init__(self, is_good, budget=3600, target=0.9):
@@ -64,7 +64,7 @@
         self.learner = Learner(
             self.versions.get, lambda name: self.desk, self.clock
         )
-        self.policy_sampler = sampler = Sampler(
+        self.sampler = sampler = Sampler(
             self.learner,
             random.Random(1),
             lambda name: self.budget * self.loop.available,
@@ -108,27 +108,27 @@
         for number in range(count):
             task = tasks[number % len(tasks)]
             ran[task].append(self.answer(task))
-            self.clock.now += PACE_S
+            self.clock.now += REQUEST_INTERVAL_S
             await self.loop.step()
         return ran
 
 
-class SharedWorlds:
+class SharedHarnesses:
     """Entries that tell each other of ratings, over notices with faults."""
 
     def __init__(self, names, is_good, loss=0.0, copies=1, reorder=False):
         self.rng = random.Random(3)
         self.loss, self.copies, self.reorder = loss, copies, reorder
-        self.worlds = {name: CascadeWorld(is_good) for name in names}
+        self.harnesses = {name: CascadeHarness(is_good) for name in names}
         self.waiting = []
         self.sharing = {name: self.add(name) for name in names}
 
     def __getitem__(self, name):
-        return self.worlds[name]
+        return self.harnesses[name]
 
     def add(self, name):
-        world = self.worlds[name]
-        targets = neighbours(self.worlds, name)
+        harness = self.harnesses[name]
+        targets = neighbours(self.harnesses, name)
 
         def send_notice(notice):
             for target in targets:
@@ -136,16 +136,16 @@
                     self.waiting += [(target, notice)] * self.copies
 
         sharing = RatingSharing(
-            name, world.learner, send_notice, world.clock, world.metrics
+            name, harness.learner, send_notice, harness.clock, harness.metrics
         )
-        world.loop.updates.subscribe(sharing.publish)
+        harness.loop.updates.subscribe(sharing.publish)
         return sharing
 
     def deliver(self):
         """Delivers notices until none is left."""
-        now = max(world.clock.now for world in self.worlds.values())
-        for world in self.worlds.values():
-            world.clock.now = now
+        now = max(harness.clock.now for harness in self.harnesses.values())
+        for harness in self.harnesses.values():
+            harness.clock.now = now
         while self.waiting:
             if self.reorder:
                 self.rng.shuffle(self.waiting)
@@ -153,7 +153,7 @@
             self.sharing[target].receive(notice)
 
 
-def share_at(runs, ran):
+def share_of_runs(runs, ran):
     """Returns the share of requests that ran on just these versions."""
     return sum(run == list(ran) for run in runs) / len(runs)
 
--- a/tests/unit/test_cascade_learned.py
+++ b/tests/unit/test_cascade_learned.py
@@ -7,45 +7,45 @@
 from tests.lib.cascades import (
     CHAT,
     LEGAL,
-    CascadeWorld,
-    share_at,
+    CascadeHarness,
+    share_of_runs,
     small_fails_legal,
 )
 
 
 async def test_skips_the_cheap_step_just_for_the_class_that_fails():
-    world = CascadeWorld(small_fails_legal)
-    await world.run(1500)
-    world.budget = 0
-    ran = await world.run(100)
-    assert share_at(ran[CHAT], [SMALL]) == 1.0
-    assert share_at(ran[LEGAL], [LARGE]) == 1.0
+    harness = CascadeHarness(small_fails_legal)
+    await harness.run(1500)
+    harness.budget = 0
+    ran = await harness.run(100)
+    assert share_of_runs(ran[CHAT], [SMALL]) == 1.0
+    assert share_of_runs(ran[LEGAL], [LARGE]) == 1.0
 
 
 async def test_starts_strong_before_any_rating():
-    world = CascadeWorld(small_fails_legal, budget=0)
-    ran = await world.run(100)
-    assert share_at(ran[CHAT], [LARGE]) == 1.0
+    harness = CascadeHarness(small_fails_legal, budget=0)
+    ran = await harness.run(100)
+    assert share_of_runs(ran[CHAT], [LARGE]) == 1.0
 
 
 async def test_notices_that_the_cheap_version_turned_bad():
-    world = CascadeWorld(small_fails_legal)
-    await world.run(1500)
-    world.service.is_good = lambda item: item.version == LARGE
-    await world.run(300)
-    ran = await world.run(200)
-    answered_by_small = share_at(ran[CHAT], [SMALL])
+    harness = CascadeHarness(small_fails_legal)
+    await harness.run(1500)
+    harness.service.is_good = lambda item: item.version == LARGE
+    await harness.run(300)
+    ran = await harness.run(200)
+    answered_by_small = share_of_runs(ran[CHAT], [SMALL])
     assert answered_by_small <= 0.1
 
 
 async def test_goes_back_to_strong_as_evidence_ages():
-    world = CascadeWorld(small_fails_legal)
-    await world.run(1500)
-    world.budget = 0
-    assert share_at((await world.run(50))[CHAT], [SMALL]) == 1.0
-    world.clock.now += 48 * 3600
-    ran = await world.run(200)
-    assert share_at(ran[CHAT], [LARGE]) >= 0.9
+    harness = CascadeHarness(small_fails_legal)
+    await harness.run(1500)
+    harness.budget = 0
+    assert share_of_runs((await harness.run(50))[CHAT], [SMALL]) == 1.0
+    harness.clock.now += 48 * 3600
+    ran = await harness.run(200)
+    assert share_of_runs(ran[CHAT], [LARGE]) >= 0.9
 
 
 @pytest.mark.parametrize("share", [0, 1, 7, 60])
@@ -59,10 +59,10 @@
 
 
 async def test_spends_ratings_where_doubt_is_largest():
-    world = CascadeWorld(small_fails_legal, budget=600)
-    await world.run(600, (CHAT,))
-    before = len(world.service.items)
-    await world.run(300)
-    new = world.service.items[before:]
+    harness = CascadeHarness(small_fails_legal, budget=600)
+    await harness.run(600, (CHAT,))
+    before = len(harness.service.items)
+    await harness.run(300)
+    new = harness.service.items[before:]
     legal = sum(item.prompt == LEGAL for item in new)
     assert legal > 0.6 * len(new)
--- a/tests/unit/test_cascade_policy.py
+++ b/tests/unit/test_cascade_policy.py
@@ -11,7 +11,7 @@
 from tests.lib.builders import LARGE, SMALL, build_request
 
 
-def everything(_version):
+def any_version(_version):
     return True
 
 
@@ -27,7 +27,7 @@
     policy = fixed_threshold(0.6)
     progress = policy.begin(build_request(), [SMALL, LARGE], "r1")
     answer = StepAnswer("text", "stop", None, confidence)
-    assert policy.evaluate(progress, answer, everything) is verdict
+    assert policy.evaluate(progress, answer, any_version) is verdict
     assert progress.step == at
 
 
