--- a/benchmarks/cascade.py
+++ b/benchmarks/cascade.py
@@ -15,11 +15,11 @@
 import numpy as np
 
 from benchmarks.cascade_run import (
-    Make,
+    PolicyFactory,
     Result,
     make_calibrated,
     make_learned,
-    make_plain,
+    make_static,
     oracle,
     run_policy,
 )
@@ -27,12 +27,12 @@
 from rattanpier._internal.cascade.policy import always_strong, fixed_threshold
 
 TUNING_SEEDS = (1, 2, 3)
-HELD_BACK_SEEDS = (101, 102)
+HELD_OUT_SEEDS = (101, 102)
 WORKLOADS = {"federation": federation, "tuakana": tuakana}
 THRESHOLD = 0.6  # The one that served best on the tuning seed.
 THRESHOLDS = np.arange(0.3, 1.0, 0.05)  # For the one picked in hindsight.
-JOBS = 6
-OUT = pathlib.Path("out")
+PROCESSES = 6
+OUTPUT_DIR = pathlib.Path("out")
 
 
 @attrs.frozen
@@ -43,36 +43,38 @@
     shift: str
     seed: int
     policy: str
-    of_strong: float
-    of_oracle: float
+    cost_to_strong: float
+    cost_to_oracle: float
     worst: float
     below: int
     worst_late: float
     ratings: int
 
 
-def hindsight(trace: Trace) -> Result:
+def hindsight_threshold(trace: Trace) -> Result:
     """Returns the cheapest single threshold that meets every target.
 
     If none does, the highest one.
     """
     targets = np.array([c.target for c in trace.workload.customers])
     for threshold in THRESHOLDS:
-        make = make_plain(fixed_threshold(float(threshold)))
+        make = make_static(fixed_threshold(float(threshold)))
         result = run_policy("threshold in hindsight", make, trace)
         if (result.quality() >= targets).all():
             break
     return result
 
 
-def policies(shift: str, seed: int, ours_only: bool) -> dict[str, Make]:
+def policies(
+    shift: str, seed: int, ours_only: bool
+) -> dict[str, PolicyFactory]:
     """Returns the policies of a run, by name."""
     made = {"ours": make_learned()}
     if not ours_only:
-        cheap_first = make_plain(fixed_threshold(THRESHOLD))
+        cheap_first = make_static(fixed_threshold(THRESHOLD))
         made[f"cheap first, {THRESHOLD}"] = cheap_first
         made["threshold steered"] = make_calibrated()
-    if seed == HELD_BACK_SEEDS[0] and shift == "steady":
+    if seed == HELD_OUT_SEEDS[0] and shift == "steady":
         made["ours, 1/8 of ratings"] = make_learned(1 / 8)
         made["ours, all rated at once"] = make_learned(1.0, True)
     return made
@@ -81,11 +83,11 @@
 def run_one(workload: str, shift: str, seed: int, ours_only: bool) -> list[Row]:
     """Runs every policy on one drawn run."""
     trace = draw(WORKLOADS[workload](), shift, seed)
-    strong = run_policy("always strong", make_plain(always_strong()), trace)
+    strong = run_policy("always strong", make_static(always_strong()), trace)
     best = oracle(trace)
     results = [strong, best]
     if not ours_only:
-        results.append(hindsight(trace))
+        results.append(hindsight_threshold(trace))
     for name, make in policies(shift, seed, ours_only).items():
         results.append(run_policy(name, make, trace))
     return [
@@ -131,7 +133,7 @@
     ]
     lines += [
         f"| {r.workload} | {r.shift} | {r.seed} | {r.policy} "
-        f"| {r.of_strong:.3f} | {r.of_oracle:.2f} | {r.worst:+.1f} "
+        f"| {r.cost_to_strong:.3f} | {r.cost_to_oracle:.2f} | {r.worst:+.1f} "
         f"| {r.below} | {r.worst_late:+.1f} | {r.ratings} |"
         for r in rows
     ]
@@ -151,7 +153,7 @@
         for policy in dict.fromkeys(row.policy for row in mine):
             points = [row for row in mine if row.policy == policy]
             axis.scatter(
-                [row.of_strong for row in points],
+                [row.cost_to_strong for row in points],
                 [row.worst for row in points],
                 label=policy,
             )
@@ -172,17 +174,17 @@
         (workload, shift, seed, ours_only)
         for workload in WORKLOADS
         for shift in SHIFTS
-        for seed in HELD_BACK_SEEDS
+        for seed in HELD_OUT_SEEDS
     ]
-    with concurrent.futures.ProcessPoolExecutor(JOBS) as pool:
+    with concurrent.futures.ProcessPoolExecutor(PROCESSES) as pool:
         rows: list[Row] = []
         for done in pool.map(run_one, *zip(*runs, strict=True)):
             rows.extend(done)
             print(table(done), file=sys.stderr, flush=True)
     print(table(rows))
-    OUT.mkdir(exist_ok=True)
-    (OUT / "cascade.md").write_text(table(rows) + "\n")
-    plot(rows, OUT / "cascade.png")
+    OUTPUT_DIR.mkdir(exist_ok=True)
+    (OUTPUT_DIR / "cascade.md").write_text(table(rows) + "\n")
+    plot(rows, OUTPUT_DIR / "cascade.png")
 
 
 if __name__ == "__main__":
--- a/benchmarks/cascade_bound.py
+++ b/benchmarks/cascade_bound.py
@@ -17,12 +17,12 @@
 from benchmarks.workloads import Trace, draw, federation
 
 SEEDS = range(1001, 1021)  # Neither tuning nor held-back ones.
-SURPLUS = (0.0, 0.005, 0.01, 0.02, 0.03)
+SURPLUSES = (0.0, 0.005, 0.01, 0.02, 0.03)
 START_STRONG = 9.0
 THRESHOLDS = np.array([*np.arange(0.0, 1.03, 0.025), START_STRONG])
-LENGTHS = 32
-DEAREST_PRICE = 1e3
-HALVINGS = 60
+LENGTH_BINS = 32
+MAX_PRICE = 1e3
+BISECTION_STEPS = 60
 
 
 @attrs.frozen
@@ -40,15 +40,15 @@
     counts: np.ndarray
 
 
-def cells_of(trace: Trace) -> np.ndarray:
+def request_cells(trace: Trace) -> np.ndarray:
     """Returns the number of each request's cell."""
     length = np.round(np.log2(trace.prompt_tokens + 1)).astype(int)
-    return trace.label * LENGTHS + length
+    return trace.label * LENGTH_BINS + length
 
 
-def choices_of(traces: list[Trace]) -> Choices:
+def collect_choices(traces: list[Trace]) -> Choices:
     """Returns what two steps yield by threshold."""
-    cells = np.concatenate([cells_of(trace) for trace in traces])
+    cells = np.concatenate([request_cells(trace) for trace in traces])
     confidence = np.concatenate([trace.confidence[:, 0] for trace in traces])
     good = np.concatenate([trace.good for trace in traces])
     costs = np.concatenate([trace.costs() for trace in traces])
@@ -80,8 +80,8 @@
 
 def least_cost(choices: Choices, counts: np.ndarray, target: float) -> float:
     """Returns the least cost, requests shared out between two prices."""
-    low, high = 0.0, DEAREST_PRICE
-    for _ in range(HALVINGS):
+    low, high = 0.0, MAX_PRICE
+    for _ in range(BISECTION_STEPS):
         middle = (low + high) / 2
         if at_price(choices, counts, middle)[0] >= target:
             high = middle
@@ -98,12 +98,12 @@
 def main() -> None:
     """Prints the bound for federation, steady."""
     traces = [draw(federation(), "steady", seed) for seed in SEEDS]
-    choices = choices_of(traces)
+    choices = collect_choices(traces)
     strong = sum(float(trace.costs()[:, -1].sum()) for trace in traces)
     best = sum(float(oracle(trace).cost.sum()) for trace in traces)
     print("| points over target | cost / strong | cost / oracle |")
     print("|---|---|---|")
-    for surplus in SURPLUS:
+    for surplus in SURPLUSES:
         cost = sum(
             least_cost(choices, choices.counts[:, n], customer.target + surplus)
             for n, customer in enumerate(traces[0].workload.customers)
--- a/benchmarks/cascade_run.py
+++ b/benchmarks/cascade_run.py
@@ -89,7 +89,9 @@
     good: bool
 
 
-Make = Callable[["Run"], tuple[CascadePolicy, Callable[[Rating], None]]]
+PolicyFactory = Callable[
+    ["Run"], tuple[CascadePolicy, Callable[[Rating], None]]
+]
 
 
 @attrs.define
@@ -104,7 +106,7 @@
     trace: Trace
     clock: RunClock = attrs.Factory(RunClock)
     pending: list = attrs.Factory(list)
-    numbers: itertools.count = attrs.Factory(itertools.count)
+    sequence: itertools.count = attrs.Factory(itertools.count)
     paid: dict[str, int] = attrs.Factory(dict)
     current: int = 0
 
@@ -122,7 +124,7 @@
         delay = 0.0 if prompt else self.trace.delay[self.current, step]
         good = bool(self.trace.good[self.current, step])
         rating = Rating(workspace, version, sample, good)
-        item = (self.clock.now + delay, next(self.numbers), rating)
+        item = (self.clock.now + delay, next(self.sequence), rating)
         heapq.heappush(self.pending, item)
 
     def request(self, index: int) -> RouteRequest:
@@ -164,12 +166,12 @@
         return None
 
 
-def everything(_version: str) -> bool:
+def any_version(_version: str) -> bool:
     """Every version may serve in a run."""
     return True
 
 
-def walk_through(
+def answer_request(
     run: Run, policy: CascadePolicy, index: int, costs: np.ndarray
 ) -> tuple[float, int]:
     """Answers one request; returns credits and the step that answered."""
@@ -178,20 +180,20 @@
     progress = policy.begin(request, run.steps, str(index))
     cost = 0.0
     while True:
-        at = progress.step
-        cost += costs[index, at]
+        step = progress.step
+        cost += costs[index, step]
         usage = Usage(request.prompt_tokens, int(trace.output_tokens[index]))
         answer = StepAnswer(
-            "", "stop", usage, float(trace.confidence[index, at])
+            "", "stop", usage, float(trace.confidence[index, step])
         )
-        if policy.evaluate(progress, answer, everything) is Verdict.ACCEPT:
-            return cost, at
+        if policy.evaluate(progress, answer, any_version) is Verdict.ACCEPT:
+            return cost, step
 
 
-def run_policy(name: str, make: Make, trace: Trace) -> Result:
+def run_policy(name: str, make: PolicyFactory, trace: Trace) -> Result:
     """Runs a policy over a whole trace."""
     run = Run(trace)
-    policy, take = make(run)
+    policy, apply_rating = make(run)
     costs = trace.costs()
     total = np.zeros(len(trace.at))
     answered = np.zeros(len(trace.at), int)
@@ -199,10 +201,12 @@
         while run.pending and run.pending[0][0] <= at:
             due, _, rating = heapq.heappop(run.pending)
             run.clock.now = max(run.clock.now, due)
-            take(rating)
+            apply_rating(rating)
         run.clock.now = at
         run.current = index
-        total[index], answered[index] = walk_through(run, policy, index, costs)
+        total[index], answered[index] = answer_request(
+            run, policy, index, costs
+        )
     good = trace.good[np.arange(len(answered)), answered]
     paid = [run.paid.get(c.name, 0) for c in trace.workload.customers]
     return summarise(name, trace, total, good, np.array(paid))
@@ -233,7 +237,7 @@
     )
 
 
-def make_learned(share: float = 1.0, prompt: bool = False) -> Make:
+def make_learned(share: float = 1.0, prompt: bool = False) -> PolicyFactory:
     """Returns the maker of the product's policy.
 
     Args:
@@ -254,21 +258,21 @@
             rated = sample.rated
             run.rate(rated.workspace, rated.version, rated, prompt)
 
-        def take(rating: Rating) -> None:
+        def apply_rating(rating: Rating) -> None:
             learner.learn(rating.sample, rating.good)
 
         sampler = Sampler(learner, random.Random(7), budget)
-        return learned_policy(learner, sampler, send), take
+        return learned_policy(learner, sampler, send), apply_rating
 
     return make
 
 
-def make_plain(policy: CascadePolicy) -> Make:
+def make_static(policy: CascadePolicy) -> PolicyFactory:
     """Returns the maker of a policy that learns nothing."""
     return lambda run: (policy, lambda rating: None)
 
 
-def make_calibrated() -> Make:
+def make_calibrated() -> PolicyFactory:
     """Returns the maker of a threshold steered by each workspace's ratings.
 
     Ratings of answers that were given move the threshold until the share of
@@ -300,7 +304,7 @@
                 run.rate(name, progress.version, None)
             return Verdict.ACCEPT
 
-        def take(rating: Rating) -> None:
+        def apply_rating(rating: Rating) -> None:
             known = run.workspace(rating.workspace)
             credit[rating.workspace] = rating.good - known.quality_target
             moved = thresholds[rating.workspace] - gain * (
@@ -308,7 +312,7 @@
             )
             thresholds[rating.workspace] = min(1.01, max(0.0, moved))
 
-        return CascadePolicy(begin, evaluate), take
+        return CascadePolicy(begin, evaluate), apply_rating
 
     return make
 
