--- a/src/rattanpier/_internal/cascade/budget.py
+++ b/src/rattanpier/_internal/cascade/budget.py
@@ -1,4 +1,9 @@
-"""The hard budget of ratings, and its share of one entry."""
+"""Limits how many ratings each entry may request.
+
+The hourly rating budget of a workspace is a hard limit. It is divided among
+the entries, and each entry enforces its share with a token bucket, without
+coordination.
+"""
 
 from __future__ import annotations
 
@@ -11,15 +16,23 @@
 from rattanpier._internal.utils.hashing import rendezvous
 
 HOUR_S = 3600.0
-BURST = 3.0  # Ratings that may wait for a request worth them.
+BURST = 3.0  # Unused ratings that may accumulate for suitable requests.
 
 
 def entry_share(
     budget: int, workspace: str, entry: str, entries: Collection[str]
 ) -> int:
-    """Returns the ratings an hour that one entry may ask for.
+    """Returns the number of ratings per hour that one entry may request.
+
+    The shares of all entries add up to the budget. A remainder goes to the
+    entries that rendezvous hashing prefers for the workspace. An entry that
+    is not in `entries` gets 0.
 
-    The shares of all entries add up to the budget.
+    Args:
+      budget: Ratings per hour of the workspace.
+      workspace: Name of the workspace.
+      entry: Name of the entry.
+      entries: Names of all entries.
 
     >>> names = ["e1", "e2", "e3"]
     >>> sum(entry_share(7, "desk", name, names) for name in names)
@@ -34,15 +47,16 @@
 
 @attrs.define
 class RatingBudget:
-    """What one entry may spend for one workspace.
+    """Token bucket for the ratings that one entry requests for a workspace.
 
-    It starts empty, so that an entry that restarts does not spend twice, and
-    fills evenly; in no hour is more than the share spent.
+    The bucket starts empty, so that a restart of the entry does not spend
+    the budget twice, and is refilled at a constant rate. The times of recent
+    ratings are kept so that no period of an hour exceeds the share.
 
     Attributes:
-      filled_at: Seconds of the clock up to which it is filled.
-      tokens: Ratings that may be asked for now.
-      spent: Times of the ratings of the last hour.
+      refilled_at: Clock time in seconds of the last refill.
+      tokens: Ratings that the bucket allows now.
+      acquired_at: Clock times of the ratings of the last hour, oldest first.
     """
 
     refilled_at: float
@@ -51,7 +65,13 @@
 
 
 def refill(rating_budget: RatingBudget, share: int, now: float) -> float:
-    """Fills a purse and returns the ratings that may be asked for now."""
+    """Refills the bucket and returns the number of ratings allowed now.
+
+    Args:
+      rating_budget: The bucket.
+      share: Ratings per hour of this entry.
+      now: Clock time in seconds.
+    """
     elapsed_s = now - rating_budget.refilled_at
     rating_budget.refilled_at = now
     rating_budget.tokens = min(
@@ -68,7 +88,13 @@
 
 
 def try_acquire(rating_budget: RatingBudget, share: int, now: float) -> bool:
-    """Takes one rating out of a purse, if there is one."""
+    """Takes one rating from the bucket; returns whether one was available.
+
+    Args:
+      rating_budget: The bucket.
+      share: Ratings per hour of this entry.
+      now: Clock time in seconds.
+    """
     if math.floor(refill(rating_budget, share, now)) < 1:
         return False
     rating_budget.tokens -= 1
