--- a/src/rattanpier/_internal/cascade/policy.py
+++ b/src/rattanpier/_internal/cascade/policy.py
@@ -153,7 +153,7 @@
         )
 
     def evaluate(
-        _walk: CascadeProgress, _answer: StepAnswer, _may: MayServe
+        _progress: CascadeProgress, _answer: StepAnswer, _may: MayServe
     ) -> Verdict:
         return Verdict.ACCEPT
 
