--- a/src/rattanpier/_internal/cascade/quality_model.py
+++ b/src/rattanpier/_internal/cascade/quality_model.py
@@ -1,10 +1,10 @@
-"""Beliefs about versions: logistic regression with Gaussian weights.
+"""Estimates answer quality by Bayesian logistic regression.
 
 The log-odds that an answer is rated good are a linear function of the
-features. Its weights are the sum of two parts: one shared by all workspaces
-and one for the workspace's own deviation. Each rating moves both. Without
-ratings both drift back to the prior, so that old evidence counts less and
-less, and doubt grows.
+features, with a Gaussian posterior over the weights. The weights are the sum
+of a part shared by all workspaces and a part specific to the workspace; each
+rating updates both. Without ratings both decay to the prior, so that old
+evidence loses weight and the uncertainty grows.
 """
 
 from __future__ import annotations
@@ -17,37 +17,39 @@
 
 from rattanpier._internal.cascade import features as f
 
-# Drift: seconds after which evidence counts for a third.
+# Time constants of the decay to the prior: evidence then counts about a third.
 SHARED_DECAY_S = 24 * 3600.0
 SPECIFIC_DECAY_S = 24 * 3600.0
-DECAY_STEP_S = 30.0  # Beliefs are aged in steps, not on each look.
+DECAY_STEP_S = 30.0  # Decay is applied in steps, not on each read.
 
-# How much likelier ratings have to be if a version turned worse; see Change.
-# Where beliefs are right, a false alarm takes exp(limit) ratings on average, or
-# more.
-CHANGE_LOG_ODDS = 1.0  # Log-odds that a version that turned worse has lost.
+# Parameters of ChangeDetector. If the model is right, there are on average at
+# least exp(CHANGE_THRESHOLD) ratings between two false alarms.
+CHANGE_LOG_ODDS = 1.0  # Assumed loss in log-odds of a degraded version.
 CHANGE_THRESHOLD = 9.0
-MIN_PROBABILITY = (
-    0.05  # No rating is as sure as beliefs may be: some are wrong.
-)
+# Expected probabilities are clipped, because some ratings are wrong.
+MIN_PROBABILITY = 0.05
 
 CONFIDENCE_PRIOR = 0.8
 ESCALATED_PRIOR = -0.4
 
 
 def logit(probability: float) -> float:
-    """Returns the log-odds of a share."""
+    """Returns the log-odds of a probability, clipped to 0.005..0.995."""
     clipped = min(0.995, max(0.005, probability))
     return math.log(clipped / (1 - clipped))
 
 
 def sigmoid(value: np.ndarray | float) -> np.ndarray | float:
-    """Returns the share of log-odds."""
+    """Returns the probability for log-odds."""
     return 1 / (1 + np.exp(-value))
 
 
 def prior_mean(prior_quality: float) -> np.ndarray:
-    """Returns the weights expected before any rating."""
+    """Returns the prior mean of the shared weights.
+
+    Args:
+      prior_quality: Expected share of good answers before any rating.
+    """
     mean = np.zeros(f.FEATURE_COUNT)
     mean[f.BIAS] = logit(prior_quality)
     mean[f.CONFIDENCE : f.CONFIDENCE + 2] = CONFIDENCE_PRIOR
@@ -58,7 +60,15 @@
 def prior_variance(
     bias: float, length: float, request_class: float, confidence: float
 ) -> np.ndarray:
-    """Returns the variances of the weights before any rating."""
+    """Returns the prior variances of the weights, [feature].
+
+    Args:
+      bias: Standard deviation of the bias and of the escalation weight.
+      length: Standard deviation of the length and the streaming weight.
+      request_class: Standard deviation of the weight of each class.
+      confidence: Standard deviation of the confidence weights; half of it
+        for the confidence of the previously rejected answer.
+    """
     deviation = np.zeros(f.FEATURE_COUNT)
     deviation[f.BIAS] = bias
     deviation[f.LENGTH] = length
@@ -76,15 +86,15 @@
 
 @attrs.define
 class WeightPosterior:
-    """Gaussian weights.
+    """Gaussian posterior over the weights.
 
     Attributes:
-      prior: Mean before any rating.
-      variance: Variances before any rating.
-      memory_s: Time constant of the drift back to the prior.
-      mean: Mean now.
-      covariance: Covariance now.
-      aged_at: Seconds of the clock up to which it is aged.
+      prior: [feature] mean before any rating.
+      variance: [feature] variances before any rating.
+      decay_s: Time constant of the decay to the prior.
+      mean: [feature] current mean.
+      covariance: [feature, feature] current covariance.
+      decayed_at: Clock time in seconds up to which the decay is applied.
     """
 
     prior: np.ndarray
@@ -98,14 +108,14 @@
 def new_posterior(
     prior: np.ndarray, variance: np.ndarray, decay_s: float, now: float
 ) -> WeightPosterior:
-    """Returns a belief without evidence."""
+    """Returns a posterior that equals the prior."""
     return WeightPosterior(
         prior, variance, decay_s, prior.copy(), np.diag(variance), now
     )
 
 
 def decay(posterior: WeightPosterior, now: float) -> None:
-    """Lets evidence lose weight with time."""
+    """Moves a posterior towards its prior for the time that has passed."""
     elapsed_s = now - posterior.decayed_at
     if elapsed_s < DECAY_STEP_S:
         return
@@ -119,18 +129,18 @@
 
 
 def reset_covariance(posterior: WeightPosterior) -> None:
-    """Doubts everything after a change, but keeps the mean."""
+    """Resets the covariance to the prior after a change; keeps the mean."""
     posterior.covariance = np.diag(posterior.variance)
 
 
 @attrs.define
 class ChangeDetector:
-    """Notices that answers are rated worse than expected.
+    """CUSUM test for answers that are rated worse than expected.
 
     Attributes:
-      evidence: Logarithm of how much likelier the latest ratings are if the
-        version turned worse than if it did not; never below 0.
-      alarms: Changes noticed.
+      log_likelihood_ratio: Cumulative log-likelihood ratio of a degraded
+        against an unchanged version; never below 0.
+      alarms: Number of changes detected.
     """
 
     log_likelihood_ratio: float = 0.0
@@ -140,7 +150,15 @@
 def detect_change(
     detector: ChangeDetector, expected: float, good: bool
 ) -> bool:
-    """Takes in a rating; says whether a change has to be assumed."""
+    """Records a rating; returns whether a change is detected.
+
+    A detection resets the ratio, so that the test starts over.
+
+    Args:
+      detector: State of the test.
+      expected: Probability of a good rating according to the model.
+      good: Whether the answer was rated good.
+    """
     clipped = min(1 - MIN_PROBABILITY, max(MIN_PROBABILITY, expected))
     worse = float(sigmoid(logit(clipped) - CHANGE_LOG_ODDS))
     ratio = worse / clipped if good else (1 - worse) / (1 - clipped)
@@ -156,13 +174,15 @@
 
 @attrs.define
 class QualityModel:
-    """What is believed of every version in every workspace.
+    """Posteriors of all versions and workspaces.
 
     Attributes:
-      quality: Returns the expected quality of a version before any rating.
-      shared: By version.
-      own: By workspace and version.
-      changes: By workspace and version; "" stands for all workspaces.
+      prior_quality: Returns the expected quality of a version before any
+        rating.
+      shared: Posteriors shared by all workspaces, by version.
+      specific: Deviations of single workspaces, by workspace and version.
+      detectors: Change detectors, by workspace and version; the workspace ""
+        stands for all of them.
     """
 
     prior_quality: Callable[[str], float]
@@ -173,7 +193,7 @@
     def posteriors(
         self, workspace: str, version: str, now: float
     ) -> tuple[WeightPosterior, WeightPosterior]:
-        """Returns the shared and the own belief, aged up to now."""
+        """Returns the shared and the workspace-specific posterior, decayed."""
         if version not in self.shared:
             self.shared[version] = new_posterior(
                 prior_mean(self.prior_quality(version)),
@@ -196,7 +216,7 @@
     def weights(
         self, workspace: str, version: str, now: float
     ) -> tuple[np.ndarray, np.ndarray]:
-        """Returns mean and covariance of the weights."""
+        """Returns the mean and the covariance of the summed weights."""
         shared, specific = self.posteriors(workspace, version, now)
         return (
             shared.mean + specific.mean,
@@ -211,7 +231,18 @@
         good: bool,
         now: float,
     ) -> bool:
-        """Takes in a rating; says whether the version seems to have changed."""
+        """Updates the posteriors by a rating.
+
+        Args:
+          workspace: Workspace of the request.
+          version: Version that answered.
+          features: [feature] features of the answer.
+          good: Whether the answer was rated good.
+          now: Clock time in seconds.
+
+        Returns:
+          Whether a change of the version was detected.
+        """
         shared, specific = self.posteriors(workspace, version, now)
         mean = shared.mean + specific.mean
         covariance = shared.covariance + specific.covariance
@@ -234,7 +265,10 @@
     def detect_changes(
         self, workspace: str, version: str, expected: float, good: bool
     ) -> bool:
-        """Doubts a belief whose ratings fall short for too long."""
+        """Resets the covariances for which a change is detected.
+
+        Returns whether any was.
+        """
         specific = self.detectors.setdefault(
             (workspace, version), ChangeDetector()
         )
@@ -249,7 +283,7 @@
         return changed
 
     def drop(self, version: str) -> None:
-        """Forgets a version that is gone."""
+        """Removes the state of a version that is no longer in use."""
         self.shared.pop(version, None)
         for table in (self.specific, self.detectors):
             for key in [key for key in table if key[1] == version]:
