--- a/src/rattanpier/_internal/cascade/paths.py
+++ b/src/rattanpier/_internal/cascade/paths.py
@@ -1,9 +1,10 @@
-"""Expected quality and cost of every way through a cascade.
+"""Plans a cascade by backward induction over its steps.
 
-Works backwards from the last step, for all cells of the same steps at once.
-The value of quality against cost is one number, the price of quality: a step
-is accepted where going on would cost more than the quality it adds is worth.
-Arrays have the axes [cell, bin of the rejected answer, bin of the answer].
+Expected quality and cost are computed from the last step to the first, for
+all cells with the same steps at once. The trade-off is one number, the price
+of quality: an answer is accepted if escalating costs more than the additional
+quality is worth. Arrays have the axes [cell, bin of the rejected answer, bin
+of the answer] unless noted otherwise.
 """
 
 from __future__ import annotations
@@ -17,25 +18,25 @@
 from rattanpier._internal.cascade.quality_model import sigmoid
 
 QUALITY, COST, FIRST_GRADIENT = 0, 1, 2
-GRADIENT_SIZE = 6  # For each step: weight, confidence, earlier one, escalated.
-MIN_ACCEPTED_QUALITY = (
-    0.5  # An answer worse than this is not accepted knowingly.
-)
+GRADIENT_SIZE = 6  # Per step: score, confidence (2), earlier (2), escalated.
+# Worse answers are only accepted if escalating is not expected to help.
+MIN_ACCEPTED_QUALITY = 0.5
 CONFIDENCE_FEATURES = slice(f.CONFIDENCE, f.FEATURE_COUNT)
 
 
 @attrs.frozen
 class StepEstimate:
-    """One step of some cells' cascade as believed now.
+    """Current estimates for one step, for cells with the same steps.
 
     Attributes:
       score: [cell] log-odds of a good answer without the confidences.
-      own: Weights of the answer's own confidence.
-      earlier: Weights of the confidence of the answer rejected before.
-      escalated: Weight of having rejected one.
-      moderation: [cell] factor on log-odds, for doubt.
+      confidence: [2] weights of the answer's confidence.
+      earlier: [2] weights of the confidence of the previously rejected answer.
+      escalated: Weight of having rejected an answer.
+      moderation: [cell] factor on the log-odds that accounts for the
+        uncertainty of the weights.
       histogram: [cell, bin] distribution of the step's confidence.
-      cost: [cell] credits of one answer.
+      cost: [cell] credits for one answer.
     """
 
     score: np.ndarray
@@ -49,7 +50,7 @@
 
 @attrs.frozen
 class CellPlan:
-    """How the requests of a cell are decided.
+    """The decisions for the requests of a cell.
 
     Attributes:
       start: Index of the step to start at.
@@ -66,12 +67,12 @@
 
 @attrs.frozen
 class CellPlans:
-    """The plans of some cells.
+    """The plans of cells with the same steps.
 
     Attributes:
       starts: [cell] index of the best start.
       accepts: [cell, step, bin] whether an answer is accepted.
-      outcomes: [cell, start, number] quality, cost and gradients.
+      outcomes: [cell, start, value] quality, cost and gradients.
     """
 
     starts: np.ndarray
@@ -79,7 +80,7 @@
     outcomes: np.ndarray
 
     def best(self) -> np.ndarray:
-        """Returns the outcome of each cell's best start."""
+        """Returns the outcomes of the best start of each cell, [cell, value]."""
         return self.outcomes[np.arange(len(self.starts)), self.starts]
 
     def cell(self, index: int) -> CellPlan:
@@ -94,7 +95,13 @@
 
 
 def expected_quality(estimate: StepEstimate, escalated: bool) -> np.ndarray:
-    """Returns the expected quality; without a rejected answer, one bin."""
+    """Returns the probabilities of a good answer.
+
+    Args:
+      estimate: Estimates for the step.
+      escalated: Whether an answer was rejected before. If not, the axis of
+        the rejected answer has length 1.
+    """
     score = estimate.score[:, None, None] + f.BIN_FEATURES @ estimate.confidence
     if escalated:
         earlier = f.BIN_FEATURES @ estimate.earlier
@@ -105,7 +112,17 @@
 def accepted_outcome(
     step: int, probabilities: np.ndarray, escalated: bool, size: int
 ) -> np.ndarray:
-    """Returns quality, cost and gradients if the answer is accepted."""
+    """Returns the outcomes if the answer is accepted, in a last axis.
+
+    The cost is 0: the cost of the step is added by the caller. The gradients
+    are those of the quality with respect to the weights of the step.
+
+    Args:
+      step: Index of the step.
+      probabilities: Probabilities of a good answer.
+      escalated: Whether an answer was rejected before.
+      size: Number of values in an outcome.
+    """
     outcome = np.zeros((*probabilities.shape, size))
     outcome[..., QUALITY] = probabilities
     slope = probabilities * (1 - probabilities)
@@ -127,15 +144,20 @@
     price: float,
     size: int,
 ) -> tuple[np.ndarray, np.ndarray]:
-    """Returns outcomes by the bin rejected before, and what is accepted.
+    """Returns expected outcomes and the accepted bins of a step.
 
     Args:
       step: Index of the step.
-      estimate: The step as believed now.
-      continuation: [cell, bin, number] outcomes of going on, or None.
-      escalated: True if an answer was rejected before.
+      estimate: Estimates for the step.
+      continuation: [cell, bin, value] outcomes of escalating from each bin,
+        or None for the last step.
+      escalated: Whether an answer was rejected before.
       price: Credits that one more good answer is worth.
-      size: Numbers in an outcome.
+      size: Number of values in an outcome.
+
+    Returns:
+      [cell, bin of the rejected answer, value] outcomes, averaged over the
+      confidence of the answer, and whether each answer is accepted.
     """
     probabilities = expected_quality(estimate, escalated)
     outcome = accepted_outcome(step, probabilities, escalated, size)
@@ -145,7 +167,8 @@
             price * continuation[..., QUALITY] - continuation[..., COST]
         )
         accept = price * probabilities >= escalation_value[:, None, :]
-        # A class is not given up because it is too rare to miss the target.
+        # The target alone would sacrifice a class that is too rare to affect
+        # the mean quality of the workspace.
         better = continuation[:, None, :, QUALITY] > probabilities
         accept &= (probabilities >= MIN_ACCEPTED_QUALITY) | ~better
         outcome = np.where(accept[..., None], outcome, continuation[:, None])
@@ -155,10 +178,10 @@
 
 
 def plan_cells(estimates: Sequence[StepEstimate], price: float) -> CellPlans:
-    """Returns the best ways through the cells' steps.
+    """Returns the plans with the highest value at a price of quality.
 
     Args:
-      estimates: The steps.
+      estimates: Estimates for the steps, from cheap to strong.
       price: Credits that one more good answer is worth.
     """
     size = FIRST_GRADIENT + GRADIENT_SIZE * len(estimates)
@@ -185,11 +208,11 @@
 def step_gradients(
     features: np.ndarray, outcomes: np.ndarray, step: int
 ) -> np.ndarray:
-    """Returns the sum over cells of a step's gradient over all weights.
+    """Returns the gradient of the quality by a step's weights, [feature].
 
     Args:
-      features: [cell, feature] known before dispatch.
-      outcomes: [cell, number] already weighted.
+      features: [cell, feature] features known before dispatch.
+      outcomes: [cell, value] outcomes, multiplied by the cell's share.
       step: Index of the step.
     """
     offset = FIRST_GRADIENT + GRADIENT_SIZE * step
