--- a/src/rattanpier/_internal/cascade/policy.py
+++ b/src/rattanpier/_internal/cascade/policy.py
@@ -1,10 +1,10 @@
-"""What a cascade's policy is asked, and the two simplest policies.
+"""Interface of cascade policies, and two simple policies.
 
-A policy is a pair of functions. `begin` says at which step a request starts.
-`judge` looks at the finished answer of a step and accepts it, or names the
-step to go on to. Both are pure apart from the policy's own state: no clock,
-no sleep and no input or output. Whoever dispatches calls them, and still
-checks right before each dispatch that the version may serve.
+A policy is a pair of functions. `begin` selects the step that a request
+starts at. `evaluate` accepts the finished answer of a step or escalates to a
+later one. They change nothing but the policy's own state: they don't wait and
+do no I/O, and only the learned policy reads its clock. The dispatcher calls
+them, and still checks right before each dispatch that the version may serve.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from rattanpier._internal.models.request import RouteRequest
 
 MayServe = Callable[[str], bool]
-COMPLETE_FINISH = "stop"  # The engine ended the answer of its own accord.
+COMPLETE_FINISH = "stop"  # The engine ended the answer by itself.
 
 
 @attrs.frozen
@@ -27,10 +27,10 @@
     """A finished answer of one step.
 
     Attributes:
-      text: The whole generated text.
-      finish: Why the answer ended, as the engine said.
+      text: The complete generated text.
+      finish: Finish reason reported by the engine, or None.
       usage: Tokens counted by the engine, or None.
-      confidence: The engine's own measure, 0 to 1, or None.
+      confidence: Confidence reported by the engine, 0 to 1, or None.
     """
 
     text: str
@@ -41,14 +41,14 @@
 
 @attrs.define
 class CascadeProgress:
-    """One request on its way through the steps of a cascade.
+    """Progress of a request through the steps of a cascade.
 
     Attributes:
       request: The request.
-      steps: Versions from cheap to strong, as planned.
-      at: Index of the step to run now.
-      request_id: Names the request towards the rating service.
-      memo: What the policy wants to remember; nobody else's business.
+      steps: Planned versions, from cheap to strong.
+      step: Index of the step to run now.
+      request_id: Identifies the request at the rating service.
+      policy_state: Private state of the policy.
     """
 
     request: RouteRequest
@@ -64,15 +64,15 @@
 
     @property
     def is_last(self) -> bool:
-        """True if no step is left, so that the answer may be streamed."""
+        """Whether this is the last step, whose answer may be streamed."""
         return self.step == len(self.steps) - 1
 
 
 class Verdict(enum.Enum):
-    """What becomes of a finished answer."""
+    """Decision on a finished answer."""
 
     ACCEPT = "accept"
-    ESCALATE = "go_on"  # `walk.at` names the next step.
+    ESCALATE = "go_on"  # `progress.step` is the next step.
 
 
 Begin = Callable[[RouteRequest, Sequence[str], str], CascadeProgress]
@@ -81,13 +81,15 @@
 
 @attrs.frozen
 class CascadePolicy:
-    """Decides where a request starts and when it goes on.
+    """Decides where a request starts and when it escalates.
 
     Attributes:
-      begin: Called with request, steps and request id; returns the walk.
-      judge: Called with the walk, the answer of the step `walk.at`, and
-        whether a version may serve; moves `walk.at` if it goes on. Also
-        called for the answer of a last step, so that it may be rated.
+      begin: Called with the request, the steps and the request id; returns
+        the progress.
+      evaluate: Called with the progress, the answer of `progress.step`, and
+        a function that returns whether a version may serve; advances
+        `progress.step` if it escalates. Also called for the answer of the
+        last step, so that it may be rated.
     """
 
     begin: Begin
@@ -95,7 +97,7 @@
 
 
 def assemble_answer(chunks: Sequence[Chunk]) -> StepAnswer:
-    """Returns the finished answer that chunks make up."""
+    """Returns the answer that consists of the given chunks; at least one."""
     last = chunks[-1]
     text = "".join(chunk.text for chunk in chunks)
     return StepAnswer(text, last.finish, last.usage, last.confidence)
@@ -110,7 +112,10 @@
 
 
 def escalate(progress: CascadeProgress, may_serve: MayServe) -> Verdict:
-    """Moves a walk to the next step that may serve, if there is one."""
+    """Advances to the next step that may serve.
+
+    If there is none, the answer is accepted.
+    """
     index = next_step(progress, may_serve)
     if index is None:
         return Verdict.ACCEPT
@@ -119,12 +124,12 @@
 
 
 def fixed_threshold(threshold: float) -> CascadePolicy:
-    """Returns the policy that starts cheap and trusts high confidence.
+    """Returns a policy that starts at the first step and uses a threshold.
 
-    An answer without a confidence is taken as one with none.
+    A missing confidence counts as 0.
 
     Args:
-      threshold: Least confidence, 0 to 1, that is accepted.
+      threshold: Lowest confidence, 0 to 1, that is accepted.
     """
 
     def begin(
@@ -143,7 +148,7 @@
 
 
 def always_strong() -> CascadePolicy:
-    """Returns the policy that starts every request at the last step."""
+    """Returns a policy that starts every request at the last step."""
 
     def begin(
         request: RouteRequest, steps: Sequence[str], request_id: str
