--- a/src/rattanpier/_internal/cascade/paths.py
+++ b/src/rattanpier/_internal/cascade/paths.py
@@ -80,7 +80,7 @@
     outcomes: np.ndarray
 
     def best(self) -> np.ndarray:
-        """Returns the outcomes of the best start of each cell, [cell, value]."""
+        """Returns the outcome of each cell's best start, [cell, value]."""
         return self.outcomes[np.arange(len(self.starts)), self.starts]
 
     def cell(self, index: int) -> CellPlan:
@@ -115,7 +115,8 @@
     """Returns the outcomes if the answer is accepted, in a last axis.
 
     The cost is 0: the cost of the step is added by the caller. The gradients
-    are those of the quality with respect to the weights of the step.
+    are those of the quality with respect to the weights of the step; they
+    neglect the moderation factor.
 
     Args:
       step: Index of the step.
