--- a/src/rattanpier/_internal/cascade/learner.py
+++ b/src/rattanpier/_internal/cascade/learner.py
@@ -1,8 +1,8 @@
-"""Keeps each workspace at its quality target for the least cost.
+"""Meets the quality target of each workspace at the lowest expected cost.
 
-For each workspace one price of quality is sought: the lowest at which the
-expected quality of its mix of requests, less a margin for doubt, meets the
-target. All decisions follow from it until the next search.
+For each workspace a binary search finds the lowest price of quality at which
+the expected quality of its traffic, less a margin for uncertainty, meets the
+target. All decisions follow from this price until the next search.
 """
 
 from __future__ import annotations
@@ -36,33 +36,35 @@
 
 MILLION = 1_000_000
 HOUR_S = 3600.0
-MARGIN_DEVIATIONS = (
-    0.5  # Standard deviations of doubt that the target is kept clear of.
-)
-MARGIN_PER_HOUR = 0.5  # Further ones for each hour without a rating.
-INITIAL_MARGIN = 3.0  # Further ones while a workspace has few ratings.
+# Margin between expected quality and target, in standard deviations of the
+# expected quality: a base, an addition for each hour without a rating, and one
+# that falls from INITIAL_MARGIN and is halved after INITIAL_RATINGS ratings.
+MARGIN_DEVIATIONS = 0.5
+MARGIN_PER_HOUR = 0.5
+INITIAL_MARGIN = 3.0
 INITIAL_RATINGS = 10
 SEARCH_INTERVAL_S = 60.0
-SEARCH_AFTER_RATINGS = 8  # A search comes earlier after so many ratings.
-RELATIVE_PRICES = np.geomspace(0.05, 500.0, 48)  # In costs of the dearest step.
+SEARCH_AFTER_RATINGS = 8  # Ratings after which a search is due earlier.
+RELATIVE_PRICES = np.geomspace(0.05, 500.0, 48)  # Times the mean maximum cost.
 DEFAULT_OUTPUT_TOKENS = 128.0
 
 
 @attrs.define
 class WorkspaceState:
-    """What is known of one workspace.
+    """Learned state of a workspace.
 
     Attributes:
-      cells: Its mix of requests.
+      cells: Cells of its traffic.
       plans: Decisions for the cells, as of the last search.
       price: Credits that one more good answer is worth.
-      quality: Expected quality at this price.
-      doubt: Standard deviation of it.
-      doubts: Part of its variance that each version has.
-      searched_at: Seconds of the clock of the last search.
-      news: Ratings since then.
-      ratings: Ratings since the start.
-      rated_at: Seconds of the clock of the last rating, or of the start.
+      quality: Expected share of good answers at this price.
+      quality_deviation: Standard deviation of the expected quality.
+      variances: Contribution of each version to its variance.
+      searched_at: Clock time in seconds of the last search.
+      new_ratings: Ratings since the last search.
+      ratings: Ratings since the start of the process.
+      rated_at: Clock time in seconds of the last rating, or of the creation
+        of this state.
     """
 
     cells: dict[f.CellKey, Cell] = attrs.Factory(dict)
@@ -79,13 +81,13 @@
 
 @attrs.frozen
 class CellGroup:
-    """Cells of the same steps.
+    """Cells with the same steps.
 
     Attributes:
       cells: The cells.
-      features: [cell, feature] known before dispatch.
-      weights: [cell] share of the mix, not normed.
-      estimates: The steps as believed now.
+      features: [cell, feature] features known before dispatch.
+      weights: [cell] weights in the traffic, not normalized.
+      estimates: Current estimates, one per step.
     """
 
     cells: list[Cell]
@@ -96,11 +98,13 @@
 
 @attrs.frozen
 class RatedAnswer:
-    """What the learner needs of an answer that was sent to be rated.
+    """An answer as the learner needs it to process a rating.
 
     Attributes:
-      features: All features, of the answer's confidence too.
-      facts: What the features were made of, for other entries.
+      workspace: Workspace of the request.
+      version: Version that answered.
+      features: [feature] features, including those of the confidence.
+      facts: Properties that the features were computed from, for peers.
     """
 
     workspace: str
@@ -111,11 +115,15 @@
 
 @attrs.define
 class Learner:
-    """The state of the learned policy.
+    """State of the learned policy.
 
     Attributes:
-      versions: Returns a version as configured, or None if it is gone.
-      workspace: Returns a workspace as configured.
+      versions: Returns a configured version, or None if there is none.
+      workspace: Returns a configured workspace, or None if there is none.
+      clock: Clock.
+      states: Learned state, by workspace.
+      class_numbers: Numbers of the request classes.
+      quality_model: Posteriors of the answer quality.
     """
 
     versions: Callable[[str], Version | None]
@@ -130,12 +138,12 @@
     )
 
     def prior_quality(self, version: str) -> float:
-        """Returns the quality expected of a version before any rating."""
+        """Returns the expected quality of a version before any rating."""
         known = self.versions(version)
         return Version("").quality if known is None else known.quality
 
     def cost(self, cell: Cell, version: str) -> float:
-        """Returns the expected credits of one answer."""
+        """Returns the expected cost of an answer, in credits."""
         known = self.versions(version) or Version("")
         return (
             cell.prompt_tokens * known.input_price
@@ -143,14 +151,14 @@
         ) / MILLION
 
     def state(self, workspace: str) -> WorkspaceState:
-        """Returns the state of a workspace."""
+        """Returns the state of a workspace; creates it if missing."""
         if workspace not in self.states:
             now = self.clock.monotonic()
             self.states[workspace] = WorkspaceState(rated_at=now)
         return self.states[workspace]
 
     def cell(self, request: RouteRequest, steps: tuple[str, ...]) -> Cell:
-        """Returns the cell of a request; makes it where it is new."""
+        """Returns the cell of a request; creates it if missing."""
         now = self.clock.monotonic()
         cells = self.state(request.workspace).cells
         key = f.cell_key(request, steps)
@@ -170,11 +178,14 @@
         return cells[key]
 
     def count(self, request: RouteRequest, cell: Cell) -> None:
-        """Counts a request for the mix."""
+        """Adds a request to its cell."""
         record_request(cell, request.prompt_tokens, self.clock.monotonic())
 
     def plan(self, workspace: str, cell: Cell) -> CellPlan:
-        """Returns the decisions for a cell."""
+        """Returns the plan of a cell.
+
+        Searches for a new price first if the current one is outdated.
+        """
         state = self.state(workspace)
         now = self.clock.monotonic()
         if needs_search(state, now):
@@ -196,7 +207,7 @@
         ]
 
     def group(self, workspace: str, cells: list[Cell], now: float) -> CellGroup:
-        """Returns cells of the same steps as believed now."""
+        """Returns cells with the same steps, with current estimates."""
         features = np.stack([cell.features for cell in cells])
         estimates = [
             self.estimate_step(workspace, cells, features, version, now)
@@ -213,7 +224,15 @@
         version: str,
         now: float,
     ) -> StepEstimate:
-        """Returns one step of some cells as believed now."""
+        """Returns the current estimates for one step.
+
+        Args:
+          workspace: Name of the workspace.
+          cells: Cells with the same steps.
+          features: [cell, feature] features known before dispatch.
+          version: Version of the step.
+          now: Clock time in seconds.
+        """
         mean, covariance = self.quality_model.weights(workspace, version, now)
         variance = np.einsum("nf,fg,ng->n", features, covariance, features)
         return StepEstimate(
@@ -229,7 +248,10 @@
         )
 
     def search(self, workspace: str, now: float) -> None:
-        """Seeks the lowest price of quality that meets the target."""
+        """Searches for the lowest price of quality that meets the target.
+
+        If no price does, the highest one is used.
+        """
         state = self.state(workspace)
         configured = self.workspace(workspace)
         state.searched_at = now
@@ -261,7 +283,11 @@
     def plan_at_price(
         self, workspace: str, groups: list[CellGroup], price: float
     ) -> list[CellPlans]:
-        """Plans every cell at a price; notes quality and doubt."""
+        """Plans every cell at a price.
+
+        Stores the price, the expected quality and its uncertainty in the
+        state of the workspace.
+        """
         state = self.state(workspace)
         total = total_weight(groups)
         plans = [plan_cells(group.estimates, price) for group in groups]
@@ -297,19 +323,19 @@
         bin_index: int | None,
         output_tokens: int | None,
     ) -> None:
-        """Takes in what a finished answer tells without a rating."""
+        """Records what a finished answer shows without being rated."""
         record_answer(cell, version, bin_index, output_tokens)
 
     def rated_answer(
         self, workspace: str, version: str, facts: f.AnswerFacts
     ) -> RatedAnswer:
-        """Returns what is learned from when an answer is rated."""
+        """Returns an answer in the form that `learn` needs."""
         number = self.class_numbers.number(workspace, facts.class_name)
         features = f.answer_features(facts, number)
         return RatedAnswer(workspace, version, features, facts)
 
     def learn(self, rated: RatedAnswer, good: bool) -> None:
-        """Takes in a rating."""
+        """Updates the model by a rating."""
         state = self.state(rated.workspace)
         state.new_ratings += 1
         state.ratings += 1
@@ -322,32 +348,32 @@
             self.clock.monotonic(),
         )
         if changed:
-            # The doubt has to show in the next decision already.
+            # The increased uncertainty must affect the very next decision.
             for state in self.states.values():
                 state.searched_at = float("-inf")
 
 
 def safety_margin(state: WorkspaceState, now: float) -> float:
-    """Returns the standard deviations to keep clear of the target."""
+    """Returns the margin to the target, in standard deviations."""
     hours = (now - state.rated_at) / HOUR_S
     first = INITIAL_MARGIN / (1 + state.ratings / INITIAL_RATINGS)
     return MARGIN_DEVIATIONS + first + MARGIN_PER_HOUR * hours
 
 
 def needs_search(state: WorkspaceState, now: float) -> bool:
-    """Says whether a workspace's price of quality is out of date."""
+    """Returns whether the price of quality of a workspace is outdated."""
     if state.new_ratings >= SEARCH_AFTER_RATINGS:
         return True
     return now - state.searched_at >= SEARCH_INTERVAL_S
 
 
 def total_weight(groups: list[CellGroup]) -> float:
-    """Returns the weight of the mix; above 0 before any request, too."""
+    """Returns the total weight of all cells; always above 0."""
     return max(1e-9, sum(float(group.weights.sum()) for group in groups))
 
 
 def mean_max_cost(groups: list[CellGroup]) -> float:
-    """Returns the mean cost of a request's dearest step, in credits."""
+    """Returns the mean cost of the most expensive step, in credits."""
     total = total_weight(groups)
     cost = sum(
         float(
