--- a/src/rattanpier/_internal/cascade/estimate.py
+++ b/src/rattanpier/_internal/cascade/estimate.py
@@ -1,4 +1,4 @@
-"""What operators are told about the cascade of a request."""
+"""Expected quality and cost of a request's cascade, for operators."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 @attrs.frozen
 class StartEstimate:
-    """What is expected if a request starts at a step.
+    """Expected outcome if a request starts at a given step.
 
     Attributes:
       version: Version of the step.
-      quality: Expected share of good answers, going on where it is better.
-      cost: Expected credits.
-      chosen: True for the step that a request starts at now.
+      quality: Expected share of good answers, including escalations.
+      cost: Expected cost in credits.
+      chosen: Whether a request currently starts at this step.
     """
 
     version: str
@@ -29,14 +29,14 @@
 
 @attrs.frozen
 class CascadeEstimate:
-    """The cascade of a request as believed now.
+    """Current estimate for the cascade of a request.
 
     Attributes:
-      class_name: Model asked for and labels; requests of a class are learned
-        about together.
-      starts: What is expected from each step on.
-      workspace_quality: Expected share of good answers of the workspace.
-      workspace_doubt: Standard deviation of it.
+      class_name: Requested model and labels; requests of a class share what
+        is learned.
+      starts: Expected outcome for each possible first step.
+      workspace_quality: Expected share of good answers in the workspace.
+      workspace_quality_deviation: Standard deviation of workspace_quality.
       ratings: Ratings of the workspace that this process learned from.
     """
 
@@ -50,7 +50,13 @@
 def estimate_cascade(
     learner: Learner, request: RouteRequest, steps: Sequence[str]
 ) -> CascadeEstimate:
-    """Returns what is expected of a request; counts no request."""
+    """Returns the estimate for a request, without counting a request.
+
+    Args:
+      learner: State of the learned policy.
+      request: The request.
+      steps: Planned versions, from cheap to strong.
+    """
     cell = learner.cell(request, tuple(steps))
     plan = learner.plan(request.workspace, cell)
     state = learner.state(request.workspace)
