--- a/src/rattanpier/_internal/cascade/learned_policy.py
+++ b/src/rattanpier/_internal/cascade/learned_policy.py
@@ -1,4 +1,9 @@
-"""The policy that learns from ratings."""
+"""Cascade policy that learns from ratings.
+
+The learner's plan selects the first step and the accepted confidences. A
+sampler selects answers to be rated, preferring requests for which the
+expected quality is uncertain.
+"""
 
 from __future__ import annotations
 
@@ -27,15 +32,14 @@
 )
 from rattanpier._internal.models.request import RouteRequest
 
-PROBE_SHARE = 0.6  # Of ratings, where the plan starts at a later step.
-FOLLOW_UP_SHARE = (
-    0.5  # Of rated answers gone on from, to have the next rated too.
-)
-TYPICAL_PROBABILITY = (
-    0.3  # To sample a request of usual doubt, budget permitting.
-)
+# Share of sampled requests that start one step below the planned one.
+PROBE_SHARE = 0.6
+# Share of rated answers whose successor is rated too if they are rejected.
+FOLLOW_UP_SHARE = 0.5
+# Probability of sampling a request of mean uncertainty, budget permitting.
+TYPICAL_PROBABILITY = 0.3
 MIN_PROBABILITY = 0.05
-UNCERTAINTY_SMOOTHING = 0.02  # Weight of one request in the mean doubt.
+UNCERTAINTY_SMOOTHING = 0.02  # Weight of one request in the mean uncertainty.
 
 
 @attrs.frozen
@@ -43,9 +47,10 @@
     """An answer to be rated.
 
     Attributes:
-      request_id: The request it belongs to.
-      text: The answer.
-      rated: What the learner needs when the rating comes.
+      request_id: Id of the request.
+      request: The request.
+      text: Text of the answer.
+      rated: The answer in the form that the learner needs for the rating.
     """
 
     request_id: str
@@ -56,12 +61,15 @@
 
 @attrs.define
 class RequestState:
-    """What the learned policy remembers of a request.
+    """State of the learned policy for a request.
 
     Attributes:
-      sampled: True if the next answer is to be rated.
-      earlier: Bin of the confidence of the rejected answer before.
-      escalated: True if an answer was rejected.
+      cell: Cell of the request.
+      plan: Plan of the cell when the request started.
+      sampled: Whether the next answer is to be rated.
+      earlier: Bin of the confidence of the previously rejected answer, or
+        None.
+      escalated: Whether an answer was rejected.
     """
 
     cell: Cell
@@ -73,12 +81,15 @@
 
 @attrs.define
 class Sampler:
-    """Decides which answers are worth a rating.
+    """Selects the answers to be rated, within the rating budget.
 
     Attributes:
-      share: Returns the ratings an hour of a workspace, of this entry.
-      purses: By workspace.
-      usual: Mean doubt about a request, by workspace.
+      learner: State of the learned policy.
+      rng: Source of randomness.
+      hourly_share: Returns the ratings per hour that this entry may request
+        for a workspace.
+      budgets: Token buckets, by workspace.
+      mean_uncertainty: Smoothed mean uncertainty of requests, by workspace.
     """
 
     learner: Learner
@@ -88,7 +99,7 @@
     mean_uncertainty: dict[str, float] = attrs.Factory(dict)
 
     def budget(self, workspace: str) -> RatingBudget:
-        """Returns the purse of a workspace."""
+        """Returns the token bucket of a workspace; creates it if missing."""
         if workspace not in self.budgets:
             self.budgets[workspace] = RatingBudget(
                 self.learner.clock.monotonic()
@@ -96,7 +107,10 @@
         return self.budgets[workspace]
 
     def should_sample(self, workspace: str, cell: Cell) -> bool:
-        """Says whether a request of a cell is worth a rating now."""
+        """Returns whether to sample a request of a cell.
+
+        The probability is proportional to the uncertainty of the cell.
+        """
         now = self.learner.clock.monotonic()
         share = self.hourly_share(workspace)
         if refill(self.budget(workspace), share, now) < 1:
@@ -113,7 +127,7 @@
         return self.rng.random() < max(MIN_PROBABILITY, probability)
 
     def uncertainty(self, workspace: str, cell: Cell, now: float) -> float:
-        """Returns the largest doubt about a step's quality in a cell."""
+        """Returns the highest uncertainty among all steps but the last."""
         return max(
             self.step_uncertainty(workspace, cell, version, now)
             for version in cell.key.steps[:-1]
@@ -131,7 +145,7 @@
         return variance * (probability * (1 - probability)) ** 2
 
     def try_acquire(self, workspace: str) -> bool:
-        """Takes one rating out of the budget."""
+        """Takes a rating from the budget; returns whether one was available."""
         return try_acquire(
             self.budget(workspace),
             self.hourly_share(workspace),
@@ -145,9 +159,9 @@
     """Returns the policy that learns from ratings.
 
     Args:
-      learner: Its state.
-      sampler: Picks answers to be rated.
-      send: Takes an answer to be rated; must not block.
+      learner: State of the policy.
+      sampler: Selects the answers to be rated.
+      send: Called with each answer to be rated; must not block.
     """
 
     def begin(
@@ -173,7 +187,7 @@
         tokens = answer.usage.output_tokens if answer.usage else None
         learner.record_answer(state.cell, progress.version, bin_index, tokens)
         sample(progress, state, answer, bin_index)
-        # What runs below the planned start is run just to be rated.
+        # A step before the planned first one runs only to be rated.
         if progress.step >= state.plan.start and accepts(
             state.plan, progress.step, bin_index
         ):
@@ -201,16 +215,16 @@
 
 
 def accepts(plan: CellPlan, step: int, bin_index: int | None) -> bool:
-    """Says whether a plan accepts an answer.
+    """Returns whether a plan accepts an answer.
 
-    Without a confidence the answer is taken as one of middling confidence.
+    A missing confidence counts as 0.5.
     """
     middle = f.CONFIDENCE_BINS // 2
     return bool(plan.accepts[step][middle if bin_index is None else bin_index])
 
 
 def answer_facts(state: RequestState, bin_index: int | None) -> f.AnswerFacts:
-    """Returns what is known of a finished answer."""
+    """Returns the properties of a finished answer."""
     key = state.cell.key
     return f.AnswerFacts(
         key.class_name,
