--- a/src/rattanpier/_internal/cascade/ratings.py
+++ b/src/rattanpier/_internal/cascade/ratings.py
@@ -1,7 +1,7 @@
-"""Sends sampled answers to be rated, and learns from what comes back.
+"""Submits sampled answers to the rating service and applies the ratings.
 
-Nothing here is waited for by a request: a sample goes into a bounded queue,
-and what doesn't fit is dropped and counted.
+No request waits for this: samples go into a bounded queue, and those that
+don't fit are dropped and counted.
 """
 
 from __future__ import annotations
@@ -31,17 +31,20 @@
 log = structlog.get_logger(part="ratings")
 
 STEP_INTERVAL_S = 1.0
-MAX_QUEUED = 256  # Samples not handed in yet.
-MAX_PENDING = 4096  # Ratings under way.
-MAX_AGE_S = 3 * 3600.0  # A later rating tells nothing of today.
+MAX_QUEUED = 256  # Samples not submitted yet.
+MAX_PENDING = 4096  # Submitted samples without a rating.
+MAX_AGE_S = 3 * 3600.0  # Later ratings say little about current quality.
 
 
 @attrs.frozen
 class RatingUpdate:
-    """A rating of this entry that was learned from, for who follows it.
+    """A rating that this entry obtained and learned from, for subscribers.
 
     Attributes:
-      facts: What is known of the answer.
+      workspace: Workspace of the request.
+      version: Version that answered.
+      good: Whether the answer was rated good.
+      facts: Properties of the answer.
     """
 
     workspace: str
@@ -52,7 +55,12 @@
 
 @attrs.frozen
 class PendingRating:
-    """A rating under way."""
+    """A submitted sample that has no rating yet.
+
+    Attributes:
+      rated: The answer.
+      since: Clock time in seconds of the submission.
+    """
 
     rated: RatedAnswer
     since: float
@@ -60,18 +68,22 @@
 
 @attrs.define
 class RatingLoop:
-    """Hands in samples and takes ratings.
+    """Submits samples and fetches their ratings periodically.
 
     Attributes:
       ratings: The rating service.
-      client: Name of this process at the service; new with each start.
-      versions: Returns a version as configured, or None if it is gone.
-      waiting: Samples to be handed in.
-      pending: Ratings under way, oldest first, by id.
-      available: False from a call that failed to the next that doesn't.
-      news: Emits each rating that was learned from.
-      taken: Number of the last result taken.
-      last_rating_at: Seconds of the clock of the last rating learned from.
+      learner: Learns from the ratings.
+      clock: Clock.
+      metrics: Receives counts and gauges.
+      client: Name of this process at the service; differs for each
+        incarnation.
+      versions: Returns a configured version, or None if there is none.
+      queue: Samples to be submitted.
+      pending: Samples without a rating, oldest first, by id.
+      available: Whether the last call of the service succeeded.
+      updates: Emits each rating that was learned from.
+      last_result: Highest number of a processed result.
+      last_rating_at: Clock time in seconds of the last rating learned from.
     """
 
     ratings: Ratings
@@ -88,20 +100,23 @@
     last_rating_at: float = float("-inf")
 
     def enqueue(self, sample: Sample) -> None:
-        """Queues a sample; drops it if the queue is full."""
+        """Queues a sample, or drops and counts it if the queue is full."""
         if len(self.queue) >= MAX_QUEUED:
             self.metrics.count("cascade.sample.dropped")
             return
         self.queue.append(sample)
 
     async def run(self, kernel: Kernel) -> None:
-        """Steps until the kernel stops."""
+        """Runs a step every STEP_INTERVAL_S seconds until the kernel stops."""
         while not kernel.stopping.is_set():
             await self.step()
             await self.clock.sleep(STEP_INTERVAL_S)
 
     async def step(self) -> None:
-        """Hands in what waits and takes what is ready."""
+        """Submits queued samples, applies results and updates the metrics.
+
+        A failing service is logged once, until a call succeeds again.
+        """
         try:
             if self.pending or not self.available:
                 await self.fetch_results()
@@ -109,7 +124,7 @@
         except PlatformUnavailableError as error:
             self.metrics.count("cascade.ratings.unavailable")
             if self.available:
-                log.warning("The service stopped answering.", why=str(error))
+                log.warning("Rating service unavailable.", why=str(error))
             self.available = False
         else:
             self.available = True
@@ -117,7 +132,11 @@
         self.report_metrics()
 
     async def submit(self) -> None:
-        """Hands in what waits, once: a lost answer may have cost money."""
+        """Submits all queued samples, each only once.
+
+        A submission may be charged even if its response is lost, so it is
+        not repeated.
+        """
         items = []
         while self.queue:
             sample = self.queue.popleft()
@@ -131,14 +150,14 @@
             await self.ratings.hand_in(items)
 
     async def fetch_results(self) -> None:
-        """Takes what is ready."""
+        """Fetches and applies new results."""
         for result in await self.ratings.results(self.client, self.last_result):
             self.last_result = max(self.last_result, result.number)
             reason = self.apply_result(result)
             self.metrics.count(f"cascade.rating.{reason}")
 
     def apply_result(self, result: RatingResult) -> str:
-        """Learns from a rating; returns what became of it."""
+        """Learns from a rating; returns the outcome for the metrics."""
         pending = self.pending.pop(result.id, None)
         if pending is None:
             return "unknown"
@@ -158,7 +177,7 @@
         return "good" if result.good else "poor"
 
     def expire_pending(self) -> None:
-        """Gives up ratings that are too old or too many."""
+        """Drops pending samples that are too old or exceed MAX_PENDING."""
         oldest_allowed = self.clock.monotonic() - MAX_AGE_S
         for name in list(self.pending):
             fits = len(self.pending) <= MAX_PENDING
@@ -168,7 +187,7 @@
             self.metrics.count("cascade.rating.given_up")
 
     def report_metrics(self) -> None:
-        """Reports how each workspace stands."""
+        """Updates the gauges of quality, uncertainty and pending samples."""
         for name, state in self.learner.states.items():
             self.metrics.gauge(f"cascade.quality.{name}", state.quality)
             self.metrics.gauge(f"cascade.doubt.{name}", state.quality_deviation)
@@ -176,12 +195,15 @@
 
 
 def accepts_ratings(version: Version | None) -> bool:
-    """Says whether ratings of a version are of use."""
+    """Returns whether ratings of a version are used.
+
+    Those of unknown and of withdrawn versions are not.
+    """
     return version is not None and version.state is not VersionState.WITHDRAWN
 
 
 def make_item(client: str, sample: Sample) -> RatingItem:
-    """Returns the item for a sample."""
+    """Returns the item to submit for a sample."""
     rated = sample.rated
     return RatingItem(
         client,
@@ -194,7 +216,7 @@
 
 
 def prompt_text(request: RouteRequest) -> str:
-    """Returns the text of a request's messages."""
+    """Returns the contents of a request's messages, one per line."""
     return "\n".join(
         str(message.get("content", ""))
         for message in request.body.get("messages", [])
