--- a/src/rattanpier/_internal/cascade/services.py
+++ b/src/rattanpier/_internal/cascade/services.py
@@ -1,4 +1,4 @@
-"""Adds the cascade's parts to an entry."""
+"""Sets up the cascade services of an entry."""
 
 from __future__ import annotations
 
@@ -16,7 +16,10 @@
 
 
 def add_cascade(kernel: Kernel) -> CascadePolicy:
-    """Adds the learner and, where a rating service is set, its loop."""
+    """Adds the learner and, if a rating service is configured, its loop.
+
+    Returns the policy.
+    """
     follower = kernel.find("follower")
     members = kernel.find("members")
     settings = kernel.find("settings")
@@ -60,7 +63,7 @@
 
 
 def share_ratings(kernel: Kernel, loop: RatingLoop) -> None:
-    """Passes ratings on to other entries, and takes theirs."""
+    """Exchanges ratings with the other entries."""
     members = kernel.find("members")
     sharing = RatingSharing(
         members.me.incarnation,
