--- a/src/rattanpier/_internal/cascade/sharing.py
+++ b/src/rattanpier/_internal/cascade/sharing.py
@@ -1,8 +1,8 @@
-"""Passes ratings on between entries, so that each learns from all.
+"""Exchanges ratings between entries, so that each learns from all.
 
-Notices go along a ring of the entries. They may be lost, repeated or
-reordered: a repeated one teaches nothing, and a lost one costs a little
-learning. Each entry decides by its own configuration what it learns from.
+Notices are forwarded along the ring of entries. They may be lost, duplicated
+or reordered: duplicates are ignored, and a lost notice only slows learning.
+Each entry decides by its own configuration which ratings it uses.
 """
 
 from __future__ import annotations
@@ -21,28 +21,30 @@
 from rattanpier._internal.utils.clock import Clock
 from rattanpier._internal.utils.metrics import Metrics
 
-RATE_PER_S = 10.0  # Ratings taken; three times what 200 workspaces give.
+RATE_PER_S = 10.0  # Ratings; three times the rate of 200 workspaces.
 BURST = 300.0
-MAX_SEEN = (
-    4096  # Ratings remembered as heard: minutes, where copies take seconds.
-)
-MAX_HOPS = 16  # The ring of 420 members is crossed in 13.
+# Ratings remembered to detect duplicates: they cover minutes, while duplicates
+# arrive within seconds.
+MAX_SEEN = 4096
+MAX_HOPS = 16  # A ring of 420 members needs 13.
 
 SendNotice = Callable[[peer_pb2.Notice], None]
 
 
 @attrs.define
 class RatingSharing:
-    """Tells other entries of ratings, and learns from theirs.
+    """Publishes ratings to the other entries and learns from theirs.
 
     Attributes:
-      origin: Name of this start of the entry; no other has it.
-      learner: Learns from the ratings of others, too.
-      spread: Sends a notice to a few entries; must not block.
-      sequence: Number of the last rating told.
-      heard: Origin and number of ratings taken, oldest first.
-      tokens: Ratings that may be taken now.
-      filled_at: Seconds of the clock up to which tokens were added.
+      origin: Incarnation of this entry; unique among all entries.
+      learner: Learns from the ratings of the other entries.
+      send_notice: Sends a notice to the neighbours; must not block.
+      clock: Clock.
+      metrics: Receives counts.
+      sequence: Number of the last published rating.
+      seen: Origins and numbers of received ratings, oldest first.
+      tokens: Ratings that the rate limit allows now.
+      refilled_at: Clock time in seconds of the last refill of the tokens.
     """
 
     origin: str
@@ -60,7 +62,7 @@
     )
 
     def publish(self, update: RatingUpdate) -> None:
-        """Tells others of a rating that was learned from here."""
+        """Publishes a rating that this entry learned from."""
         if not self.try_acquire():
             self.metrics.count("cascade.shared.too_many")
             return
@@ -70,12 +72,12 @@
         self.send_notice(notice)
 
     def receive(self, notice: peer_pb2.Notice) -> None:
-        """Takes in a rating of another entry."""
+        """Applies a rating of another entry and counts the outcome."""
         outcome = self.apply(notice)
         self.metrics.count(f"cascade.shared.{outcome}")
 
     def apply(self, notice: peer_pb2.Notice) -> str:
-        """Learns from a rating and passes it on; returns what became of it."""
+        """Learns from a rating and forwards it; returns the outcome."""
         body = notice.rated
         key = (body.origin, body.sequence)
         if body.origin == self.origin or key in self.seen:
@@ -93,13 +95,13 @@
         return "good" if body.good else "poor"
 
     def record_seen(self, key: tuple[str, int]) -> None:
-        """Remembers a rating; forgets the oldest where there are too many."""
+        """Records a received rating; forgets the oldest beyond MAX_SEEN."""
         self.seen[key] = None
         if len(self.seen) > MAX_SEEN:
             del self.seen[next(iter(self.seen))]
 
     def forward(self, notice: peer_pb2.Notice) -> None:
-        """Passes a rating on, unless it went far enough."""
+        """Forwards a rating unless it has reached MAX_HOPS."""
         if notice.rated.hops >= MAX_HOPS:
             return
         forwarded = peer_pb2.Notice()
@@ -108,7 +110,10 @@
         self.send_notice(forwarded)
 
     def try_acquire(self) -> bool:
-        """Takes a token, if there is one: bounds work and traffic."""
+        """Takes a token; returns whether one was available.
+
+        The limit bounds the work and the traffic that ratings cause.
+        """
         now = self.clock.monotonic()
         refilled = (now - self.refilled_at) * RATE_PER_S
         self.tokens = min(BURST, self.tokens + refilled)
@@ -122,7 +127,7 @@
 def make_notice(
     origin: str, sequence: int, update: RatingUpdate
 ) -> peer_pb2.Notice:
-    """Returns the notice of a rating."""
+    """Returns the notice to send for a rating."""
     return peer_pb2.Notice(
         rated=peer_pb2.Rated(
             origin=origin,
@@ -136,7 +141,7 @@
 
 
 def read_rated_answer(learner: Learner, body: peer_pb2.Rated) -> RatedAnswer:
-    """Returns what a notice teaches, with this entry's class numbers."""
+    """Returns the answer of a notice, with the class numbers of this entry."""
     facts = f.AnswerFacts(
         body.class_name,
         body.length,
@@ -149,7 +154,12 @@
 
 
 def read_bin(body: peer_pb2.Rated, name: str) -> int | None:
-    """Returns a bin of confidence, or None where there is none."""
+    """Returns a confidence bin, or None if the field is not set.
+
+    Args:
+      body: The rating.
+      name: Name of the field.
+    """
     if not body.HasField(name):
         return None
     return min(f.CONFIDENCE_BINS - 1, getattr(body, name))
@@ -158,9 +168,9 @@
 def neighbour_sender(
     me: str, entries: Callable[[], Iterable[Member]], links: Links
 ) -> SendNotice:
-    """Returns what sends a notice to the neighbours among the entries.
+    """Returns a function that sends a notice to the neighbours on the ring.
 
-    Control processes learn nothing; the ring leaves them out.
+    The ring consists of entries only, as control processes don't learn.
     """
 
     def send_notice(notice: peer_pb2.Notice) -> None:
