--- a/tests/failure/test_cascade_ratings.py
+++ b/tests/failure/test_cascade_ratings.py
@@ -13,7 +13,7 @@
 )
 
 
-async def test_requests_go_on_while_the_rating_service_is_down():
+async def test_requests_are_answered_while_the_rating_service_is_down():
     harness = CascadeHarness(small_fails_legal)
     harness.service.down = True
     ran = await harness.run(400)
@@ -31,13 +31,13 @@
     assert harness.metrics.counts["cascade.sample.dropped"] > 0
 
 
-async def test_an_exhausted_budget_buys_nothing_more():
+async def test_an_exhausted_budget_stops_requests_for_ratings():
     harness = CascadeHarness(small_fails_legal, budget=5)
     await harness.run(3600)
     assert 0 < len(harness.service.items) <= 5
 
 
-async def test_poisoned_ratings_of_a_withdrawn_version_teach_nothing():
+async def test_ratings_of_a_withdrawn_version_are_ignored():
     harness = CascadeHarness(small_fails_legal)
     harness.service.keep_back = True
     await harness.run(300)
@@ -51,7 +51,7 @@
     assert SMALL not in harness.learner.quality_model.shared
 
 
-async def test_unknown_repeated_and_late_ratings_teach_nothing():
+async def test_unknown_repeated_and_late_ratings_are_ignored():
     harness = CascadeHarness(small_fails_legal)
     harness.service.keep_back = True
     await harness.run(100)
@@ -66,7 +66,7 @@
     assert harness.loop.apply_result(RatingResult(4, name, True)) == "late"
 
 
-async def test_a_step_that_may_not_serve_is_never_named():
+async def test_never_escalates_to_a_version_that_may_not_serve():
     harness = CascadeHarness(lambda item: item.version == LARGE)
     await harness.run(1500, (LEGAL,))
 
--- a/tests/functional/test_cascade.py
+++ b/tests/functional/test_cascade.py
@@ -8,13 +8,13 @@
 from tests.lib.builders import DESK_KEY, LARGE, SMALL, configuration_text
 from tests.lib.cluster import Cluster, wait_for
 
-FAILS_ON = "legal"
+FAILED_TASK = "legal"
 BATCH = 20
-LEARNING_S = 60.0
-ENOUGH_RATINGS = 200
-NO_PROBES = 0
-EASY_TARGET = 0.8
-MANY_RATINGS = 1_000_000
+LEARNING_TIMEOUT_S = 60.0
+MIN_RATINGS = 200
+NO_RATINGS = 0
+LOW_TARGET = 0.8
+UNLIMITED_RATINGS = 1_000_000
 
 
 def cascade_text(url, rating_budget, target=0.9):
@@ -48,9 +48,9 @@
             "ratings",
             "--delay_s=0.1",
             f"--fails={SMALL}",
-            f"--fails_on={FAILS_ON}",
+            f"--fails_on={FAILED_TASK}",
         )
-        text = cascade_text(cluster.urls["engine"], MANY_RATINGS)
+        text = cascade_text(cluster.urls["engine"], UNLIMITED_RATINGS)
         await cluster.apply(text)
         await cluster.start_entry("entry-1")
         yield cluster
@@ -89,14 +89,14 @@
         return answered, [run["version"] for run in ran]
 
 
-async def in_force(cluster, caller, target=0.9):
+async def stop_probes(cluster, caller, target=0.9):
     """Stops the buying of ratings and waits until it has stopped."""
-    text = cascade_text(cluster.urls["engine"], NO_PROBES, target)
+    text = cascade_text(cluster.urls["engine"], NO_RATINGS, target)
     await cluster.apply(text, revision=2)
 
     async def quiet():
         # A probe runs the cheap version too; none must be left.
-        runs = [await caller.batch(FAILS_ON) for _ in range(3)]
+        runs = [await caller.batch(FAILED_TASK) for _ in range(3)]
         return all(SMALL not in ran for _, ran in runs)
 
     await wait_for(quiet)
@@ -107,14 +107,14 @@
 
     async def learned():
         chat, _ = await caller.batch("chat")
-        legal, _ = await caller.batch(FAILS_ON)
-        if len(await cluster.runs("ratings")) < ENOUGH_RATINGS:
+        legal, _ = await caller.batch(FAILED_TASK)
+        if len(await cluster.runs("ratings")) < MIN_RATINGS:
             return False
         return chat.count(SMALL) >= BATCH - 2 and legal == [LARGE] * BATCH
 
-    await wait_for(learned, LEARNING_S)
-    await in_force(cluster, caller)
-    answered, ran = await caller.batch(FAILS_ON)
+    await wait_for(learned, LEARNING_TIMEOUT_S)
+    await stop_probes(cluster, caller)
+    answered, ran = await caller.batch(FAILED_TASK)
     assert answered == [LARGE] * BATCH
     assert ran == [LARGE] * BATCH  # The cheap version is not even asked.
     answered, ran = await caller.batch("chat")
@@ -128,20 +128,20 @@
 
     async def learned():
         chat, _ = await caller.batch("chat")
-        await caller.batch(FAILS_ON)
-        if len(await cluster.runs("ratings")) < ENOUGH_RATINGS:
+        await caller.batch(FAILED_TASK)
+        if len(await cluster.runs("ratings")) < MIN_RATINGS:
             return False
         return chat.count(SMALL) >= BATCH - 2
 
-    await wait_for(learned, LEARNING_S)
+    await wait_for(learned, LEARNING_TIMEOUT_S)
     # At 0.9 the other entry stays strong: see docs/design/cascade.md.
-    await in_force(cluster, caller, EASY_TARGET)
+    await stop_probes(cluster, caller, LOW_TARGET)
     other = Caller(cluster, "entry-2")
     # Without what it heard it would ask the strong version for both.
     answered, ran = await other.batch("chat")
     assert answered.count(SMALL) >= BATCH - 2
     assert ran.count(SMALL) >= BATCH - 2
-    answered, ran = await other.batch(FAILS_ON)
+    answered, ran = await other.batch(FAILED_TASK)
     assert answered == [LARGE] * BATCH
     assert ran == [LARGE] * BATCH
     # Ratings of the first entry's last answers may come this late.
--- a/tests/unit/test_cascade_change.py
+++ b/tests/unit/test_cascade_change.py
@@ -27,14 +27,14 @@
     return detector.alarms
 
 
-def test_takes_chance_for_a_change_no_oftener_than_promised():
+def test_false_alarms_stay_within_the_documented_rate():
     runs, count = 20, 3000
     found = sum(alarms(count, lambda share: share, n) for n in range(runs))
     assert found <= runs * count / math.exp(CHANGE_THRESHOLD)
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_notices_a_fall_within_the_ratings_of_an_hour(seed):
+def test_detects_a_degraded_version_within_120_ratings(seed):
     def fallen(expected):
         odds = expected / (1 - expected) / 4.5  # 1.5 log-odds worse.
         return odds / (1 + odds)
--- a/tests/unit/test_cascade_learned.py
+++ b/tests/unit/test_cascade_learned.py
@@ -13,7 +13,7 @@
 )
 
 
-async def test_skips_the_cheap_step_just_for_the_class_that_fails():
+async def test_skips_the_cheap_step_only_for_the_class_it_fails():
     harness = CascadeHarness(small_fails_legal)
     await harness.run(1500)
     harness.budget = 0
@@ -28,7 +28,7 @@
     assert share_of_runs(ran[CHAT], [LARGE]) == 1.0
 
 
-async def test_notices_that_the_cheap_version_turned_bad():
+async def test_detects_that_the_cheap_version_degraded():
     harness = CascadeHarness(small_fails_legal)
     await harness.run(1500)
     harness.service.is_good = lambda item: item.version == LARGE
@@ -38,7 +38,7 @@
     assert answered_by_small <= 0.1
 
 
-async def test_goes_back_to_strong_as_evidence_ages():
+async def test_returns_to_the_strong_version_as_evidence_decays():
     harness = CascadeHarness(small_fails_legal)
     await harness.run(1500)
     harness.budget = 0
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("share", [0, 1, 7, 60])
-def test_never_spends_more_than_the_share_in_an_hour(share):
+def test_never_exceeds_the_share_in_any_hour(share):
     budget = RatingBudget(0.0)
     spent = [now for now in range(4 * 3600) if try_acquire(budget, share, now)]
     for start in range(0, 3 * 3600, 100):
@@ -58,7 +58,7 @@
     assert len(spent) >= 3 * share
 
 
-async def test_spends_ratings_where_doubt_is_largest():
+async def test_samples_most_where_the_uncertainty_is_largest():
     harness = CascadeHarness(small_fails_legal, budget=600)
     await harness.run(600, (CHAT,))
     before = len(harness.service.items)
--- a/tests/unit/test_cascade_policy.py
+++ b/tests/unit/test_cascade_policy.py
@@ -23,7 +23,7 @@
         (None, Verdict.ESCALATE, 1),
     ],
 )
-def test_threshold_decides(confidence, verdict, at):
+def test_threshold_accepts_or_escalates(confidence, verdict, at):
     policy = fixed_threshold(0.6)
     progress = policy.begin(build_request(), [SMALL, LARGE], "r1")
     answer = StepAnswer("text", "stop", None, confidence)
@@ -31,7 +31,7 @@
     assert progress.step == at
 
 
-def test_goes_past_a_step_that_may_not_serve():
+def test_escalation_skips_a_version_that_may_not_serve():
     policy = fixed_threshold(0.6)
     progress = policy.begin(build_request(), [SMALL, "mid@1", LARGE], "r1")
     answer = StepAnswer("text", "stop", None, 0.1)
@@ -40,7 +40,7 @@
     assert progress.version == LARGE
 
 
-def test_accepts_where_no_stronger_step_may_serve():
+def test_accepts_if_no_stronger_version_may_serve():
     policy = fixed_threshold(0.6)
     progress = policy.begin(build_request(), [SMALL, LARGE], "r1")
     answer = StepAnswer("text", "stop", None, 0.1)
--- a/tests/unit/test_cascade_sharing.py
+++ b/tests/unit/test_cascade_sharing.py
@@ -60,14 +60,14 @@
         assert share_of_runs(ran[LEGAL], [LARGE]) > 0.9
 
 
-async def test_an_entry_that_hears_nothing_stays_with_the_strong_version():
+async def test_an_entry_without_notices_stays_with_the_strong_version():
     harnesses = await train_first_entry(loss=1.0)
     assert learned_ratings(harnesses["e2"]) == 0
     ran = await harnesses["e2"].run(400)
     assert share_of_runs(ran[CHAT], [SMALL]) == 0
 
 
-async def test_repeated_and_reordered_notices_teach_once():
+async def test_duplicated_and_reordered_notices_count_once():
     harnesses = await train_first_entry(copies=3, reorder=True)
     own_ratings = learned_ratings(harnesses["e1"])
     assert own_ratings > 0
@@ -85,7 +85,7 @@
     assert share_of_runs(ran[LEGAL], [LARGE]) > 0.9
 
 
-def test_a_rating_means_the_same_whatever_number_the_class_has():
+def test_a_rating_applies_to_its_class_despite_different_numbers():
     harnesses = SharedHarnesses(("e1", "e2"), small_fails_legal)
     harnesses["e2"].begin(LEGAL)  # Takes the number that chat has at e1.
     rated = harnesses["e1"].learner.rated_answer("desk", SMALL, FACTS)
@@ -106,7 +106,7 @@
     )
 
 
-def test_facts_survive_the_notice():
+def test_a_notice_preserves_the_answer_facts():
     facts = AnswerFacts("auto task=chat", 7, True, None, 0, True)
     notice = s.make_notice("o1", 1, make_update(facts=facts))
     learner = CascadeHarness(small_fails_legal).learner
@@ -116,7 +116,7 @@
     assert np.array_equal(rated.features, expected)
 
 
-async def test_anothers_rating_costs_no_budget_and_is_no_news():
+async def test_a_received_rating_uses_no_budget_and_emits_no_update():
     harnesses = SharedHarnesses(("e1", "e2"), small_fails_legal)
     followed = []
     harnesses["e2"].loop.updates.subscribe(followed.append)
@@ -127,7 +127,7 @@
     assert not harnesses["e2"].sampler.budget("desk").acquired_at
 
 
-def test_a_withdrawn_version_teaches_nothing_and_goes_no_further():
+def test_ratings_of_a_withdrawn_version_are_ignored_and_not_forwarded():
     harnesses = SharedHarnesses(("e1", "e2"), small_fails_legal)
     harnesses["e2"].versions[SMALL] = Version("small", VersionState.WITHDRAWN)
     harnesses.sharing["e1"].publish(make_update())
@@ -138,7 +138,7 @@
     assert harnesses["e2"].metrics.counts["cascade.shared.withdrawn"] == 1
 
 
-def test_a_flood_is_bounded():
+def test_a_flood_of_ratings_is_rate_limited():
     harnesses = SharedHarnesses(("e1", "e2"), small_fails_legal)
     sent = []
     sharing = harnesses.sharing["e2"]
@@ -155,7 +155,7 @@
     assert len(sent) == s.BURST + s.RATE_PER_S
 
 
-def test_memory_of_heard_ratings_is_bounded_and_notices_end():
+def test_memory_of_seen_ratings_is_bounded_and_forwarding_ends():
     sharing = SharedHarnesses(("e1",), small_fails_legal).sharing["e1"]
     for number in range(s.MAX_SEEN + 10):
         sharing.record_seen(("o9", number))
@@ -168,7 +168,7 @@
     assert sent == []
 
 
-def test_every_entry_of_a_large_fleet_hears_it_once():
+def test_each_entry_of_a_large_fleet_learns_from_a_rating_once():
     names = [f"entry-{number}" for number in range(420)]
     harnesses = SharedHarnesses(names, small_fails_legal)
     harnesses.sharing[random.Random(1).choice(names)].publish(make_update())
