--- a/tests/unit/test_cascade_learned.py
+++ b/tests/unit/test_cascade_learned.py
@@ -1,4 +1,4 @@
-"""What the learned policy makes of ratings."""
+"""Decisions of the learned policy from ratings."""
 
 import pytest
 
