--- a/tests/unit/test_cascade_estimate.py
+++ b/tests/unit/test_cascade_estimate.py
@@ -1,4 +1,4 @@
-"""What operators are told about a cascade."""
+"""Estimate of a cascade that operators see."""
 
 from rattanpier._internal.cascade.estimate import estimate_cascade
 from tests.lib.builders import LARGE, SMALL, build_request
