--- a/tests/unit/test_cascade_policy.py
+++ b/tests/unit/test_cascade_policy.py
@@ -1,4 +1,4 @@
-"""The interface of a cascade's policy."""
+"""Fixed-threshold and always-strong cascade policies."""
 
 import pytest
 
