--- a/tests/unit/test_cascade_sharing.py
+++ b/tests/unit/test_cascade_sharing.py
@@ -1,4 +1,8 @@
-"""Entries learn from each other's ratings."""
+"""Exchange of ratings between entries.
+
+Notices may be lost, duplicated or reordered without harm, and a flood of them
+must not overload an entry.
+"""
 
 import random
 
@@ -37,11 +41,11 @@
 
 
 async def train_first_entry(names=("e1", "e2", "e3"), **faults):
-    """Lets the first entry learn alone; the others have no budget."""
+    """Lets only the first entry request ratings; the others have no budget."""
     harnesses = SharedHarnesses(names, small_fails_legal, **faults)
     for name in names[1:]:
         harnesses[name].budget = NO_BUDGET
-        # The numbers of the classes differ from entry to entry.
+        # Makes the class numbers differ between the entries.
         harnesses[name].begin(LEGAL)
     for _ in range(REQUESTS // 100):
         await harnesses[names[0]].run(100)
@@ -87,7 +91,7 @@
 
 def test_a_rating_applies_to_its_class_despite_different_numbers():
     harnesses = SharedHarnesses(("e1", "e2"), small_fails_legal)
-    harnesses["e2"].begin(LEGAL)  # Takes the number that chat has at e1.
+    harnesses["e2"].begin(LEGAL)  # Gets the class number that chat has on e1.
     rated = harnesses["e1"].learner.rated_answer("desk", SMALL, FACTS)
     harnesses["e1"].learner.learn(rated, False)
     harnesses.sharing["e1"].publish(make_update(good=False))
