--- a/tests/lib/cascades.py
+++ b/tests/lib/cascades.py
@@ -1,4 +1,4 @@
-"""Builders for tests of cascades."""
+"""Test harnesses for cascades: a learned policy with fake ratings."""
 
 import random
 
@@ -18,11 +18,11 @@
 
 CHAT, LEGAL = "chat", "legal"
 STEPS = (SMALL, LARGE)
-REQUEST_INTERVAL_S = 1.0  # Between two requests.
+REQUEST_INTERVAL_S = 1.0  # Time between two requests.
 
 
 class FakeRatings:
-    """A rating service in this process; a function says what is good."""
+    """In-process rating service; `is_good` decides the ratings."""
 
     def __init__(self, is_good):
         self.is_good = is_good
@@ -48,7 +48,7 @@
 
 
 class CascadeHarness:
-    """A learned policy with its ratings, on a clock that the test turns."""
+    """A learned policy and its rating loop, on a manual clock."""
 
     def __init__(self, is_good, budget=3600, target=0.9):
         self.clock = ManualClock()
@@ -92,7 +92,7 @@
         return self.policy.begin(request, STEPS, f"r{self.number}")
 
     def answer(self, task, may_serve=lambda version: True):
-        """Answers one request; returns the versions that ran."""
+        """Runs one request; returns the versions that ran."""
         progress = self.begin(task)
         ran = []
         while True:
@@ -103,7 +103,7 @@
                 return ran
 
     async def run(self, count, tasks=(CHAT, LEGAL)):
-        """Answers requests in turn; returns versions that ran, by task."""
+        """Runs requests of alternating tasks; returns their versions by task."""
         ran = {task: [] for task in tasks}
         for number in range(count):
             task = tasks[number % len(tasks)]
@@ -114,7 +114,7 @@
 
 
 class SharedHarnesses:
-    """Entries that tell each other of ratings, over notices with faults."""
+    """Entries that exchange ratings by notices over a faulty network."""
 
     def __init__(self, names, is_good, loss=0.0, copies=1, reorder=False):
         self.rng = random.Random(3)
@@ -142,7 +142,7 @@
         return sharing
 
     def deliver(self):
-        """Delivers notices until none is left."""
+        """Delivers notices until none is left, on synchronized clocks."""
         now = max(harness.clock.now for harness in self.harnesses.values())
         for harness in self.harnesses.values():
             harness.clock.now = now
@@ -154,7 +154,7 @@
 
 
 def share_of_runs(runs, ran):
-    """Returns the share of requests that ran on just these versions."""
+    """Returns the share of requests that ran on exactly these versions."""
     return sum(run == list(ran) for run in runs) / len(runs)
 
 
