--- a/tests/functional/test_cascade.py
+++ b/tests/functional/test_cascade.py
@@ -1,4 +1,4 @@
-"""A cascade learns from ratings, through separate processes."""
+"""A cascade learns from ratings, across separate processes."""
 
 import asyncio
 
@@ -57,7 +57,7 @@
 
 
 class Caller:
-    """Asks, and counts at the engine what ran."""
+    """Sends requests and reads from the engine which versions ran."""
 
     def __init__(self, cluster, entry="entry-1"):
         self.cluster = cluster
@@ -71,7 +71,7 @@
 
     async def ask(self, task):
         self.number += 1
-        # No two callers ask the same: that would be one request, repeated.
+        # Identical requests of two callers would count as repeated ones.
         question = f"{task} question {self.number} at {self.entry}"
         answer = await self.api.chat.completions.create(
             model="auto",
@@ -90,12 +90,12 @@
 
 
 async def stop_probes(cluster, caller, target=0.9):
-    """Stops the buying of ratings and waits until it has stopped."""
+    """Sets the rating budget to 0 and waits until no probe runs."""
     text = cascade_text(cluster.urls["engine"], NO_RATINGS, target)
     await cluster.apply(text, revision=2)
 
     async def quiet():
-        # A probe runs the cheap version too; none must be left.
+        # Probes run the cheap version, too; none may be left.
         runs = [await caller.batch(FAILED_TASK) for _ in range(3)]
         return all(SMALL not in ran for _, ran in runs)
 
@@ -116,7 +116,7 @@
     await stop_probes(cluster, caller)
     answered, ran = await caller.batch(FAILED_TASK)
     assert answered == [LARGE] * BATCH
-    assert ran == [LARGE] * BATCH  # The cheap version is not even asked.
+    assert ran == [LARGE] * BATCH  # The cheap version does not run at all.
     answered, ran = await caller.batch("chat")
     assert answered.count(SMALL) >= BATCH - 2
     assert ran.count(SMALL) >= BATCH - 2
@@ -137,14 +137,14 @@
     # At 0.9 the other entry stays strong: see docs/design/cascade.md.
     await stop_probes(cluster, caller, LOW_TARGET)
     other = Caller(cluster, "entry-2")
-    # Without what it heard it would ask the strong version for both.
+    # Without received ratings it would use the strong version for both.
     answered, ran = await other.batch("chat")
     assert answered.count(SMALL) >= BATCH - 2
     assert ran.count(SMALL) >= BATCH - 2
     answered, ran = await other.batch(FAILED_TASK)
     assert answered == [LARGE] * BATCH
     assert ran == [LARGE] * BATCH
-    # Ratings of the first entry's last answers may come this late.
+    # Only ratings of the first entry may exist, even late ones.
     raters = {run["client"] for run in await cluster.runs("ratings")}
     assert all(client.startswith("entry-1/") for client in raters)
 
