--- a/tests/failure/test_cascade_ratings.py
+++ b/tests/failure/test_cascade_ratings.py
@@ -1,4 +1,7 @@
-"""Faults of the rating service, and steps that may not serve."""
+"""Faults of the rating service, and steps that may not serve.
+
+None of them may stop requests, exceed the budget or teach wrong things.
+"""
 
 from rattanpier._internal.cascade.policy import Verdict
 from rattanpier._internal.cascade.ratings import MAX_AGE_S, MAX_QUEUED
@@ -76,7 +79,7 @@
     for _ in range(300):
         progress = harness.begin(LEGAL)
         if progress.version == LARGE:
-            continue  # Dispatch refuses it: its own check, its own test.
+            continue  # Refused by dispatch, which has its own test.
         from rattanpier._internal.cascade.policy import StepAnswer
 
         verdict = harness.policy.evaluate(
