--- a/tests/functional/test_cascade.py
+++ b/tests/functional/test_cascade.py
@@ -144,7 +144,7 @@
     answered, ran = await other.batch(FAILED_TASK)
     assert answered == [LARGE] * BATCH
     assert ran == [LARGE] * BATCH
-    # Only ratings of the first entry may exist, even late ones.
+    # Late ratings of the first entry may still arrive; the other requests none.
     raters = {run["client"] for run in await cluster.runs("ratings")}
     assert all(client.startswith("entry-1/") for client in raters)
 
--- a/tests/lib/cascades.py
+++ b/tests/lib/cascades.py
@@ -103,7 +103,7 @@
                 return ran
 
     async def run(self, count, tasks=(CHAT, LEGAL)):
-        """Runs requests of alternating tasks; returns their versions by task."""
+        """Runs requests of alternating tasks; returns the versions by task."""
         ran = {task: [] for task in tasks}
         for number in range(count):
             task = tasks[number % len(tasks)]
