--- a/benchmarks/cascade.py
+++ b/benchmarks/cascade.py
@@ -1,8 +1,8 @@
-"""Cost at equal quality of cascades, against baselines, in one run.
+"""Compares the cost of cascade policies at equal quality with baselines.
 
 Run from the root: `python -m benchmarks.cascade`. Seeds 1 to 3 were used for
-tuning and are not among the reported ones. `python -m benchmarks.cascade ours`
-leaves out the baselines that the policy's own changes don't move.
+tuning and are not reported. `python -m benchmarks.cascade ours` skips the
+baselines that don't depend on the learned policy.
 """
 
 from __future__ import annotations
@@ -29,15 +29,29 @@
 TUNING_SEEDS = (1, 2, 3)
 HELD_OUT_SEEDS = (101, 102)
 WORKLOADS = {"federation": federation, "tuakana": tuakana}
-THRESHOLD = 0.6  # The one that served best on the tuning seed.
-THRESHOLDS = np.arange(0.3, 1.0, 0.05)  # For the one picked in hindsight.
+THRESHOLD = 0.6  # Performed best on the tuning seed.
+THRESHOLDS = np.arange(0.3, 1.0, 0.05)  # Candidates in hindsight.
 PROCESSES = 6
 OUTPUT_DIR = pathlib.Path("out")
 
 
 @attrs.frozen
 class Row:
-    """A line of the table: one policy on one run."""
+    """Result of one policy on one trace.
+
+    Attributes:
+      workload: Name of the workload.
+      shift: Name of the shift.
+      seed: Seed of the trace.
+      policy: Name of the policy.
+      cost_to_strong: Cost relative to the policy that is always strong.
+      cost_to_oracle: Cost relative to the oracle.
+      worst: Lowest quality of a workspace, in percentage points above its
+        target.
+      below: Number of workspaces below their target.
+      worst_late: Like `worst`, for the last third of the run.
+      ratings: Number of paid ratings.
+    """
 
     workload: str
     shift: str
@@ -52,9 +66,9 @@
 
 
 def hindsight_threshold(trace: Trace) -> Result:
-    """Returns the cheapest single threshold that meets every target.
+    """Returns the result of the lowest threshold that meets every target.
 
-    If none does, the highest one.
+    If none does, it is that of the highest threshold.
     """
     targets = np.array([c.target for c in trace.workload.customers])
     for threshold in THRESHOLDS:
@@ -68,7 +82,7 @@
 def policies(
     shift: str, seed: int, ours_only: bool
 ) -> dict[str, PolicyFactory]:
-    """Returns the policies of a run, by name."""
+    """Returns the factories of the policies of a run, by name."""
     made = {"ours": make_learned()}
     if not ours_only:
         cheap_first = make_static(fixed_threshold(THRESHOLD))
@@ -81,7 +95,7 @@
 
 
 def run_one(workload: str, shift: str, seed: int, ours_only: bool) -> list[Row]:
-    """Runs every policy on one drawn run."""
+    """Runs every policy on one generated trace."""
     trace = draw(WORKLOADS[workload](), shift, seed)
     strong = run_policy("always strong", make_static(always_strong()), trace)
     best = oracle(trace)
@@ -105,7 +119,7 @@
     best: Result,
     trace: Trace,
 ) -> Row:
-    """Returns the line of a result."""
+    """Returns the row for a result."""
     targets = np.array([c.target for c in trace.workload.customers])
     margin = result.quality() - targets
     late = result.late_good / np.maximum(1, result.late_count) - targets
@@ -124,7 +138,7 @@
 
 
 def table(rows: list[Row]) -> str:
-    """Returns the table in Markdown."""
+    """Returns the results as a Markdown table."""
     lines = [
         "| workload | shift | seed | policy | cost / strong | cost / oracle "
         "| worst workspace, points over target | workspaces below "
@@ -141,7 +155,7 @@
 
 
 def plot(rows: list[Row], path: pathlib.Path) -> None:
-    """Draws cost against the worst workspace's quality."""
+    """Plots the cost against the quality of the worst workspace."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -168,7 +182,7 @@
 
 
 def main() -> None:
-    """Runs everything, prints the table, and draws the plot."""
+    """Runs all policies, prints the table and writes the plot."""
     ours_only = sys.argv[1:] == ["ours"]
     runs = [
         (workload, shift, seed, ours_only)
