--- a/benchmarks/cascade_bound.py
+++ b/benchmarks/cascade_bound.py
@@ -1,11 +1,11 @@
-"""What a policy could reach at best with what the cascade may know.
-
-Run from the root: `python -m benchmarks.cascade_bound`. For each class and
-length of prompt the chance of a good answer and the cost are taken from many
-drawn runs, for every threshold on the confidence. The cheapest thresholds that
-meet each workspace's target on average follow. Such a policy knows all of this
-without a rating and needs no margin, so that no policy that has to learn, and
-decides by the same features, costs less but by chance.
+"""Computes a lower bound on the cost of policies with the same features.
+
+Run from the root: `python -m benchmarks.cascade_bound`. The probability of a
+good answer and the cost are estimated from many generated traces, for each
+class, prompt length and confidence threshold. From these follow the cheapest
+thresholds that meet the target of each workspace on average. Such a policy
+needs no ratings and no margin, so a policy that has to learn and uses the same
+features is cheaper only by chance.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from benchmarks.cascade_run import oracle
 from benchmarks.workloads import Trace, draw, federation
 
-SEEDS = range(1001, 1021)  # Neither tuning nor held-back ones.
+SEEDS = range(1001, 1021)  # Neither used for tuning nor held out.
 SURPLUSES = (0.0, 0.005, 0.01, 0.02, 0.03)
 START_STRONG = 9.0
 THRESHOLDS = np.array([*np.arange(0.0, 1.03, 0.025), START_STRONG])
@@ -27,12 +27,12 @@
 
 @attrs.frozen
 class Choices:
-    """What each threshold yields in each cell.
+    """Outcome of each threshold in each cell.
 
     Attributes:
       quality: [cell, threshold] share of good answers.
-      cost: [cell, threshold] credits a request.
-      counts: [cell, workspace] requests.
+      cost: [cell, threshold] credits per request.
+      counts: [cell, workspace] number of requests.
     """
 
     quality: np.ndarray
@@ -41,13 +41,13 @@
 
 
 def request_cells(trace: Trace) -> np.ndarray:
-    """Returns the number of each request's cell."""
+    """Returns the cell number of each request."""
     length = np.round(np.log2(trace.prompt_tokens + 1)).astype(int)
     return trace.label * LENGTH_BINS + length
 
 
 def collect_choices(traces: list[Trace]) -> Choices:
-    """Returns what two steps yield by threshold."""
+    """Returns the outcomes of a two-step cascade by threshold."""
     cells = np.concatenate([request_cells(trace) for trace in traces])
     confidence = np.concatenate([trace.confidence[:, 0] for trace in traces])
     good = np.concatenate([trace.good for trace in traces])
@@ -71,7 +71,7 @@
 def at_price(
     choices: Choices, counts: np.ndarray, price: float
 ) -> tuple[float, float]:
-    """Returns quality and total cost at a price of quality."""
+    """Returns the quality and the total cost at a price of quality."""
     best = (price * choices.quality - choices.cost).argmax(axis=1)
     rows = np.arange(len(best))
     quality = counts @ choices.quality[rows, best] / counts.sum()
@@ -79,7 +79,10 @@
 
 
 def least_cost(choices: Choices, counts: np.ndarray, target: float) -> float:
-    """Returns the least cost, requests shared out between two prices."""
+    """Returns the lowest cost that meets a target.
+
+    Requests are divided between two prices so that the target is met exactly.
+    """
     low, high = 0.0, MAX_PRICE
     for _ in range(BISECTION_STEPS):
         middle = (low + high) / 2
@@ -96,7 +99,7 @@
 
 
 def main() -> None:
-    """Prints the bound for federation, steady."""
+    """Prints the bound for the steady federation workload."""
     traces = [draw(federation(), "steady", seed) for seed in SEEDS]
     choices = collect_choices(traces)
     strong = sum(float(trace.costs()[:, -1].sum()) for trace in traces)
