--- a/benchmarks/cascade_run.py
+++ b/benchmarks/cascade_run.py
@@ -1,4 +1,4 @@
-"""Runs a policy over a drawn workload."""
+"""Runs a cascade policy over a generated trace."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @attrs.define
 class RunClock:
-    """The clock of a run."""
+    """Simulated clock of a run."""
 
     now: float = 0.0
 
@@ -43,27 +43,26 @@
         return self.now
 
     def time(self) -> float:
-        """Returns the same."""
+        """Returns the same as `monotonic`."""
         return self.now
 
     async def sleep(self, seconds: float) -> None:
-        """Is not used."""
+        """Must not be called: nothing in a run sleeps."""
         raise AssertionError("nothing sleeps in a run")
 
 
 @attrs.frozen
 class Result:
-    """What a run cost and yielded; arrays over workspaces.
+    """Totals of a run; arrays are by workspace.
 
     Attributes:
-      policy: Its name.
+      policy: Name of the policy.
       cost: Credits.
-      good: Answers rated good.
-      late_good: Those of the last third.
-      count: Requests.
-      late_count: Those of the last third.
-      ratings: Ratings paid for.
-      steps: Requests by the step that answered.
+      good: Number of good answers.
+      late_good: Number of good answers in the last third of the run.
+      count: Number of requests.
+      late_count: Number of requests in the last third of the run.
+      ratings: Number of paid ratings.
     """
 
     policy: str
@@ -81,7 +80,14 @@
 
 @attrs.define
 class Rating:
-    """A rating as it comes back."""
+    """A rating that arrives after its delay.
+
+    Attributes:
+      workspace: Workspace of the request.
+      version: Version that answered.
+      sample: What the policy passed to `Run.rate`.
+      good: Whether the answer was rated good.
+    """
 
     workspace: str
     version: str
@@ -96,11 +102,15 @@
 
 @attrs.define
 class Run:
-    """One run.
+    """State of a run.
 
     Attributes:
-      pending: Ratings under way, by time of arrival.
-      paid: Ratings paid for, by workspace.
+      trace: The generated requests and answers.
+      clock: Simulated clock.
+      pending: Heap of ratings under way, by time of arrival.
+      sequence: Numbers that order ratings with the same time of arrival.
+      paid: Number of paid ratings, by workspace.
+      current: Index of the current request.
     """
 
     trace: Trace
@@ -118,7 +128,14 @@
     def rate(
         self, workspace: str, version: str, sample: object, prompt: bool = False
     ) -> None:
-        """Sends the present request's answer of a version to be rated."""
+        """Requests a rating of a version's answer to the current request.
+
+        Args:
+          workspace: Workspace that pays.
+          version: Version that answered.
+          sample: Returned with the rating.
+          prompt: Whether the rating arrives without delay.
+        """
         step = self.steps.index(version)
         self.paid[workspace] = self.paid.get(workspace, 0) + 1
         delay = 0.0 if prompt else self.trace.delay[self.current, step]
@@ -167,14 +184,14 @@
 
 
 def any_version(_version: str) -> bool:
-    """Every version may serve in a run."""
+    """Returns True: every version may serve in a run."""
     return True
 
 
 def answer_request(
     run: Run, policy: CascadePolicy, index: int, costs: np.ndarray
 ) -> tuple[float, int]:
-    """Answers one request; returns credits and the step that answered."""
+    """Runs one request; returns its credits and the step that answered."""
     trace = run.trace
     request = run.request(index)
     progress = policy.begin(request, run.steps, str(index))
@@ -191,7 +208,7 @@
 
 
 def run_policy(name: str, make: PolicyFactory, trace: Trace) -> Result:
-    """Runs a policy over a whole trace."""
+    """Runs a policy over a complete trace."""
     run = Run(trace)
     policy, apply_rating = make(run)
     costs = trace.costs()
@@ -219,7 +236,7 @@
     good: np.ndarray,
     ratings: np.ndarray,
 ) -> Result:
-    """Adds up a run by workspace."""
+    """Sums up a run by workspace."""
     size = len(trace.workload.customers)
 
     def by_workspace(weights: np.ndarray) -> np.ndarray:
@@ -238,11 +255,11 @@
 
 
 def make_learned(share: float = 1.0, prompt: bool = False) -> PolicyFactory:
-    """Returns the maker of the product's policy.
+    """Returns the factory of the learned policy.
 
     Args:
-      share: Part of the rating budget that this entry has.
-      prompt: True to rate without limit and without delay.
+      share: Share of the rating budget that this entry has.
+      prompt: Whether to rate without limit and without delay.
     """
 
     def make(run: Run) -> tuple[CascadePolicy, Callable[[Rating], None]]:
@@ -268,15 +285,16 @@
 
 
 def make_static(policy: CascadePolicy) -> PolicyFactory:
-    """Returns the maker of a policy that learns nothing."""
+    """Returns the factory of a policy that does not learn."""
     return lambda run: (policy, lambda rating: None)
 
 
 def make_calibrated() -> PolicyFactory:
-    """Returns the maker of a threshold steered by each workspace's ratings.
+    """Returns the factory of a threshold that follows the ratings.
 
-    Ratings of answers that were given move the threshold until the share of
-    good ones is the target: no classes, no start at a later step.
+    Ratings of final answers move the threshold of a workspace until the share
+    of good ones equals the target. The policy distinguishes no classes and
+    always starts at the first step.
     """
     gain, first = 0.02, 0.9
 
@@ -318,11 +336,12 @@
 
 
 def oracle(trace: Trace) -> Result:
-    """Returns the cheapest way to the targets if all ratings are known.
+    """Returns the lowest cost of meeting the targets if all ratings are known.
 
-    Each request goes at once to the cheapest version whose answer is rated
-    good; where none is, or more than the target would be good, to the
-    cheapest. Saving the dearest first is optimal within a workspace.
+    Each request is sent directly to the cheapest version whose answer is rated
+    good, or to the cheapest version if there is none or if the target is met
+    without it. Replacing the most expensive requests first is optimal within
+    a workspace.
     """
     costs = trace.costs()
     chosen = np.where(trace.good, costs, np.inf).argmin(axis=1)
