--- a/benchmarks/cascade_bound.py
+++ b/benchmarks/cascade_bound.py
@@ -81,7 +81,8 @@
 def least_cost(choices: Choices, counts: np.ndarray, target: float) -> float:
     """Returns the lowest cost that meets a target.
 
-    Requests are divided between two prices so that the target is met exactly, if it can be.
+    Requests are divided between two prices so that the target is met exactly,
+    if it can be.
     """
     low, high = 0.0, MAX_PRICE
     for _ in range(BISECTION_STEPS):
