--- a/src/rattanpier/_internal/cascade/learned_policy.py
+++ b/src/rattanpier/_internal/cascade/learned_policy.py
@@ -109,7 +109,8 @@
     def should_sample(self, workspace: str, cell: Cell) -> bool:
         """Returns whether to sample a request of a cell.
 
-        The probability is proportional to the uncertainty of the cell.
+        The probability is proportional to the uncertainty of the cell, and at
+        least MIN_PROBABILITY while the budget allows a rating.
         """
         now = self.learner.clock.monotonic()
         share = self.hourly_share(workspace)
