--- a/benchmarks/cascade_run.py
+++ b/benchmarks/cascade_run.py
@@ -1,4 +1,4 @@
-"""Runs a policy over a drawn workload."""
+"""Runs a cascade policy over a generated trace."""
 
 from __future__ import annotations
 
@@ -11,15 +11,19 @@
 import numpy as np
 
 from benchmarks.workloads import HOUR_S, HOURS, Trace
-from rattanpier._internal.cascade.learned import Sample, Sampler, learned
+from rattanpier._internal.cascade.learned_policy import (
+    Sample,
+    Sampler,
+    learned_policy,
+)
 from rattanpier._internal.cascade.learner import Learner
 from rattanpier._internal.cascade.policy import (
     CascadePolicy,
+    CascadeProgress,
     MayServe,
     StepAnswer,
     Verdict,
-    Walk,
-    go_on,
+    escalate,
 )
 from rattanpier._internal.dispatch.engine import Usage
 from rattanpier._internal.models.configuration import Version, Workspace
@@ -30,7 +34,7 @@
 
 @attrs.define
 class RunClock:
-    """The clock of a run."""
+    """Simulated clock of a run."""
 
     now: float = 0.0
 
@@ -39,27 +43,26 @@
         return self.now
 
     def time(self) -> float:
-        """Returns the same."""
+        """Returns the same as `monotonic`."""
         return self.now
 
     async def sleep(self, seconds: float) -> None:
-        """Is not used."""
+        """Must not be called: nothing in a run sleeps."""
         raise AssertionError("nothing sleeps in a run")
 
 
 @attrs.frozen
 class Result:
-    """What a run cost and yielded; arrays over workspaces.
+    """Totals of a run; arrays are by workspace.
 
     Attributes:
-      policy: Its name.
+      policy: Name of the policy.
       cost: Credits.
-      good: Answers rated good.
-      late_good: Those of the last third.
-      count: Requests.
-      late_count: Those of the last third.
-      ratings: Ratings paid for.
-      steps: Requests by the step that answered.
+      good: Number of good answers.
+      late_good: Number of good answers in the last third of the run.
+      count: Number of requests.
+      late_count: Number of requests in the last third of the run.
+      ratings: Number of paid ratings.
     """
 
     policy: str
@@ -77,7 +80,14 @@
 
 @attrs.define
 class Rating:
-    """A rating as it comes back."""
+    """A rating that arrives after its delay.
+
+    Attributes:
+      workspace: Workspace of the request.
+      version: Version that answered.
+      sample: What the policy passed to `Run.rate`.
+      good: Whether the answer was rated good.
+    """
 
     workspace: str
     version: str
@@ -85,22 +95,28 @@
     good: bool
 
 
-Make = Callable[["Run"], tuple[CascadePolicy, Callable[[Rating], None]]]
+PolicyFactory = Callable[
+    ["Run"], tuple[CascadePolicy, Callable[[Rating], None]]
+]
 
 
 @attrs.define
 class Run:
-    """One run.
+    """State of a run.
 
     Attributes:
-      pending: Ratings under way, by time of arrival.
-      paid: Ratings paid for, by workspace.
+      trace: The generated requests and answers.
+      clock: Simulated clock.
+      pending: Heap of ratings under way, by time of arrival.
+      sequence: Numbers that order ratings with the same time of arrival.
+      paid: Number of paid ratings, by workspace.
+      current: Index of the current request.
     """
 
     trace: Trace
     clock: RunClock = attrs.Factory(RunClock)
     pending: list = attrs.Factory(list)
-    numbers: itertools.count = attrs.Factory(itertools.count)
+    sequence: itertools.count = attrs.Factory(itertools.count)
     paid: dict[str, int] = attrs.Factory(dict)
     current: int = 0
 
@@ -112,13 +128,20 @@
     def rate(
         self, workspace: str, version: str, sample: object, prompt: bool = False
     ) -> None:
-        """Sends the present request's answer of a version to be rated."""
+        """Requests a rating of a version's answer to the current request.
+
+        Args:
+          workspace: Workspace that pays.
+          version: Version that answered.
+          sample: Returned with the rating.
+          prompt: Whether the rating arrives without delay.
+        """
         step = self.steps.index(version)
         self.paid[workspace] = self.paid.get(workspace, 0) + 1
         delay = 0.0 if prompt else self.trace.delay[self.current, step]
         good = bool(self.trace.good[self.current, step])
         rating = Rating(workspace, version, sample, good)
-        item = (self.clock.now + delay, next(self.numbers), rating)
+        item = (self.clock.now + delay, next(self.sequence), rating)
         heapq.heappush(self.pending, item)
 
     def request(self, index: int) -> RouteRequest:
@@ -160,34 +183,34 @@
         return None
 
 
-def everything(_version: str) -> bool:
-    """Every version may serve in a run."""
+def any_version(_version: str) -> bool:
+    """Returns True: every version may serve in a run."""
     return True
 
 
-def walk_through(
+def answer_request(
     run: Run, policy: CascadePolicy, index: int, costs: np.ndarray
 ) -> tuple[float, int]:
-    """Answers one request; returns credits and the step that answered."""
+    """Runs one request; returns its credits and the step that answered."""
     trace = run.trace
     request = run.request(index)
-    walk = policy.begin(request, run.steps, str(index))
+    progress = policy.begin(request, run.steps, str(index))
     cost = 0.0
     while True:
-        at = walk.at
-        cost += costs[index, at]
+        step = progress.step
+        cost += costs[index, step]
         usage = Usage(request.prompt_tokens, int(trace.output_tokens[index]))
         answer = StepAnswer(
-            "", "stop", usage, float(trace.confidence[index, at])
+            "", "stop", usage, float(trace.confidence[index, step])
         )
-        if policy.judge(walk, answer, everything) is Verdict.ACCEPT:
-            return cost, at
+        if policy.evaluate(progress, answer, any_version) is Verdict.ACCEPT:
+            return cost, step
 
 
-def run_policy(name: str, make: Make, trace: Trace) -> Result:
-    """Runs a policy over a whole trace."""
+def run_policy(name: str, make: PolicyFactory, trace: Trace) -> Result:
+    """Runs a policy over a complete trace."""
     run = Run(trace)
-    policy, take = make(run)
+    policy, apply_rating = make(run)
     costs = trace.costs()
     total = np.zeros(len(trace.at))
     answered = np.zeros(len(trace.at), int)
@@ -195,10 +218,12 @@
         while run.pending and run.pending[0][0] <= at:
             due, _, rating = heapq.heappop(run.pending)
             run.clock.now = max(run.clock.now, due)
-            take(rating)
+            apply_rating(rating)
         run.clock.now = at
         run.current = index
-        total[index], answered[index] = walk_through(run, policy, index, costs)
+        total[index], answered[index] = answer_request(
+            run, policy, index, costs
+        )
     good = trace.good[np.arange(len(answered)), answered]
     paid = [run.paid.get(c.name, 0) for c in trace.workload.customers]
     return summarise(name, trace, total, good, np.array(paid))
@@ -211,7 +236,7 @@
     good: np.ndarray,
     ratings: np.ndarray,
 ) -> Result:
-    """Adds up a run by workspace."""
+    """Sums up a run by workspace."""
     size = len(trace.workload.customers)
 
     def by_workspace(weights: np.ndarray) -> np.ndarray:
@@ -229,12 +254,12 @@
     )
 
 
-def make_learned(share: float = 1.0, prompt: bool = False) -> Make:
-    """Returns the maker of the product's policy.
+def make_learned(share: float = 1.0, prompt: bool = False) -> PolicyFactory:
+    """Returns the factory of the learned policy.
 
     Args:
-      share: Part of the rating budget that this entry has.
-      prompt: True to rate without limit and without delay.
+      share: Share of the rating budget that this entry has.
+      prompt: Whether to rate without limit and without delay.
     """
 
     def make(run: Run) -> tuple[CascadePolicy, Callable[[Rating], None]]:
@@ -250,25 +275,26 @@
             rated = sample.rated
             run.rate(rated.workspace, rated.version, rated, prompt)
 
-        def take(rating: Rating) -> None:
+        def apply_rating(rating: Rating) -> None:
             learner.learn(rating.sample, rating.good)
 
         sampler = Sampler(learner, random.Random(7), budget)
-        return learned(learner, sampler, send), take
+        return learned_policy(learner, sampler, send), apply_rating
 
     return make
 
 
-def make_plain(policy: CascadePolicy) -> Make:
-    """Returns the maker of a policy that learns nothing."""
+def make_static(policy: CascadePolicy) -> PolicyFactory:
+    """Returns the factory of a policy that does not learn."""
     return lambda run: (policy, lambda rating: None)
 
 
-def make_calibrated() -> Make:
-    """Returns the maker of a threshold steered by each workspace's ratings.
+def make_calibrated() -> PolicyFactory:
+    """Returns the factory of a threshold that follows the ratings.
 
-    Ratings of answers that were given move the threshold until the share of
-    good ones is the target: no classes, no start at a later step.
+    Ratings of final answers move the threshold of a workspace until the share
+    of good ones equals the target. The policy distinguishes no classes and
+    always starts at the first step.
     """
     gain, first = 0.02, 0.9
 
@@ -279,22 +305,24 @@
 
         def begin(
             request: RouteRequest, steps: tuple[str, ...], request_id: str
-        ) -> Walk:
-            return Walk(request, tuple(steps), 0, request_id)
+        ) -> CascadeProgress:
+            return CascadeProgress(request, tuple(steps), 0, request_id)
 
-        def judge(walk: Walk, answer: StepAnswer, may: MayServe) -> Verdict:
-            name = walk.request.workspace
+        def evaluate(
+            progress: CascadeProgress, answer: StepAnswer, may: MayServe
+        ) -> Verdict:
+            name = progress.request.workspace
             threshold = thresholds.setdefault(name, first)
-            if not walk.is_last and (answer.confidence or 0.0) < threshold:
-                return go_on(walk, may)
+            if not progress.is_last and (answer.confidence or 0.0) < threshold:
+                return escalate(progress, may)
             customer = next(
                 c for c in run.trace.workload.customers if c.name == name
             )
             if rng.random() < customer.budget / (customer.rate * HOUR_S):
-                run.rate(name, walk.version, None)
+                run.rate(name, progress.version, None)
             return Verdict.ACCEPT
 
-        def take(rating: Rating) -> None:
+        def apply_rating(rating: Rating) -> None:
             known = run.workspace(rating.workspace)
             credit[rating.workspace] = rating.good - known.quality_target
             moved = thresholds[rating.workspace] - gain * (
@@ -302,17 +330,18 @@
             )
             thresholds[rating.workspace] = min(1.01, max(0.0, moved))
 
-        return CascadePolicy(begin, judge), take
+        return CascadePolicy(begin, evaluate), apply_rating
 
     return make
 
 
 def oracle(trace: Trace) -> Result:
-    """Returns the cheapest way to the targets if all ratings are known.
+    """Returns the lowest cost of meeting the targets if all ratings are known.
 
-    Each request goes at once to the cheapest version whose answer is rated
-    good; where none is, or more than the target would be good, to the
-    cheapest. Saving the dearest first is optimal within a workspace.
+    Each request is sent directly to the cheapest version whose answer is rated
+    good, or to the cheapest version if there is none or if the target is met
+    without it. Replacing the most expensive requests first is optimal within
+    a workspace.
     """
     costs = trace.costs()
     chosen = np.where(trace.good, costs, np.inf).argmin(axis=1)
@@ -323,8 +352,8 @@
         good = trace.good[mine].any(axis=1)
         wanted = int(np.ceil(customer.target * len(mine)))
         spare = max(0, int(good.sum()) - wanted)
-        dearest = mine[np.argsort(-extra[mine])][:spare]
-        chosen[dearest] = 0
+        mean_max_cost = mine[np.argsort(-extra[mine])][:spare]
+        chosen[mean_max_cost] = 0
     return summarise(
         "oracle",
         trace,
--- a/src/rattanpier/_internal/cascade/paths.py
+++ b/src/rattanpier/_internal/cascade/paths.py
@@ -1,9 +1,10 @@
-"""Expected quality and cost of every way through a cascade.
+"""Plans a cascade by backward induction over its steps.
 
-Works backwards from the last step, for all cells of the same steps at once.
-The value of quality against cost is one number, the price of quality: a step
-is accepted where going on would cost more than the quality it adds is worth.
-Arrays have the axes [cell, bin of the rejected answer, bin of the answer].
+Expected quality and cost are computed from the last step to the first, for
+all cells with the same steps at once. The trade-off is one number, the price
+of quality: an answer is accepted if escalating costs more than the additional
+quality is worth. Arrays have the axes [cell, bin of the rejected answer, bin
+of the answer] unless noted otherwise.
 """
 
 from __future__ import annotations
@@ -14,30 +15,32 @@
 import numpy as np
 
 from rattanpier._internal.cascade import features as f
-from rattanpier._internal.cascade.beliefs import sigmoid
+from rattanpier._internal.cascade.quality_model import sigmoid
 
 QUALITY, COST, FIRST_GRADIENT = 0, 1, 2
-GRADIENT = 6  # For each step: weight, confidence, earlier one, escalated.
-LEAST_SHARE = 0.5  # An answer worse than this is not accepted knowingly.
-OWN_PLACES = slice(f.CONFIDENCE, f.SIZE)
+GRADIENT_SIZE = 6  # Per step: score, confidence (2), earlier (2), escalated.
+# Worse answers are only accepted if escalating is not expected to help.
+MIN_ACCEPTED_QUALITY = 0.5
+CONFIDENCE_FEATURES = slice(f.CONFIDENCE, f.FEATURE_COUNT)
 
 
 @attrs.frozen
-class StepView:
-    """One step of some cells' cascade as believed now.
+class StepEstimate:
+    """Current estimates for one step, for cells with the same steps.
 
     Attributes:
       score: [cell] log-odds of a good answer without the confidences.
-      own: Weights of the answer's own confidence.
-      earlier: Weights of the confidence of the answer rejected before.
-      escalated: Weight of having rejected one.
-      moderation: [cell] factor on log-odds, for doubt.
+      confidence: [2] weights of the answer's confidence.
+      earlier: [2] weights of the confidence of the previously rejected answer.
+      escalated: Weight of having rejected an answer.
+      moderation: [cell] factor on the log-odds that accounts for the
+        uncertainty of the weights.
       histogram: [cell, bin] distribution of the step's confidence.
-      cost: [cell] credits of one answer.
+      cost: [cell] credits for one answer.
     """
 
     score: np.ndarray
-    own: np.ndarray
+    confidence: np.ndarray
     earlier: np.ndarray
     escalated: float
     moderation: np.ndarray
@@ -47,7 +50,7 @@
 
 @attrs.frozen
 class CellPlan:
-    """How the requests of a cell are decided.
+    """The decisions for the requests of a cell.
 
     Attributes:
       start: Index of the step to start at.
@@ -63,13 +66,13 @@
 
 
 @attrs.frozen
-class Plans:
-    """The plans of some cells.
+class CellPlans:
+    """The plans of cells with the same steps.
 
     Attributes:
       starts: [cell] index of the best start.
       accepts: [cell, step, bin] whether an answer is accepted.
-      outcomes: [cell, start, number] quality, cost and gradients.
+      outcomes: [cell, start, value] quality, cost and gradients.
     """
 
     starts: np.ndarray
@@ -77,7 +80,7 @@
     outcomes: np.ndarray
 
     def best(self) -> np.ndarray:
-        """Returns the outcome of each cell's best start."""
+        """Returns the outcome of each cell's best start, [cell, value]."""
         return self.outcomes[np.arange(len(self.starts)), self.starts]
 
     def cell(self, index: int) -> CellPlan:
@@ -91,85 +94,114 @@
         )
 
 
-def good_shares(view: StepView, escalated: bool) -> np.ndarray:
-    """Returns the expected quality; without a rejected answer, one bin."""
-    score = view.score[:, None, None] + f.BIN_FEATURES @ view.own
+def expected_quality(estimate: StepEstimate, escalated: bool) -> np.ndarray:
+    """Returns the probabilities of a good answer.
+
+    Args:
+      estimate: Estimates for the step.
+      escalated: Whether an answer was rejected before. If not, the axis of
+        the rejected answer has length 1.
+    """
+    score = estimate.score[:, None, None] + f.BIN_FEATURES @ estimate.confidence
     if escalated:
-        earlier = f.BIN_FEATURES @ view.earlier
-        score = score + view.escalated + earlier[:, None]
-    return sigmoid(score * view.moderation[:, None, None])
+        earlier = f.BIN_FEATURES @ estimate.earlier
+        score = score + estimate.escalated + earlier[:, None]
+    return sigmoid(score * estimate.moderation[:, None, None])
 
 
-def accepted_here(
-    step: int, shares: np.ndarray, escalated: bool, size: int
+def accepted_outcome(
+    step: int, probabilities: np.ndarray, escalated: bool, size: int
 ) -> np.ndarray:
-    """Returns quality, cost and gradients if the answer is accepted."""
-    outcome = np.zeros((*shares.shape, size))
-    outcome[..., QUALITY] = shares
-    slope = shares * (1 - shares)
-    at = FIRST_GRADIENT + GRADIENT * step
-    outcome[..., at] = slope
-    outcome[..., at + 1 : at + 3] = slope[..., None] * f.BIN_FEATURES
+    """Returns the outcomes if the answer is accepted, in a last axis.
+
+    The cost is 0: the cost of the step is added by the caller. The gradients
+    are those of the quality with respect to the weights of the step; they
+    neglect the moderation factor.
+
+    Args:
+      step: Index of the step.
+      probabilities: Probabilities of a good answer.
+      escalated: Whether an answer was rejected before.
+      size: Number of values in an outcome.
+    """
+    outcome = np.zeros((*probabilities.shape, size))
+    outcome[..., QUALITY] = probabilities
+    slope = probabilities * (1 - probabilities)
+    offset = FIRST_GRADIENT + GRADIENT_SIZE * step
+    outcome[..., offset] = slope
+    outcome[..., offset + 1 : offset + 3] = slope[..., None] * f.BIN_FEATURES
     if escalated:
         earlier = f.BIN_FEATURES[:, None, :]
-        outcome[..., at + 3 : at + 5] = slope[..., None] * earlier
-        outcome[..., at + 5] = slope
+        outcome[..., offset + 3 : offset + 5] = slope[..., None] * earlier
+        outcome[..., offset + 5] = slope
     return outcome
 
 
-def fold(
+def evaluate_step(
     step: int,
-    view: StepView,
-    onward: np.ndarray | None,
+    estimate: StepEstimate,
+    continuation: np.ndarray | None,
     escalated: bool,
     price: float,
     size: int,
 ) -> tuple[np.ndarray, np.ndarray]:
-    """Returns outcomes by the bin rejected before, and what is accepted.
+    """Returns expected outcomes and the accepted bins of a step.
 
     Args:
       step: Index of the step.
-      view: The step as believed now.
-      onward: [cell, bin, number] outcomes of going on, or None.
-      escalated: True if an answer was rejected before.
+      estimate: Estimates for the step.
+      continuation: [cell, bin, value] outcomes of escalating from each bin,
+        or None for the last step.
+      escalated: Whether an answer was rejected before.
       price: Credits that one more good answer is worth.
-      size: Numbers in an outcome.
+      size: Number of values in an outcome.
+
+    Returns:
+      [cell, bin of the rejected answer, value] outcomes, averaged over the
+      confidence of the answer, and whether each answer is accepted.
     """
-    shares = good_shares(view, escalated)
-    outcome = accepted_here(step, shares, escalated, size)
-    accept = np.ones(shares.shape, bool)
-    if onward is not None:
-        worth = price * onward[..., QUALITY] - onward[..., COST]
-        accept = price * shares >= worth[:, None, :]
-        # A class is not given up because it is too rare to miss the target.
-        better = onward[:, None, :, QUALITY] > shares
-        accept &= (shares >= LEAST_SHARE) | ~better
-        outcome = np.where(accept[..., None], outcome, onward[:, None])
-    mean = np.matmul(view.histogram[:, None, None, :], outcome)[:, :, 0]
-    mean[..., COST] += view.cost[:, None]
+    probabilities = expected_quality(estimate, escalated)
+    outcome = accepted_outcome(step, probabilities, escalated, size)
+    accept = np.ones(probabilities.shape, bool)
+    if continuation is not None:
+        escalation_value = (
+            price * continuation[..., QUALITY] - continuation[..., COST]
+        )
+        accept = price * probabilities >= escalation_value[:, None, :]
+        # The target alone would sacrifice a class that is too rare to affect
+        # the mean quality of the workspace.
+        better = continuation[:, None, :, QUALITY] > probabilities
+        accept &= (probabilities >= MIN_ACCEPTED_QUALITY) | ~better
+        outcome = np.where(accept[..., None], outcome, continuation[:, None])
+    mean = np.matmul(estimate.histogram[:, None, None, :], outcome)[:, :, 0]
+    mean[..., COST] += estimate.cost[:, None]
     return mean, accept
 
 
-def plan_cells(views: Sequence[StepView], price: float) -> Plans:
-    """Returns the best ways through the cells' steps.
+def plan_cells(estimates: Sequence[StepEstimate], price: float) -> CellPlans:
+    """Returns the plans with the highest value at a price of quality.
 
     Args:
-      views: The steps.
+      estimates: Estimates for the steps, from cheap to strong.
       price: Credits that one more good answer is worth.
     """
-    size = FIRST_GRADIENT + GRADIENT * len(views)
-    onward: np.ndarray | None = None
+    size = FIRST_GRADIENT + GRADIENT_SIZE * len(estimates)
+    continuation: np.ndarray | None = None
     outcomes: list[np.ndarray] = []
     accepts: list[np.ndarray] = []
-    for step in reversed(range(len(views))):
-        started, accept = fold(step, views[step], onward, False, price, size)
+    for step in reversed(range(len(estimates))):
+        started, accept = evaluate_step(
+            step, estimates[step], continuation, False, price, size
+        )
         outcomes.append(started[:, 0])
         accepts.append(accept[:, 0])
         if step:
-            onward, _ = fold(step, views[step], onward, True, price, size)
+            continuation, _ = evaluate_step(
+                step, estimates[step], continuation, True, price, size
+            )
     by_start = np.stack(outcomes[::-1], axis=1)
     value = price * by_start[..., QUALITY] - by_start[..., COST]
-    return Plans(
+    return CellPlans(
         value.argmax(axis=1), np.stack(accepts[::-1], axis=1), by_start
     )
 
@@ -177,14 +209,16 @@
 def step_gradients(
     features: np.ndarray, outcomes: np.ndarray, step: int
 ) -> np.ndarray:
-    """Returns the sum over cells of a step's gradient over all weights.
+    """Returns the gradient of the quality by a step's weights, [feature].
 
     Args:
-      features: [cell, feature] known before dispatch.
-      outcomes: [cell, number] already weighted.
+      features: [cell, feature] features known before dispatch.
+      outcomes: [cell, value] outcomes, multiplied by the cell's share.
       step: Index of the step.
     """
-    at = FIRST_GRADIENT + GRADIENT * step
-    vector = outcomes[:, at] @ features
-    vector[OWN_PLACES] = outcomes[:, at + 1 : at + GRADIENT].sum(axis=0)
+    offset = FIRST_GRADIENT + GRADIENT_SIZE * step
+    vector = outcomes[:, offset] @ features
+    vector[CONFIDENCE_FEATURES] = outcomes[
+        :, offset + 1 : offset + GRADIENT_SIZE
+    ].sum(axis=0)
     return vector
--- a/src/rattanpier/_internal/cascade/services.py
+++ b/src/rattanpier/_internal/cascade/services.py
@@ -1,22 +1,25 @@
-"""Adds the cascade's parts to an entry."""
+"""Sets up the cascade services of an entry."""
 
 from __future__ import annotations
 
 import random
 
 from rattanpier._internal.cascade.budget import entry_share
-from rattanpier._internal.cascade.learned import Sampler, learned
+from rattanpier._internal.cascade.learned_policy import Sampler, learned_policy
 from rattanpier._internal.cascade.learner import Learner
 from rattanpier._internal.cascade.policy import CascadePolicy
 from rattanpier._internal.cascade.ratings import RatingLoop
-from rattanpier._internal.cascade.sharing import RatingSharing, ring_spread
+from rattanpier._internal.cascade.sharing import RatingSharing, neighbour_sender
 from rattanpier._internal.kernel import Kernel
 from rattanpier._internal.models.configuration import Version, Workspace
 from rattanpier._internal.store.ratings import HttpRatings
 
 
 def add_cascade(kernel: Kernel) -> CascadePolicy:
-    """Adds the learner and, where a rating service is set, its loop."""
+    """Adds the learner and, if a rating service is configured, its loop.
+
+    Returns the policy.
+    """
     follower = kernel.find("follower")
     members = kernel.find("members")
     settings = kernel.find("settings")
@@ -44,7 +47,7 @@
     rng = random.Random(settings.node.name)
     sampler = Sampler(learner, rng, share)
     if not url:
-        return learned(learner, sampler, lambda sample: None)
+        return learned_policy(learner, sampler, lambda sample: None)
     loop = RatingLoop(
         HttpRatings(kernel.find("http"), url, settings.platform.timeout_s),
         learner,
@@ -56,19 +59,21 @@
     kernel.add("ratings", loop)
     share_ratings(kernel, loop)
     kernel.spawn(loop.run(kernel))
-    return learned(learner, sampler, loop.send)
+    return learned_policy(learner, sampler, loop.enqueue)
 
 
 def share_ratings(kernel: Kernel, loop: RatingLoop) -> None:
-    """Passes ratings on to other entries, and takes theirs."""
+    """Exchanges ratings with the other entries."""
     members = kernel.find("members")
     sharing = RatingSharing(
         members.me.incarnation,
         loop.learner,
-        ring_spread(members.me.name, members.entries, kernel.find("links")),
+        neighbour_sender(
+            members.me.name, members.entries, kernel.find("links")
+        ),
         loop.clock,
         loop.metrics,
     )
-    loop.news.subscribe(sharing.tell)
+    loop.updates.subscribe(sharing.publish)
     kernel.find("peer_server").on_notice("rated", sharing.receive)
     kernel.add("rating_sharing", sharing)
--- a/src/rattanpier/_internal/programs/entry.py
+++ b/src/rattanpier/_internal/programs/entry.py
@@ -7,9 +7,9 @@
 import aiohttp
 import attrs
 
-from rattanpier._internal.cascade.ratings import RatingNews
+from rattanpier._internal.cascade.ratings import RatingUpdate
 from rattanpier._internal.cascade.services import add_cascade
-from rattanpier._internal.cascade.sharing import ring_spread
+from rattanpier._internal.cascade.sharing import neighbour_sender
 from rattanpier._internal.claims.service import Claims
 from rattanpier._internal.dispatch.budget import RetryBudget
 from rattanpier._internal.dispatch.claim_manager import ClaimManager
@@ -247,7 +247,7 @@
     entries = kernel.find("members").entries
     links = kernel.find("links")
     sharing = QuarantineSharing(
-        quarantine, ring_spread(settings.node.name, entries, links)
+        quarantine, neighbour_sender(settings.node.name, entries, links)
     )
     quarantine.on_update = sharing.schedule_publish
     kernel.find("peer_server").on_notice("spread", sharing.receive)
@@ -274,10 +274,10 @@
     if "ratings" not in kernel.services:
         return
 
-    def take(news: RatingNews) -> None:
+    def take(news: RatingUpdate) -> None:
         collector.take_rating(news.workspace, news.version, news.good)
 
-    kernel.find("ratings").news.subscribe(take)
+    kernel.find("ratings").updates.subscribe(take)
 
 
 def make_service_handler(
--- a/tests/lib/cascades.py
+++ b/tests/lib/cascades.py
@@ -1,8 +1,8 @@
-"""Builders for tests of cascades."""
+"""Test harnesses for cascades: a learned policy with fake ratings."""
 
 import random
 
-from rattanpier._internal.cascade.learned import Sampler, learned
+from rattanpier._internal.cascade.learned_policy import Sampler, learned_policy
 from rattanpier._internal.cascade.learner import Learner
 from rattanpier._internal.cascade.policy import StepAnswer, Verdict
 from rattanpier._internal.cascade.ratings import RatingLoop
@@ -18,11 +18,11 @@
 
 CHAT, LEGAL = "chat", "legal"
 STEPS = (SMALL, LARGE)
-PACE_S = 1.0  # Between two requests.
+REQUEST_INTERVAL_S = 1.0  # Time between two requests.
 
 
 class FakeRatings:
-    """A rating service in this process; a function says what is good."""
+    """In-process rating service; `is_good` decides the ratings."""
 
     def __init__(self, is_good):
         self.is_good = is_good
@@ -47,8 +47,8 @@
         ]
 
 
-class CascadeWorld:
-    """A learned policy with its ratings, on a clock that the test turns."""
+class CascadeHarness:
+    """A learned policy and its rating loop, on a manual clock."""
 
     def __init__(self, is_good, budget=3600, target=0.9):
         self.clock = ManualClock()
@@ -64,7 +64,7 @@
         self.learner = Learner(
             self.versions.get, lambda name: self.desk, self.clock
         )
-        self.policy_sampler = sampler = Sampler(
+        self.sampler = sampler = Sampler(
             self.learner,
             random.Random(1),
             lambda name: self.budget * self.loop.available,
@@ -78,7 +78,7 @@
             "e1/1",
             self.versions.get,
         )
-        self.policy = learned(self.learner, sampler, self.loop.send)
+        self.policy = learned_policy(self.learner, sampler, self.loop.enqueue)
         self.number = 0
 
     def begin(self, task):
@@ -92,60 +92,60 @@
         return self.policy.begin(request, STEPS, f"r{self.number}")
 
     def answer(self, task, may_serve=lambda version: True):
-        """Answers one request; returns the versions that ran."""
-        walk = self.begin(task)
+        """Runs one request; returns the versions that ran."""
+        progress = self.begin(task)
         ran = []
         while True:
-            ran.append(walk.version)
+            ran.append(progress.version)
             answer = StepAnswer("text", "stop", Usage(100, 50), 0.8)
-            verdict = self.policy.judge(walk, answer, may_serve)
+            verdict = self.policy.evaluate(progress, answer, may_serve)
             if verdict is Verdict.ACCEPT:
                 return ran
 
     async def run(self, count, tasks=(CHAT, LEGAL)):
-        """Answers requests in turn; returns versions that ran, by task."""
+        """Runs requests of alternating tasks; returns the versions by task."""
         ran = {task: [] for task in tasks}
         for number in range(count):
             task = tasks[number % len(tasks)]
             ran[task].append(self.answer(task))
-            self.clock.now += PACE_S
+            self.clock.now += REQUEST_INTERVAL_S
             await self.loop.step()
         return ran
 
 
-class SharedWorlds:
-    """Entries that tell each other of ratings, over notices with faults."""
+class SharedHarnesses:
+    """Entries that exchange ratings by notices over a faulty network."""
 
     def __init__(self, names, is_good, loss=0.0, copies=1, reorder=False):
         self.rng = random.Random(3)
         self.loss, self.copies, self.reorder = loss, copies, reorder
-        self.worlds = {name: CascadeWorld(is_good) for name in names}
+        self.harnesses = {name: CascadeHarness(is_good) for name in names}
         self.waiting = []
         self.sharing = {name: self.add(name) for name in names}
 
     def __getitem__(self, name):
-        return self.worlds[name]
+        return self.harnesses[name]
 
     def add(self, name):
-        world = self.worlds[name]
-        targets = neighbours(self.worlds, name)
+        harness = self.harnesses[name]
+        targets = neighbours(self.harnesses, name)
 
-        def spread(notice):
+        def send_notice(notice):
             for target in targets:
                 if self.rng.random() >= self.loss:
                     self.waiting += [(target, notice)] * self.copies
 
         sharing = RatingSharing(
-            name, world.learner, spread, world.clock, world.metrics
+            name, harness.learner, send_notice, harness.clock, harness.metrics
         )
-        world.loop.news.subscribe(sharing.tell)
+        harness.loop.updates.subscribe(sharing.publish)
         return sharing
 
     def deliver(self):
-        """Delivers notices until none is left."""
-        now = max(world.clock.now for world in self.worlds.values())
-        for world in self.worlds.values():
-            world.clock.now = now
+        """Delivers notices until none is left, on synchronized clocks."""
+        now = max(harness.clock.now for harness in self.harnesses.values())
+        for harness in self.harnesses.values():
+            harness.clock.now = now
         while self.waiting:
             if self.reorder:
                 self.rng.shuffle(self.waiting)
@@ -153,8 +153,8 @@
             self.sharing[target].receive(notice)
 
 
-def share_at(runs, ran):
-    """Returns the share of requests that ran on just these versions."""
+def share_of_runs(runs, ran):
+    """Returns the share of requests that ran on exactly these versions."""
     return sum(run == list(ran) for run in runs) / len(runs)
 
 
