--- a/src/rattanpier/_internal/programs/relay_listen.py
+++ b/src/rattanpier/_internal/programs/relay_listen.py
@@ -87,7 +87,7 @@
     until = time.monotonic() + START_WAIT_S
     while not entry.state.ready() and time.monotonic() < until:
         await asyncio.sleep(READY_POLL_S)
-    entry.edge.begun.set()
+    entry.edge.startup_done.set()
 
 
 async def open_address(
--- a/src/rattanpier/_internal/relay/edge.py
+++ b/src/rattanpier/_internal/relay/edge.py
@@ -46,16 +46,16 @@
 
     Attributes:
       decode: Returns what a request's headers say.
-      not_passed_on: Lower-case names of headers that no worker gets.
+      stripped_headers: Lower-case names of headers that no worker gets.
       refusal_headers: Returns the headers of a refusal.
     """
 
     decode: Callable[[Mapping[str, str]], CallerHeaders]
-    not_passed_on: frozenset[str]
+    stripped_headers: frozenset[str]
     refusal_headers: Callable[[str, float | None], list[Header]]
 
 
-class IntakeRefusedError(Exception):
+class RequestRefusedError(Exception):
     """A request is refused before it is dispatched."""
 
     def __init__(self, refusal: Refusal, status: int) -> None:
@@ -71,7 +71,7 @@
     Attributes:
       table: Returns the route table in force, None before the first.
       drain: Whether new requests are still taken.
-      begun: Set once requests can be served, or the start took too long.
+      startup_done: Set once requests can be served, or the start took too long.
         Those that come before wait: they would only be refused.
     """
 
@@ -81,7 +81,7 @@
     drain: DrainState
     clock: Clock
     metrics: Metrics
-    begun: asyncio.Event = attrs.Factory(asyncio.Event)
+    startup_done: asyncio.Event = attrs.Factory(asyncio.Event)
 
     async def handle(self, request: BaseRequest) -> StreamResponse:
         """Answers one request."""
@@ -91,12 +91,14 @@
         self.metrics.count("relay.request")
         try:
             try:
-                taken = await self.take_in(request, headers, arrived)
-            except IntakeRefusedError as error:
+                relay_request = await self.accept_request(
+                    request, headers, arrived
+                )
+            except RequestRefusedError as error:
                 return self.refuse(
                     headers.attempt_id, error.refusal, error.status, arrived
                 )
-            return await self.answer(request, taken)
+            return await self.answer(request, relay_request)
         except (asyncio.CancelledError, ConnectionError):
             self.metrics.count("relay.caller_left")
             log.info(
@@ -108,7 +110,7 @@
         finally:
             self.drain.leave()
 
-    async def take_in(
+    async def accept_request(
         self,
         request: BaseRequest,
         headers: CallerHeaders,
@@ -117,60 +119,60 @@
         """Checks a request against the table in force, and reads its body.
 
         Raises:
-          IntakeRefusedError: It is refused.
+          RequestRefusedError: It is refused.
         """
-        await self.begun.wait()
+        await self.startup_done.wait()
         table = self.table()
         if table is None:
-            raise not_ready()
+            raise not_ready_error()
         if not headers.attempt_id:
-            raise refused(
+            raise refusal_error(
                 RefusalCode.BAD_REQUEST, "The request has no id.", 400
             )
         path = request.raw_path.partition("?")[0]
         route = table.match(request.headers.get("Host", ""), path)
         if route is None:
-            raise refused(
+            raise refusal_error(
                 RefusalCode.UNKNOWN_PATH,
                 f"No route of version {table.version} has this host and path.",
                 404,
             )
         workspace = table.workspaces.get(headers.key)
         if table.keyed and workspace is None and not route.public:
-            raise refused(
+            raise refusal_error(
                 RefusalCode.BAD_KEY,
                 f"Version {table.version} does not know the key.",
                 401,
             )
         if not self.drain.takes(route.streaming):
-            raise leaving()
+            raise leaving_error()
         body = await self.read_body(request, table.limits.body_bytes)
-        wait_s = route.timeout_s
+        timeout_s = route.timeout_s
         if headers.deadline_s is not None:
-            wait_s = min(wait_s, headers.deadline_s)
+            timeout_s = min(timeout_s, headers.deadline_s)
         return RelayRequest(
             id=headers.attempt_id,
             method=request.method,
             target=request.raw_path,
             headers=pass_on(
-                request.headers.items(), self.dialect.not_passed_on
+                request.headers.items(), self.dialect.stripped_headers
             ),
             body=body,
             route=route,
             workspace=workspace,
             arrived=arrived,
-            deadline=arrived + wait_s,
+            deadline=arrived + timeout_s,
             session=headers.session,
             any_model=headers.any_model,
             prompt=headers.prompt,
             after_event=headers.after_event,
         )
 
-    async def read_body(self, request: BaseRequest, most: int) -> bytes:
+    async def read_body(self, request: BaseRequest, max_bytes: int) -> bytes:
         """Returns the whole body.
 
         Raises:
-          IntakeRefusedError: It is too long.
+          RequestRefusedError: It is too long.
         """
         if not request.body_exists:
             return b""
@@ -179,59 +181,62 @@
         data = bytearray()
         async for piece in request.content.iter_any():
             data += piece
-            if len(data) > most:
-                raise refused(
+            if len(data) > max_bytes:
+                raise refusal_error(
                     RefusalCode.BODY_TOO_LARGE,
-                    f"The body is longer than {most} bytes.",
+                    f"The body is longer than {max_bytes} bytes.",
                     413,
                 )
         return bytes(data)
 
     async def answer(
-        self, request: BaseRequest, taken: RelayRequest
+        self, request: BaseRequest, relay_request: RelayRequest
     ) -> StreamResponse:
         """Writes the parts of an answer as they come."""
         response: StreamResponse | None = None
-        times = PieceTimes(taken.arrived)
-        async with aclosing(answer(self.dispatcher, taken)) as parts:
+        times = PieceTimes(relay_request.arrived)
+        async with aclosing(answer(self.dispatcher, relay_request)) as parts:
             async for part in parts:
                 match part:
                     case WholeAnswer():
-                        self.note_end(taken, str(part.status), times)
-                        return self.make_whole(part)
+                        self.record_end(relay_request, str(part.status), times)
+                        return self.make_response(part)
                     case AnswerRefused(refusal, status):
                         return self.refuse(
-                            taken.id, refusal, status, taken.arrived
+                            relay_request.id,
+                            refusal,
+                            status,
+                            relay_request.arrived,
                         )
                     case AnswerBegun(status, headers):
-                        response = self.make_stream(status, headers)
+                        response = self.make_stream_response(status, headers)
                         await response.prepare(request)
                     case AnswerPiece(data):
-                        times.note(self.clock.monotonic())
+                        times.record_piece(self.clock.monotonic())
                         await response.write(data)  # type: ignore[union-attr]
                     case AnswerEnded():
-                        self.note_end(taken, "ended", times)
+                        self.record_end(relay_request, "ended", times)
                         await response.write_eof()  # type: ignore[union-attr]
                     case AnswerCut(reason):
-                        self.note_end(taken, f"cut: {reason}", times)
+                        self.record_end(relay_request, f"cut: {reason}", times)
                         # Without its end the answer does not look whole.
                         request.protocol.force_close()
         assert response is not None
         return response
 
-    def make_whole(self, answer: WholeAnswer) -> Response:
+    def make_response(self, answer: WholeAnswer) -> Response:
         """Returns the response for a worker's whole answer."""
         response = Response(status=answer.status, body=answer.body)
         self.copy_headers(response, answer.headers)
-        return self.let_go(response)
+        return self.close_if_leaving(response)
 
-    def make_stream(
+    def make_stream_response(
         self, status: int, headers: tuple[Header, ...]
     ) -> StreamResponse:
         """Returns the response for an answer that comes piece by piece."""
         response = StreamResponse(status=status)
         self.copy_headers(response, headers)
-        return self.let_go(response)
+        return self.close_if_leaving(response)
 
     def copy_headers(
         self, response: StreamResponse, headers: tuple[Header, ...]
@@ -265,31 +270,31 @@
             request_id, refusal.retry_after_s
         ):
             response.headers[name] = value
-        return self.let_go(response)
+        return self.close_if_leaving(response)
 
-    def let_go(self, response: StreamResponse) -> StreamResponse:
+    def close_if_leaving(self, response: StreamResponse) -> StreamResponse:
         """Ends the connection behind a response once the entry leaves."""
         if self.drain.leaving:
             response.force_close()
         return response
 
-    def note_end(
-        self, taken: RelayRequest, outcome: str, times: PieceTimes
+    def record_end(
+        self, relay_request: RelayRequest, outcome: str, times: PieceTimes
     ) -> None:
         """Logs and measures how a request ended."""
-        seconds = self.clock.monotonic() - taken.arrived
+        seconds = self.clock.monotonic() - relay_request.arrived
         self.metrics.count("relay.answered")
         self.metrics.timing("relay.request_s", seconds)
         log.info(
             "Answered.",
-            request=taken.id,
-            route=taken.route.name,
+            request=relay_request.id,
+            route=relay_request.route.name,
             outcome=outcome,
             pieces=times.pieces,
             first_s=round_for_log(times.first_s),
-            objective_s=taken.route.objective_s,
+            objective_s=relay_request.route.objective_s,
             longest_gap_s=round(times.longest_gap_s, 3),
-            allowed_gap_s=taken.route.event_gap_s,
+            allowed_gap_s=relay_request.route.event_gap_s,
             total_s=round(seconds, 3),
         )
 
@@ -312,7 +317,7 @@
     last_at: float = 0.0
     longest_gap_s: float = 0.0
 
-    def note(self, now: float) -> None:
+    def record_piece(self, now: float) -> None:
         """Takes in that a piece came."""
         if self.first_s is None:
             self.first_s = now - self.arrived
@@ -322,14 +327,16 @@
         self.last_at = now
 
 
-def refused(code: RefusalCode, message: str, status: int) -> IntakeRefusedError:
+def refusal_error(
+    code: RefusalCode, message: str, status: int
+) -> RequestRefusedError:
     """Returns the error for a request that was not sent anywhere."""
-    return IntakeRefusedError(Refusal(code, message, True), status)
+    return RequestRefusedError(Refusal(code, message, True), status)
 
 
-def not_ready() -> IntakeRefusedError:
+def not_ready_error() -> RequestRefusedError:
     """Returns the error for an entry that has no route table yet."""
-    return IntakeRefusedError(
+    return RequestRefusedError(
         Refusal(
             RefusalCode.NOT_CURRENT,
             "This entry has no routes yet.",
@@ -340,9 +347,9 @@
     )
 
 
-def leaving() -> IntakeRefusedError:
+def leaving_error() -> RequestRefusedError:
     """Returns the error for a request that comes too late in a planned stop."""
-    return IntakeRefusedError(
+    return RequestRefusedError(
         Refusal(
             RefusalCode.DRAINING,
             "This entry is leaving; ask another.",
