--- a/src/rattanpier/_internal/relay/edge.py
+++ b/src/rattanpier/_internal/relay/edge.py
@@ -1,4 +1,4 @@
-"""The caller edge of the relay: one HTTP/1.1 request in, its answer out."""
+"""HTTP/1.1 front end of the relay: receives requests and writes answers."""
 
 from __future__ import annotations
 
@@ -36,18 +36,20 @@
 
 log = structlog.get_logger(part="edge")
 
-NOT_READY_RETRY_S = 0.5  # A start takes about a second.
-LEAVING_RETRY_S = 0.05  # Another entry takes the request at once.
+NOT_READY_RETRY_S = 0.5  # An entry takes about a second to start.
+LEAVING_RETRY_S = 0.05  # Other entries accept the request immediately.
 
 
 @attrs.frozen
 class CallerDialect:
-    """How callers speak.
+    """Header conventions of the platform's callers.
 
     Attributes:
-      decode: Returns what a request's headers say.
-      stripped_headers: Lower-case names of headers that no worker gets.
-      refusal_headers: Returns the headers of a refusal.
+      decode: Decodes the headers of a request.
+      stripped_headers: Lower-case names of the headers that are not forwarded
+        to workers.
+      refusal_headers: Returns the headers of a refusal, given the id of the
+        request and the seconds after which to retry, or None.
     """
 
     decode: Callable[[Mapping[str, str]], CallerHeaders]
@@ -56,7 +58,12 @@
 
 
 class RequestRefusedError(Exception):
-    """A request is refused before it is dispatched."""
+    """A request is refused before it is dispatched.
+
+    Attributes:
+      refusal: The refusal that the caller receives.
+      status: HTTP status.
+    """
 
     def __init__(self, refusal: Refusal, status: int) -> None:
         super().__init__(refusal.message)
@@ -66,13 +73,17 @@
 
 @attrs.define(eq=False, repr=False)
 class RelayEdge:
-    """Serves callers.
+    """Serves the requests of callers.
 
     Attributes:
-      table: Returns the route table in force, None before the first.
-      drain: Whether new requests are still taken.
+      dispatcher: Sends requests to workers.
+      dialect: Header conventions of the callers.
+      table: Returns the route table in force, or None if there is none yet.
+      drain: State of a planned stop; decides whether new requests are accepted.
+      clock: Monotonic clock.
+      metrics: Receives counters and timings.
       startup_done: Set once requests can be served, or the start took too long.
-        Those that come before wait: they would only be refused.
+        Earlier requests wait for it, since they could only be refused.
     """
 
     dispatcher: Dispatcher
@@ -84,7 +95,12 @@
     startup_done: asyncio.Event = attrs.Factory(asyncio.Event)
 
     async def handle(self, request: BaseRequest) -> StreamResponse:
-        """Answers one request."""
+        """Answers one request.
+
+        Raises:
+          asyncio.CancelledError: The caller disconnected.
+          ConnectionError: The caller disconnected.
+        """
         self.drain.enter()
         arrived = self.clock.monotonic()
         headers = self.dialect.decode(request.headers)
@@ -116,10 +132,15 @@
         headers: CallerHeaders,
         arrived: float,
     ) -> RelayRequest:
-        """Checks a request against the table in force, and reads its body.
+        """Checks a request against the route table and reads its body.
+
+        Args:
+          request: Request as received.
+          headers: Its decoded headers.
+          arrived: Time of arrival, in monotonic seconds.
 
         Raises:
-          RequestRefusedError: It is refused.
+          RequestRefusedError: The request is refused.
         """
         await self.startup_done.wait()
         table = self.table()
@@ -169,10 +190,10 @@
         )
 
     async def read_body(self, request: BaseRequest, max_bytes: int) -> bytes:
-        """Returns the whole body.
+        """Returns the complete body of a request.
 
         Raises:
-          RequestRefusedError: It is too long.
+          RequestRefusedError: The body is longer than `max_bytes`.
         """
         if not request.body_exists:
             return b""
@@ -192,7 +213,7 @@
     async def answer(
         self, request: BaseRequest, relay_request: RelayRequest
     ) -> StreamResponse:
-        """Writes the parts of an answer as they come."""
+        """Writes the parts of an answer as they become available."""
         response: StreamResponse | None = None
         times = PieceTimes(relay_request.arrived)
         async with aclosing(answer(self.dispatcher, relay_request)) as parts:
@@ -219,13 +240,14 @@
                         await response.write_eof()  # type: ignore[union-attr]
                     case AnswerCut(reason):
                         self.record_end(relay_request, f"cut: {reason}", times)
-                        # Without its end the answer does not look whole.
+                        # Without the final chunk, the caller can tell that the
+                        # answer is incomplete.
                         request.protocol.force_close()
         assert response is not None
         return response
 
     def make_response(self, answer: WholeAnswer) -> Response:
-        """Returns the response for a worker's whole answer."""
+        """Returns the response for a worker's complete answer."""
         response = Response(status=answer.status, body=answer.body)
         self.copy_headers(response, answer.headers)
         return self.close_if_leaving(response)
@@ -233,7 +255,7 @@
     def make_stream_response(
         self, status: int, headers: tuple[Header, ...]
     ) -> StreamResponse:
-        """Returns the response for an answer that comes piece by piece."""
+        """Returns the response for a streamed answer."""
         response = StreamResponse(status=status)
         self.copy_headers(response, headers)
         return self.close_if_leaving(response)
@@ -241,7 +263,7 @@
     def copy_headers(
         self, response: StreamResponse, headers: tuple[Header, ...]
     ) -> None:
-        """Sets a worker's headers."""
+        """Copies the headers of a worker's answer; replaces any defaults."""
         for name in {name for name, _ in headers}:
             response.headers.popall(name, None)
         for name, value in headers:
@@ -250,7 +272,14 @@
     def refuse(
         self, request_id: str, refusal: Refusal, status: int, arrived: float
     ) -> Response:
-        """Returns a refusal and logs why."""
+        """Logs a refusal and returns the response for it.
+
+        Args:
+          request_id: Id of the request.
+          refusal: The refusal.
+          status: HTTP status.
+          arrived: Arrival of the request, in monotonic seconds.
+        """
         self.metrics.count(f"relay.answered.{status}")
         log.info(
             "Refused.",
@@ -273,7 +302,7 @@
         return self.close_if_leaving(response)
 
     def close_if_leaving(self, response: StreamResponse) -> StreamResponse:
-        """Ends the connection behind a response once the entry leaves."""
+        """Closes the connection after a response if the entry is leaving."""
         if self.drain.leaving:
             response.force_close()
         return response
@@ -281,7 +310,7 @@
     def record_end(
         self, relay_request: RelayRequest, outcome: str, times: PieceTimes
     ) -> None:
-        """Logs and measures how a request ended."""
+        """Logs the outcome of a request and records its duration."""
         seconds = self.clock.monotonic() - relay_request.arrived
         self.metrics.count("relay.answered")
         self.metrics.timing("relay.request_s", seconds)
@@ -301,14 +330,14 @@
 
 @attrs.define(eq=False, repr=False)
 class PieceTimes:
-    """When the pieces of an answer came.
+    """Arrival times of the pieces of an answer.
 
     Attributes:
-      arrived: The request, in monotonic seconds.
-      pieces: So far.
-      first_s: From the request to the first piece, None before it.
-      last_at: The newest piece, in monotonic seconds.
-      longest_gap_s: Between two pieces.
+      arrived: Arrival of the request, in monotonic seconds.
+      pieces: Number of pieces so far.
+      first_s: Seconds from the request to the first piece; None before it.
+      last_at: Arrival of the latest piece, in monotonic seconds.
+      longest_gap_s: Longest time between two pieces, in seconds.
     """
 
     arrived: float
@@ -318,7 +347,7 @@
     longest_gap_s: float = 0.0
 
     def record_piece(self, now: float) -> None:
-        """Takes in that a piece came."""
+        """Records a piece that arrived at `now`, in monotonic seconds."""
         if self.first_s is None:
             self.first_s = now - self.arrived
         else:
@@ -330,7 +359,7 @@
 def refusal_error(
     code: RefusalCode, message: str, status: int
 ) -> RequestRefusedError:
-    """Returns the error for a request that was not sent anywhere."""
+    """Returns the error for a request that was not sent to any worker."""
     return RequestRefusedError(Refusal(code, message, True), status)
 
 
@@ -348,7 +377,7 @@
 
 
 def leaving_error() -> RequestRefusedError:
-    """Returns the error for a request that comes too late in a planned stop."""
+    """Returns the error for a request that might outlast a planned stop."""
     return RequestRefusedError(
         Refusal(
             RefusalCode.DRAINING,
