--- a/src/rattanpier/_internal/relay/exchange.py
+++ b/src/rattanpier/_internal/relay/exchange.py
@@ -25,8 +25,8 @@
 from rattanpier._internal.relay.pool import ConnectionPool
 from rattanpier._internal.utils.headers import HOP_BY_HOP
 
-FIRST_FAILURE = 500
-NOT_COPIED = HOP_BY_HOP | {"content-length"}
+MIN_FAILURE_STATUS = 500
+DROPPED_HEADERS = HOP_BY_HOP | {"content-length"}
 
 
 class SendError(Exception):
@@ -75,14 +75,14 @@
       head: What it says.
       connection: Where its body comes from.
       deadline: Loop time past which nothing is waited for.
-      whole: The body's proper end came.
+      complete: The body's proper end came.
     """
 
     head: AnswerHead
     connection: WorkerConnection
     deadline: float
-    heard: Callable[[], None]
-    whole: bool = False
+    on_data: Callable[[], None]
+    complete: bool = False
 
     async def pieces(self) -> AsyncIterator[bytes]:
         """Yields the body; returns only at its proper end.
@@ -98,14 +98,14 @@
                     async with asyncio.timeout_at(self.deadline):
                         piece = await anext(body)
                 except StopAsyncIteration:
-                    self.whole = True
+                    self.complete = True
                     return
-                self.heard()
+                self.on_data()
                 yield piece
         except ConnectionBrokenError as error:
             raise SendError(f"answer is not whole: {error}") from error
 
-    async def read_all(self, most: int) -> bytes:
+    async def read_all(self, max_bytes: int) -> bytes:
         """Returns the whole body.
 
         Raises:
@@ -114,7 +114,7 @@
         data = bytearray()
         async for piece in self.pieces():
             data += piece
-            if len(data) > most:
+            if len(data) > max_bytes:
                 raise SendError("answer is too long")
         return bytes(data)
 
@@ -127,15 +127,16 @@
       pool: For the connections.
       dialect: Of the workers.
       loads: Is told what the answers say of load.
-      hear: Told what a worker's answer says, and when its request was sent, in
+      on_answer: Told what a worker's answer says, and when its request was
+        sent, in
         monotonic seconds.
     """
 
     pool: ConnectionPool
     dialect: WorkerDialect
     loads: Loads
-    hear: Callable[[RegisteredWorker, AnswerHead, float], None] = attrs.field(
-        default=lambda _worker, _head, _asked_at: None
+    on_answer: Callable[[RegisteredWorker, AnswerHead, float], None] = (
+        attrs.field(default=lambda _worker, _head, _asked_at: None)
     )
 
     @asynccontextmanager
@@ -159,9 +160,11 @@
         worker = sending.worker
         # A kept connection may be closed just as a request is written to it;
         # nobody would know whether it ran.
-        fresh = not request.route.repeatable
+        new_connection = not request.route.repeatable
         try:
-            connection = await self.pool.acquire(worker, fresh, sending.left_s)
+            connection = await self.pool.acquire(
+                worker, new_connection, sending.left_s
+            )
         except ConnectionBrokenError as error:
             raise SendError(str(error), not_run=True, connected=False) from None
         answer: OpenAnswer | None = None
@@ -169,7 +172,7 @@
             answer = await self.open(request, sending, connection, deadline)
             yield answer
         finally:
-            if answer is not None and answer.whole:
+            if answer is not None and answer.complete:
                 self.pool.release(
                     worker.id, connection, answer.head.keep_alive_s
                 )
@@ -186,28 +189,28 @@
         """Sends a request on a connection and returns its answer's head."""
         worker = sending.worker.id
 
-        def heard() -> None:
+        def on_data() -> None:
             self.loads.record_received(worker)
 
-        def is_mine(head: WireHead) -> bool:
+        def answers_request(head: WireHead) -> bool:
             decoded = self.dialect.decode(head)
             # A refusal may be made before the worker knows the id.
             if decoded.request_id is None:
                 return decoded.not_run
             return decoded.request_id == request.id
 
-        asked_at = self.loads.clock.monotonic()
+        sent_at = self.loads.clock.monotonic()
         try:
             connection.send(self.dialect.encode(request, sending))
             async with asyncio.timeout_at(deadline):
-                wire = await connection.read_head(is_mine)
+                wire_head = await connection.read_head(answers_request)
         except ConnectionBrokenError as error:
             raise SendError(str(error), not_run=not error.sent) from error
-        heard()
-        head = self.dialect.decode(wire)
+        on_data()
+        head = self.dialect.decode(wire_head)
         self.loads.record_report(worker, head.load)
         if not head.misdirected:
-            self.hear(sending.worker, head, asked_at)
+            self.on_answer(sending.worker, head, sent_at)
         if head.not_run:
             raise SendError(
                 f"worker refused with {head.status}",
@@ -216,7 +219,7 @@
                 misdirected=head.misdirected,
             )
         check_success(head)
-        return OpenAnswer(head, connection, deadline, heard)
+        return OpenAnswer(head, connection, deadline, on_data)
 
 
 def check_success(head: AnswerHead) -> None:
@@ -232,5 +235,5 @@
 def copied_headers(head: AnswerHead) -> tuple[Header, ...]:
     """Returns the headers of an answer that go to the caller."""
     return tuple(
-        header for header in head.headers if header[0] not in NOT_COPIED
+        header for header in head.headers if header[0] not in DROPPED_HEADERS
     )
--- a/src/rattanpier/_internal/relay/plain_answers.py
+++ b/src/rattanpier/_internal/relay/plain_answers.py
@@ -7,7 +7,7 @@
 from rattanpier._internal.models.relay_answer import AnswerRefused, WholeAnswer
 from rattanpier._internal.relay.dispatch import MAX_ANSWER_BYTES, Dispatcher
 from rattanpier._internal.relay.exchange import (
-    FIRST_FAILURE,
+    MIN_FAILURE_STATUS,
     SendError,
     copied_headers,
 )
@@ -93,7 +93,7 @@
     finally:
         dispatcher.loads.end(worker.id, flight)
     found = WholeAnswer(head.status, copied_headers(head), body)
-    bad = head.status >= FIRST_FAILURE
+    bad = head.status >= MIN_FAILURE_STATUS
     seconds = dispatcher.clock.monotonic() - began
     dispatcher.record_result(course, worker, bad, None if bad else seconds)
     dispatcher.metrics.timing("relay.worker_s", seconds)
--- a/src/rattanpier/_internal/relay/stream_answers.py
+++ b/src/rattanpier/_internal/relay/stream_answers.py
@@ -24,7 +24,7 @@
     EventSplitter,
 )
 from rattanpier._internal.relay.exchange import (
-    FIRST_FAILURE,
+    MIN_FAILURE_STATUS,
     OpenAnswer,
     SendError,
     copied_headers,
@@ -173,7 +173,7 @@
     head = answer.head
     body = await answer.read_all(MAX_ANSWER_BYTES)
     found = WholeAnswer(head.status, copied_headers(head), body)
-    if head.status < FIRST_FAILURE:
+    if head.status < MIN_FAILURE_STATUS:
         return found
     dispatcher.record_result(course, worker, bad=True, relative_s=None)
     dispatcher.record_worker_failure(course, worker, found)
