--- a/src/rattanpier/_internal/relay/exchange.py
+++ b/src/rattanpier/_internal/relay/exchange.py
@@ -1,7 +1,7 @@
-"""One send to one worker, and its answer checked for being whole and its own.
+"""Upstream requests: one request to one worker, and validation of the answer.
 
-An answer counts only if it carries the request's id, and a success only with
-the worker's receipt and its whole body as the worker framed it.
+An answer is accepted only if it carries the id of the request. A success also
+needs the worker's receipt and a body that is complete by its HTTP framing.
 """
 
 from __future__ import annotations
@@ -30,13 +30,15 @@
 
 
 class SendError(Exception):
-    """A send brought no answer that can be delivered.
+    """An upstream request brought no answer that can be delivered.
 
     Attributes:
-      not_run: It is certain that the worker did not run the request.
-      connected: A connection was open: the worker, not the path, failed.
-      misdirected: Another worker answered, or one without what was asked for.
-      retry_after_s: When the worker said to come back, or None.
+      not_run: Whether it is certain that the worker did not run the request.
+      connected: Whether a connection was open, so that the worker and not the
+        network path failed.
+      misdirected: Whether another worker answered, or one that does not serve
+        what was requested.
+      retry_after_s: Seconds after which the worker asked for a retry, or None.
     """
 
     def __init__(
@@ -56,11 +58,11 @@
 
 @attrs.frozen
 class WorkerDialect:
-    """How workers are spoken to.
+    """Header conventions of the platform's workers.
 
     Attributes:
-      encode: Returns a request as it goes to a worker.
-      decode: Returns what the head of an answer says.
+      encode: Encodes a request for a worker.
+      decode: Decodes the head of an answer.
     """
 
     encode: Callable[[RelayRequest, Sending], WireRequest]
@@ -69,13 +71,15 @@
 
 @attrs.define(eq=False, repr=False)
 class OpenAnswer:
-    """An answer whose head came.
+    """An answer whose head was received and whose body can be read.
 
     Attributes:
-      head: What it says.
-      connection: Where its body comes from.
-      deadline: Loop time past which nothing is waited for.
-      complete: The body's proper end came.
+      head: Decoded head.
+      connection: Connection that the body is read from.
+      deadline: Latest time to wait for data, in seconds of the event loop's
+        clock.
+      on_data: Called whenever data of the answer arrives.
+      complete: Whether the body was received up to its end.
     """
 
     head: AnswerHead
@@ -85,11 +89,11 @@
     complete: bool = False
 
     async def pieces(self) -> AsyncIterator[bytes]:
-        """Yields the body; returns only at its proper end.
+        """Yields the body in pieces; returns only if it is complete.
 
         Raises:
-          SendError: The body is not whole.
-          TimeoutError: The deadline came first.
+          SendError: The body is incomplete.
+          TimeoutError: The deadline passed.
         """
         body = self.connection.read_body()
         try:
@@ -103,19 +107,20 @@
                 self.on_data()
                 yield piece
         except ConnectionBrokenError as error:
-            raise SendError(f"answer is not whole: {error}") from error
+            raise SendError(f"incomplete answer: {error}") from error
 
     async def read_all(self, max_bytes: int) -> bytes:
-        """Returns the whole body.
+        """Returns the complete body.
 
         Raises:
-          SendError: The body is not whole, or too long.
+          SendError: The body is incomplete, or longer than `max_bytes`.
+          TimeoutError: The deadline passed.
         """
         data = bytearray()
         async for piece in self.pieces():
             data += piece
             if len(data) > max_bytes:
-                raise SendError("answer is too long")
+                raise SendError("answer body is too long")
         return bytes(data)
 
 
@@ -124,12 +129,11 @@
     """Sends requests to workers.
 
     Attributes:
-      pool: For the connections.
-      dialect: Of the workers.
-      loads: Is told what the answers say of load.
-      on_answer: Told what a worker's answer says, and when its request was
-        sent, in
-        monotonic seconds.
+      pool: Pool of connections to workers.
+      dialect: Header conventions of the workers.
+      loads: Receives the load that workers report.
+      on_answer: Called with the worker, the head of its answer, and the time at
+        which the request was sent, in monotonic seconds.
     """
 
     pool: ConnectionPool
@@ -143,23 +147,23 @@
     async def send(
         self, request: RelayRequest, sending: Sending, deadline: float
     ) -> AsyncIterator[OpenAnswer]:
-        """Sends a request and yields its answer once the head came.
+        """Sends a request and yields its answer once the head was received.
 
-        Leaving the context before the answer's end closes the connection, by
-        which the worker learns to stop.
+        Leaving the context before the answer is complete closes the connection,
+        which tells the worker to stop.
 
         Args:
-          request: What to send.
-          sending: To whom, and what else it is told.
-          deadline: Loop time past which nothing is waited for.
+          request: Request to send.
+          sending: The worker, and what it is sent in addition to the request.
+          deadline: Latest time to wait, in seconds of the event loop's clock.
 
         Raises:
-          SendError: No proper answer came, or the worker refused.
-          TimeoutError: The deadline came first.
+          SendError: There was no valid answer, or the worker refused.
+          TimeoutError: The deadline passed.
         """
         worker = sending.worker
-        # A kept connection may be closed just as a request is written to it;
-        # nobody would know whether it ran.
+        # The worker may close an idle connection just as a request is written
+        # to it; it would be unknown whether the request ran.
         new_connection = not request.route.repeatable
         try:
             connection = await self.pool.acquire(
@@ -186,7 +190,18 @@
         connection: WorkerConnection,
         deadline: float,
     ) -> OpenAnswer:
-        """Sends a request on a connection and returns its answer's head."""
+        """Sends a request on a connection and reads the head of its answer.
+
+        Args:
+          request: Request to send.
+          sending: The worker, and what it is sent in addition to the request.
+          connection: Connection to the worker.
+          deadline: Latest time to wait, in seconds of the event loop's clock.
+
+        Raises:
+          SendError: There was no valid answer, or the worker refused.
+          TimeoutError: The deadline passed.
+        """
         worker = sending.worker.id
 
         def on_data() -> None:
@@ -194,7 +209,7 @@
 
         def answers_request(head: WireHead) -> bool:
             decoded = self.dialect.decode(head)
-            # A refusal may be made before the worker knows the id.
+            # A worker may refuse a request before it has read its id.
             if decoded.request_id is None:
                 return decoded.not_run
             return decoded.request_id == request.id
@@ -223,17 +238,21 @@
 
 
 def check_success(head: AnswerHead) -> None:
-    """Raises SendError for a success that is not the worker's own."""
+    """Checks that a success comes from the worker and is unmodified.
+
+    Raises:
+      SendError: A success has no receipt, or its body is encoded.
+    """
     if head.status >= 300:
         return
     if head.receipt is None:
-        raise SendError("success without a receipt")
+        raise SendError("successful answer has no receipt")
     if head.encoded:
-        raise SendError("the body is encoded")
+        raise SendError("answer body has a content encoding")
 
 
 def copied_headers(head: AnswerHead) -> tuple[Header, ...]:
-    """Returns the headers of an answer that go to the caller."""
+    """Returns the headers of an answer that are forwarded to the caller."""
     return tuple(
         header for header in head.headers if header[0] not in DROPPED_HEADERS
     )
