--- a/src/rattanpier/_internal/relay/connection.py
+++ b/src/rattanpier/_internal/relay/connection.py
@@ -15,12 +15,12 @@
 import h11
 
 MAX_HEAD_BYTES = 65536  # Of an answer; more is no proper answer.
-READ_AHEAD_BYTES = 262144  # Unread bytes at which the worker has to wait.
+MAX_UNREAD_BYTES = 262144  # Unread bytes at which the worker has to wait.
 MAX_STRAY_ANSWERS = 1  # Late answers to an earlier request that are skipped.
 # A path that is cut shows no reset: the kernel gives up after these.
 USER_TIMEOUT_MS = 3000  # As long as the platform calls a VM in touch.
 KEEPALIVE_IDLE_S = 1
-KEEPALIVE_EVERY_S = 1
+KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_COUNT = 2
 
 Header = tuple[str, str]
@@ -79,7 +79,7 @@
       idle_since: Loop time of the last answer's end.
       idle_limit_s: How long the worker keeps it open without a request.
       closed: Nothing more can be sent.
-      served: Requests that were answered on it.
+      answered_requests: Requests that were answered on it.
     """
 
     def __init__(self) -> None:
@@ -88,13 +88,13 @@
         self.parser: h11.Connection | None = None
         self.request: h11.Request | None = None
         self.waiter: asyncio.Future[None] | None = None
-        self.unread = 0
+        self.unread_bytes = 0
         self.idle_since = self.loop.time()
         self.idle_limit_s = 0.0
         self.closed = False
-        self.ended = False
-        self.reset: Exception | None = None
-        self.served = 0
+        self.eof_fed = False
+        self.reset_error: Exception | None = None
+        self.answered_requests = 0
 
     # What asyncio calls.
 
@@ -110,33 +110,33 @@
             self.abort()
             return
         self.parser.receive_data(data)
-        self.unread += len(data)
-        if self.unread > READ_AHEAD_BYTES and self.transport is not None:
+        self.unread_bytes += len(data)
+        if self.unread_bytes > MAX_UNREAD_BYTES and self.transport is not None:
             self.transport.pause_reading()
-        self.wake()
+        self.wake_reader()
 
     def eof_received(self) -> bool:
         """Notes an orderly end."""
         self.closed = True
-        self.end_input()
+        self.feed_eof()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Notes the end; with an error it is a reset, not an end."""
         self.closed = True
-        self.reset = exc
+        self.reset_error = exc
         if exc is None:
-            self.end_input()
-        self.wake()
+            self.feed_eof()
+        self.wake_reader()
 
-    def end_input(self) -> None:
+    def feed_eof(self) -> None:
         """Tells the parser of the orderly end, once."""
-        if self.parser is not None and not self.ended:
-            self.ended = True
+        if self.parser is not None and not self.eof_fed:
+            self.eof_fed = True
             self.parser.receive_data(b"")
-        self.wake()
+        self.wake_reader()
 
-    def wake(self) -> None:
+    def wake_reader(self) -> None:
         """Wakes the reader."""
         if self.waiter is not None and not self.waiter.done():
             self.waiter.set_result(None)
@@ -163,11 +163,14 @@
         tail = self.parser.send(h11.EndOfMessage())
         self.transport.write((head or b"") + (body or b"") + (tail or b""))
 
-    async def read_head(self, is_mine: Callable[[WireHead], bool]) -> WireHead:
+    async def read_head(
+        self, answers_request: Callable[[WireHead], bool]
+    ) -> WireHead:
         """Returns the head of the answer to the request sent last.
 
         Args:
-          is_mine: Says whether a head belongs to that request; a late answer
+          answers_request: Says whether a head belongs to that request; a late
+            answer
             to an earlier one is skipped.
 
         Raises:
@@ -178,9 +181,9 @@
             if not isinstance(event, h11.Response):
                 raise ConnectionBrokenError(f"no head but {type(event)}")
             head = make_head(event)
-            if is_mine(head):
+            if answers_request(head):
                 return head
-            if self.served == 0 or not head.framed:
+            if self.answered_requests == 0 or not head.framed:
                 break
             await self.skip_answer()
         raise ConnectionBrokenError("the answer belongs to another request")
@@ -204,13 +207,13 @@
         async for _ in self.read_body():
             pass
         assert self.parser is not None and self.request is not None
-        rest, _ = self.parser.trailing_data
+        trailing_data, _ = self.parser.trailing_data
         self.parser = new_parser()
         # The parser has to know what was asked; the bytes went out before.
         self.parser.send(self.request)
         self.parser.send(h11.EndOfMessage())
-        if rest:
-            self.parser.receive_data(rest)
+        if trailing_data:
+            self.parser.receive_data(trailing_data)
 
     async def next_event(self) -> h11.Event:
         """Returns the next event of the answer.
@@ -229,13 +232,13 @@
                 raise ConnectionBrokenError("closed without an answer")
             if event is not h11.NEED_DATA:
                 return event
-            if self.closed and (self.ended or self.reset is not None):
-                raise ConnectionBrokenError(f"reset: {self.reset!r}")
-            await self.wait()
+            if self.closed and (self.eof_fed or self.reset_error is not None):
+                raise ConnectionBrokenError(f"reset: {self.reset_error!r}")
+            await self.wait_for_data()
 
-    async def wait(self) -> None:
+    async def wait_for_data(self) -> None:
         """Waits for bytes or the end."""
-        self.unread = 0
+        self.unread_bytes = 0
         if self.transport is not None and not self.closed:
             self.transport.resume_reading()
         self.waiter = self.loop.create_future()
@@ -244,13 +247,13 @@
         finally:
             self.waiter = None
 
-    def finish(self, idle_limit_s: float) -> bool:
+    def finish_exchange(self, idle_limit_s: float) -> bool:
         """Ends an exchange; says whether another may follow."""
         parser, self.parser = self.parser, None
-        self.served += 1
+        self.answered_requests += 1
         self.idle_since = self.loop.time()
         self.idle_limit_s = idle_limit_s
-        clean = (
+        reusable = (
             parser is not None
             and not self.closed
             and parser.our_state is h11.DONE
@@ -259,9 +262,9 @@
             and self.transport is not None
             and self.transport.get_write_buffer_size() == 0
         )
-        if not clean:
+        if not reusable:
             self.abort()
-        return clean
+        return reusable
 
     def abort(self) -> None:
         """Closes at once: the worker stops what it does for it."""
@@ -293,7 +296,9 @@
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_EVERY_S)
+    sock.setsockopt(
+        socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S
+    )
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_COUNT)
     sock.setsockopt(
         socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS
--- a/src/rattanpier/_internal/relay/pool.py
+++ b/src/rattanpier/_internal/relay/pool.py
@@ -99,7 +99,7 @@
         limit = DEFAULT_IDLE_S
         if keep_alive_s is not None:
             limit = min(limit, IDLE_TIMEOUT_SHARE * keep_alive_s)
-        if not connection.finish(limit):
+        if not connection.finish_exchange(limit):
             return
         idle = self.idle.setdefault(worker, [])
         idle.append(connection)
