--- a/src/rattanpier/_internal/relay/connection.py
+++ b/src/rattanpier/_internal/relay/connection.py
@@ -1,8 +1,8 @@
 """One HTTP/1.1 connection to a worker.
 
-The framing is h11's. aiohttp's client does not fit here: it takes a reset for
-the end of an answer that has no length, and hands bytes that a worker sent
-behind one answer to the next request on the connection.
+h11 parses the HTTP framing. aiohttp's client is unsuitable: it treats a reset
+as the end of an answer without a length, and it attributes bytes that a worker
+sent after one answer to the next request on the connection.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 import attrs
 import h11
 
-MAX_HEAD_BYTES = 65536  # Of an answer; more is no proper answer.
-MAX_UNREAD_BYTES = 262144  # Unread bytes at which the worker has to wait.
-MAX_STRAY_ANSWERS = 1  # Late answers to an earlier request that are skipped.
-# A path that is cut shows no reset: the kernel gives up after these.
-USER_TIMEOUT_MS = 3000  # As long as the platform calls a VM in touch.
+MAX_HEAD_BYTES = 65536  # An answer with a longer head is invalid.
+MAX_UNREAD_BYTES = 262144  # Above this, reading from the worker pauses.
+MAX_STRAY_ANSWERS = 1  # Late answers to earlier requests that are skipped.
+# A partition causes no reset, so the kernel detects it by these time-outs.
+USER_TIMEOUT_MS = 3000  # As long as the platform considers a VM reachable.
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_COUNT = 2
@@ -27,10 +27,10 @@
 
 
 class ConnectionBrokenError(Exception):
-    """The connection ended, or what came is no proper answer.
+    """The connection was closed, or the bytes received are no valid answer.
 
     Attributes:
-      sent: False if no byte of the request left this process.
+      sent: False if no byte of the request was sent.
     """
 
     def __init__(self, message: str, sent: bool = True) -> None:
@@ -40,7 +40,14 @@
 
 @attrs.frozen
 class WireRequest:
-    """A request as it goes to a worker."""
+    """A request as it is sent to a worker.
+
+    Attributes:
+      method: HTTP method.
+      target: Request target, with its query.
+      headers: Names and values, in order; without Content-Length.
+      body: Complete body.
+    """
 
     method: str
     target: str
@@ -54,8 +61,9 @@
 
     Attributes:
       status: HTTP status.
-      headers: Names in lower case, in order.
-      framed: It says where its body ends.
+      headers: Names and values, in order; names in lower case.
+      framed: Whether it states a length or a transfer encoding. Without either,
+        the body ends with the connection.
     """
 
     status: int
@@ -72,14 +80,21 @@
 
 
 class WorkerConnection(asyncio.Protocol):
-    """Sends one request after another and reads their answers.
+    """Connection that sends requests in turn and reads their answers.
 
     Attributes:
-      transport: Set once connected.
-      idle_since: Loop time of the last answer's end.
-      idle_limit_s: How long the worker keeps it open without a request.
-      closed: Nothing more can be sent.
-      answered_requests: Requests that were answered on it.
+      loop: The running event loop.
+      transport: Transport; None before the connection is established.
+      parser: Parser of the current exchange; None between exchanges.
+      request: The request sent last.
+      waiter: Resolved when data or the end of the connection arrives.
+      unread_bytes: Bytes received since the reader last waited.
+      idle_since: End of the last exchange, in seconds of the loop's clock.
+      idle_limit_s: Seconds for which the connection may be idle and be reused.
+      closed: Whether nothing more can be sent.
+      eof_fed: Whether the parser was told of an orderly end.
+      reset_error: Error by which the connection was lost, or None.
+      answered_requests: Number of exchanges finished on the connection.
     """
 
     def __init__(self) -> None:
@@ -96,16 +111,16 @@
         self.reset_error: Exception | None = None
         self.answered_requests = 0
 
-    # What asyncio calls.
+    # Called by asyncio.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Sets how soon a dead path is noticed."""
+        """Stores the transport and sets the socket options."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         set_socket_options(transport.get_extra_info("socket"))
 
     def data_received(self, data: bytes) -> None:
-        """Takes bytes in; between requests there must not be any."""
+        """Feeds bytes to the parser; aborts if no request is in progress."""
         if self.parser is None:
             self.abort()
             return
@@ -116,13 +131,13 @@
         self.wake_reader()
 
     def eof_received(self) -> bool:
-        """Notes an orderly end."""
+        """Records an orderly end; returns False to close the transport."""
         self.closed = True
         self.feed_eof()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Notes the end; with an error it is a reset, not an end."""
+        """Records the end, which is a reset if there is an error."""
         self.closed = True
         self.reset_error = exc
         if exc is None:
@@ -130,27 +145,29 @@
         self.wake_reader()
 
     def feed_eof(self) -> None:
-        """Tells the parser of the orderly end, once."""
+        """Tells the parser once that the connection ended in an orderly way."""
         if self.parser is not None and not self.eof_fed:
             self.eof_fed = True
             self.parser.receive_data(b"")
         self.wake_reader()
 
     def wake_reader(self) -> None:
-        """Wakes the reader."""
+        """Resumes the reader that waits for data, if there is one."""
         if self.waiter is not None and not self.waiter.done():
             self.waiter.set_result(None)
 
-    # What the relay calls.
+    # Called by the relay.
 
     def send(self, request: WireRequest) -> None:
-        """Sends a whole request.
+        """Sends a complete request.
 
         Raises:
-          ConnectionBrokenError: Nothing was sent.
+          ConnectionBrokenError: The connection is closed; nothing was sent.
         """
         if self.closed or self.transport is None:
-            raise ConnectionBrokenError("closed before the request", sent=False)
+            raise ConnectionBrokenError(
+                "connection closed before the request was sent", sent=False
+            )
         headers = [*request.headers]
         if request.body or request.method not in ("GET", "HEAD", "DELETE"):
             headers.append(("Content-Length", str(len(request.body))))
@@ -169,47 +186,55 @@
         """Returns the head of the answer to the request sent last.
 
         Args:
-          answers_request: Says whether a head belongs to that request; a late
-            answer
-            to an earlier one is skipped.
+          answers_request: Returns whether a head belongs to that request. One
+            late answer to an earlier request is skipped.
 
         Raises:
-          ConnectionBrokenError: There is no proper answer.
+          ConnectionBrokenError: There is no valid answer to the request.
         """
         for _ in range(MAX_STRAY_ANSWERS + 1):
             event = await self.next_event()
             if not isinstance(event, h11.Response):
-                raise ConnectionBrokenError(f"no head but {type(event)}")
+                raise ConnectionBrokenError(
+                    f"expected the head of an answer, got {type(event)}"
+                )
             head = make_head(event)
             if answers_request(head):
                 return head
             if self.answered_requests == 0 or not head.framed:
                 break
             await self.skip_answer()
-        raise ConnectionBrokenError("the answer belongs to another request")
+        raise ConnectionBrokenError("answer belongs to another request")
 
     async def read_body(self) -> AsyncIterator[bytes]:
-        """Yields the body as it comes; returns only at its proper end.
+        """Yields the body as it arrives; returns only if it is complete.
 
         Raises:
-          ConnectionBrokenError: The body is not whole.
+          ConnectionBrokenError: The body is incomplete.
         """
         while True:
             event = await self.next_event()
             if isinstance(event, h11.EndOfMessage):
                 return
             if not isinstance(event, h11.Data):
-                raise ConnectionBrokenError(f"no body but {type(event)}")
+                raise ConnectionBrokenError(
+                    f"expected body data, got {type(event)}"
+                )
             yield bytes(event.data)
 
     async def skip_answer(self) -> None:
-        """Reads an answer that nobody waits for and begins anew behind it."""
+        """Discards a late answer and starts to parse the next one.
+
+        Raises:
+          ConnectionBrokenError: The body is incomplete.
+        """
         async for _ in self.read_body():
             pass
         assert self.parser is not None and self.request is not None
         trailing_data, _ = self.parser.trailing_data
         self.parser = new_parser()
-        # The parser has to know what was asked; the bytes went out before.
+        # The parser needs the request to frame its answer. The bytes it returns
+        # are not sent, since they were sent before.
         self.parser.send(self.request)
         self.parser.send(h11.EndOfMessage())
         if trailing_data:
@@ -219,7 +244,8 @@
         """Returns the next event of the answer.
 
         Raises:
-          ConnectionBrokenError: The connection broke or h11 refused the bytes.
+          ConnectionBrokenError: The connection ended, or h11 rejected the
+            bytes.
         """
         while True:
             try:
@@ -229,15 +255,19 @@
             if isinstance(event, h11.InformationalResponse):
                 continue
             if isinstance(event, h11.ConnectionClosed) or event is h11.PAUSED:
-                raise ConnectionBrokenError("closed without an answer")
+                raise ConnectionBrokenError(
+                    "connection closed without an answer"
+                )
             if event is not h11.NEED_DATA:
                 return event
             if self.closed and (self.eof_fed or self.reset_error is not None):
-                raise ConnectionBrokenError(f"reset: {self.reset_error!r}")
+                raise ConnectionBrokenError(
+                    f"connection reset: {self.reset_error!r}"
+                )
             await self.wait_for_data()
 
     async def wait_for_data(self) -> None:
-        """Waits for bytes or the end."""
+        """Resumes reading and waits for data or the end of the connection."""
         self.unread_bytes = 0
         if self.transport is not None and not self.closed:
             self.transport.resume_reading()
@@ -248,7 +278,14 @@
             self.waiter = None
 
     def finish_exchange(self, idle_limit_s: float) -> bool:
-        """Ends an exchange; says whether another may follow."""
+        """Ends an exchange; aborts the connection if it cannot be reused.
+
+        Args:
+          idle_limit_s: Seconds for which the connection may be idle.
+
+        Returns:
+          Whether the connection can be used for another request.
+        """
         parser, self.parser = self.parser, None
         self.answered_requests += 1
         self.idle_since = self.loop.time()
@@ -267,7 +304,7 @@
         return reusable
 
     def abort(self) -> None:
-        """Closes at once: the worker stops what it does for it."""
+        """Closes the connection at once, so that the worker stops its work."""
         self.closed = True
         if self.transport is not None:
             self.transport.abort()
@@ -279,7 +316,7 @@
 
 
 def make_head(response: h11.Response) -> WireHead:
-    """Returns an answer's head as text."""
+    """Decodes the head of an answer."""
     headers = tuple(
         (name.decode("ascii"), value.decode("latin-1"))
         for name, value in response.headers
@@ -290,7 +327,7 @@
 
 
 def set_socket_options(sock: socket.socket | None) -> None:
-    """Makes the kernel notice a path that is cut."""
+    """Makes the kernel detect a partitioned path within a few seconds."""
     if sock is None:
         return
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
