--- a/src/rattanpier/_internal/relay/answering.py
+++ b/src/rattanpier/_internal/relay/answering.py
@@ -12,7 +12,7 @@
 from rattanpier._internal.relay.model_choice import first_model
 from rattanpier._internal.relay.plain_answers import whole
 from rattanpier._internal.relay.request_progress import RequestProgress
-from rattanpier._internal.relay.stream_answers import stream
+from rattanpier._internal.relay.stream_answers import stream_answer
 
 
 async def answer(
@@ -36,7 +36,7 @@
     dispatcher.budgets[course.service].record_request()
     dispatcher.rollouts.sessions.record_request(course.service, request.session)
     if request.route.streaming:
-        async with aclosing(stream(dispatcher, course)) as parts:
+        async with aclosing(stream_answer(dispatcher, course)) as parts:
             async for part in parts:
                 yield part
     else:
--- a/src/rattanpier/_internal/relay/stream_answers.py
+++ b/src/rattanpier/_internal/relay/stream_answers.py
@@ -36,7 +36,7 @@
 
 # What a small model's first token takes, roughly; only ratios of times between
 # two versions count, so that long and short prompts can be added up.
-LEAST_READ_S = 0.1
+MIN_READ_S = 0.1
 READ_TOKENS_PER_S = 30000.0
 
 
@@ -44,124 +44,135 @@
     """A worker ran a request and failed; the failure is kept."""
 
 
-async def stream(
-    dispatcher: Dispatcher, course: RequestProgress
+async def stream_answer(
+    dispatcher: Dispatcher, progress: RequestProgress
 ) -> AsyncIterator[AnswerPart]:
     """Yields the parts of an answer that is a series of events."""
-    while dispatcher.may_send(course):
-        choice = dispatcher.choose(course)
+    while dispatcher.may_send(progress):
+        choice = dispatcher.choose(progress)
         if choice is None:
             break
-        async with aclosing(stream_one(dispatcher, course, choice)) as parts:
+        async with aclosing(
+            stream_from_worker(dispatcher, progress, choice)
+        ) as parts:
             async for part in parts:
                 yield part
                 if isinstance(part, AnswerEnded | WholeAnswer):
                     return
-    if course.head_delivered:
+    if progress.head_delivered:
         dispatcher.metrics.count("relay.cut")
-        yield AnswerCut(course.reason)
+        yield AnswerCut(progress.reason)
     else:
-        yield dispatcher.refuse(course)
+        yield dispatcher.refuse(progress)
 
 
-async def stream_one(
-    dispatcher: Dispatcher, course: RequestProgress, choice: Choice
+async def stream_from_worker(
+    dispatcher: Dispatcher, progress: RequestProgress, choice: Choice
 ) -> AsyncIterator[AnswerPart]:
     """Yields what one worker adds to an answer; nothing if it failed."""
-    request = course.request
+    request = progress.request
     worker = choice.worker
-    sending = dispatcher.record_upstream_request(course, choice)
-    flight = dispatcher.add_in_flight(course, worker, choice.read_s)
-    dispatcher.chooser.record_upstream_request(request, course.model, choice)
+    sending = dispatcher.record_upstream_request(progress, choice)
+    in_flight = dispatcher.add_in_flight(progress, worker, choice.read_s)
+    dispatcher.chooser.record_upstream_request(request, progress.model, choice)
     dispatcher.publish_prompt(
-        worker.id, course.model, request.prompt, choice.read_s
+        worker.id, progress.model, request.prompt, choice.read_s
     )
-    model = course.model
+    model = progress.model
     dispatcher.rollouts.record_running(worker, 1)
-    began = dispatcher.clock.monotonic()
+    started_at = dispatcher.clock.monotonic()
     try:
         async with dispatcher.sender.send(
-            request, sending, course.loop_deadline
+            request, sending, progress.loop_deadline
         ) as answer:
             head = answer.head
             if head.status >= 300:
-                yield await pass_failure(dispatcher, course, worker, answer)
+                yield await read_error_answer(
+                    dispatcher, progress, worker, answer
+                )
                 return
-            flight.first_event_received = True
-            took = relative_time(
-                course, choice, dispatcher.clock.monotonic() - began
+            in_flight.first_event_received = True
+            relative_s = relative_time(
+                progress, choice, dispatcher.clock.monotonic() - started_at
             )
-            first_at = dispatcher.clock.monotonic()
+            first_event_at = dispatcher.clock.monotonic()
             dispatcher.chooser.timings.record_first_event(
-                model, request.priority, choice.to_read, first_at - began
+                model,
+                request.priority,
+                choice.to_read,
+                first_event_at - started_at,
             )
             dispatcher.loads.record_prompt_read(
                 worker.id, model, request.prompt
             )
-            if not course.head_delivered and should_escalate(
-                dispatcher, course, worker, head
+            if not progress.head_delivered and should_escalate(
+                dispatcher, progress, worker, head
             ):
-                dispatcher.record_result(course, worker, False, took)
+                dispatcher.record_result(progress, worker, False, relative_s)
                 return
             async with aclosing(
-                read_events(dispatcher, course, answer)
+                read_events(dispatcher, progress, answer)
             ) as events:
                 async for event in events:
-                    if not course.head_delivered:
-                        course.head_delivered = True
-                        note_first(dispatcher, course, choice, began)
+                    if not progress.head_delivered:
+                        progress.head_delivered = True
+                        record_first_event(
+                            dispatcher, progress, choice, started_at
+                        )
                         yield AnswerBegun(head.status, copied_headers(head))
                     yield AnswerPiece(event.data)
-            if not course.head_delivered:
-                course.head_delivered = True
+            if not progress.head_delivered:
+                progress.head_delivered = True
                 yield AnswerBegun(head.status, copied_headers(head))
-        dispatcher.record_result(course, worker, bad=False, relative_s=took)
+        dispatcher.record_result(
+            progress, worker, bad=False, relative_s=relative_s
+        )
         dispatcher.quarantine.record_answer(request.content)
         dispatcher.chooser.timings.record_stream(
             model,
             request.prompt.expected_output,
-            dispatcher.clock.monotonic() - first_at,
+            dispatcher.clock.monotonic() - first_event_at,
         )
         yield AnswerEnded()
     except WorkerFailedError:
         return
     except SendError as error:
-        await dispatcher.handle_send_error(course, worker, error)
+        await dispatcher.handle_send_error(progress, worker, error)
     except EventError as error:
         await dispatcher.handle_send_error(
-            course, worker, SendError(str(error))
+            progress, worker, SendError(str(error))
         )
     except TimeoutError:
-        waited_s = dispatcher.clock.monotonic() - began
-        if not flight.first_event_received:
+        waited_s = dispatcher.clock.monotonic() - started_at
+        if not in_flight.first_event_received:
             dispatcher.chooser.timings.record_wait(
                 model, request.priority, choice.to_read, waited_s
             )
-        dispatcher.record_timeout(course, worker)
+        dispatcher.record_timeout(progress, worker)
     finally:
-        dispatcher.loads.end(worker.id, flight)
+        dispatcher.loads.end(worker.id, in_flight)
         dispatcher.rollouts.record_running(worker, -1)
-        ran_s = dispatcher.clock.monotonic() - began
+        ran_s = dispatcher.clock.monotonic() - started_at
         dispatcher.chooser.record_run(request, model, ran_s, worker.slots)
 
 
 async def read_events(
-    dispatcher: Dispatcher, course: RequestProgress, answer: OpenAnswer
+    dispatcher: Dispatcher, progress: RequestProgress, answer: OpenAnswer
 ) -> AsyncIterator[Event]:
     """Yields the events of an answer that the caller lacks."""
     splitter = EventSplitter()
     async with aclosing(answer.pieces()) as pieces:
         async for piece in pieces:
             for event in splitter.feed(piece):
-                if course.order.take(event):
+                if progress.order.take(event):
                     yield event
     if splitter.rest:
         raise EventError("the stream ends within an event")
 
 
-async def pass_failure(
+async def read_error_answer(
     dispatcher: Dispatcher,
-    course: RequestProgress,
+    progress: RequestProgress,
     worker: RegisteredWorker,
     answer: OpenAnswer,
 ) -> WholeAnswer:
@@ -172,42 +183,42 @@
     """
     head = answer.head
     body = await answer.read_all(MAX_ANSWER_BYTES)
-    found = WholeAnswer(head.status, copied_headers(head), body)
+    error_answer = WholeAnswer(head.status, copied_headers(head), body)
     if head.status < MIN_FAILURE_STATUS:
-        return found
-    dispatcher.record_result(course, worker, bad=True, relative_s=None)
-    dispatcher.record_worker_failure(course, worker, found)
+        return error_answer
+    dispatcher.record_result(progress, worker, bad=True, relative_s=None)
+    dispatcher.record_worker_failure(progress, worker, error_answer)
     raise WorkerFailedError
 
 
-def note_first(
+def record_first_event(
     dispatcher: Dispatcher,
-    course: RequestProgress,
+    progress: RequestProgress,
     choice: Choice,
-    began: float,
+    started_at: float,
 ) -> None:
     """Measures the time to a worker's first event."""
     now = dispatcher.clock.monotonic()
-    dispatcher.metrics.timing("relay.first_event_s", now - began)
+    dispatcher.metrics.timing("relay.first_event_s", now - started_at)
     log.info(
         "First event.",
-        request=course.request.id,
+        request=progress.request.id,
         worker=choice.worker.id,
-        model=course.model,
+        model=progress.model,
         to_read=round(choice.to_read),
-        worker_s=round(now - began, 3),
-        total_s=round(now - course.request.arrived, 3),
+        worker_s=round(now - started_at, 3),
+        total_s=round(now - progress.request.arrived, 3),
     )
 
 
 def relative_time(
-    course: RequestProgress, choice: Choice, seconds: float
+    progress: RequestProgress, choice: Choice, seconds: float
 ) -> float | None:
     """Returns the time to an answer's head against the work for it.
 
     Only of the first model asked, since larger ones take longer at the same
     work; None for others.
     """
-    if course.model != course.first_model:
+    if progress.model != progress.first_model:
         return None
-    return seconds / (LEAST_READ_S + choice.to_read / READ_TOKENS_PER_S)
+    return seconds / (MIN_READ_S + choice.to_read / READ_TOKENS_PER_S)
