--- a/src/rattanpier/_internal/relay/stream_answers.py
+++ b/src/rattanpier/_internal/relay/stream_answers.py
@@ -1,4 +1,4 @@
-"""Answers of model engines: events that are passed on as they come."""
+"""Streamed answers of model engines: events forwarded as they arrive."""
 
 from __future__ import annotations
 
@@ -34,20 +34,29 @@
 
 log = structlog.get_logger(part="dispatch")
 
-# What a small model's first token takes, roughly; only ratios of times between
-# two versions count, so that long and short prompts can be added up.
+# Rough time to the first token of a small model. Only the ratio between two
+# versions is used; dividing by this estimate makes prompts of different lengths
+# comparable.
 MIN_READ_S = 0.1
 READ_TOKENS_PER_S = 30000.0
 
 
 class WorkerFailedError(Exception):
-    """A worker ran a request and failed; the failure is kept."""
+    """A worker ran a request and failed; the failure has been recorded."""
 
 
 async def stream_answer(
     dispatcher: Dispatcher, progress: RequestProgress
 ) -> AsyncIterator[AnswerPart]:
-    """Yields the parts of an answer that is a series of events."""
+    """Yields the parts of an answer that is a stream of events.
+
+    A stream that ends early is resumed at another worker if the request allows
+    it.
+
+    Args:
+      dispatcher: Selects workers and sends requests to them.
+      progress: Progress of the request.
+    """
     while dispatcher.may_send(progress):
         choice = dispatcher.choose(progress)
         if choice is None:
@@ -69,7 +78,15 @@
 async def stream_from_worker(
     dispatcher: Dispatcher, progress: RequestProgress, choice: Choice
 ) -> AsyncIterator[AnswerPart]:
-    """Yields what one worker adds to an answer; nothing if it failed."""
+    """Yields the parts of an answer that one worker contributes.
+
+    Yields no final part if the worker failed or a larger model is needed.
+
+    Args:
+      dispatcher: Sends the request and records its results.
+      progress: Progress of the request.
+      choice: Worker to ask.
+    """
     request = progress.request
     worker = choice.worker
     sending = dispatcher.record_upstream_request(progress, choice)
@@ -159,7 +176,13 @@
 async def read_events(
     dispatcher: Dispatcher, progress: RequestProgress, answer: OpenAnswer
 ) -> AsyncIterator[Event]:
-    """Yields the events of an answer that the caller lacks."""
+    """Yields the events of an answer that the caller has not received yet.
+
+    Raises:
+      EventError: Events are missing, too long, or the last one is incomplete.
+      SendError: The body is incomplete.
+      TimeoutError: The deadline passed.
+    """
     splitter = EventSplitter()
     async with aclosing(answer.pieces()) as pieces:
         async for piece in pieces:
@@ -167,7 +190,7 @@
                 if progress.order.take(event):
                     yield event
     if splitter.rest:
-        raise EventError("the stream ends within an event")
+        raise EventError("stream ended within an event")
 
 
 async def read_error_answer(
@@ -178,8 +201,12 @@
 ) -> WholeAnswer:
     """Returns a worker's answer that is no stream, if it is final.
 
+    Statuses of 500 and above are recorded as failures of the worker.
+
     Raises:
-      WorkerFailedError: Another worker may do better.
+      WorkerFailedError: The worker failed; another one may succeed.
+      SendError: The body is incomplete or too long.
+      TimeoutError: The deadline passed.
     """
     head = answer.head
     body = await answer.read_all(MAX_ANSWER_BYTES)
@@ -197,7 +224,14 @@
     choice: Choice,
     started_at: float,
 ) -> None:
-    """Measures the time to a worker's first event."""
+    """Logs and records the time to a worker's first event.
+
+    Args:
+      dispatcher: Provides the clock and the metrics.
+      progress: Progress of the request.
+      choice: Worker that was asked.
+      started_at: Start of the upstream request, in monotonic seconds.
+    """
     now = dispatcher.clock.monotonic()
     dispatcher.metrics.timing("relay.first_event_s", now - started_at)
     log.info(
@@ -214,10 +248,17 @@
 def relative_time(
     progress: RequestProgress, choice: Choice, seconds: float
 ) -> float | None:
-    """Returns the time to an answer's head against the work for it.
+    """Returns the time to an answer's head relative to the work for it.
+
+    Args:
+      progress: Progress of the request.
+      choice: Worker that was asked.
+      seconds: Seconds from the upstream request to the head of the answer.
 
-    Only of the first model asked, since larger ones take longer at the same
-    work; None for others.
+    Returns:
+      `seconds` divided by the estimated time to read the uncached tokens of the
+      prompt. None for any but the first model asked, since larger models take
+      longer for the same work.
     """
     if progress.model != progress.first_model:
         return None
