--- a/src/rattanpier/_internal/relay/answering.py
+++ b/src/rattanpier/_internal/relay/answering.py
@@ -10,7 +10,7 @@
 from rattanpier._internal.models.relay_request import RelayRequest
 from rattanpier._internal.relay.dispatch import Dispatcher
 from rattanpier._internal.relay.model_choice import first_model
-from rattanpier._internal.relay.plain_answers import whole
+from rattanpier._internal.relay.plain_answers import plain_answer
 from rattanpier._internal.relay.request_progress import RequestProgress
 from rattanpier._internal.relay.stream_answers import stream_answer
 
@@ -40,4 +40,4 @@
             async for part in parts:
                 yield part
     else:
-        yield await whole(dispatcher, course)
+        yield await plain_answer(dispatcher, course)
--- a/src/rattanpier/_internal/relay/plain_answers.py
+++ b/src/rattanpier/_internal/relay/plain_answers.py
@@ -16,44 +16,48 @@
 
 # Of the objective, after which a repeatable plain request is sent to a second
 # worker beside the first: later the answer would be late in any case.
-HEDGE_SHARE = 0.5
+HEDGE_DELAY_SHARE = 0.5
 
 
-async def whole(
-    dispatcher: Dispatcher, course: RequestProgress
+async def plain_answer(
+    dispatcher: Dispatcher, progress: RequestProgress
 ) -> WholeAnswer | AnswerRefused:
     """Returns the answer to a request that is no stream."""
-    while dispatcher.may_send(course):
-        choice = dispatcher.choose(course)
+    while dispatcher.may_send(progress):
+        choice = dispatcher.choose(progress)
         if choice is None:
             break
-        answer = await first_of(dispatcher, course, choice)
+        answer = await answer_with_hedge(dispatcher, progress, choice)
         if answer is not None:
             return answer
-    return dispatcher.refuse(course)
+    return dispatcher.refuse(progress)
 
 
-async def first_of(
-    dispatcher: Dispatcher, course: RequestProgress, choice: Choice
+async def answer_with_hedge(
+    dispatcher: Dispatcher, progress: RequestProgress, choice: Choice
 ) -> WholeAnswer | None:
     """Returns an answer of one worker, or of a second one beside it.
 
     A second send beside the first answers workers that hang or are slow;
     only requests that may run twice get one.
     """
-    first = asyncio.ensure_future(send_whole(dispatcher, course, choice))
+    first = asyncio.ensure_future(
+        answer_from_worker(dispatcher, progress, choice)
+    )
     running = {first}
     try:
-        if course.request.route.idempotent and dispatcher.policy.hedges:
-            hedge_s = HEDGE_SHARE * course.request.route.objective_s
+        if progress.request.route.idempotent and dispatcher.policy.hedges:
+            hedge_s = HEDGE_DELAY_SHARE * progress.request.route.objective_s
             done, _ = await asyncio.wait(running, timeout=hedge_s)
-            if not done and dispatcher.may_send(course):
-                other = dispatcher.choose(course)
-                if other is not None:
+            if not done and dispatcher.may_send(progress):
+                second_choice = dispatcher.choose(progress)
+                if second_choice is not None:
                     dispatcher.metrics.count("relay.hedged")
                     running.add(
                         asyncio.ensure_future(
-                            send_whole(dispatcher, course, other)
+                            answer_from_worker(
+                                dispatcher, progress, second_choice
+                            )
                         )
                     )
         while running:
@@ -69,36 +73,36 @@
             task.cancel()
 
 
-async def send_whole(
-    dispatcher: Dispatcher, course: RequestProgress, choice: Choice
+async def answer_from_worker(
+    dispatcher: Dispatcher, progress: RequestProgress, choice: Choice
 ) -> WholeAnswer | None:
     """Returns a worker's whole answer, None if it failed."""
-    request = course.request
+    request = progress.request
     worker = choice.worker
-    sending = dispatcher.record_upstream_request(course, choice)
-    flight = dispatcher.add_in_flight(course, worker, 0.0)
-    began = dispatcher.clock.monotonic()
+    sending = dispatcher.record_upstream_request(progress, choice)
+    in_flight = dispatcher.add_in_flight(progress, worker, 0.0)
+    started_at = dispatcher.clock.monotonic()
     try:
         async with dispatcher.sender.send(
-            request, sending, course.loop_deadline
+            request, sending, progress.loop_deadline
         ) as answer:
             body = await answer.read_all(MAX_ANSWER_BYTES)
             head = answer.head
     except SendError as error:
-        await dispatcher.handle_send_error(course, worker, error)
+        await dispatcher.handle_send_error(progress, worker, error)
         return None
     except TimeoutError:
-        dispatcher.record_timeout(course, worker)
+        dispatcher.record_timeout(progress, worker)
         return None
     finally:
-        dispatcher.loads.end(worker.id, flight)
-    found = WholeAnswer(head.status, copied_headers(head), body)
+        dispatcher.loads.end(worker.id, in_flight)
+    worker_answer = WholeAnswer(head.status, copied_headers(head), body)
     bad = head.status >= MIN_FAILURE_STATUS
-    seconds = dispatcher.clock.monotonic() - began
-    dispatcher.record_result(course, worker, bad, None if bad else seconds)
+    seconds = dispatcher.clock.monotonic() - started_at
+    dispatcher.record_result(progress, worker, bad, None if bad else seconds)
     dispatcher.metrics.timing("relay.worker_s", seconds)
     if not bad:
         dispatcher.quarantine.record_answer(request.content)
-        return found
-    dispatcher.record_worker_failure(course, worker, found)
+        return worker_answer
+    dispatcher.record_worker_failure(progress, worker, worker_answer)
     return None
