--- a/src/rattanpier/_internal/relay/plain_answers.py
+++ b/src/rattanpier/_internal/relay/plain_answers.py
@@ -1,4 +1,4 @@
-"""Answers of plain services: sent whole, or a failure that is true."""
+"""Answers of plain services: complete answers or definite failures."""
 
 from __future__ import annotations
 
@@ -14,15 +14,20 @@
 from rattanpier._internal.relay.placement import Choice
 from rattanpier._internal.relay.request_progress import RequestProgress
 
-# Of the objective, after which a repeatable plain request is sent to a second
-# worker beside the first: later the answer would be late in any case.
+# Share of the latency objective after which an idempotent request is hedged. A
+# later hedge could not be answered within the objective.
 HEDGE_DELAY_SHARE = 0.5
 
 
 async def plain_answer(
     dispatcher: Dispatcher, progress: RequestProgress
 ) -> WholeAnswer | AnswerRefused:
-    """Returns the answer to a request that is no stream."""
+    """Returns the answer to a request that is not streamed.
+
+    Args:
+      dispatcher: Selects workers and sends requests to them.
+      progress: Progress of the request.
+    """
     while dispatcher.may_send(progress):
         choice = dispatcher.choose(progress)
         if choice is None:
@@ -36,10 +41,18 @@
 async def answer_with_hedge(
     dispatcher: Dispatcher, progress: RequestProgress, choice: Choice
 ) -> WholeAnswer | None:
-    """Returns an answer of one worker, or of a second one beside it.
+    """Returns the first answer of a worker or of a hedge to a second one.
+
+    The hedge, a concurrent request to a second worker, is for workers that hang
+    or are slow. Only idempotent requests are hedged, since both may run.
+
+    Args:
+      dispatcher: Selects workers and sends requests to them.
+      progress: Progress of the request.
+      choice: Worker to ask first.
 
-    A second send beside the first answers workers that hang or are slow;
-    only requests that may run twice get one.
+    Returns:
+      The answer, or None if all workers asked have failed.
     """
     first = asyncio.ensure_future(
         answer_from_worker(dispatcher, progress, choice)
@@ -76,7 +89,7 @@
 async def answer_from_worker(
     dispatcher: Dispatcher, progress: RequestProgress, choice: Choice
 ) -> WholeAnswer | None:
-    """Returns a worker's whole answer, None if it failed."""
+    """Returns a worker's complete answer, or None if it failed."""
     request = progress.request
     worker = choice.worker
     sending = dispatcher.record_upstream_request(progress, choice)
