--- a/src/rattanpier/_internal/relay/answering.py
+++ b/src/rattanpier/_internal/relay/answering.py
@@ -23,7 +23,7 @@
     Closing the generator early means that the caller went away: what the
     workers do for it is stopped.
     """
-    course = RequestProgress(
+    progress = RequestProgress(
         request,
         asyncio.get_running_loop().time()
         + request.deadline
@@ -31,13 +31,15 @@
         dispatcher.pick_service(request),
         model=first_model(request, dispatcher.policy),
     )
-    course.first_model = course.model
-    course.order.last = request.after_event
-    dispatcher.budgets[course.service].record_request()
-    dispatcher.rollouts.sessions.record_request(course.service, request.session)
+    progress.first_model = progress.model
+    progress.order.last = request.after_event
+    dispatcher.budgets[progress.service].record_request()
+    dispatcher.rollouts.sessions.record_request(
+        progress.service, request.session
+    )
     if request.route.streaming:
-        async with aclosing(stream_answer(dispatcher, course)) as parts:
+        async with aclosing(stream_answer(dispatcher, progress)) as parts:
             async for part in parts:
                 yield part
     else:
-        yield await plain_answer(dispatcher, course)
+        yield await plain_answer(dispatcher, progress)
