--- a/src/rattanpier/_internal/relay/answering.py
+++ b/src/rattanpier/_internal/relay/answering.py
@@ -1,4 +1,4 @@
-"""Answers one request: choose, send, judge the answer, go on or give up."""
+"""Answers one request, by a streamed or a plain upstream request."""
 
 from __future__ import annotations
 
@@ -20,8 +20,12 @@
 ) -> AsyncIterator[AnswerPart]:
     """Yields the parts of the answer to a request.
 
-    Closing the generator early means that the caller went away: what the
-    workers do for it is stopped.
+    Closing the generator early means that the caller disconnected; the upstream
+    requests are then cancelled.
+
+    Args:
+      dispatcher: Selects workers and sends requests to them.
+      request: Request of the caller.
     """
     progress = RequestProgress(
         request,
