--- a/src/rattanpier/_internal/relay/answering.py
+++ b/src/rattanpier/_internal/relay/answering.py
@@ -36,7 +36,7 @@
         model=first_model(request, dispatcher.policy),
     )
     progress.first_model = progress.model
-    progress.order.last = request.after_event
+    progress.order.last_number = request.after_event
     dispatcher.budgets[progress.service].record_request()
     dispatcher.rollouts.sessions.record_request(
         progress.service, request.session
--- a/src/rattanpier/_internal/relay/dispatch.py
+++ b/src/rattanpier/_internal/relay/dispatch.py
@@ -274,7 +274,7 @@
             left_s=self.left_s(progress),
             model=progress.model,
             urgency=request.priority if request.route.streaming else None,
-            after_event=progress.order.last,
+            after_event=progress.order.last_number,
         )
 
     def refuse(self, progress: RequestProgress) -> WholeAnswer | AnswerRefused:
--- a/src/rattanpier/_internal/relay/events.py
+++ b/src/rattanpier/_internal/relay/events.py
@@ -34,10 +34,10 @@
     """Cuts a stream into events.
 
     Attributes:
-      rest: What came of an event that is not whole yet.
+      incomplete_event: What came of an event that is not whole yet.
     """
 
-    rest: bytes = b""
+    incomplete_event: bytes = b""
 
     def feed(self, data: bytes) -> Iterator[Event]:
         r"""Yields the events that are whole now.
@@ -49,18 +49,18 @@
         Raises:
           EventError: An event is too long.
         """
-        self.rest += data
+        self.incomplete_event += data
         start = 0
-        for blank in BLANK_LINE.finditer(self.rest):
-            piece = self.rest[start : blank.end()]
+        for blank in BLANK_LINE.finditer(self.incomplete_event):
+            event_data = self.incomplete_event[start : blank.end()]
             start = blank.end()
-            yield Event(piece, number_of(piece))
-        self.rest = self.rest[start:]
-        if len(self.rest) > MAX_EVENT_BYTES:
+            yield Event(event_data, event_number(event_data))
+        self.incomplete_event = self.incomplete_event[start:]
+        if len(self.incomplete_event) > MAX_EVENT_BYTES:
             raise EventError("an event has no end")
 
 
-def number_of(data: bytes) -> int | None:
+def event_number(data: bytes) -> int | None:
     """Returns the id of an event, None if it has none."""
     found = ID_LINE.search(data)
     return None if found is None else int(found.group(1))
@@ -71,12 +71,12 @@
     """Checks that the events of one answer follow each other.
 
     Attributes:
-      last: Number of the last event, None before the first.
+      last_number: Number of the last event, None before the first.
     """
 
-    last: int | None = None
+    last_number: int | None = None
 
-    def take(self, event: Event) -> bool:
+    def accept(self, event: Event) -> bool:
         """Says whether an event is the next one; False if it was seen.
 
         Raises:
@@ -84,9 +84,12 @@
         """
         if event.number is None:
             return True
-        if self.last is not None and event.number <= self.last:
+        if self.last_number is not None and event.number <= self.last_number:
             return False
-        if self.last is not None and event.number != self.last + 1:
-            raise EventError(f"event {event.number} follows {self.last}")
-        self.last = event.number
+        if (
+            self.last_number is not None
+            and event.number != self.last_number + 1
+        ):
+            raise EventError(f"event {event.number} follows {self.last_number}")
+        self.last_number = event.number
         return True
--- a/src/rattanpier/_internal/relay/stream_answers.py
+++ b/src/rattanpier/_internal/relay/stream_answers.py
@@ -187,9 +187,9 @@
     async with aclosing(answer.pieces()) as pieces:
         async for piece in pieces:
             for event in splitter.feed(piece):
-                if progress.order.take(event):
+                if progress.order.accept(event):
                     yield event
-    if splitter.rest:
+    if splitter.incomplete_event:
         raise EventError("stream ended within an event")
 
 
--- a/tests/relay/test_decisions.py
+++ b/tests/relay/test_decisions.py
@@ -576,7 +576,7 @@
     assert not list(splitter.feed(b"id: 1\nda"))
     found = list(splitter.feed(b"ta\n\nid: 2\r\ndata\r\n\r\nid"))
     assert [event.number for event in found] == [1, 2]
-    assert splitter.rest == b"id"
+    assert splitter.incomplete_event == b"id"
 
 
 def test_a_missing_event_is_an_error_and_a_duplicate_is_dropped():
@@ -585,11 +585,11 @@
     first, second, again, gap = splitter.feed(
         b"id: 4\n\nid: 5\n\nid: 5\n\nid: 9\n\n"
     )
-    assert order.take(first)
-    assert order.take(second)
-    assert not order.take(again)
+    assert order.accept(first)
+    assert order.accept(second)
+    assert not order.accept(again)
     with pytest.raises(EventError):
-        order.take(gap)
+        order.accept(gap)
 
 
 def test_new_workers_serve_if_no_old_worker_is_left():
