--- a/src/rattanpier/_internal/relay/events.py
+++ b/src/rattanpier/_internal/relay/events.py
@@ -1,4 +1,8 @@
-"""Server-sent events, split so that only whole ones are passed on."""
+"""Splits streams into server-sent events and checks the order of their ids.
+
+Only complete events are forwarded, so that an interrupted stream can be resumed
+after the last of them.
+"""
 
 from __future__ import annotations
 
@@ -7,22 +11,22 @@
 
 import attrs
 
-MAX_EVENT_BYTES = 2**20  # A longer one is no proper event.
+MAX_EVENT_BYTES = 2**20  # Longer events are invalid.
 BLANK_LINE = re.compile(rb"\r?\n\r?\n")
 ID_LINE = re.compile(rb"^id:[ \t]*(\d+)[ \t]*\r?$", re.MULTILINE)
 
 
 class EventError(Exception):
-    """What came is no proper series of events."""
+    """A stream is no valid sequence of events."""
 
 
 @attrs.frozen
 class Event:
-    """One event.
+    """One server-sent event.
 
     Attributes:
-      data: Its bytes with the blank line.
-      number: Its id, None if it has none.
+      data: Bytes of the event, including the blank line that ends it.
+      number: Numeric id, or None if it has none.
     """
 
     data: bytes
@@ -31,23 +35,23 @@
 
 @attrs.define(eq=False, repr=False)
 class EventSplitter:
-    """Cuts a stream into events.
+    """Splits a stream into events.
 
     Attributes:
-      incomplete_event: What came of an event that is not whole yet.
+      incomplete_event: Bytes received of an event that is not complete yet.
     """
 
     incomplete_event: bytes = b""
 
     def feed(self, data: bytes) -> Iterator[Event]:
-        r"""Yields the events that are whole now.
+        r"""Yields the events that `data` completes.
 
         >>> splitter = EventSplitter()
         >>> [event.number for event in splitter.feed(b"id: 1\n\nid: 2")]
         [1]
 
         Raises:
-          EventError: An event is too long.
+          EventError: An event is longer than `MAX_EVENT_BYTES`.
         """
         self.incomplete_event += data
         start = 0
@@ -57,30 +61,33 @@
             yield Event(event_data, event_number(event_data))
         self.incomplete_event = self.incomplete_event[start:]
         if len(self.incomplete_event) > MAX_EVENT_BYTES:
-            raise EventError("an event has no end")
+            raise EventError("event exceeds the maximum length")
 
 
 def event_number(data: bytes) -> int | None:
-    """Returns the id of an event, None if it has none."""
+    """Returns the numeric id of an event, or None if it has none."""
     found = ID_LINE.search(data)
     return None if found is None else int(found.group(1))
 
 
 @attrs.define(eq=False, repr=False)
 class EventOrder:
-    """Checks that the events of one answer follow each other.
+    """Checks that the events of one answer are consecutive.
 
     Attributes:
-      last_number: Number of the last event, None before the first.
+      last_number: Id of the last event, or None before the first.
     """
 
     last_number: int | None = None
 
     def accept(self, event: Event) -> bool:
-        """Says whether an event is the next one; False if it was seen.
+        """Returns whether an event is to be forwarded.
+
+        Events without an id always are; events up to the last one were received
+        before and are not.
 
         Raises:
-          EventError: Events between it and the last are missing.
+          EventError: Events between the last one and this one are missing.
         """
         if event.number is None:
             return True
@@ -90,6 +97,8 @@
             self.last_number is not None
             and event.number != self.last_number + 1
         ):
-            raise EventError(f"event {event.number} follows {self.last_number}")
+            raise EventError(
+                f"event {event.number} received after {self.last_number}"
+            )
         self.last_number = event.number
         return True
