--- a/src/rattanpier/_internal/relay/exposition.py
+++ b/src/rattanpier/_internal/relay/exposition.py
@@ -27,28 +27,28 @@
     def collect(self) -> Iterable[Metric]:
         """Yields each counter, gauge and histogram."""
         for name, count in sorted(self.metrics.counts.items()):
-            yield CounterMetricFamily(plain(name), name, value=count)
+            yield CounterMetricFamily(metric_name(name), name, value=count)
         for name, value in sorted(self.metrics.gauges.items()):
-            yield GaugeMetricFamily(plain(name), name, value=value)
+            yield GaugeMetricFamily(metric_name(name), name, value=value)
         for name, timing in sorted(self.metrics.timings.items()):
             yield HistogramMetricFamily(
-                plain(name),
+                metric_name(name),
                 name,
-                buckets=list(cumulated(timing.buckets)),
+                buckets=list(cumulative_buckets(timing.buckets)),
                 sum_value=timing.total_s,
             )
 
 
-def plain(name: str) -> str:
+def metric_name(name: str) -> str:
     """Returns a name as the exposition format allows it.
 
-    >>> plain("relay.first_event_s")
+    >>> metric_name("relay.first_event_s")
     'rattanpier_relay_first_event_s'
     """
     return PREFIX + name.replace(".", "_").replace("-", "_")
 
 
-def cumulated(buckets: list[int]) -> Iterable[tuple[str, int]]:
+def cumulative_buckets(buckets: list[int]) -> Iterable[tuple[str, int]]:
     """Yields each upper edge with the count of all up to it."""
     total = 0
     for edge, count in zip(TIMING_EDGES_S, buckets, strict=False):
