--- a/src/rattanpier/_internal/relay/exposition.py
+++ b/src/rattanpier/_internal/relay/exposition.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms as text, for the metrics address."""
+"""Renders metrics in the Prometheus text format for the metrics address."""
 
 from __future__ import annotations
 
@@ -20,7 +20,11 @@
 
 @attrs.define(eq=False)
 class MetricsCollector:
-    """Hands the process's metrics to the client library."""
+    """Collector that exports the metrics of the process.
+
+    Attributes:
+      metrics: Counters, gauges and timings of the process.
+    """
 
     metrics: Metrics
 
@@ -40,7 +44,7 @@
 
 
 def metric_name(name: str) -> str:
-    """Returns a name as the exposition format allows it.
+    """Converts the name of a metric to one that the text format allows.
 
     >>> metric_name("relay.first_event_s")
     'rattanpier_relay_first_event_s'
@@ -49,7 +53,7 @@
 
 
 def cumulative_buckets(buckets: list[int]) -> Iterable[tuple[str, int]]:
-    """Yields each upper edge with the count of all up to it."""
+    """Yields the upper bound and the cumulative count of each bucket."""
     total = 0
     for edge, count in zip(TIMING_EDGES_S, buckets, strict=False):
         total += count
@@ -58,7 +62,7 @@
 
 
 def render(metrics: Metrics) -> bytes:
-    """Returns all metrics as text."""
+    """Returns all metrics in the Prometheus text format."""
     registry = CollectorRegistry(auto_describe=False)
     registry.register(MetricsCollector(metrics))
     return generate_latest(registry)
