--- a/tests/relay/test_path.py
+++ b/tests/relay/test_path.py
@@ -24,7 +24,7 @@
         yield made
 
 
-async def test_a_call_is_passed_on_and_its_answer_returned_unchanged(site):
+async def test_a_request_and_its_answer_are_forwarded_unchanged(site):
     worker = await site.add_worker("w1")
     await site.add_entry()
     answer = await site.ask(
@@ -46,10 +46,10 @@
     assert "authorization" not in run.headers
 
 
-async def test_what_the_system_sets_is_never_taken_from_the_caller(site):
+async def test_reserved_headers_of_callers_are_not_forwarded(site):
     worker = await site.add_worker("w1")
     await site.add_entry()
-    own = {
+    reserved_headers = {
         "X-Tenant": "other",
         "X-Expected-Instance": "w9",
         "X-Expected-Version": "9",
@@ -60,12 +60,12 @@
         "Kv-From": "10.0.0.1:1/x",
         "Kv-Fetch": "10.0.0.1:1",
     }
-    answer = await site.ask(headers=own)
+    answer = await site.ask(headers=reserved_headers)
     headers = worker.runs[0].headers
     assert answer.status == 200
     assert headers["x-tenant"] == "acme"
     assert headers["x-expected-instance"] == "w1"
-    assert not {name.lower() for name in own} & headers.keys() - {
+    assert not {name.lower() for name in reserved_headers} & headers.keys() - {
         "x-tenant",
         "x-expected-instance",
     }
@@ -81,7 +81,7 @@
         ("/safe/x", {"X-Attempt-Id": ""}, 400),
     ],
 )
-async def test_what_no_route_or_key_allows_is_refused(
+async def test_requests_without_route_key_or_id_are_refused(
     site, path, headers, status
 ):
     worker = await site.add_worker("w1")
@@ -109,14 +109,14 @@
     assert not worker.runs
 
 
-async def test_without_workers_a_request_is_refused_at_once(site):
+async def test_a_request_without_workers_is_refused_with_retry_after(site):
     await site.add_entry()
     answer = await site.ask()
     assert answer.status == 503
     assert float(answer.headers["Retry-After"]) > 0
 
 
-async def test_a_stream_is_passed_on_event_by_event(site):
+async def test_all_events_of_a_stream_are_forwarded_in_order(site):
     await site.add_worker("e1", "engine")
     await site.add_entry()
     answer = await site.chat()
@@ -125,7 +125,7 @@
     assert events(answer.body) == [1, 2, 3, 4, 5]
 
 
-async def test_a_larger_model_is_asked_if_the_small_one_doubts(site):
+async def test_low_confidence_escalates_to_the_large_model(site):
     worker = await site.add_worker(
         "e1", "engine", confidence={SMALL: 10.0, LARGE: 90.0}
     )
@@ -136,14 +136,14 @@
     assert [run.headers["x-model"] for run in worker.runs] == [SMALL, LARGE]
 
 
-async def test_a_sure_small_model_answers_alone(site):
+async def test_high_confidence_does_not_escalate(site):
     worker = await site.add_worker("e1", "engine", confidence={SMALL: 90.0})
     await site.add_entry()
     await site.chat()
     assert [run.headers["x-model"] for run in worker.runs] == [SMALL]
 
 
-async def test_a_route_time_out_gets_a_final_answer_and_ends_the_work(site):
+async def test_a_route_timeout_is_answered_and_cancels_the_work(site):
     worker = await site.add_worker("w1", work_s=5.0)
     site.store.put("op", "config", changed_route("unsafe", timeoutMs=200))
     await site.add_entry()
@@ -156,7 +156,7 @@
     assert int(worker.runs[0].headers["x-deadline-ms"]) <= 200
 
 
-async def test_a_caller_that_leaves_ends_the_work(site):
+async def test_a_disconnected_caller_cancels_the_work(site):
     worker = await site.add_worker("w1", work_s=30.0)
     await site.add_entry()
     asking = asyncio.create_task(site.ask("/unsafe/x"))
@@ -166,24 +166,26 @@
     assert worker.stopped == [worker.runs[0].id]
 
 
-async def test_the_directory_names_ready_entries_only(site):
+async def test_the_directory_lists_only_ready_entries(site):
     await site.add_worker("w1")
-    one = await site.add_entry("entry-1")
-    two = await site.add_entry("entry-2")
-    await until(lambda: len(one.fleet.entries()) == 2)
-    url = f"http://{one.settings.directory}/rattanpier/resolve?name=x"
+    ready_entry = await site.add_entry("entry-1")
+    leaving_entry = await site.add_entry("entry-2")
+    await until(lambda: len(ready_entry.fleet.entries()) == 2)
+    url = f"http://{ready_entry.settings.directory}/rattanpier/resolve?name=x"
     async with site.session.get(url) as response:
-        told = await response.json()
-    assert sorted(told["addresses"]) == sorted(
-        str(entry.settings.callers) for entry in (one, two)
+        listing = await response.json()
+    assert sorted(listing["addresses"]) == sorted(
+        str(entry.settings.callers) for entry in (ready_entry, leaving_entry)
     )
-    assert 0 < told["ttlS"] <= 5
-    two.drain.begin()
-    await two.gossip.round()
-    assert [member.name for member in one.fleet.entries()] == ["entry-1"]
+    assert 0 < listing["ttlS"] <= 5
+    leaving_entry.drain.begin()
+    await leaving_entry.gossip.round()
+    assert [member.name for member in ready_entry.fleet.entries()] == [
+        "entry-1"
+    ]
 
 
-async def test_metrics_are_served_as_text(site):
+async def test_metrics_are_rendered_as_prometheus_text(site):
     worker = await site.add_worker("w1")
     entry = await site.add_entry()
     await site.ask()
@@ -195,7 +197,7 @@
     assert "rattanpier_relay_request_s_bucket" in text
 
 
-async def test_a_worker_that_is_full_is_passed_by(site):
+async def test_a_request_shed_by_a_full_worker_runs_at_another(site):
     await site.add_worker("w1", fault=WorkerFault.SHED)
     await site.add_worker("w2")
     await site.add_entry()
@@ -204,19 +206,19 @@
     assert set(site.runs().values()) == {1}
 
 
-async def test_keys_are_never_told_to_workers(site):
+async def test_api_keys_are_not_forwarded_to_workers(site):
     worker = await site.add_worker("w1")
     await site.add_entry()
     await site.ask(headers={"Authorization": f"bearer {KEY}"})
     assert KEY not in str(worker.runs[0].headers)
 
 
-async def test_a_worker_whose_place_another_took_is_asked_once():
+async def test_a_worker_with_a_changed_identity_is_asked_once():
     async with platform_site() as site:
-        taken = await site.add_worker("taken", "engine")
+        replaced = await site.add_worker("taken", "engine")
         other = await site.add_worker("other", "engine")
         await site.add_entry()
-        taken.id = "started-anew"
+        replaced.id = "started-anew"
         answers = [
             await site.chat(headers={"X-Prefix-Hash": f"a{number}:900,b:100"})
             for number in range(12)
@@ -225,5 +227,7 @@
         assert {answer.status for answer in answers} == {200}
         assert len(other.runs) >= 12
         dispatcher = site.entries["entry-1"].edge.dispatcher
-        sent = dispatcher.metrics.counts["relay.send_failed.not_run"]
-        assert sent == 1
+        misdirected_sends = dispatcher.metrics.counts[
+            "relay.send_failed.not_run"
+        ]
+        assert misdirected_sends == 1
