--- a/tests/relay/test_processes.py
+++ b/tests/relay/test_processes.py
@@ -37,7 +37,7 @@
     return await ask(site, entry, "/chat/x", method="POST", headers=headers)
 
 
-async def test_a_planned_stop_cuts_nothing(site, tmp_path):
+async def test_a_planned_stop_completes_streams_in_progress(site, tmp_path):
     await site.add_worker("e1", "engine", events=6, event_gap_s=0.25)
     entry = await start(site, tmp_path)
     try:
@@ -56,7 +56,7 @@
     assert entry.said("main: Stopped.")
 
 
-async def test_a_ready_entry_takes_connections(site, tmp_path):
+async def test_a_ready_entry_accepts_connections(site, tmp_path):
     await site.add_worker("w1")
     for number in range(3):
         entry = await start(site, tmp_path, name=f"entry-{number}")
@@ -66,19 +66,19 @@
             await entry.end()
 
 
-async def test_a_leaving_entry_is_not_ready_and_serves_on(site, tmp_path):
+async def test_a_leaving_entry_is_not_ready_but_still_serves(site, tmp_path):
     await site.add_worker("w1")
     entry = await start(site, tmp_path)
     try:
         entry.process.send_signal(signal.SIGTERM)
         url = f"http://{entry.settings.readiness}/rattanpier/readyz"
 
-        async def leaves():
+        async def not_ready():
             async with site.session.get(url) as response:
                 return response.status == 503
 
         async with asyncio.timeout(5):
-            while not await leaves():
+            while not await not_ready():
                 await asyncio.sleep(0.01)
         answer = await ask(site, entry)
         assert answer.status == 200
@@ -87,7 +87,7 @@
         await entry.end()
 
 
-async def test_settings_are_read_again_and_nothing_is_cut(site, tmp_path):
+async def test_a_settings_reload_does_not_interrupt_streams(site, tmp_path):
     await site.add_worker("e1", "engine", events=5, event_gap_s=0.1)
     entry = await start(site, tmp_path)
     try:
@@ -104,7 +104,7 @@
         await entry.end()
 
 
-async def test_a_reload_while_an_entry_starts_does_not_end_it(site, tmp_path):
+async def test_a_reload_during_startup_does_not_end_the_process(site, tmp_path):
     await site.add_worker("w1")
     entry = await start_entry(site.store_address, tmp_path)
     try:
@@ -123,7 +123,7 @@
         return made.connect_ex((address.host, address.port)) == 0
 
 
-async def test_a_request_can_be_followed_by_its_id(site, tmp_path):
+async def test_log_lines_of_a_request_carry_its_id(site, tmp_path):
     await site.add_worker("w1")
     entry = await start(site, tmp_path)
     try:
@@ -132,16 +132,18 @@
         await until(lambda: entry.said("edge: Answered."))
     finally:
         await entry.end()
-    told = [line for line in entry.lines if line.get("request") == request_id]
-    assert [line["event"] for line in told] == [
+    request_lines = [
+        line for line in entry.lines if line.get("request") == request_id
+    ]
+    assert [line["event"] for line in request_lines] == [
         "dispatch: Sent.",
         "edge: Answered.",
     ]
-    assert told[0]["worker"] == "w1"
+    assert request_lines[0]["worker"] == "w1"
     assert all(line["node"] == "entry-1" for line in entry.lines)
 
 
-async def test_a_reader_that_stops_reading_holds_nothing_up(site, tmp_path):
+async def test_an_unread_log_pipe_does_not_block_requests(site, tmp_path):
     await site.add_worker("w1")
     entry = await start(site, tmp_path, silent_reader=True)
     try:
@@ -163,7 +165,9 @@
         ("{}", "ip is None"),
     ],
 )
-async def test_bad_settings_are_told_with_the_field(tmp_path, text, words):
+async def test_invalid_settings_are_reported_with_the_field(
+    tmp_path, text, words
+):
     path = tmp_path / "node.json"
     path.write_text(text)
     process = await asyncio.create_subprocess_exec(
