--- a/tests/relay/test_early_callers.py
+++ b/tests/relay/test_early_callers.py
@@ -55,7 +55,7 @@
                 await asyncio.sleep(0.002)
 
 
-async def listens(address):
+async def is_listening(address):
     try:
         _, writer = await asyncio.open_connection(address.host, address.port)
     except OSError:
@@ -64,12 +64,14 @@
     return True
 
 
-async def test_a_caller_that_comes_first_in_a_start_is_answered(site, tmp_path):
+async def test_a_request_before_the_modules_are_loaded_is_answered(
+    site, tmp_path
+):
     entry = await start_entry(site.store_address, tmp_path)
     try:
         reader, writer = await connect(entry.settings.callers)
         # Its modules are not loaded yet.
-        assert not await listens(entry.settings.readiness)
+        assert not await is_listening(entry.settings.readiness)
         writer.write(
             f"GET /safe/x HTTP/1.1\r\nHost: {HOST}\r\nX-Attempt-Id: 1\r\n"
             f"Authorization: Bearer {KEY}\r\n"
@@ -82,7 +84,7 @@
         await entry.end()
 
 
-async def test_a_request_waits_for_the_routes_of_a_start(site):
+async def test_a_request_during_startup_waits_for_the_routes(site):
     site.store.set_fault(StoreFault.BUSY)
     await site.add_entry(ready=False)
     asked = asyncio.ensure_future(site.ask())
@@ -92,20 +94,22 @@
     assert (await asked).status == 200
 
 
-async def test_a_start_that_finds_no_store_refuses_soon(site):
+async def test_requests_are_refused_soon_if_startup_finds_no_store(site):
     site.store.set_fault(StoreFault.BUSY)
     await site.add_entry(ready=False)
-    began = time.monotonic()
+    started_at = time.monotonic()
     answer = await site.ask()
     assert answer.status == 503
     assert float(answer.headers["Retry-After"]) > 0
-    assert time.monotonic() - began < START_WAIT_S + 0.3
-    began = time.monotonic()
+    assert time.monotonic() - started_at < START_WAIT_S + 0.3
+    started_at = time.monotonic()
     assert (await site.ask()).status == 503
-    assert time.monotonic() - began < 0.2
+    assert time.monotonic() - started_at < 0.2
 
 
-async def test_a_caller_that_left_meanwhile_runs_nothing(site):
+async def test_a_request_whose_caller_disconnected_during_startup_is_not_run(
+    site,
+):
     site.store.set_fault(StoreFault.BUSY)
     await site.add_entry(ready=False)
     with pytest.raises((TimeoutError, aiohttp.ClientError)):
@@ -115,7 +119,7 @@
     assert len(site.workers["w1"].runs) == 1
 
 
-async def test_routes_come_from_a_peer_sooner_than_over_a_slow_link(site):
+async def test_routes_are_loaded_from_a_peer_if_the_store_is_slow(site):
     first = await site.add_entry("entry-1")
     door = Door(slow_s={"op": 8.0})
     second = await site.add_entry(
@@ -124,13 +128,13 @@
         store=await site.add_door(door),
         seeds=[str(first.settings.peers)],
     )
-    began = time.monotonic()
+    started_at = time.monotonic()
     assert (await site.ask(entry="entry-2")).status == 200
-    assert time.monotonic() - began < START_WAIT_S
+    assert time.monotonic() - started_at < START_WAIT_S
     assert second.state.table == first.state.table
 
 
-async def test_a_start_asks_no_more_seeds_than_it_needs(site, monkeypatch):
+async def test_startup_asks_no_seeds_after_one_that_answered(site, monkeypatch):
     asked = []
     compare = Gossip.compare
 
@@ -143,14 +147,14 @@
         for number in range(3)
     ]
     door = Door(slow_s={"entries": 8.0})
-    later = await site.add_entry(
+    new_entry = await site.add_entry(
         "entry-9",
         ready=False,
         store=await site.add_door(door),
         seeds=["127.0.0.1:9", *seeds],
     )
     monkeypatch.setattr(Gossip, "compare", note)
-    await until(lambda: len(later.fleet.live()) == 4)
+    await until(lambda: len(new_entry.fleet.live()) == 4)
     assert [name for name in asked if name in seeds[1:]] == []
 
 
@@ -163,7 +167,7 @@
         ({"e3"}, False, {"e3"}),
     ],
 )
-def test_peers_are_asked_that_know_more(ready, reaches_store, asked):
+def test_ready_peers_are_asked_first(ready, reaches_store, asked):
     clock = ManualClock()
     fleet = Fleet(make_entry_state("e1", store=reaches_store), clock)
     fleet.apply_states(
@@ -176,7 +180,7 @@
     assert len(names) == (len(asked) if reaches_store else MAX_PEERS_ASKED)
 
 
-async def test_a_long_table_is_told_in_few_bytes(site):
+async def test_the_snapshot_of_a_long_table_is_small(site):
     document = manifest(2)
     document["routes"] += [
         route(f"more-{number}", "safe", "plain") for number in range(1600)
@@ -192,7 +196,7 @@
 @pytest.mark.parametrize(
     "text", ["", "{", "[]", '{"listen": 1}', '{"listen": {"frontend": "x"}}']
 )
-def test_settings_that_cannot_be_read_open_nothing(tmp_path, text):
+def test_unreadable_settings_open_no_listener(tmp_path, text):
     path = tmp_path / "node.json"
     path.write_text(text)
     assert open_early(str(path)) is None
