--- a/tests/relay/test_spoiled_answers.py
+++ b/tests/relay/test_spoiled_answers.py
@@ -5,7 +5,7 @@
 from rattanpier._internal.standin.platform_worker import WorkerFault
 from tests.lib.platform_site import changed_route, events, platform_site
 
-SPOILED = [
+INVALID_ANSWER_FAULTS = [
     WorkerFault.CUT,
     WorkerFault.UNFRAMED_RESET,
     WorkerFault.NO_RECEIPT,
@@ -21,8 +21,10 @@
         yield made
 
 
-@pytest.mark.parametrize("fault", SPOILED)
-async def test_a_spoiled_answer_is_asked_for_elsewhere_if_it_may(site, fault):
+@pytest.mark.parametrize("fault", INVALID_ANSWER_FAULTS)
+async def test_a_repeatable_request_with_an_invalid_answer_is_retried(
+    site, fault
+):
     await site.add_worker("bad", fault=fault)
     await site.add_worker("good")
     await site.add_entry()
@@ -32,8 +34,10 @@
         assert answer.body.startswith(b"good ran")
 
 
-@pytest.mark.parametrize("fault", SPOILED)
-async def test_a_spoiled_answer_to_what_may_run_once_is_no_success(site, fault):
+@pytest.mark.parametrize("fault", INVALID_ANSWER_FAULTS)
+async def test_a_non_repeatable_request_with_an_invalid_answer_fails(
+    site, fault
+):
     worker = await site.add_worker("bad", fault=fault)
     await site.add_worker("other", fault=fault)
     await site.add_entry()
@@ -44,7 +48,7 @@
 
 
 @pytest.mark.parametrize("fault", [WorkerFault.EXTRA, WorkerFault.EXTRA_LATE])
-async def test_a_second_answer_goes_to_nobody(site, fault):
+async def test_a_surplus_answer_is_not_delivered(site, fault):
     await site.add_worker("w1", fault=fault)
     await site.add_entry()
     for number in range(12):
@@ -54,14 +58,14 @@
         assert answer.body == f"w1 ran {request_id}".encode()
 
 
-async def test_an_answer_that_ends_with_its_connection_is_whole(site):
+async def test_an_answer_ended_by_connection_close_is_complete(site):
     await site.add_worker("w1", fault=WorkerFault.UNFRAMED)
     await site.add_entry()
     answer = await site.ask("/unsafe/x")
     assert (answer.status, answer.whole) == (200, True)
 
 
-async def test_a_worker_s_failure_is_passed_back_as_it_is(site):
+async def test_a_failure_of_a_worker_is_forwarded(site):
     await site.add_worker("w1", fault=WorkerFault.FAIL)
     await site.add_entry()
     answer = await site.ask("/unsafe/x")
@@ -69,7 +73,7 @@
     assert answer.headers["X-Response-Signature"].startswith("w1.")
 
 
-async def test_a_cut_stream_goes_on_at_another_worker(site):
+async def test_an_interrupted_stream_is_resumed_at_another_worker(site):
     await site.add_worker("e1", "engine", fault=WorkerFault.CUT)
     await site.add_worker("e2", "engine")
     await site.add_entry()
@@ -79,7 +83,7 @@
         assert events(answer.body) == [1, 2, 3, 4, 5]
 
 
-async def test_a_cut_stream_that_cannot_go_on_does_not_look_whole(site):
+async def test_an_interrupted_stream_that_is_not_resumable_is_incomplete(site):
     await site.add_worker("e1", "engine", fault=WorkerFault.CUT)
     site.store.put("op", "config", changed_route("chat", resumable=False))
     await site.add_entry()
@@ -88,7 +92,7 @@
     assert events(answer.body) == [1, 2]
 
 
-async def test_a_stream_that_may_run_once_is_not_sent_again(site):
+async def test_a_stream_that_is_not_resumable_is_not_retried(site):
     for name in ("e1", "e2"):
         await site.add_worker(name, "engine", fault=WorkerFault.RESET)
     site.store.put("op", "config", changed_route("chat", resumable=False))
