--- a/tests/relay/test_path.py
+++ b/tests/relay/test_path.py
@@ -1,4 +1,4 @@
-"""The way of a request through an entry, on the stand-in platform."""
+"""End-to-end handling of requests by an entry on the stand-in platform."""
 
 import asyncio
 
