--- a/tests/relay/test_processes.py
+++ b/tests/relay/test_processes.py
@@ -1,4 +1,4 @@
-"""An entry as a process: its signals, its exit, and what it writes."""
+"""An entry as a process: signals, exit status and log output."""
 
 import asyncio
 import os
@@ -26,7 +26,7 @@
 
 
 async def ask(site, entry, path="/safe/x", **more):
-    """Asks a process as if it were an entry of the site."""
+    """Sends a request to a process as if it were an entry of the site."""
     name = entry.settings.name
     site.entries[name] = entry
     return await site.ask(path, entry=name, **more)
@@ -108,7 +108,7 @@
     await site.add_worker("w1")
     entry = await start_entry(site.store_address, tmp_path)
     try:
-        # From when the program's own code runs on.
+        # The program ignores SIGHUP before it opens this address.
         await until(lambda: listening(entry.settings.callers))
         while not entry.said("main: Started."):
             entry.process.send_signal(signal.SIGHUP)
@@ -147,12 +147,12 @@
     await site.add_worker("w1")
     entry = await start(site, tmp_path, silent_reader=True)
     try:
-        # Some times what a pipe holds.
+        # Their log lines exceed the capacity of the pipe several times.
         for _ in range(400):
             assert (await ask(site, entry)).status == 200
     finally:
         entry.process.kill()
-        # Its exit is only told once the pipe was read to its end.
+        # wait() returns only once the pipe has been read to its end.
         await entry.process.stdout.read()
         await entry.process.wait()
 
