--- a/tests/relay/test_early_callers.py
+++ b/tests/relay/test_early_callers.py
@@ -1,9 +1,9 @@
-"""Callers that come while an entry starts are answered, not turned away.
+"""Requests that arrive while an entry starts are answered, not refused.
 
-What was seen: after all 77 entries had lost power for a second, callers found
-no process listening for 1.5 s more, the time of a start on a small VM, and used
-up their one retry on it: in these two seconds 0.34 of what callers were owed
-was served.
+Guards against refused connections during startup, which takes 1.5 s on a small
+VM. When all 77 entries had lost power for a second, callers spent their only
+retry on entries that did not listen yet: 0.34 of the requests due in these two
+seconds were served.
 """
 
 import asyncio
@@ -46,7 +46,7 @@
 
 
 async def connect(address):
-    """Connects as soon as something listens."""
+    """Connects as soon as the address accepts connections."""
     async with asyncio.timeout(20):
         while True:
             try:
@@ -70,7 +70,7 @@
     entry = await start_entry(site.store_address, tmp_path)
     try:
         reader, writer = await connect(entry.settings.callers)
-        # Its modules are not loaded yet.
+        # The modules of the entry are not loaded yet.
         assert not await is_listening(entry.settings.readiness)
         writer.write(
             f"GET /safe/x HTTP/1.1\r\nHost: {HOST}\r\nX-Attempt-Id: 1\r\n"
