--- a/tests/relay/test_spoiled_answers.py
+++ b/tests/relay/test_spoiled_answers.py
@@ -1,4 +1,4 @@
-"""Workers that spoil answers: a caller gets one whole answer, or none."""
+"""Callers get one complete answer or none if workers send invalid ones."""
 
 import pytest
 
