--- a/tests/lib/platform_site.py
+++ b/tests/lib/platform_site.py
@@ -54,12 +54,12 @@
     }
 
 
-def route(name, kind, service, **more):
+def route(name, route_type, service, **more):
     return {
         "name": name,
         "hostname": HOST,
         "prefix": f"/{name}/",
-        "routeType": kind,
+        "routeType": route_type,
         "timeoutMs": 3000,
         "targetLatencyMs": 400,
         "maxAttempts": 3,
@@ -106,12 +106,12 @@
     }
 
 
-def changed_route(name, version=2, **more):
+def manifest_with_route(name, version=2, **more):
     """A manifest in which one route has other fields."""
     document = manifest(version)
-    for each in document["routes"]:
-        if each["name"] == name:
-            each.update(more)
+    for each_route in document["routes"]:
+        if each_route["name"] == name:
+            each_route.update(more)
     return document
 
 
@@ -122,7 +122,7 @@
     status: int
     headers: dict
     body: bytes
-    whole: bool = True
+    complete: bool = True
 
 
 @attrs.define
@@ -134,8 +134,10 @@
     session: aiohttp.ClientSession
     workers: dict = attrs.Factory(dict)
     entries: dict = attrs.Factory(dict)
-    doors: list = attrs.Factory(list)
-    sequences: collections.Counter = attrs.Factory(collections.Counter)
+    door_runners: list = attrs.Factory(list)
+    registration_sequences: collections.Counter = attrs.Factory(
+        collections.Counter
+    )
     ids: random.Random = attrs.Factory(lambda: random.Random(1))
 
     async def add_worker(self, name, service="plain", version="v1", **more):
@@ -148,7 +150,7 @@
     def register(
         self, name, service="plain", version="v1", state="ready", **more
     ):
-        self.sequences[name] += 1
+        self.registration_sequences[name] += 1
         self.store.put(
             "servers",
             name,
@@ -160,7 +162,7 @@
                 "slots": 8,
                 "state": state,
                 "coldRemainingMs": 0,
-                "sequence": self.sequences[name],
+                "sequence": self.registration_sequences[name],
                 **more,
             },
         )
@@ -170,7 +172,7 @@
         runner = web.AppRunner(self.store.app(door), shutdown_timeout=0.1)
         await runner.setup()
         await web.TCPSite(runner, "127.0.0.1", 0).start()
-        self.doors.append(runner)
+        self.door_runners.append(runner)
         return f"127.0.0.1:{runner.addresses[0][1]}"
 
     async def add_entry(
@@ -250,18 +252,18 @@
                     await close(entry)
             for worker in site.workers.values():
                 await worker.stop()
-            for made in (runner, *site.doors):
-                await made.cleanup()
+            for listener_runner in (runner, *site.door_runners):
+                await listener_runner.cleanup()
 
 
-async def until(true, seconds=10.0):
+async def until(condition, timeout_s=10.0):
     """Waits for something to hold; the limit counts as hung."""
-    async with asyncio.timeout(seconds):
-        while not true():
+    async with asyncio.timeout(timeout_s):
+        while not condition():
             await asyncio.sleep(0.01)
 
 
-def events(body):
+def event_numbers(body):
     """The numbers of the events in a stream's body."""
     return [
         int(line[4:])
@@ -270,5 +272,5 @@
     ]
 
 
-def dump(document):
+def to_json(document):
     return json.dumps(document).encode()
--- a/tests/placement/test_drained_domains.py
+++ b/tests/placement/test_drained_domains.py
@@ -22,7 +22,7 @@
 )
 from rattanpier._internal.standin.platform_worker import WorkerFault
 from tests.lib.clock import ManualClock
-from tests.lib.platform_site import events, platform_site, until
+from tests.lib.platform_site import event_numbers, platform_site, until
 from tests.lib.relay_parts import at, make_worker
 
 # The domain of the entries themselves, whose workers would be preferred.
@@ -277,8 +277,8 @@
     site.store.put("op", DRAIN_KEY, {})
     await until(has_drained(entry, "zone-a"))
     for answer in await asyncio.gather(*streams):
-        assert answer.whole
-        assert events(answer.body) == [1, 2, 3, 4, 5]
+        assert answer.complete
+        assert event_numbers(answer.body) == [1, 2, 3, 4, 5]
 
 
 async def test_requests_are_refused_at_once_if_all_domains_are_drained(site):
--- a/tests/placement/test_eligibility.py
+++ b/tests/placement/test_eligibility.py
@@ -22,8 +22,8 @@
 from tests.lib.clock import ManualClock
 from tests.lib.platform_site import (
     HOST,
-    changed_route,
     manifest,
+    manifest_with_route,
     platform_site,
     until,
 )
@@ -134,7 +134,7 @@
 
 
 async def test_route_is_served_only_in_its_regions():
-    document = changed_route("safe", allowedRegions=["region-b"])
+    document = manifest_with_route("safe", allowedRegions=["region-b"])
     async with platform_site(document) as site:
         for name, domain in (("w1", "zone-a"), ("w2", "zone-b")):
             await site.add_worker(name)
--- a/tests/relay/test_checkpoints.py
+++ b/tests/relay/test_checkpoints.py
@@ -30,7 +30,13 @@
 )
 from rattanpier._internal.standin.platform_store import Door
 from tests.lib.clock import ManualClock
-from tests.lib.platform_site import dump, manifest, platform_site, route, until
+from tests.lib.platform_site import (
+    manifest,
+    platform_site,
+    route,
+    to_json,
+    until,
+)
 from tests.lib.relay_parts import at
 from tests.lib.warm_fleet import make_fleet
 
@@ -87,7 +93,7 @@
 async def test_a_checkpoint_is_under_a_tenth_of_the_table(site):
     await leave_checkpoint(site)
     stored = site.store.rows[TABLE, ROW].value
-    assert len(stored) < 0.1 * len(dump(long_manifest()))
+    assert len(stored) < 0.1 * len(to_json(long_manifest()))
 
 
 async def test_a_start_reads_all_when_the_change_history_expired(site):
--- a/tests/relay/test_crashing_requests.py
+++ b/tests/relay/test_crashing_requests.py
@@ -29,7 +29,7 @@
 from rattanpier._internal.relay.rollouts import Rollouts
 from rattanpier._internal.retries.quarantine import QUARANTINE_S
 from tests.lib.crashes import CRASHING_BODY, start_crashing_pool
-from tests.lib.platform_site import events, platform_site, until
+from tests.lib.platform_site import event_numbers, platform_site, until
 
 ENTRIES = 3
 WORKERS = 9
@@ -116,7 +116,7 @@
     assert (await deadly).status == 502
     assert len(pool.crash_times) == 3
     return sum(
-        answer.whole and events(answer.body) == [1, 2, 3, 4, 5]
+        answer.complete and event_numbers(answer.body) == [1, 2, 3, 4, 5]
         for answer in answers
     )
 
@@ -141,9 +141,9 @@
     assert len(answers) - promised <= pool.count_crashing_runs()
     # All others are served by the workers that are left.
     served = [await ask(site, path, f"entry-{n}", b"usual") for n in range(3)]
-    assert all(answer.status == 200 and answer.whole for answer in served)
+    assert all(answer.status == 200 and answer.complete for answer in served)
     if kind == "stream":
-        assert events(served[0].body) == [1, 2, 3, 4, 5]
+        assert event_numbers(served[0].body) == [1, 2, 3, 4, 5]
 
 
 async def test_what_ran_beside_such_a_request_is_answered_elsewhere(site):
--- a/tests/relay/test_early_callers.py
+++ b/tests/relay/test_early_callers.py
@@ -28,10 +28,10 @@
 from tests.lib.platform_site import (
     HOST,
     KEY,
-    dump,
     manifest,
     platform_site,
     route,
+    to_json,
     until,
 )
 from tests.lib.relay_process import start_entry
@@ -188,7 +188,7 @@
     site.store.put("op", "config", document)
     first = await site.add_entry("entry-1")
     reply = await first.gossip.snapshots.serve(peer_pb2.Call())
-    assert reply.ByteSize() < 0.1 * len(dump(document))
+    assert reply.ByteSize() < 0.1 * len(to_json(document))
     snapshot = unpack(Snapshot, reply.snapshot.packed)
     assert snapshot.table() == first.state.table
 
--- a/tests/relay/test_leaving_workers.py
+++ b/tests/relay/test_leaving_workers.py
@@ -5,7 +5,7 @@
 import pytest
 
 from rattanpier._internal.platform.upstream import read_leaving
-from tests.lib.platform_site import events, platform_site, until
+from tests.lib.platform_site import event_numbers, platform_site, until
 
 
 @pytest.fixture
@@ -105,8 +105,8 @@
     await site.chat()
     assert leaves(entry)
     answer = await asked
-    assert answer.whole
-    assert events(answer.body) == [1, 2, 3, 4, 5]
+    assert answer.complete
+    assert event_numbers(answer.body) == [1, 2, 3, 4, 5]
 
 
 async def test_a_new_start_under_the_same_id_is_sent_requests(site):
--- a/tests/relay/test_path.py
+++ b/tests/relay/test_path.py
@@ -9,9 +9,9 @@
     KEY,
     LARGE,
     SMALL,
-    changed_route,
-    events,
+    event_numbers,
     manifest,
+    manifest_with_route,
     platform_site,
     route,
     until,
@@ -121,8 +121,8 @@
     await site.add_entry()
     answer = await site.chat()
     assert answer.status == 200
-    assert answer.whole
-    assert events(answer.body) == [1, 2, 3, 4, 5]
+    assert answer.complete
+    assert event_numbers(answer.body) == [1, 2, 3, 4, 5]
 
 
 async def test_low_confidence_escalates_to_the_large_model(site):
@@ -131,7 +131,7 @@
     )
     await site.add_entry()
     answer = await site.chat()
-    assert events(answer.body) == [1, 2, 3, 4, 5]
+    assert event_numbers(answer.body) == [1, 2, 3, 4, 5]
     assert answer.headers["X-Confidence"] == "90.0"
     assert [run.headers["x-model"] for run in worker.runs] == [SMALL, LARGE]
 
@@ -145,7 +145,7 @@
 
 async def test_a_route_timeout_is_answered_and_cancels_the_work(site):
     worker = await site.add_worker("w1", work_s=5.0)
-    site.store.put("op", "config", changed_route("unsafe", timeoutMs=200))
+    site.store.put("op", "config", manifest_with_route("unsafe", timeoutMs=200))
     await site.add_entry()
     loop = asyncio.get_running_loop()
     began = loop.time()
@@ -223,7 +223,7 @@
             await site.chat(headers={"X-Prefix-Hash": f"a{number}:900,b:100"})
             for number in range(12)
         ]
-        assert all(answer.whole for answer in answers)
+        assert all(answer.complete for answer in answers)
         assert {answer.status for answer in answers} == {200}
         assert len(other.runs) >= 12
         dispatcher = site.entries["entry-1"].edge.dispatcher
--- a/tests/relay/test_policy.py
+++ b/tests/relay/test_policy.py
@@ -104,8 +104,8 @@
             "w", "engine", confidence={SMALL: 1, LARGE: 90}
         )
         entry = await site.add_entry()
-        assert (await site.chat()).whole
+        assert (await site.chat()).complete
         assert [run.headers["x-model"] for run in worker.runs] == [SMALL, LARGE]
         entry.edge.dispatcher.policy = without(cascade=False)
-        assert (await site.chat()).whole
+        assert (await site.chat()).complete
         assert worker.runs[-1].headers["x-model"] == SMALL
--- a/tests/relay/test_processes.py
+++ b/tests/relay/test_processes.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.lib.counters import ROOT
-from tests.lib.platform_site import events, platform_site, until
+from tests.lib.platform_site import event_numbers, platform_site, until
 from tests.lib.relay_process import start_entry
 
 
@@ -46,8 +46,8 @@
         entry.process.send_signal(signal.SIGTERM)
         entry.process.send_signal(signal.SIGTERM)
         for answer in await asyncio.gather(*streams):
-            assert answer.whole
-            assert events(answer.body) == [1, 2, 3, 4, 5, 6]
+            assert answer.complete
+            assert event_numbers(answer.body) == [1, 2, 3, 4, 5, 6]
         async with asyncio.timeout(6):
             assert await entry.process.wait() == 0
     finally:
@@ -98,7 +98,7 @@
         entry.path.write_text("{")
         entry.process.send_signal(signal.SIGHUP)
         await until(lambda: entry.said("main: Settings not taken."))
-        assert (await stream).whole
+        assert (await stream).complete
         assert (await chat(site, entry)).status == 200
     finally:
         await entry.end()
--- a/tests/relay/test_rate_limits.py
+++ b/tests/relay/test_rate_limits.py
@@ -7,7 +7,7 @@
 from tests.lib.platform_site import (
     LARGE,
     SMALL,
-    events,
+    event_numbers,
     platform_site,
     until,
 )
@@ -119,7 +119,7 @@
     await site.add_entry()
     answer = await site.chat()
     # Only the small model's answer was possible.
-    assert events(answer.body) == [1, 2, 3, 4, 5]
+    assert event_numbers(answer.body) == [1, 2, 3, 4, 5]
     assert [run.headers["x-model"] for run in worker.runs] == [SMALL]
 
 
--- a/tests/relay/test_restarts.py
+++ b/tests/relay/test_restarts.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from tests.lib.platform_site import SMALL, events, platform_site, until
+from tests.lib.platform_site import SMALL, event_numbers, platform_site, until
 
 EVENTS = 40
 GAP_S = 0.02
@@ -40,8 +40,8 @@
         await until(lambda: entry.state.directory.takes_work("w2"))
         _, again = await start_again(site, "w1", born=2)
         answer = await asked
-        assert answer.whole
-        assert events(answer.body) == list(range(1, EVENTS + 1))
+        assert answer.complete
+        assert event_numbers(answer.body) == list(range(1, EVENTS + 1))
         assert again.runs or site.workers["w2"].runs
 
 
@@ -51,7 +51,7 @@
         site.register("w1", "engine", born=1)
         entry = await site.add_entry()
         dispatcher = entry.edge.dispatcher
-        assert (await site.chat()).whole
+        assert (await site.chat()).complete
         before = dispatcher.loads.workers["w1"]
         assert before.parts
         assert dispatcher.health.records
@@ -65,7 +65,7 @@
         assert not dispatcher.loads.workers["w1"].parts
         assert "w1" not in dispatcher.health.records
         assert not dispatcher.sender.pool.idle.get("w1")
-        assert (await site.chat()).whole
+        assert (await site.chat()).complete
 
 
 async def test_two_starts_within_a_second_lose_no_request():
@@ -80,5 +80,5 @@
             await asyncio.sleep(10 * GAP_S)
             await start_again(site, "w1", born=born)
         for answer in await asyncio.gather(*asked):
-            assert answer.whole
-            assert events(answer.body) == list(range(1, EVENTS + 1))
+            assert answer.complete
+            assert event_numbers(answer.body) == list(range(1, EVENTS + 1))
--- a/tests/relay/test_rollout_slow.py
+++ b/tests/relay/test_rollout_slow.py
@@ -21,7 +21,7 @@
         entry.state.rollouts.known_at[order.id] = -100.0
         for number in range(60):
             headers = {"Session": f"session-{number}"}
-            assert (await site.chat(headers=headers)).whole
+            assert (await site.chat(headers=headers)).complete
             if order.id in entry.state.rollouts.stopped:
                 break
             entry.state.rollouts.evaluate(order)
--- a/tests/relay/test_spoiled_answers.py
+++ b/tests/relay/test_spoiled_answers.py
@@ -3,7 +3,11 @@
 import pytest
 
 from rattanpier._internal.standin.platform_worker import WorkerFault
-from tests.lib.platform_site import changed_route, events, platform_site
+from tests.lib.platform_site import (
+    event_numbers,
+    manifest_with_route,
+    platform_site,
+)
 
 INVALID_ANSWER_FAULTS = [
     WorkerFault.CUT,
@@ -62,7 +66,7 @@
     await site.add_worker("w1", fault=WorkerFault.UNFRAMED)
     await site.add_entry()
     answer = await site.ask("/unsafe/x")
-    assert (answer.status, answer.whole) == (200, True)
+    assert (answer.status, answer.complete) == (200, True)
 
 
 async def test_a_failure_of_a_worker_is_forwarded(site):
@@ -79,23 +83,23 @@
     await site.add_entry()
     for _ in range(4):
         answer = await site.chat()
-        assert answer.whole
-        assert events(answer.body) == [1, 2, 3, 4, 5]
+        assert answer.complete
+        assert event_numbers(answer.body) == [1, 2, 3, 4, 5]
 
 
 async def test_an_interrupted_stream_that_is_not_resumable_is_incomplete(site):
     await site.add_worker("e1", "engine", fault=WorkerFault.CUT)
-    site.store.put("op", "config", changed_route("chat", resumable=False))
+    site.store.put("op", "config", manifest_with_route("chat", resumable=False))
     await site.add_entry()
     answer = await site.chat()
-    assert not answer.whole
-    assert events(answer.body) == [1, 2]
+    assert not answer.complete
+    assert event_numbers(answer.body) == [1, 2]
 
 
 async def test_a_stream_that_is_not_resumable_is_not_retried(site):
     for name in ("e1", "e2"):
         await site.add_worker(name, "engine", fault=WorkerFault.RESET)
-    site.store.put("op", "config", changed_route("chat", resumable=False))
+    site.store.put("op", "config", manifest_with_route("chat", resumable=False))
     await site.add_entry()
     answer = await site.chat()
     assert answer.status == 502
--- a/tests/soak/judge.py
+++ b/tests/soak/judge.py
@@ -1,6 +1,6 @@
 """Whether the promises were kept, from what callers and workers saw."""
 
-from tests.lib.platform_site import KEY, events
+from tests.lib.platform_site import KEY, event_numbers
 from tests.lib.warm_fleet import max_within
 
 PROMISES = (408, 421, 429, 503)
@@ -62,7 +62,7 @@
         if each.status != 200 or not each.whole:
             continue
         if each.path == "/chat/x":
-            found = events(each.body)
+            found = event_numbers(each.body)
             if found != list(range(1, EVENTS + 1)):
                 yield f"{each.id} got events {found} as a whole answer"
         elif each.body.split(b" ran ")[-1].decode() != each.id:
--- a/tests/soak/site.py
+++ b/tests/soak/site.py
@@ -13,7 +13,7 @@
     PlatformWorkerServer,
     WorkerFault,
 )
-from tests.lib.platform_site import changed_route, manifest, platform_site
+from tests.lib.platform_site import manifest, manifest_with_route, platform_site
 from tests.lib.relay_process import start_entry
 from tests.soak.callers import Caller
 from tests.soak.faults import FAULTS_S, LONGEST_S, QUIET_S, Kind, draw_faults
@@ -283,7 +283,7 @@
         case Kind.MANIFEST:
             run.version += 1
             timeout_ms = 2500 + 10 * run.version
-            document = changed_route(
+            document = manifest_with_route(
                 "safe", version=run.version, timeoutMs=timeout_ms
             )
             document["services"] = cold_manifest()["services"]
