--- a/tests/lib/platform_site.py
+++ b/tests/lib/platform_site.py
@@ -1,4 +1,4 @@
-"""A small site of the users' platform: store, workers and entries."""
+"""Test site of the users' platform: a store, workers and entries."""
 
 import asyncio
 import collections
@@ -27,7 +27,7 @@
 def settings_document(
     store, name="entry-1", seeds=(), zones=None, region="region-a", **bounds
 ):
-    """The platform's settings file of one entry."""
+    """Returns the content of an entry's settings file."""
     return {
         "nodeName": name,
         "role": "entry",
@@ -70,7 +70,7 @@
 
 
 def manifest(version=1, **more):
-    """A manifest with a plain service and one of model engines."""
+    """Returns a manifest with a plain service and one of model engines."""
     return {
         "version": version,
         "routes": [
@@ -107,7 +107,7 @@
 
 
 def manifest_with_route(name, version=2, **more):
-    """A manifest in which one route has other fields."""
+    """Returns a manifest in which fields of one route are replaced."""
     document = manifest(version)
     for each_route in document["routes"]:
         if each_route["name"] == name:
@@ -117,7 +117,7 @@
 
 @attrs.define
 class Answer:
-    """What a caller got; `whole` says whether it looked complete."""
+    """An answer as a caller got it; `complete` if it ended as framed."""
 
     status: int
     headers: dict
@@ -127,7 +127,7 @@
 
 @attrs.define
 class PlatformSite:
-    """The site; entries run in the test's own loop."""
+    """A running site. Its entries run in the event loop of the test."""
 
     store: PlatformStoreServer
     store_address: str
@@ -168,7 +168,7 @@
         )
 
     async def add_door(self, door):
-        """Another listener of the store; returns its address."""
+        """Opens another listener of the store and returns its address."""
         runner = web.AppRunner(self.store.app(door), shutdown_timeout=0.1)
         await runner.setup()
         await web.TCPSite(runner, "127.0.0.1", 0).start()
@@ -191,7 +191,7 @@
         return f"{self.ids.getrandbits(64):016x}"
 
     async def ask(self, path="/safe/x", entry="entry-1", **more):
-        """Sends a caller's request and returns what came."""
+        """Sends a request as a caller and returns the answer."""
         settings: RelaySettings = self.entries[entry].settings
         headers = {
             "Host": HOST,
@@ -224,7 +224,7 @@
         )
 
     def runs(self):
-        """How often each request ran, by its id."""
+        """Returns how often each request ran, by its id."""
         counts = {}
         for worker in self.workers.values():
             for run in worker.runs:
@@ -234,7 +234,7 @@
 
 @contextlib.asynccontextmanager
 async def platform_site(manifest_document=None):
-    """A site with a store and a manifest, and nothing else."""
+    """Starts a site with a store and a manifest, but no workers or entries."""
     store = PlatformStoreServer()
     runner = web.AppRunner(store.app(), shutdown_timeout=0.1)
     await runner.setup()
@@ -257,14 +257,18 @@
 
 
 async def until(condition, timeout_s=10.0):
-    """Waits for something to hold; the limit counts as hung."""
+    """Waits until a condition holds.
+
+    Raises:
+      TimeoutError: It does not hold within `timeout_s`; the test hangs.
+    """
     async with asyncio.timeout(timeout_s):
         while not condition():
             await asyncio.sleep(0.01)
 
 
 def event_numbers(body):
-    """The numbers of the events in a stream's body."""
+    """Returns the numbers of the events in the body of a stream."""
     return [
         int(line[4:])
         for line in body.decode().splitlines()
