--- a/benchmarks/chaos.py
+++ b/benchmarks/chaos.py
@@ -32,7 +32,7 @@
 from rattanpier._internal.utils.codec import decode
 from tests.lib.builders import DESK_KEY
 from tests.lib.cluster import Cluster
-from tests.lib.relay import Relay
+from tests.lib.tcp_proxy import TcpProxy
 
 VERSIONS = ",".join(f"{name}={skill}" for name, skill in skills().items())
 DOMAINS = ("a", "b", "c")
@@ -59,8 +59,8 @@
     cluster: Cluster
     folder: pathlib.Path
     ports: dict[str, int] = attrs.Factory(dict)
-    table_relays: dict[str, Relay] = attrs.Factory(dict)
-    peer_relays: dict[str, Relay] = attrs.Factory(dict)
+    table_relays: dict[str, TcpProxy] = attrs.Factory(dict)
+    peer_relays: dict[str, TcpProxy] = attrs.Factory(dict)
 
     async def start(self, name: str) -> None:
         """Starts a process, or starts it again."""
@@ -88,11 +88,11 @@
     async def add_relays(self, name: str) -> None:
         """Puts relays between an entry, the table and its peers."""
         host, _, port = self.cluster.urls["table"][7:].partition(":")
-        relay = self.table_relays[name] = Relay(host, int(port))
+        relay = self.table_relays[name] = TcpProxy(host, int(port))
         at = await relay.start()
         self.cluster.table_urls[name] = f"http://127.0.0.1:{at}"
         peer_port = self.ports[name] = free_port()
-        relay = self.peer_relays[name] = Relay("127.0.0.1", peer_port)
+        relay = self.peer_relays[name] = TcpProxy("127.0.0.1", peer_port)
         await relay.start(PEERS_HOST, peer_port)
 
     async def start_entry(self, name: str) -> None:
--- a/benchmarks/chaos_faults.py
+++ b/benchmarks/chaos_faults.py
@@ -14,7 +14,7 @@
 
 from benchmarks.chaos_judge import Period
 from tests.lib.cluster import Cluster
-from tests.lib.relay import Relay, RelayMode
+from tests.lib.tcp_proxy import ProxyMode, TcpProxy
 
 ENGINES = [f"engine-{number}" for number in range(3)]
 SERVICES = [f"service-{number}" for number in range(2)]
@@ -35,8 +35,8 @@
     controls: list[str]
     rng: random.Random
     start_node: StartNode
-    relays: dict[str, Relay]
-    peer_relays: dict[str, Relay]
+    relays: dict[str, TcpProxy]
+    peer_relays: dict[str, TcpProxy]
     stops: list[Period] = attrs.Factory(list)
     endless: list[str] = attrs.Factory(list)
     started: float = attrs.Factory(time.monotonic)
@@ -163,15 +163,15 @@
         """Lets no peer reach one entry; it reaches the others."""
         await self.part("peers", self.peer_relays)
 
-    async def part(self, side: str, relays: dict[str, Relay]) -> None:
+    async def part(self, side: str, relays: dict[str, TcpProxy]) -> None:
         """Parts an entry from one side, by a cut or by silence."""
         with self.pick(self.entries) as name:
-            mode = self.rng.choice([RelayMode.CUT, RelayMode.SILENT])
+            mode = self.rng.choice([ProxyMode.CUT, ProxyMode.SILENT])
             seconds = self.rng.uniform(1.0, 8.0)
             self.note(f"part-{side} {name} {mode.value} {seconds:.1f}s")
             relays[name].set_mode(mode)
             await asyncio.sleep(seconds)
-            relays[name].set_mode(RelayMode.OPEN)
+            relays[name].set_mode(ProxyMode.OPEN)
 
     async def store_outage(self) -> None:
         """Takes the table service away, by refusal or by silence."""
--- a/tests/functional/test_relay.py
+++ b/tests/functional/test_relay.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tests.lib.relay import Relay, RelayMode
+from tests.lib.tcp_proxy import ProxyMode, TcpProxy
 
 
 @pytest.fixture
@@ -15,7 +15,7 @@
         writer.close()
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
-    relay = Relay("127.0.0.1", server.sockets[0].getsockname()[1])
+    relay = TcpProxy("127.0.0.1", server.sockets[0].getsockname()[1])
     port = await relay.start()
     yield relay, port
     await relay.stop()
@@ -27,7 +27,7 @@
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(b"one")
     assert await reader.readexactly(3) == b"one"
-    relay.set_mode(RelayMode.CUT)
+    relay.set_mode(ProxyMode.CUT)
     with pytest.raises((ConnectionResetError, asyncio.IncompleteReadError)):
         await reader.readexactly(1)
     reader, _ = await asyncio.open_connection("127.0.0.1", port)
@@ -38,11 +38,11 @@
 async def test_silent_then_open(echo):
     relay, port = echo
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    relay.set_mode(RelayMode.SILENT)
+    relay.set_mode(ProxyMode.SILENT)
     writer.write(b"two")
     reading = asyncio.create_task(reader.readexactly(3))
     done, _ = await asyncio.wait({reading}, timeout=0.1)
     assert not done
-    relay.set_mode(RelayMode.OPEN)
+    relay.set_mode(ProxyMode.OPEN)
     assert await reading == b"two"
     writer.close()
--- a/tests/lib/relay.py
+++ b/tests/lib/tcp_proxy.py
@@ -7,7 +7,7 @@
 READ_BYTES = 65536
 
 
-class RelayMode(enum.StrEnum):
+class ProxyMode(enum.StrEnum):
     """What a relay does with bytes and connections."""
 
     OPEN = "open"
@@ -15,14 +15,14 @@
     SILENT = "silent"  # Takes connections and bytes, passes nothing on.
 
 
-class Relay:
+class TcpProxy:
     """Listens on an address and passes connections on to another."""
 
     def __init__(self, target_host, target_port):
         self.target = (target_host, target_port)
-        self.mode = RelayMode.OPEN
-        self.opened = asyncio.Event()
-        self.opened.set()
+        self.mode = ProxyMode.OPEN
+        self.forwarding_allowed = asyncio.Event()
+        self.forwarding_allowed.set()
         self.writers = set()
         self.server = None
 
@@ -34,36 +34,37 @@
     def set_mode(self, mode):
         """Changes what happens to connections, the present ones too."""
         self.mode = mode
-        if mode is RelayMode.SILENT:
-            self.opened.clear()
+        if mode is ProxyMode.SILENT:
+            self.forwarding_allowed.clear()
         else:
-            self.opened.set()
-        if mode is RelayMode.CUT:
+            self.forwarding_allowed.set()
+        if mode is ProxyMode.CUT:
             for writer in list(self.writers):
                 writer.transport.abort()
 
     async def serve(self, reader, writer):
         """Passes one connection on, both ways."""
-        if self.mode is RelayMode.CUT:
+        if self.mode is ProxyMode.CUT:
             writer.transport.abort()
             return
         try:
-            onward = await asyncio.open_connection(*self.target)
+            upstream_connection = await asyncio.open_connection(*self.target)
         except OSError:
             writer.transport.abort()
             return
-        pair = {writer, onward[1]}
-        self.writers |= pair
+        connection_writers = {writer, upstream_connection[1]}
+        self.writers |= connection_writers
         await asyncio.gather(
-            self.copy(reader, onward[1]), self.copy(onward[0], writer)
+            self.copy(reader, upstream_connection[1]),
+            self.copy(upstream_connection[0], writer),
         )
-        self.writers -= pair
+        self.writers -= connection_writers
 
     async def copy(self, reader, writer):
         """Copies bytes one way until either side ends."""
         with contextlib.suppress(OSError):
             while data := await reader.read(READ_BYTES):
-                await self.opened.wait()
+                await self.forwarding_allowed.wait()
                 writer.write(data)
                 await writer.drain()
         writer.close()
@@ -71,4 +72,4 @@
     async def stop(self):
         """Stops listening and ends all connections."""
         self.server.close()
-        self.set_mode(RelayMode.CUT)
+        self.set_mode(ProxyMode.CUT)
