--- a/tests/lib/tcp_proxy.py
+++ b/tests/lib/tcp_proxy.py
@@ -1,4 +1,4 @@
-"""A TCP relay that can be cut, to part two processes from each other."""
+"""TCP proxy that can interrupt connections, to simulate partitions."""
 
 import asyncio
 import contextlib
@@ -8,15 +8,15 @@
 
 
 class ProxyMode(enum.StrEnum):
-    """What a relay does with bytes and connections."""
+    """What a proxy does with bytes and connections."""
 
     OPEN = "open"
-    CUT = "cut"  # Closes connections and accepts none.
-    SILENT = "silent"  # Takes connections and bytes, passes nothing on.
+    CUT = "cut"  # Resets all connections, including new ones.
+    SILENT = "silent"  # Accepts connections and bytes, but forwards nothing.
 
 
 class TcpProxy:
-    """Listens on an address and passes connections on to another."""
+    """Listens on one address and forwards connections to another."""
 
     def __init__(self, target_host, target_port):
         self.target = (target_host, target_port)
@@ -27,12 +27,12 @@
         self.server = None
 
     async def start(self, host="127.0.0.1", port=0):
-        """Listens; returns the port."""
+        """Starts to listen and returns the port."""
         self.server = await asyncio.start_server(self.serve, host, port)
         return self.server.sockets[0].getsockname()[1]
 
     def set_mode(self, mode):
-        """Changes what happens to connections, the present ones too."""
+        """Sets the mode for new and existing connections."""
         self.mode = mode
         if mode is ProxyMode.SILENT:
             self.forwarding_allowed.clear()
@@ -43,7 +43,7 @@
                 writer.transport.abort()
 
     async def serve(self, reader, writer):
-        """Passes one connection on, both ways."""
+        """Forwards one connection in both directions."""
         if self.mode is ProxyMode.CUT:
             writer.transport.abort()
             return
@@ -61,7 +61,7 @@
         self.writers -= connection_writers
 
     async def copy(self, reader, writer):
-        """Copies bytes one way until either side ends."""
+        """Copies bytes in one direction until either side closes."""
         with contextlib.suppress(OSError):
             while data := await reader.read(READ_BYTES):
                 await self.forwarding_allowed.wait()
@@ -70,6 +70,6 @@
         writer.close()
 
     async def stop(self):
-        """Stops listening and ends all connections."""
+        """Stops listening and aborts all connections."""
         self.server.close()
         self.set_mode(ProxyMode.CUT)
