--- a/tests/lib/relay_process.py
+++ b/tests/lib/relay_process.py
@@ -15,22 +15,22 @@
 
 @attrs.define
 class RelayProcess:
-    """One entry; its log lines are read unless `silent_reader`."""
+    """One entry; its log lines are read unless `ignore_output`."""
 
     process: asyncio.subprocess.Process
     settings: RelaySettings
     path: object
     lines: list = attrs.Factory(list)
-    reader: asyncio.Task | None = None
+    log_reader: asyncio.Task | None = None
 
-    async def read(self):
+    async def read_log_lines(self):
         async for line in self.process.stdout:
             self.lines.append(json.loads(line))
 
-    def said(self, event):
+    def logged(self, event):
         return [line for line in self.lines if line["event"] == event]
 
-    async def ready(self, session):
+    async def wait_until_ready(self, session):
         url = f"http://{self.settings.readiness}/rattanpier/readyz"
         async with asyncio.timeout(20):
             while True:
@@ -42,32 +42,32 @@
                     pass
                 await asyncio.sleep(0.02)
 
-    async def again(self):
+    async def start_again(self):
         """Starts the entry once more, with its settings."""
         entry = await start_process(self.settings, self.path)
         entry.lines = self.lines
         return entry
 
-    async def end(self):
+    async def kill(self):
         if self.process.returncode is None:
             self.process.kill()
         await self.process.wait()
-        if self.reader is not None:
-            await self.reader
+        if self.log_reader is not None:
+            await self.log_reader
 
 
 async def start_entry(
-    store, folder, name="entry-1", silent_reader=False, **more
+    store, folder, name="entry-1", ignore_output=False, **more
 ):
     """Starts an entry with settings of its own."""
     document = settings_document(store, name, **more)
     path = folder / f"{name}.json"
     path.write_text(json.dumps(document))
     settings = decode_settings(document, "test")
-    return await start_process(settings, path, silent_reader)
+    return await start_process(settings, path, ignore_output)
 
 
-async def start_process(settings, path, silent_reader=False):
+async def start_process(settings, path, ignore_output=False):
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         str(ROOT / "deploy" / "relay.py"),
@@ -77,6 +77,6 @@
         cwd=ROOT,
     )
     entry = RelayProcess(process, settings, path)
-    if not silent_reader:
-        entry.reader = asyncio.create_task(entry.read())
+    if not ignore_output:
+        entry.log_reader = asyncio.create_task(entry.read_log_lines())
     return entry
--- a/tests/relay/test_early_callers.py
+++ b/tests/relay/test_early_callers.py
@@ -81,7 +81,7 @@
             assert b" 200 " in await reader.readline()
         writer.close()
     finally:
-        await entry.end()
+        await entry.kill()
 
 
 async def test_a_request_during_startup_waits_for_the_routes(site):
--- a/tests/relay/test_processes.py
+++ b/tests/relay/test_processes.py
@@ -21,7 +21,7 @@
 
 async def start(site, tmp_path, **more):
     entry = await start_entry(site.store_address, tmp_path, **more)
-    await entry.ready(site.session)
+    await entry.wait_until_ready(site.session)
     return entry
 
 
@@ -51,9 +51,9 @@
         async with asyncio.timeout(6):
             assert await entry.process.wait() == 0
     finally:
-        await entry.end()
-    assert entry.said("main: Stopping.")
-    assert entry.said("main: Stopped.")
+        await entry.kill()
+    assert entry.logged("main: Stopping.")
+    assert entry.logged("main: Stopped.")
 
 
 async def test_a_ready_entry_accepts_connections(site, tmp_path):
@@ -63,7 +63,7 @@
         try:
             assert (await ask(site, entry)).status == 200
         finally:
-            await entry.end()
+            await entry.kill()
 
 
 async def test_a_leaving_entry_is_not_ready_but_still_serves(site, tmp_path):
@@ -84,7 +84,7 @@
         assert answer.status == 200
         assert answer.headers["Connection"] == "close"
     finally:
-        await entry.end()
+        await entry.kill()
 
 
 async def test_a_settings_reload_does_not_interrupt_streams(site, tmp_path):
@@ -94,14 +94,14 @@
         stream = asyncio.create_task(chat(site, entry))
         await until(site.runs)
         entry.process.send_signal(signal.SIGHUP)
-        await until(lambda: entry.said("main: Settings read again."))
+        await until(lambda: entry.logged("main: Settings read again."))
         entry.path.write_text("{")
         entry.process.send_signal(signal.SIGHUP)
-        await until(lambda: entry.said("main: Settings not taken."))
+        await until(lambda: entry.logged("main: Settings not taken."))
         assert (await stream).complete
         assert (await chat(site, entry)).status == 200
     finally:
-        await entry.end()
+        await entry.kill()
 
 
 async def test_a_reload_during_startup_does_not_end_the_process(site, tmp_path):
@@ -110,12 +110,12 @@
     try:
         # The program ignores SIGHUP before it opens this address.
         await until(lambda: listening(entry.settings.callers))
-        while not entry.said("main: Started."):
+        while not entry.logged("main: Started."):
             entry.process.send_signal(signal.SIGHUP)
             await asyncio.sleep(0.01)
         assert entry.process.returncode is None
     finally:
-        await entry.end()
+        await entry.kill()
 
 
 def listening(address):
@@ -129,9 +129,9 @@
     try:
         request_id = "5a5a5a5a5a5a5a5a"
         await ask(site, entry, headers={"X-Attempt-Id": request_id})
-        await until(lambda: entry.said("edge: Answered."))
+        await until(lambda: entry.logged("edge: Answered."))
     finally:
-        await entry.end()
+        await entry.kill()
     request_lines = [
         line for line in entry.lines if line.get("request") == request_id
     ]
@@ -145,7 +145,7 @@
 
 async def test_an_unread_log_pipe_does_not_block_requests(site, tmp_path):
     await site.add_worker("w1")
-    entry = await start(site, tmp_path, silent_reader=True)
+    entry = await start(site, tmp_path, ignore_output=True)
     try:
         # Their log lines exceed the capacity of the pipe several times.
         for _ in range(400):
--- a/tests/soak/site.py
+++ b/tests/soak/site.py
@@ -138,7 +138,7 @@
         await start_entries(run, stack)
         await use(run)
         for entry in run.entries:
-            lines = entry.said("state: Routes in force.")
+            lines = entry.logged("state: Routes in force.")
             # None where an entry never had routes, which the judge reports.
             version = lines[-1]["version"] if lines else None
             run.versions[entry.settings.name] = version
@@ -204,12 +204,12 @@
         run.entries.append(entry)
     stack.push_async_callback(end_all, run)
     for entry in run.entries:
-        await entry.ready(run.site.session)
+        await entry.wait_until_ready(run.site.session)
 
 
 async def end_all(run):
     for entry in run.entries:
-        await entry.end()
+        await entry.kill()
 
 
 async def use(run):
@@ -357,7 +357,7 @@
     async with asyncio.timeout(10):
         await old.process.wait()
     await asyncio.sleep(pause_s)
-    run.entries[number] = await old.again()
+    run.entries[number] = await old.start_again()
 
 
 async def leave(run, number, fault):
