--- a/tests/lib/relay_process.py
+++ b/tests/lib/relay_process.py
@@ -1,4 +1,4 @@
-"""Entries as processes of their own."""
+"""Starts entries as separate processes."""
 
 import asyncio
 import json
@@ -15,7 +15,7 @@
 
 @attrs.define
 class RelayProcess:
-    """One entry; its log lines are read unless `ignore_output`."""
+    """A started entry. Its log lines are collected unless `ignore_output`."""
 
     process: asyncio.subprocess.Process
     settings: RelaySettings
@@ -43,7 +43,10 @@
                 await asyncio.sleep(0.02)
 
     async def start_again(self):
-        """Starts the entry once more, with its settings."""
+        """Starts the entry again with the same settings, after it has ended.
+
+        Its log lines are added to those of the earlier process.
+        """
         entry = await start_process(self.settings, self.path)
         entry.lines = self.lines
         return entry
@@ -59,7 +62,10 @@
 async def start_entry(
     store, folder, name="entry-1", ignore_output=False, **more
 ):
-    """Starts an entry with settings of its own."""
+    """Writes a settings file for an entry and starts it.
+
+    With `ignore_output`, nobody reads the pipe that the entry logs to.
+    """
     document = settings_document(store, name, **more)
     path = folder / f"{name}.json"
     path.write_text(json.dumps(document))
