--- a/tests/failure/test_non_idempotent.py
+++ b/tests/failure/test_non_idempotent.py
@@ -102,7 +102,7 @@
             ]
             assert all(body["error"]["code"] for _, body in answers)
             assert not any(body["error"]["not_run"] for _, body in answers)
-        assert first_upstream.touched + second_upstream.touched == 4
+        assert first_upstream.request_count + second_upstream.request_count == 4
 
 
 @pytest.mark.parametrize(
@@ -149,7 +149,7 @@
         RawUpstream("redirect") as first_upstream,
         RawUpstream("ok") as second_upstream,
     ):
-        first_upstream.elsewhere = second_upstream.url
+        first_upstream.redirect_target = second_upstream.url
         await apply_upstreams(cluster, [first_upstream], [first_upstream])
         path = path.replace("/v1/chat", "/v1/chat/completions")
         async with cluster.session.post(
@@ -179,7 +179,7 @@
         second = asyncio.create_task(
             call(cluster, "POST", path, "entry-2", **headers)
         )
-        upstream.gate.set()
+        upstream.answer_allowed.set()
         status, body = await second
         assert status == 200
         assert body.get("done") or body["choices"][0]["message"]["content"]
--- a/tests/lib/raw.py
+++ b/tests/lib/raw.py
@@ -11,19 +11,19 @@
 
     Modes: ok, cut_on_accept, cut_in_headers, cut_in_body, cut_after, refuse,
     refuse_busy, tired (refuses and asks for a minute of rest), fail, stall,
-    half, cut_reused, short_body, no_length, hold (answers once `gate` is set),
-    redirect (to `elsewhere`), crash (listens no more from the first request
-    on).
+    half, cut_reused, short_body, no_length, hold (answers once
+    `answer_allowed` is set), redirect (to `redirect_target`), crash (listens no
+    more from the first request on).
     """
 
-    elsewhere = ""
+    redirect_target = ""
 
     def __init__(self, mode="ok"):
         self.mode = mode
         self.runs = []
-        self.touched = 0
+        self.request_count = 0
         self.server = None
-        self.gate = asyncio.Event()
+        self.answer_allowed = asyncio.Event()
 
     async def __aenter__(self):
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", 0)
@@ -51,7 +51,7 @@
     async def serve_connection(self, reader, writer):
         if self.mode == "cut_on_accept":
             return
-        served = 0
+        served_requests = 0
         while True:
             method, headers = await read_head(reader)
             length = int(headers.get("content-length", "0"))
@@ -68,16 +68,16 @@
             if method in ("GET", "DELETE") and "chat" in headers[":path"]:
                 await respond(writer, "410 Gone", "{}")
                 continue
-            self.touched += 1
+            self.request_count += 1
             self.runs.append(headers.get("x-request-id", ""))
-            served += 1
-            if not await self.answer(headers, writer, served):
+            served_requests += 1
+            if not await self.answer(headers, writer, served_requests):
                 return
 
-    async def answer(self, headers, writer, served):
+    async def answer(self, headers, writer, served_requests):
         """Answers one request; False if the connection ends."""
         if self.mode == "hold":
-            await self.gate.wait()
+            await self.answer_allowed.wait()
         if self.mode == "refuse":
             self.runs.pop()
             await respond(writer, "503 Full", '{"not_run": true}')
@@ -95,7 +95,7 @@
             await asyncio.sleep(3600)
         elif self.mode == "redirect":
             path = headers[":path"]
-            status = f"307 Moved\r\nLocation: {self.elsewhere}{path}"
+            status = f"307 Moved\r\nLocation: {self.redirect_target}{path}"
             await respond(writer, status, "{}")
         elif self.mode == "cut_after":
             return False
@@ -103,7 +103,7 @@
             self.server.close()
             return False
         elif self.mode == "cut_reused":
-            if served > 1:
+            if served_requests > 1:
                 return False
             await stream(headers["x-request-id"], writer, CHUNKS)
         elif self.mode == "short_body":
@@ -136,16 +136,16 @@
     return method, headers
 
 
-async def respond(writer, status, body, more=""):
+async def respond(writer, status, body, headers_text=""):
     writer.write(
-        f"HTTP/1.1 {status}\r\nContent-Type: application/json\r\n{more}"
+        f"HTTP/1.1 {status}\r\nContent-Type: application/json\r\n{headers_text}"
         f"Content-Length: {len(body)}\r\n\r\n{body}".encode()
     )
     await writer.drain()
 
 
-def event(number, last):
-    delta = {"role": "assistant", "content": "" if last else f" w{number}"}
+def event(number, is_last):
+    delta = {"role": "assistant", "content": "" if is_last else f" w{number}"}
     body = {
         "id": "chatcmpl-1",
         "object": "chat.completion.chunk",
@@ -155,11 +155,11 @@
             {
                 "index": 0,
                 "delta": delta,
-                "finish_reason": "stop" if last else None,
+                "finish_reason": "stop" if is_last else None,
             }
         ],
     }
-    if last:
+    if is_last:
         body["usage"] = {"prompt_tokens": 1, "completion_tokens": number}
     return f"id: {number}\ndata: {json.dumps(body)}\n\n"
 
--- a/tests/unit/test_dispatch_order.py
+++ b/tests/unit/test_dispatch_order.py
@@ -305,9 +305,9 @@
                 build_request(key=f"k{number}"), f"r{number}"
             )
             assert isinstance(part, Completed)
-        assert one.touched <= 1
+        assert one.request_count <= 1
         two.mode = "tired"
         await harness.ask(build_request(key="last"), "last")
         part = await harness.ask(build_request(key="again"), "again")
         assert part.refusal.code is RefusalCode.NO_WORKER
-        assert two.touched == 20 + 1
+        assert two.request_count == 20 + 1
