--- a/tests/lib/raw.py
+++ b/tests/lib/raw.py
@@ -1,4 +1,4 @@
-"""An upstream on bare sockets, for faults that an HTTP server can't show."""
+"""Upstream on plain sockets, for faults that an HTTP server cannot produce."""
 
 import asyncio
 import json
@@ -7,13 +7,14 @@
 
 
 class RawUpstream:
-    """Speaks just enough HTTP and counts the requests that came whole.
-
-    Modes: ok, cut_on_accept, cut_in_headers, cut_in_body, cut_after, refuse,
-    refuse_busy, tired (refuses and asks for a minute of rest), fail, stall,
-    half, cut_reused, short_body, no_length, hold (answers once
-    `answer_allowed` is set), redirect (to `redirect_target`), crash (listens no
-    more from the first request on).
+    """Minimal HTTP server that counts the requests it received completely.
+
+    Modes: ok, cut_on_accept, cut_in_headers, cut_in_body, cut_after (closes the
+    connection at that point), refuse, refuse_busy, tired (refuses with a
+    Retry-After of 60 s), fail, stall, half (streams half of the events),
+    cut_reused (closes on the second request of a connection), short_body,
+    no_length, hold (answers once `answer_allowed` is set), redirect (to
+    `redirect_target`), crash (stops listening at the first request).
     """
 
     redirect_target = ""
@@ -62,7 +63,7 @@
                 return
             await reader.readexactly(length)
             if headers[":path"] == "/health":
-                # A probe of the entries, and no work.
+                # Health probes of the entries are not counted.
                 await respond(writer, "200 OK", "{}")
                 continue
             if method in ("GET", "DELETE") and "chat" in headers[":path"]:
@@ -75,7 +76,7 @@
                 return
 
     async def answer(self, headers, writer, served_requests):
-        """Answers one request; False if the connection ends."""
+        """Answers one request; returns False to close the connection."""
         if self.mode == "hold":
             await self.answer_allowed.wait()
         if self.mode == "refuse":
@@ -165,7 +166,7 @@
 
 
 async def stream(request_id, writer, count):
-    """Streams the first `count` events, and the end if they are all."""
+    """Streams the first `count` events, and the end after all `CHUNKS`."""
     writer.write(
         "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
         f"X-Request-Id: {request_id}\r\n"
