--- a/src/rattanpier/_internal/relay/connection.py
+++ b/src/rattanpier/_internal/relay/connection.py
@@ -165,9 +165,7 @@
           ConnectionBrokenError: The connection is closed; nothing was sent.
         """
         if self.closed or self.transport is None:
-            raise ConnectionBrokenError(
-                "connection closed before the request was sent", sent=False
-            )
+            raise ConnectionBrokenError("closed before the request", sent=False)
         headers = [*request.headers]
         if request.body or request.method not in ("GET", "HEAD", "DELETE"):
             headers.append(("Content-Length", str(len(request.body))))
@@ -195,16 +193,14 @@
         for _ in range(MAX_STRAY_ANSWERS + 1):
             event = await self.next_event()
             if not isinstance(event, h11.Response):
-                raise ConnectionBrokenError(
-                    f"expected the head of an answer, got {type(event)}"
-                )
+                raise ConnectionBrokenError(f"no head but {type(event)}")
             head = make_head(event)
             if answers_request(head):
                 return head
             if self.answered_requests == 0 or not head.framed:
                 break
             await self.skip_answer()
-        raise ConnectionBrokenError("answer belongs to another request")
+        raise ConnectionBrokenError("the answer belongs to another request")
 
     async def read_body(self) -> AsyncIterator[bytes]:
         """Yields the body as it arrives; returns only if it is complete.
@@ -217,9 +213,7 @@
             if isinstance(event, h11.EndOfMessage):
                 return
             if not isinstance(event, h11.Data):
-                raise ConnectionBrokenError(
-                    f"expected body data, got {type(event)}"
-                )
+                raise ConnectionBrokenError(f"no body but {type(event)}")
             yield bytes(event.data)
 
     async def skip_answer(self) -> None:
@@ -255,15 +249,11 @@
             if isinstance(event, h11.InformationalResponse):
                 continue
             if isinstance(event, h11.ConnectionClosed) or event is h11.PAUSED:
-                raise ConnectionBrokenError(
-                    "connection closed without an answer"
-                )
+                raise ConnectionBrokenError("closed without an answer")
             if event is not h11.NEED_DATA:
                 return event
             if self.closed and (self.eof_fed or self.reset_error is not None):
-                raise ConnectionBrokenError(
-                    f"connection reset: {self.reset_error!r}"
-                )
+                raise ConnectionBrokenError(f"reset: {self.reset_error!r}")
             await self.wait_for_data()
 
     async def wait_for_data(self) -> None:
--- a/src/rattanpier/_internal/relay/events.py
+++ b/src/rattanpier/_internal/relay/events.py
@@ -61,7 +61,7 @@
             yield Event(event_data, event_number(event_data))
         self.incomplete_event = self.incomplete_event[start:]
         if len(self.incomplete_event) > MAX_EVENT_BYTES:
-            raise EventError("event exceeds the maximum length")
+            raise EventError("an event has no end")
 
 
 def event_number(data: bytes) -> int | None:
@@ -97,8 +97,6 @@
             self.last_number is not None
             and event.number != self.last_number + 1
         ):
-            raise EventError(
-                f"event {event.number} received after {self.last_number}"
-            )
+            raise EventError(f"event {event.number} follows {self.last_number}")
         self.last_number = event.number
         return True
--- a/src/rattanpier/_internal/relay/exchange.py
+++ b/src/rattanpier/_internal/relay/exchange.py
@@ -107,7 +107,7 @@
                 self.on_data()
                 yield piece
         except ConnectionBrokenError as error:
-            raise SendError(f"incomplete answer: {error}") from error
+            raise SendError(f"answer is not whole: {error}") from error
 
     async def read_all(self, max_bytes: int) -> bytes:
         """Returns the complete body.
@@ -120,7 +120,7 @@
         async for piece in self.pieces():
             data += piece
             if len(data) > max_bytes:
-                raise SendError("answer body is too long")
+                raise SendError("answer is too long")
         return bytes(data)
 
 
@@ -246,9 +246,9 @@
     if head.status >= 300:
         return
     if head.receipt is None:
-        raise SendError("successful answer has no receipt")
+        raise SendError("success without a receipt")
     if head.encoded:
-        raise SendError("answer body has a content encoding")
+        raise SendError("the body is encoded")
 
 
 def copied_headers(head: AnswerHead) -> tuple[Header, ...]:
--- a/src/rattanpier/_internal/relay/stream_answers.py
+++ b/src/rattanpier/_internal/relay/stream_answers.py
@@ -190,7 +190,7 @@
                 if progress.order.accept(event):
                     yield event
     if splitter.incomplete_event:
-        raise EventError("stream ended within an event")
+        raise EventError("the stream ends within an event")
 
 
 async def read_error_answer(
