--- a/tests/relay/test_early_callers.py
+++ b/tests/relay/test_early_callers.py
@@ -2,8 +2,8 @@
 
 Guards against refused connections during startup, which takes 1.5 s on a small
 VM. When all 77 entries had lost power for a second, callers spent their only
-retry on entries that did not listen yet: 0.34 of the requests due in these two
-seconds were served.
+retry on entries that did not listen yet: in these two seconds, 0.34 of the
+service due to callers was delivered.
 """
 
 import asyncio
