--- a/src/rattanpier/_internal/relay/events.py
+++ b/src/rattanpier/_internal/relay/events.py
@@ -51,7 +51,7 @@
         [1]
 
         Raises:
-          EventError: An event is longer than `MAX_EVENT_BYTES`.
+          EventError: An incomplete event is longer than `MAX_EVENT_BYTES`.
         """
         self.incomplete_event += data
         start = 0
