--- a/src/rattanpier/_internal/relay/answering.py
+++ b/src/rattanpier/_internal/relay/answering.py
@@ -1,4 +1,4 @@
-"""Answers one request: choose, send, judge the answer, go on or give up."""
+"""Answers one request, by a streamed or a plain upstream request."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from rattanpier._internal.models.relay_request import RelayRequest
 from rattanpier._internal.relay.dispatch import Dispatcher
 from rattanpier._internal.relay.model_choice import first_model
-from rattanpier._internal.relay.plain_answers import whole
+from rattanpier._internal.relay.plain_answers import plain_answer
 from rattanpier._internal.relay.request_progress import RequestProgress
-from rattanpier._internal.relay.stream_answers import stream
+from rattanpier._internal.relay.stream_answers import stream_answer
 
 
 async def answer(
@@ -20,10 +20,14 @@
 ) -> AsyncIterator[AnswerPart]:
     """Yields the parts of the answer to a request.
 
-    Closing the generator early means that the caller went away: what the
-    workers do for it is stopped.
+    Closing the generator early means that the caller disconnected; the upstream
+    requests are then cancelled.
+
+    Args:
+      dispatcher: Selects workers and sends requests to them.
+      request: Request of the caller.
     """
-    course = RequestProgress(
+    progress = RequestProgress(
         request,
         asyncio.get_running_loop().time()
         + request.deadline
@@ -31,13 +35,15 @@
         dispatcher.pick_service(request),
         model=first_model(request, dispatcher.policy),
     )
-    course.first_model = course.model
-    course.order.last = request.after_event
-    dispatcher.budgets[course.service].record_request()
-    dispatcher.rollouts.sessions.record_request(course.service, request.session)
+    progress.first_model = progress.model
+    progress.order.last_number = request.after_event
+    dispatcher.budgets[progress.service].record_request()
+    dispatcher.rollouts.sessions.record_request(
+        progress.service, request.session
+    )
     if request.route.streaming:
-        async with aclosing(stream(dispatcher, course)) as parts:
+        async with aclosing(stream_answer(dispatcher, progress)) as parts:
             async for part in parts:
                 yield part
     else:
-        yield await whole(dispatcher, course)
+        yield await plain_answer(dispatcher, progress)
--- a/src/rattanpier/_internal/relay/connection.py
+++ b/src/rattanpier/_internal/relay/connection.py
@@ -1,8 +1,8 @@
 """One HTTP/1.1 connection to a worker.
 
-The framing is h11's. aiohttp's client does not fit here: it takes a reset for
-the end of an answer that has no length, and hands bytes that a worker sent
-behind one answer to the next request on the connection.
+h11 parses the HTTP framing. aiohttp's client is unsuitable: it treats a reset
+as the end of an answer without a length, and it attributes bytes that a worker
+sent after one answer to the next request on the connection.
 """
 
 from __future__ import annotations
@@ -14,23 +14,23 @@
 import attrs
 import h11
 
-MAX_HEAD_BYTES = 65536  # Of an answer; more is no proper answer.
-READ_AHEAD_BYTES = 262144  # Unread bytes at which the worker has to wait.
-MAX_STRAY_ANSWERS = 1  # Late answers to an earlier request that are skipped.
-# A path that is cut shows no reset: the kernel gives up after these.
-USER_TIMEOUT_MS = 3000  # As long as the platform calls a VM in touch.
+MAX_HEAD_BYTES = 65536  # An answer with a longer head is invalid.
+MAX_UNREAD_BYTES = 262144  # Above this, reading from the worker pauses.
+MAX_STRAY_ANSWERS = 1  # Late answers to earlier requests that are skipped.
+# A partition causes no reset, so the kernel detects it by these time-outs.
+USER_TIMEOUT_MS = 3000  # As long as the platform considers a VM reachable.
 KEEPALIVE_IDLE_S = 1
-KEEPALIVE_EVERY_S = 1
+KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_COUNT = 2
 
 Header = tuple[str, str]
 
 
 class ConnectionBrokenError(Exception):
-    """The connection ended, or what came is no proper answer.
+    """The connection was closed, or the bytes received are no valid answer.
 
     Attributes:
-      sent: False if no byte of the request left this process.
+      sent: False if no byte of the request was sent.
     """
 
     def __init__(self, message: str, sent: bool = True) -> None:
@@ -40,7 +40,14 @@
 
 @attrs.frozen
 class WireRequest:
-    """A request as it goes to a worker."""
+    """A request as it is sent to a worker.
+
+    Attributes:
+      method: HTTP method.
+      target: Request target, with its query.
+      headers: Names and values, in order; without Content-Length.
+      body: Complete body.
+    """
 
     method: str
     target: str
@@ -54,8 +61,9 @@
 
     Attributes:
       status: HTTP status.
-      headers: Names in lower case, in order.
-      framed: It says where its body ends.
+      headers: Names and values, in order; names in lower case.
+      framed: Whether it states a length or a transfer encoding. Without either,
+        the body ends with the connection.
     """
 
     status: int
@@ -72,14 +80,21 @@
 
 
 class WorkerConnection(asyncio.Protocol):
-    """Sends one request after another and reads their answers.
+    """Connection that sends requests in turn and reads their answers.
 
     Attributes:
-      transport: Set once connected.
-      idle_since: Loop time of the last answer's end.
-      idle_limit_s: How long the worker keeps it open without a request.
-      closed: Nothing more can be sent.
-      served: Requests that were answered on it.
+      loop: The running event loop.
+      transport: Transport; None before the connection is established.
+      parser: Parser of the current exchange; None between exchanges.
+      request: The request sent last.
+      waiter: Resolved when data or the end of the connection arrives.
+      unread_bytes: Bytes received since the reader last waited.
+      idle_since: End of the last exchange, in seconds of the loop's clock.
+      idle_limit_s: Seconds for which the connection may be idle and be reused.
+      closed: Whether nothing more can be sent.
+      eof_fed: Whether the parser was told of an orderly end.
+      reset_error: Error by which the connection was lost, or None.
+      answered_requests: Number of exchanges finished on the connection.
     """
 
     def __init__(self) -> None:
@@ -88,66 +103,66 @@
         self.parser: h11.Connection | None = None
         self.request: h11.Request | None = None
         self.waiter: asyncio.Future[None] | None = None
-        self.unread = 0
+        self.unread_bytes = 0
         self.idle_since = self.loop.time()
         self.idle_limit_s = 0.0
         self.closed = False
-        self.ended = False
-        self.reset: Exception | None = None
-        self.served = 0
+        self.eof_fed = False
+        self.reset_error: Exception | None = None
+        self.answered_requests = 0
 
-    # What asyncio calls.
+    # Called by asyncio.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Sets how soon a dead path is noticed."""
+        """Stores the transport and sets the socket options."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         set_socket_options(transport.get_extra_info("socket"))
 
     def data_received(self, data: bytes) -> None:
-        """Takes bytes in; between requests there must not be any."""
+        """Feeds bytes to the parser; aborts if no request is in progress."""
         if self.parser is None:
             self.abort()
             return
         self.parser.receive_data(data)
-        self.unread += len(data)
-        if self.unread > READ_AHEAD_BYTES and self.transport is not None:
+        self.unread_bytes += len(data)
+        if self.unread_bytes > MAX_UNREAD_BYTES and self.transport is not None:
             self.transport.pause_reading()
-        self.wake()
+        self.wake_reader()
 
     def eof_received(self) -> bool:
-        """Notes an orderly end."""
+        """Records an orderly end; returns False to close the transport."""
         self.closed = True
-        self.end_input()
+        self.feed_eof()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Notes the end; with an error it is a reset, not an end."""
+        """Records the end, which is a reset if there is an error."""
         self.closed = True
-        self.reset = exc
+        self.reset_error = exc
         if exc is None:
-            self.end_input()
-        self.wake()
+            self.feed_eof()
+        self.wake_reader()
 
-    def end_input(self) -> None:
-        """Tells the parser of the orderly end, once."""
-        if self.parser is not None and not self.ended:
-            self.ended = True
+    def feed_eof(self) -> None:
+        """Tells the parser once that the connection ended in an orderly way."""
+        if self.parser is not None and not self.eof_fed:
+            self.eof_fed = True
             self.parser.receive_data(b"")
-        self.wake()
+        self.wake_reader()
 
-    def wake(self) -> None:
-        """Wakes the reader."""
+    def wake_reader(self) -> None:
+        """Resumes the reader that waits for data, if there is one."""
         if self.waiter is not None and not self.waiter.done():
             self.waiter.set_result(None)
 
-    # What the relay calls.
+    # Called by the relay.
 
     def send(self, request: WireRequest) -> None:
-        """Sends a whole request.
+        """Sends a complete request.
 
         Raises:
-          ConnectionBrokenError: Nothing was sent.
+          ConnectionBrokenError: The connection is closed; nothing was sent.
         """
         if self.closed or self.transport is None:
             raise ConnectionBrokenError("closed before the request", sent=False)
@@ -163,33 +178,35 @@
         tail = self.parser.send(h11.EndOfMessage())
         self.transport.write((head or b"") + (body or b"") + (tail or b""))
 
-    async def read_head(self, is_mine: Callable[[WireHead], bool]) -> WireHead:
+    async def read_head(
+        self, answers_request: Callable[[WireHead], bool]
+    ) -> WireHead:
         """Returns the head of the answer to the request sent last.
 
         Args:
-          is_mine: Says whether a head belongs to that request; a late answer
-            to an earlier one is skipped.
+          answers_request: Returns whether a head belongs to that request. One
+            late answer to an earlier request is skipped.
 
         Raises:
-          ConnectionBrokenError: There is no proper answer.
+          ConnectionBrokenError: There is no valid answer to the request.
         """
         for _ in range(MAX_STRAY_ANSWERS + 1):
             event = await self.next_event()
             if not isinstance(event, h11.Response):
                 raise ConnectionBrokenError(f"no head but {type(event)}")
             head = make_head(event)
-            if is_mine(head):
+            if answers_request(head):
                 return head
-            if self.served == 0 or not head.framed:
+            if self.answered_requests == 0 or not head.framed:
                 break
             await self.skip_answer()
         raise ConnectionBrokenError("the answer belongs to another request")
 
     async def read_body(self) -> AsyncIterator[bytes]:
-        """Yields the body as it comes; returns only at its proper end.
+        """Yields the body as it arrives; returns only if it is complete.
 
         Raises:
-          ConnectionBrokenError: The body is not whole.
+          ConnectionBrokenError: The body is incomplete.
         """
         while True:
             event = await self.next_event()
@@ -200,23 +217,29 @@
             yield bytes(event.data)
 
     async def skip_answer(self) -> None:
-        """Reads an answer that nobody waits for and begins anew behind it."""
+        """Discards a late answer and starts to parse the next one.
+
+        Raises:
+          ConnectionBrokenError: The body is incomplete.
+        """
         async for _ in self.read_body():
             pass
         assert self.parser is not None and self.request is not None
-        rest, _ = self.parser.trailing_data
+        trailing_data, _ = self.parser.trailing_data
         self.parser = new_parser()
-        # The parser has to know what was asked; the bytes went out before.
+        # The parser needs the request to frame its answer. The bytes it returns
+        # are not sent, since they were sent before.
         self.parser.send(self.request)
         self.parser.send(h11.EndOfMessage())
-        if rest:
-            self.parser.receive_data(rest)
+        if trailing_data:
+            self.parser.receive_data(trailing_data)
 
     async def next_event(self) -> h11.Event:
         """Returns the next event of the answer.
 
         Raises:
-          ConnectionBrokenError: The connection broke or h11 refused the bytes.
+          ConnectionBrokenError: The connection ended, or h11 rejected the
+            bytes.
         """
         while True:
             try:
@@ -229,13 +252,13 @@
                 raise ConnectionBrokenError("closed without an answer")
             if event is not h11.NEED_DATA:
                 return event
-            if self.closed and (self.ended or self.reset is not None):
-                raise ConnectionBrokenError(f"reset: {self.reset!r}")
-            await self.wait()
+            if self.closed and (self.eof_fed or self.reset_error is not None):
+                raise ConnectionBrokenError(f"reset: {self.reset_error!r}")
+            await self.wait_for_data()
 
-    async def wait(self) -> None:
-        """Waits for bytes or the end."""
-        self.unread = 0
+    async def wait_for_data(self) -> None:
+        """Resumes reading and waits for data or the end of the connection."""
+        self.unread_bytes = 0
         if self.transport is not None and not self.closed:
             self.transport.resume_reading()
         self.waiter = self.loop.create_future()
@@ -244,13 +267,20 @@
         finally:
             self.waiter = None
 
-    def finish(self, idle_limit_s: float) -> bool:
-        """Ends an exchange; says whether another may follow."""
+    def finish_exchange(self, idle_limit_s: float) -> bool:
+        """Ends an exchange; aborts the connection if it cannot be reused.
+
+        Args:
+          idle_limit_s: Seconds for which the connection may be idle.
+
+        Returns:
+          Whether the connection can be used for another request.
+        """
         parser, self.parser = self.parser, None
-        self.served += 1
+        self.answered_requests += 1
         self.idle_since = self.loop.time()
         self.idle_limit_s = idle_limit_s
-        clean = (
+        reusable = (
             parser is not None
             and not self.closed
             and parser.our_state is h11.DONE
@@ -259,12 +289,12 @@
             and self.transport is not None
             and self.transport.get_write_buffer_size() == 0
         )
-        if not clean:
+        if not reusable:
             self.abort()
-        return clean
+        return reusable
 
     def abort(self) -> None:
-        """Closes at once: the worker stops what it does for it."""
+        """Closes the connection at once, so that the worker stops its work."""
         self.closed = True
         if self.transport is not None:
             self.transport.abort()
@@ -276,7 +306,7 @@
 
 
 def make_head(response: h11.Response) -> WireHead:
-    """Returns an answer's head as text."""
+    """Decodes the head of an answer."""
     headers = tuple(
         (name.decode("ascii"), value.decode("latin-1"))
         for name, value in response.headers
@@ -287,13 +317,15 @@
 
 
 def set_socket_options(sock: socket.socket | None) -> None:
-    """Makes the kernel notice a path that is cut."""
+    """Makes the kernel detect a partitioned path within a few seconds."""
     if sock is None:
         return
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_EVERY_S)
+    sock.setsockopt(
+        socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S
+    )
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_COUNT)
     sock.setsockopt(
         socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS
--- a/src/rattanpier/_internal/relay/exposition.py
+++ b/src/rattanpier/_internal/relay/exposition.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms as text, for the metrics address."""
+"""Renders metrics in the Prometheus text format for the metrics address."""
 
 from __future__ import annotations
 
@@ -20,36 +20,40 @@
 
 @attrs.define(eq=False)
 class MetricsCollector:
-    """Hands the process's metrics to the client library."""
+    """Collector that exports the metrics of the process.
+
+    Attributes:
+      metrics: Counters, gauges and timings of the process.
+    """
 
     metrics: Metrics
 
     def collect(self) -> Iterable[Metric]:
         """Yields each counter, gauge and histogram."""
         for name, count in sorted(self.metrics.counts.items()):
-            yield CounterMetricFamily(plain(name), name, value=count)
+            yield CounterMetricFamily(metric_name(name), name, value=count)
         for name, value in sorted(self.metrics.gauges.items()):
-            yield GaugeMetricFamily(plain(name), name, value=value)
+            yield GaugeMetricFamily(metric_name(name), name, value=value)
         for name, timing in sorted(self.metrics.timings.items()):
             yield HistogramMetricFamily(
-                plain(name),
+                metric_name(name),
                 name,
-                buckets=list(cumulated(timing.buckets)),
+                buckets=list(cumulative_buckets(timing.buckets)),
                 sum_value=timing.total_s,
             )
 
 
-def plain(name: str) -> str:
-    """Returns a name as the exposition format allows it.
+def metric_name(name: str) -> str:
+    """Converts the name of a metric to one that the text format allows.
 
-    >>> plain("relay.first_event_s")
+    >>> metric_name("relay.first_event_s")
     'rattanpier_relay_first_event_s'
     """
     return PREFIX + name.replace(".", "_").replace("-", "_")
 
 
-def cumulated(buckets: list[int]) -> Iterable[tuple[str, int]]:
-    """Yields each upper edge with the count of all up to it."""
+def cumulative_buckets(buckets: list[int]) -> Iterable[tuple[str, int]]:
+    """Yields the upper bound and the cumulative count of each bucket."""
     total = 0
     for edge, count in zip(TIMING_EDGES_S, buckets, strict=False):
         total += count
@@ -58,7 +62,7 @@
 
 
 def render(metrics: Metrics) -> bytes:
-    """Returns all metrics as text."""
+    """Returns all metrics in the Prometheus text format."""
     registry = CollectorRegistry(auto_describe=False)
     registry.register(MetricsCollector(metrics))
     return generate_latest(registry)
--- a/tests/lib/platform_site.py
+++ b/tests/lib/platform_site.py
@@ -1,4 +1,4 @@
-"""A small site of the users' platform: store, workers and entries."""
+"""Test site of the users' platform: a store, workers and entries."""
 
 import asyncio
 import collections
@@ -27,7 +27,7 @@
 def settings_document(
     store, name="entry-1", seeds=(), zones=None, region="region-a", **bounds
 ):
-    """The platform's settings file of one entry."""
+    """Returns the content of an entry's settings file."""
     return {
         "nodeName": name,
         "role": "entry",
@@ -54,12 +54,12 @@
     }
 
 
-def route(name, kind, service, **more):
+def route(name, route_type, service, **more):
     return {
         "name": name,
         "hostname": HOST,
         "prefix": f"/{name}/",
-        "routeType": kind,
+        "routeType": route_type,
         "timeoutMs": 3000,
         "targetLatencyMs": 400,
         "maxAttempts": 3,
@@ -70,7 +70,7 @@
 
 
 def manifest(version=1, **more):
-    """A manifest with a plain service and one of model engines."""
+    """Returns a manifest with a plain service and one of model engines."""
     return {
         "version": version,
         "routes": [
@@ -106,36 +106,38 @@
     }
 
 
-def changed_route(name, version=2, **more):
-    """A manifest in which one route has other fields."""
+def manifest_with_route(name, version=2, **more):
+    """Returns a manifest in which fields of one route are replaced."""
     document = manifest(version)
-    for each in document["routes"]:
-        if each["name"] == name:
-            each.update(more)
+    for each_route in document["routes"]:
+        if each_route["name"] == name:
+            each_route.update(more)
     return document
 
 
 @attrs.define
 class Answer:
-    """What a caller got; `whole` says whether it looked complete."""
+    """An answer as a caller got it; `complete` if it ended as framed."""
 
     status: int
     headers: dict
     body: bytes
-    whole: bool = True
+    complete: bool = True
 
 
 @attrs.define
 class PlatformSite:
-    """The site; entries run in the test's own loop."""
+    """A running site. Its entries run in the event loop of the test."""
 
     store: PlatformStoreServer
     store_address: str
     session: aiohttp.ClientSession
     workers: dict = attrs.Factory(dict)
     entries: dict = attrs.Factory(dict)
-    doors: list = attrs.Factory(list)
-    sequences: collections.Counter = attrs.Factory(collections.Counter)
+    door_runners: list = attrs.Factory(list)
+    registration_sequences: collections.Counter = attrs.Factory(
+        collections.Counter
+    )
     ids: random.Random = attrs.Factory(lambda: random.Random(1))
 
     async def add_worker(self, name, service="plain", version="v1", **more):
@@ -148,7 +150,7 @@
     def register(
         self, name, service="plain", version="v1", state="ready", **more
     ):
-        self.sequences[name] += 1
+        self.registration_sequences[name] += 1
         self.store.put(
             "servers",
             name,
@@ -160,17 +162,17 @@
                 "slots": 8,
                 "state": state,
                 "coldRemainingMs": 0,
-                "sequence": self.sequences[name],
+                "sequence": self.registration_sequences[name],
                 **more,
             },
         )
 
     async def add_door(self, door):
-        """Another listener of the store; returns its address."""
+        """Opens another listener of the store and returns its address."""
         runner = web.AppRunner(self.store.app(door), shutdown_timeout=0.1)
         await runner.setup()
         await web.TCPSite(runner, "127.0.0.1", 0).start()
-        self.doors.append(runner)
+        self.door_runners.append(runner)
         return f"127.0.0.1:{runner.addresses[0][1]}"
 
     async def add_entry(
@@ -189,7 +191,7 @@
         return f"{self.ids.getrandbits(64):016x}"
 
     async def ask(self, path="/safe/x", entry="entry-1", **more):
-        """Sends a caller's request and returns what came."""
+        """Sends a request as a caller and returns the answer."""
         settings: RelaySettings = self.entries[entry].settings
         headers = {
             "Host": HOST,
@@ -222,7 +224,7 @@
         )
 
     def runs(self):
-        """How often each request ran, by its id."""
+        """Returns how often each request ran, by its id."""
         counts = {}
         for worker in self.workers.values():
             for run in worker.runs:
@@ -232,7 +234,7 @@
 
 @contextlib.asynccontextmanager
 async def platform_site(manifest_document=None):
-    """A site with a store and a manifest, and nothing else."""
+    """Starts a site with a store and a manifest, but no workers or entries."""
     store = PlatformStoreServer()
     runner = web.AppRunner(store.app(), shutdown_timeout=0.1)
     await runner.setup()
@@ -250,19 +252,23 @@
                     await close(entry)
             for worker in site.workers.values():
                 await worker.stop()
-            for made in (runner, *site.doors):
-                await made.cleanup()
+            for listener_runner in (runner, *site.door_runners):
+                await listener_runner.cleanup()
 
 
-async def until(true, seconds=10.0):
-    """Waits for something to hold; the limit counts as hung."""
-    async with asyncio.timeout(seconds):
-        while not true():
+async def until(condition, timeout_s=10.0):
+    """Waits until a condition holds.
+
+    Raises:
+      TimeoutError: It does not hold within `timeout_s`; the test hangs.
+    """
+    async with asyncio.timeout(timeout_s):
+        while not condition():
             await asyncio.sleep(0.01)
 
 
-def events(body):
-    """The numbers of the events in a stream's body."""
+def event_numbers(body):
+    """Returns the numbers of the events in the body of a stream."""
     return [
         int(line[4:])
         for line in body.decode().splitlines()
@@ -270,5 +276,5 @@
     ]
 
 
-def dump(document):
+def to_json(document):
     return json.dumps(document).encode()
--- a/tests/relay/test_processes.py
+++ b/tests/relay/test_processes.py
@@ -1,4 +1,4 @@
-"""An entry as a process: its signals, its exit, and what it writes."""
+"""An entry as a process: signals, exit status and log output."""
 
 import asyncio
 import os
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.lib.counters import ROOT
-from tests.lib.platform_site import events, platform_site, until
+from tests.lib.platform_site import event_numbers, platform_site, until
 from tests.lib.relay_process import start_entry
 
 
@@ -21,12 +21,12 @@
 
 async def start(site, tmp_path, **more):
     entry = await start_entry(site.store_address, tmp_path, **more)
-    await entry.ready(site.session)
+    await entry.wait_until_ready(site.session)
     return entry
 
 
 async def ask(site, entry, path="/safe/x", **more):
-    """Asks a process as if it were an entry of the site."""
+    """Sends a request to a process as if it were an entry of the site."""
     name = entry.settings.name
     site.entries[name] = entry
     return await site.ask(path, entry=name, **more)
@@ -37,7 +37,7 @@
     return await ask(site, entry, "/chat/x", method="POST", headers=headers)
 
 
-async def test_a_planned_stop_cuts_nothing(site, tmp_path):
+async def test_a_planned_stop_completes_streams_in_progress(site, tmp_path):
     await site.add_worker("e1", "engine", events=6, event_gap_s=0.25)
     entry = await start(site, tmp_path)
     try:
@@ -46,76 +46,76 @@
         entry.process.send_signal(signal.SIGTERM)
         entry.process.send_signal(signal.SIGTERM)
         for answer in await asyncio.gather(*streams):
-            assert answer.whole
-            assert events(answer.body) == [1, 2, 3, 4, 5, 6]
+            assert answer.complete
+            assert event_numbers(answer.body) == [1, 2, 3, 4, 5, 6]
         async with asyncio.timeout(6):
             assert await entry.process.wait() == 0
     finally:
-        await entry.end()
-    assert entry.said("main: Stopping.")
-    assert entry.said("main: Stopped.")
+        await entry.kill()
+    assert entry.logged("main: Stopping.")
+    assert entry.logged("main: Stopped.")
 
 
-async def test_a_ready_entry_takes_connections(site, tmp_path):
+async def test_a_ready_entry_accepts_connections(site, tmp_path):
     await site.add_worker("w1")
     for number in range(3):
         entry = await start(site, tmp_path, name=f"entry-{number}")
         try:
             assert (await ask(site, entry)).status == 200
         finally:
-            await entry.end()
+            await entry.kill()
 
 
-async def test_a_leaving_entry_is_not_ready_and_serves_on(site, tmp_path):
+async def test_a_leaving_entry_is_not_ready_but_still_serves(site, tmp_path):
     await site.add_worker("w1")
     entry = await start(site, tmp_path)
     try:
         entry.process.send_signal(signal.SIGTERM)
         url = f"http://{entry.settings.readiness}/rattanpier/readyz"
 
-        async def leaves():
+        async def not_ready():
             async with site.session.get(url) as response:
                 return response.status == 503
 
         async with asyncio.timeout(5):
-            while not await leaves():
+            while not await not_ready():
                 await asyncio.sleep(0.01)
         answer = await ask(site, entry)
         assert answer.status == 200
         assert answer.headers["Connection"] == "close"
     finally:
-        await entry.end()
+        await entry.kill()
 
 
-async def test_settings_are_read_again_and_nothing_is_cut(site, tmp_path):
+async def test_a_settings_reload_does_not_interrupt_streams(site, tmp_path):
     await site.add_worker("e1", "engine", events=5, event_gap_s=0.1)
     entry = await start(site, tmp_path)
     try:
         stream = asyncio.create_task(chat(site, entry))
         await until(site.runs)
         entry.process.send_signal(signal.SIGHUP)
-        await until(lambda: entry.said("main: Settings read again."))
+        await until(lambda: entry.logged("main: Settings read again."))
         entry.path.write_text("{")
         entry.process.send_signal(signal.SIGHUP)
-        await until(lambda: entry.said("main: Settings not taken."))
-        assert (await stream).whole
+        await until(lambda: entry.logged("main: Settings not taken."))
+        assert (await stream).complete
         assert (await chat(site, entry)).status == 200
     finally:
-        await entry.end()
+        await entry.kill()
 
 
-async def test_a_reload_while_an_entry_starts_does_not_end_it(site, tmp_path):
+async def test_a_reload_during_startup_does_not_end_the_process(site, tmp_path):
     await site.add_worker("w1")
     entry = await start_entry(site.store_address, tmp_path)
     try:
-        # From when the program's own code runs on.
+        # The program ignores SIGHUP before it opens this address.
         await until(lambda: listening(entry.settings.callers))
-        while not entry.said("main: Started."):
+        while not entry.logged("main: Started."):
             entry.process.send_signal(signal.SIGHUP)
             await asyncio.sleep(0.01)
         assert entry.process.returncode is None
     finally:
-        await entry.end()
+        await entry.kill()
 
 
 def listening(address):
@@ -123,34 +123,36 @@
         return made.connect_ex((address.host, address.port)) == 0
 
 
-async def test_a_request_can_be_followed_by_its_id(site, tmp_path):
+async def test_log_lines_of_a_request_carry_its_id(site, tmp_path):
     await site.add_worker("w1")
     entry = await start(site, tmp_path)
     try:
         request_id = "5a5a5a5a5a5a5a5a"
         await ask(site, entry, headers={"X-Attempt-Id": request_id})
-        await until(lambda: entry.said("edge: Answered."))
+        await until(lambda: entry.logged("edge: Answered."))
     finally:
-        await entry.end()
-    told = [line for line in entry.lines if line.get("request") == request_id]
-    assert [line["event"] for line in told] == [
+        await entry.kill()
+    request_lines = [
+        line for line in entry.lines if line.get("request") == request_id
+    ]
+    assert [line["event"] for line in request_lines] == [
         "dispatch: Sent.",
         "edge: Answered.",
     ]
-    assert told[0]["worker"] == "w1"
+    assert request_lines[0]["worker"] == "w1"
     assert all(line["node"] == "entry-1" for line in entry.lines)
 
 
-async def test_a_reader_that_stops_reading_holds_nothing_up(site, tmp_path):
+async def test_an_unread_log_pipe_does_not_block_requests(site, tmp_path):
     await site.add_worker("w1")
-    entry = await start(site, tmp_path, silent_reader=True)
+    entry = await start(site, tmp_path, ignore_output=True)
     try:
-        # Some times what a pipe holds.
+        # Their log lines exceed the capacity of the pipe several times.
         for _ in range(400):
             assert (await ask(site, entry)).status == 200
     finally:
         entry.process.kill()
-        # Its exit is only told once the pipe was read to its end.
+        # wait() returns only once the pipe has been read to its end.
         await entry.process.stdout.read()
         await entry.process.wait()
 
@@ -163,7 +165,9 @@
         ("{}", "ip is None"),
     ],
 )
-async def test_bad_settings_are_told_with_the_field(tmp_path, text, words):
+async def test_invalid_settings_are_reported_with_the_field(
+    tmp_path, text, words
+):
     path = tmp_path / "node.json"
     path.write_text(text)
     process = await asyncio.create_subprocess_exec(
--- a/tests/soak/site.py
+++ b/tests/soak/site.py
@@ -13,7 +13,7 @@
     PlatformWorkerServer,
     WorkerFault,
 )
-from tests.lib.platform_site import changed_route, manifest, platform_site
+from tests.lib.platform_site import manifest, manifest_with_route, platform_site
 from tests.lib.relay_process import start_entry
 from tests.soak.callers import Caller
 from tests.soak.faults import FAULTS_S, LONGEST_S, QUIET_S, Kind, draw_faults
@@ -138,7 +138,7 @@
         await start_entries(run, stack)
         await use(run)
         for entry in run.entries:
-            lines = entry.said("state: Routes in force.")
+            lines = entry.logged("state: Routes in force.")
             # None where an entry never had routes, which the judge reports.
             version = lines[-1]["version"] if lines else None
             run.versions[entry.settings.name] = version
@@ -204,12 +204,12 @@
         run.entries.append(entry)
     stack.push_async_callback(end_all, run)
     for entry in run.entries:
-        await entry.ready(run.site.session)
+        await entry.wait_until_ready(run.site.session)
 
 
 async def end_all(run):
     for entry in run.entries:
-        await entry.end()
+        await entry.kill()
 
 
 async def use(run):
@@ -283,7 +283,7 @@
         case Kind.MANIFEST:
             run.version += 1
             timeout_ms = 2500 + 10 * run.version
-            document = changed_route(
+            document = manifest_with_route(
                 "safe", version=run.version, timeoutMs=timeout_ms
             )
             document["services"] = cold_manifest()["services"]
@@ -357,7 +357,7 @@
     async with asyncio.timeout(10):
         await old.process.wait()
     await asyncio.sleep(pause_s)
-    run.entries[number] = await old.again()
+    run.entries[number] = await old.start_again()
 
 
 async def leave(run, number, fault):
