--- a/src/rattanpier/_internal/relay/known_orders.py
+++ b/src/rattanpier/_internal/relay/known_orders.py
@@ -23,37 +23,41 @@
 
 log = structlog.get_logger(part="rollout")
 
-MOST_PAST = 8  # Orders of a service that a copy may show again.
+MAX_PAST_ORDERS = 8  # Orders of a service that a copy may show again.
 
 
-def asks_the_same(one: RolloutOrder, other: RolloutOrder) -> bool:
+def has_same_target(one: RolloutOrder, other: RolloutOrder) -> bool:
     """Says whether two orders move a service to the same version in a time."""
     fields = one.version, one.deadline_s
     return fields == (other.version, other.deadline_s)
 
 
-def is_of(record: RolloutRecord, order: RolloutOrder) -> bool:
+def belongs_to(record: RolloutRecord, order: RolloutOrder) -> bool:
     """Says whether a record tells of an order, under whatever number."""
     if record.order == order.id:
         return True
     same_version = record.version == order.version
-    return same_version and may_be_one(seen_by(record), order.revision)
+    return same_version and may_be_same_row(
+        seen_revision(record), order.revision
+    )
 
 
-def are_of_one_order(one: RolloutRecord, other: RolloutRecord) -> bool:
+def same_order(one: RolloutRecord, other: RolloutRecord) -> bool:
     """Says whether two records tell of one order, under whatever numbers."""
     if one.order == other.order:
         return True
     same_version = one.version == other.version
-    return same_version and may_be_one(seen_by(one), seen_by(other))
+    return same_version and may_be_same_row(
+        seen_revision(one), seen_revision(other)
+    )
 
 
-def seen_by(record: RolloutRecord) -> Revision:
+def seen_revision(record: RolloutRecord) -> Revision:
     """Returns the revision of the order's row that a record's writer knew."""
     return Revision.from_number(record.seen or record.order)
 
 
-def may_be_one(one: Revision, other: Revision) -> bool:
+def may_be_same_row(one: Revision, other: Revision) -> bool:
     """Says whether two revisions may be of one order's row.
 
     Within an era another revision means another order.
@@ -61,14 +65,14 @@
     return one == other or one.era != other.era
 
 
-def further(one: RolloutRecord, other: RolloutRecord) -> RolloutRecord:
+def merge_records(one: RolloutRecord, other: RolloutRecord) -> RolloutRecord:
     """Returns how far an order went of which there are two records.
 
     It goes by the newer number; what is final stays.
     """
     phases = list(RolloutPhase)
     order = max(one.order, other.order)
-    seen = max(seen_by(one), seen_by(other)).number
+    seen = max(seen_revision(one), seen_revision(other)).number
     found = max(
         (one, other),
         key=lambda record: (record.phase.final, phases.index(record.phase)),
@@ -76,19 +80,19 @@
     return attrs.evolve(found, order=order, seen=seen)
 
 
-def more_than(
-    standing: RolloutRecord | None, known: RolloutRecord
+def record_to_write(
+    stored: RolloutRecord | None, known: RolloutRecord
 ) -> RolloutRecord | None:
     """Returns what is to be written where a record stands and one is known.
 
     None if what stands tells as much.
     """
-    if standing is None:
+    if stored is None:
         return known
-    if not are_of_one_order(standing, known):
-        return known if known.order > standing.order else None
-    found = further(known, standing)
-    return None if found == further(standing, standing) else found
+    if not same_order(stored, known):
+        return known if known.order > stored.order else None
+    found = merge_records(known, stored)
+    return None if found == merge_records(stored, stored) else found
 
 
 @attrs.define(eq=False, repr=False)
@@ -98,33 +102,33 @@
     Attributes:
       newest: By service.
       past: Those that another one followed, the newest last, by service.
-      read_at: Revision of the first whole table of the newest era.
+      full_read_revision: Revision of the first whole table of the newest era.
     """
 
     newest: dict[str, RolloutOrder] = attrs.Factory(dict)
     past: dict[str, list[RolloutOrder]] = attrs.Factory(dict)
-    read_at: Revision = Revision()
+    full_read_revision: Revision = Revision()
 
-    def note_whole(self, revision: Revision) -> None:
+    def record_full_read(self, revision: Revision) -> None:
         """Takes in that the whole table was read as of a revision."""
-        if revision.era > self.read_at.era:
-            self.read_at = revision
+        if revision.era > self.full_read_revision.era:
+            self.full_read_revision = revision
 
-    def take(self, order: RolloutOrder) -> bool:
+    def apply(self, order: RolloutOrder) -> bool:
         """Takes an order in; says whether it is to begin."""
-        before = self.newest.get(order.service)
-        if before is None:
+        known = self.newest.get(order.service)
+        if known is None:
             self.newest[order.service] = order
             return True
-        if order.revision <= before.revision:
+        if order.revision <= known.revision:
             return False
-        new_era = order.revision.era > before.revision.era
-        if new_era and asks_the_same(order, before):
+        new_era = order.revision.era > known.revision.era
+        if new_era and has_same_target(order, known):
             self.newest[order.service] = attrs.evolve(
-                before, revision=order.revision
+                known, revision=order.revision
             )
             return False
-        if self.is_past(order):
+        if self.is_superseded(order):
             log.info(
                 "Order of an older copy left out.",
                 service=order.service,
@@ -132,22 +136,22 @@
                 revision=order.revision.number,
             )
             return False
-        self.follow(order)
+        self.replace_newest(order)
         return True
 
-    def is_past(self, order: RolloutOrder) -> bool:
+    def is_superseded(self, order: RolloutOrder) -> bool:
         """Says whether a copy shows an order that another one followed."""
         return any(
-            asks_the_same(order, each)
+            has_same_target(order, each)
             and order.revision.is_kept_from(each.revision)
             for each in self.past.get(order.service, ())
         )
 
-    def follow(self, order: RolloutOrder) -> None:
+    def replace_newest(self, order: RolloutOrder) -> None:
         """Puts an order in the place of the newest one of its service."""
         past = self.past.setdefault(order.service, [])
         past.append(self.newest[order.service])
-        del past[:-MOST_PAST]
+        del past[:-MAX_PAST_ORDERS]
         self.newest[order.service] = order
 
     # What entries tell each other.
@@ -157,10 +161,10 @@
         return [
             order
             for order in self.newest.values()
-            if order.revision.era < self.read_at.era
+            if order.revision.era < self.full_read_revision.era
         ]
 
-    def take_unconfirmed(
+    def apply_unconfirmed(
         self, orders: Iterable[RolloutOrder]
     ) -> list[RolloutOrder]:
         """Takes in what another entry knows beyond the store.
@@ -171,16 +175,16 @@
         """
         found: list[RolloutOrder] = []
         for order in orders:
-            before = self.newest.get(order.service)
-            if before is None:
+            known = self.newest.get(order.service)
+            if known is None:
                 self.newest[order.service] = order
-            elif asks_the_same(order, before) or not (
-                order.revision.era < before.revision.era
-                and before.revision <= self.read_at
+            elif has_same_target(order, known) or not (
+                order.revision.era < known.revision.era
+                and known.revision <= self.full_read_revision
             ):
                 continue
             else:
-                self.follow(order)
+                self.replace_newest(order)
             found.append(order)
         return found
 
--- a/src/rattanpier/_internal/relay/rollout_driver.py
+++ b/src/rattanpier/_internal/relay/rollout_driver.py
@@ -40,7 +40,7 @@
     ExposureBound,
     may_widen,
 )
-from rattanpier._internal.relay.known_orders import more_than
+from rattanpier._internal.relay.known_orders import record_to_write
 from rattanpier._internal.relay.own_table import (
     ROLLOUT_PREFIX,
     TABLE,
@@ -252,7 +252,7 @@
         """
         stored = dict(decode_records(rows_with_prefix(page, ROLLOUT_PREFIX)))
         for service, known in self.rollouts.records.items():
-            record = more_than(stored.get(service), known)
+            record = record_to_write(stored.get(service), known)
             if record is None:
                 continue
             status = self.status_row(service, record.version, record.phase)
--- a/src/rattanpier/_internal/relay/rollouts.py
+++ b/src/rattanpier/_internal/relay/rollouts.py
@@ -36,9 +36,9 @@
 )
 from rattanpier._internal.relay.known_orders import (
     KnownOrders,
-    are_of_one_order,
-    further,
-    is_of,
+    belongs_to,
+    merge_records,
+    same_order,
 )
 from rattanpier._internal.relay.verdict import (
     EMPTY_TALLY,
@@ -123,7 +123,7 @@
 
     def apply_order(self, order: RolloutOrder) -> None:
         """Applies an order; an older order of the service is superseded."""
-        starts = self.known_orders.take(order)
+        starts = self.known_orders.apply(order)
         if starts:
             self.start_order(order)
         record = self.records.get(order.service)
@@ -139,7 +139,7 @@
 
     def apply_unconfirmed(self, orders: Iterable[RolloutOrder]) -> None:
         """Applies orders that a peer knows and the store lost."""
-        for order in self.known_orders.take_unconfirmed(orders):
+        for order in self.known_orders.apply_unconfirmed(orders):
             self.start_order(order)
 
     def start_order(self, order: RolloutOrder) -> None:
@@ -159,10 +159,8 @@
         """Applies a record of an order's progress, which never goes back."""
         before = self.records.get(record.service)
         if before is not None:
-            if before.order != record.order and are_of_one_order(
-                before, record
-            ):
-                record = further(before, record)
+            if before.order != record.order and same_order(before, record):
+                record = merge_records(before, record)
             elif not is_newer(record, before):
                 return
             if record == before:
@@ -189,7 +187,7 @@
         order = self.orders.get(record.service)
         if order is None or order.id == record.order:
             return
-        if not is_of(record, order):
+        if not belongs_to(record, order):
             return
         before, id = order.id, record.order
         self.orders[order.service] = attrs.evolve(order, id=id)
--- a/src/rattanpier/_internal/relay/state.py
+++ b/src/rattanpier/_internal/relay/state.py
@@ -69,7 +69,7 @@
     def take_operator_page(self, page: Page, after_outage: bool) -> None:
         """Takes in what operators wrote."""
         if page.whole:
-            self.rollouts.known_orders.note_whole(page.revision)
+            self.rollouts.known_orders.record_full_read(page.revision)
         domain_orders: list[DomainOrder] = []
         for item in self.operator_news(page):
             match item:
--- a/tests/relay/test_restored_rollouts.py
+++ b/tests/relay/test_restored_rollouts.py
@@ -33,7 +33,7 @@
 
 def make_rollouts(clock):
     made = Rollouts(ExposureBound(0.15), 5.0, clock)
-    made.known_orders.note_whole(at(1))
+    made.known_orders.record_full_read(at(1))
     return made
 
 
@@ -69,7 +69,7 @@
     rollouts.apply_order(order("v2", at(9)))
     rollouts.apply_record(record("v2", at(9), final))
     before = versions_of_requests(rollouts)
-    rollouts.known_orders.note_whole(at(3, 2))
+    rollouts.known_orders.record_full_read(at(3, 2))
     rollouts.apply_order(order("v2", at(version, 2)))
     assert phase(rollouts) is final
     assert versions_of_requests(rollouts) == before
@@ -78,7 +78,7 @@
 def test_a_repeated_order_of_the_new_era_starts_a_new_roll_out(rollouts):
     rollouts.apply_order(order("v2", at(9)))
     rollouts.apply_record(record("v2", at(9), PHASE.ROLLED_BACK))
-    rollouts.known_orders.note_whole(at(9, 2))
+    rollouts.known_orders.record_full_read(at(9, 2))
     rollouts.apply_order(order("v2", at(9, 2)))
     assert phase(rollouts) is PHASE.ROLLED_BACK
     rollouts.apply_order(order("v2", at(12, 2)))
@@ -92,7 +92,7 @@
     rollouts.apply_record(record("v2", at(5), PHASE.COMPLETED))
     rollouts.apply_order(order("v3", at(9)))
     rollouts.apply_record(record("v3", at(9), PHASE.WIDENING))
-    rollouts.known_orders.note_whole(at(6, 2))
+    rollouts.known_orders.record_full_read(at(6, 2))
     rollouts.apply_order(order("v2", at(5, 2)))
     assert rollouts.orders["s"].version == "v3"
     assert rollouts.known_orders.unconfirmed() == [rollouts.orders["s"]]
@@ -104,7 +104,7 @@
 def test_a_new_order_of_the_new_era_starts(rollouts):
     rollouts.apply_order(order("v2", at(5)))
     rollouts.apply_record(record("v2", at(5), PHASE.COMPLETED))
-    rollouts.known_orders.note_whole(at(5, 2))
+    rollouts.known_orders.record_full_read(at(5, 2))
     rollouts.apply_order(order("v3", at(5, 2)))
     assert rollouts.orders["s"].version == "v3"
     assert phase(rollouts) is PHASE.TRYING
@@ -112,7 +112,7 @@
 
 def test_a_new_entry_takes_the_id_of_an_order_from_its_record(clock):
     new_entry = make_rollouts(clock)
-    new_entry.known_orders.note_whole(at(8, 2))
+    new_entry.known_orders.record_full_read(at(8, 2))
     new_entry.apply_order(order("v2", at(8, 2)))
     new_entry.stop(at(8, 2).number, "seen here")
     new_entry.apply_record(record("v2", at(9), PHASE.FULL))
@@ -132,7 +132,7 @@
     rollouts.apply_order(order("v3", at(9)))
     new_entry = make_rollouts(clock)
     for each in (rollouts, new_entry):
-        each.known_orders.note_whole(at(6, 2))
+        each.known_orders.record_full_read(at(6, 2))
         each.apply_order(order("v2", at(5, 2)))
     assert new_entry.orders["s"].version == "v2"
     digests = [each.known_orders.digest() for each in (rollouts, new_entry)]
@@ -147,7 +147,7 @@
 def test_the_first_record_of_a_new_entry_does_not_reset_an_order(rollouts):
     rollouts.apply_order(order("v2", at(9)))
     rollouts.apply_record(record("v2", at(9), PHASE.FULL))
-    rollouts.known_orders.note_whole(at(8, 2))
+    rollouts.known_orders.record_full_read(at(8, 2))
     new_entrys_record = record("v2", at(8, 2), PHASE.TRYING)
     rollouts.apply_record(new_entrys_record)
     assert phase(rollouts) is PHASE.FULL
--- a/tests/relay/test_restoring.py
+++ b/tests/relay/test_restoring.py
@@ -10,7 +10,7 @@
     RolloutRecord,
 )
 from rattanpier._internal.relay.history import StoreHistory
-from rattanpier._internal.relay.known_orders import more_than
+from rattanpier._internal.relay.known_orders import record_to_write
 from rattanpier._internal.relay.own_table import (
     QUARANTINED_PREFIX,
     ROLLOUT_PREFIX,
@@ -239,9 +239,9 @@
 def test_an_older_record_does_not_replace_a_newer_one():
     older = RolloutRecord(1, "s", "v2", RolloutPhase.TRYING, 0.0, 0.0)
     newer = attrs.evolve(older, phase=RolloutPhase.ROLLED_BACK)
-    assert more_than(newer, older) is None
-    assert more_than(older, newer).phase is RolloutPhase.ROLLED_BACK
-    assert more_than(None, older) == older
+    assert record_to_write(newer, older) is None
+    assert record_to_write(older, newer).phase is RolloutPhase.ROLLED_BACK
+    assert record_to_write(None, older) == older
     other = attrs.evolve(older, order=2, version="v3")
-    assert more_than(other, newer) is None
-    assert more_than(newer, other) == other
+    assert record_to_write(other, newer) is None
+    assert record_to_write(newer, other) == other
