--- a/src/rattanpier/_internal/relay/known_orders.py
+++ b/src/rattanpier/_internal/relay/known_orders.py
@@ -1,9 +1,10 @@
-"""Which order a row means, though the store may have come back from a copy.
+"""Identifies roll-out orders across restores of the store.
 
-An order bears the number under which it became known first. After a return the
-same order is read under another version: it stands in the copy, or operators
-have written it again. It must not begin anew, least of all one that was rolled
-back; a copy that shows an order from before the newest one is no order at all.
+An order is identified by the revision under which it first became known. After
+a restore from a backup the same order may be read at another revision, because
+the backup contains it or because operators wrote it again. It must not start
+again, least of all one that was rolled back. An order that the backup contains
+but that a later one superseded is ignored.
 """
 
 from __future__ import annotations
@@ -23,17 +24,18 @@
 
 log = structlog.get_logger(part="rollout")
 
-MAX_PAST_ORDERS = 8  # Orders of a service that a copy may show again.
+# Superseded orders per service that are recognized in a restored store.
+MAX_PAST_ORDERS = 8
 
 
 def has_same_target(one: RolloutOrder, other: RolloutOrder) -> bool:
-    """Says whether two orders move a service to the same version in a time."""
+    """Returns whether two orders have the same version and deadline."""
     fields = one.version, one.deadline_s
     return fields == (other.version, other.deadline_s)
 
 
 def belongs_to(record: RolloutRecord, order: RolloutOrder) -> bool:
-    """Says whether a record tells of an order, under whatever number."""
+    """Returns whether a record is of an order, whatever their revisions."""
     if record.order == order.id:
         return True
     same_version = record.version == order.version
@@ -43,7 +45,7 @@
 
 
 def same_order(one: RolloutRecord, other: RolloutRecord) -> bool:
-    """Says whether two records tell of one order, under whatever numbers."""
+    """Returns whether two records are of one order, whatever its revisions."""
     if one.order == other.order:
         return True
     same_version = one.version == other.version
@@ -53,22 +55,23 @@
 
 
 def seen_revision(record: RolloutRecord) -> Revision:
-    """Returns the revision of the order's row that a record's writer knew."""
+    """Returns the revision of the order's row that a record's writer saw."""
     return Revision.from_number(record.seen or record.order)
 
 
 def may_be_same_row(one: Revision, other: Revision) -> bool:
-    """Says whether two revisions may be of one order's row.
+    """Returns whether two revisions may be of the same order's row.
 
-    Within an era another revision means another order.
+    Within an era, different revisions mean different orders.
     """
     return one == other or one.era != other.era
 
 
 def merge_records(one: RolloutRecord, other: RolloutRecord) -> RolloutRecord:
-    """Returns how far an order went of which there are two records.
+    """Merges two records of one order.
 
-    It goes by the newer number; what is final stays.
+    The result has the later phase and the newer revisions. A final phase takes
+    precedence over any other.
     """
     phases = list(RolloutPhase)
     order = max(one.order, other.order)
@@ -83,9 +86,14 @@
 def record_to_write(
     stored: RolloutRecord | None, known: RolloutRecord
 ) -> RolloutRecord | None:
-    """Returns what is to be written where a record stands and one is known.
+    """Returns the record to write to the store.
 
-    None if what stands tells as much.
+    Args:
+      stored: Record in the store, None if there is none.
+      known: Record that this entry knows.
+
+    Returns:
+      The record to write, or None if the stored one is up to date.
     """
     if stored is None:
         return known
@@ -97,12 +105,12 @@
 
 @attrs.define(eq=False, repr=False)
 class KnownOrders:
-    """The newest order of each service, and those before.
+    """The newest order of each service, and the superseded ones.
 
     Attributes:
-      newest: By service.
-      past: Those that another one followed, the newest last, by service.
-      full_read_revision: Revision of the first whole table of the newest era.
+      newest: Newest order, by service.
+      past: Superseded orders, the newest last, by service.
+      full_read_revision: Revision of the first full read of the newest era.
     """
 
     newest: dict[str, RolloutOrder] = attrs.Factory(dict)
@@ -110,12 +118,12 @@
     full_read_revision: Revision = Revision()
 
     def record_full_read(self, revision: Revision) -> None:
-        """Takes in that the whole table was read as of a revision."""
+        """Records a full read of the operators' table at a revision."""
         if revision.era > self.full_read_revision.era:
             self.full_read_revision = revision
 
     def apply(self, order: RolloutOrder) -> bool:
-        """Takes an order in; says whether it is to begin."""
+        """Applies an order of the store; returns whether it has to start."""
         known = self.newest.get(order.service)
         if known is None:
             self.newest[order.service] = order
@@ -130,7 +138,7 @@
             return False
         if self.is_superseded(order):
             log.info(
-                "Order of an older copy left out.",
+                "Superseded order of a restored store ignored.",
                 service=order.service,
                 version=order.version,
                 revision=order.revision.number,
@@ -140,7 +148,7 @@
         return True
 
     def is_superseded(self, order: RolloutOrder) -> bool:
-        """Says whether a copy shows an order that another one followed."""
+        """Returns whether an order was superseded before a store restore."""
         return any(
             has_same_target(order, each)
             and order.revision.is_kept_from(each.revision)
@@ -148,16 +156,16 @@
         )
 
     def replace_newest(self, order: RolloutOrder) -> None:
-        """Puts an order in the place of the newest one of its service."""
+        """Replaces the newest order of a service, which becomes a past one."""
         past = self.past.setdefault(order.service, [])
         past.append(self.newest[order.service])
         del past[:-MAX_PAST_ORDERS]
         self.newest[order.service] = order
 
-    # What entries tell each other.
+    # State that entries exchange.
 
     def unconfirmed(self) -> list[RolloutOrder]:
-        """Returns the orders that the newest era of the store has not shown."""
+        """Returns the orders that were not read in the store's newest era."""
         return [
             order
             for order in self.newest.values()
@@ -167,11 +175,16 @@
     def apply_unconfirmed(
         self, orders: Iterable[RolloutOrder]
     ) -> list[RolloutOrder]:
-        """Takes in what another entry knows beyond the store.
+        """Applies orders that a peer knows and that the store lost.
+
+        An order known here is replaced only if it was read from a restored
+        store, since the peer's order is then newer than the backup.
+
+        Args:
+          orders: Unconfirmed orders of a peer.
 
         Returns:
-          Those that are to begin here: what is known here is what the copy
-          showed.
+          The orders that have to start here.
         """
         found: list[RolloutOrder] = []
         for order in orders:
@@ -189,7 +202,7 @@
         return found
 
     def digest(self) -> int:
-        """Returns a number that tells unconfirmed orders from others."""
+        """Returns a digest of the unconfirmed orders, for comparison."""
         total = 0
         for order in self.unconfirmed():
             total ^= stable_hash(f"unconfirmed/{order.service}/{order.version}")
