--- a/src/rattanpier/_internal/programs/relay.py
+++ b/src/rattanpier/_internal/programs/relay.py
@@ -73,7 +73,7 @@
         state.directory,
         kernel.find("history"),
         lambda: state.table_version,
-        on_deregistered=state.gone.on_next,
+        on_deregistered=state.deregistered.on_next,
     )
     gossip = await add_peers(
         kernel, settings, fleet, state, shared_state, clock
--- a/src/rattanpier/_internal/programs/relay_dispatch.py
+++ b/src/rattanpier/_internal/programs/relay_dispatch.py
@@ -83,7 +83,7 @@
         warm_ups.record_send(worker)
         limits.record_send(worker)
 
-    state.gone.subscribe(forget)
+    state.deregistered.subscribe(forget)
     # What must hold goes before what is preferred: avoidance leaves half of the
     # workers that come to it, and would else make up for those left out.
     conditions = (
--- a/src/rattanpier/_internal/programs/relay_peers.py
+++ b/src/rattanpier/_internal/programs/relay_peers.py
@@ -60,7 +60,7 @@
             or shared_state.has_older_table()
         ),
         build=state.snapshot,
-        restore=state.restore,
+        restore=state.apply_snapshot,
     )
     gossip = Gossip(
         fleet=fleet,
--- a/src/rattanpier/_internal/programs/relay_store.py
+++ b/src/rattanpier/_internal/programs/relay_store.py
@@ -150,11 +150,11 @@
 
     def take_operator_page(page: Page, after_outage: bool) -> None:
         writer.apply_page(page)
-        state.take_operator_page(page, after_outage)
+        state.apply_operator_page(page, after_outage)
 
     follow = {
         rollouts.ORDERS: take_operator_page,
-        registrations.TABLE: state.take_worker_page,
+        registrations.TABLE: state.apply_worker_page,
     }
     store = CheckpointedStore(
         kernel.find("store"), rollouts.ORDERS, kernel.find("own_table")
--- a/src/rattanpier/_internal/programs/relay_workers.py
+++ b/src/rattanpier/_internal/programs/relay_workers.py
@@ -85,15 +85,15 @@
         notify_all=entry.gossip.broadcaster.notify_all,
         notify_one=entry.gossip.broadcaster.notify_one,
         clock=entry.edge.dispatcher.clock,
-        engines=state.engines,
+        engines=state.engine_services,
         read=read_report,
-        on_restart=lambda worker: state.forget([worker]),
+        on_restart=lambda worker: state.notify_deregistered([worker]),
         open_workers=state.domains.open_workers,
         in_backoff=lambda worker: (
             rests.available_in_s(worker.incarnation) > 0.0
         ),
     )
-    state.gone.subscribe(
+    state.deregistered.subscribe(
         lambda worker: queues.reported_starts.pop(worker, None)
     )
     entry.gossip.broadcaster.handlers["queue_news"] = queues.receive_update
--- a/src/rattanpier/_internal/relay/state.py
+++ b/src/rattanpier/_internal/relay/state.py
@@ -30,10 +30,10 @@
     Attributes:
       domains: Failure domains that get nothing new.
       table: The route table in force, None before the first.
-      operator_news: Decodes the operators' rows.
-      worker_news: Decodes workers' registrations.
-      packed: The version of a table and the table, packed for peers.
-      gone: Emits the id of each worker that is gone, or whose registration
+      decode_operator_rows: Decodes the operators' rows.
+      decode_worker_rows: Decodes workers' registrations.
+      table_cache: The version of a table and the table, packed for peers.
+      deregistered: Emits the id of each worker that is gone, or whose registration
         is now of another incarnation.
       tables: Emits each route table that comes into force.
     """
@@ -41,16 +41,16 @@
     directory: WorkerDirectory
     rollouts: Rollouts
     health: StoreHealth
-    operator_news: Callable[
+    decode_operator_rows: Callable[
         [Page], Iterable[RouteTable | RolloutOrder | DomainOrder]
     ]
-    worker_news: Callable[
+    decode_worker_rows: Callable[
         [Page], Iterable[RegisteredWorker | FeedRow | UnreadableRow]
     ]
     domains: DrainedDomains = attrs.Factory(DrainedDomains)
     table: RouteTable | None = None
-    packed: tuple[int, bytes] = (-1, b"")
-    gone: Subject[str] = attrs.Factory(Subject)
+    table_cache: tuple[int, bytes] = (-1, b"")
+    deregistered: Subject[str] = attrs.Factory(Subject)
     tables: Subject[RouteTable] = attrs.Factory(Subject)
 
     @property
@@ -66,15 +66,15 @@
             and self.rollouts.records_known
         )
 
-    def take_operator_page(self, page: Page, after_outage: bool) -> None:
+    def apply_operator_page(self, page: Page, after_outage: bool) -> None:
         """Takes in what operators wrote."""
         if page.whole:
             self.rollouts.known_orders.record_full_read(page.revision)
         domain_orders: list[DomainOrder] = []
-        for item in self.operator_news(page):
+        for item in self.decode_operator_rows(page):
             match item:
                 case RouteTable():
-                    self.take_table(item, "store")
+                    self.apply_table(item, "store")
                 case RolloutOrder():
                     self.rollouts.apply_order(item)
                 case DomainOrder():
@@ -85,8 +85,8 @@
         for order in domain_orders:
             self.domains.apply_order(order, "store")
 
-    def engines(self) -> list[str]:
-        """Returns the services whose workers are model engines."""
+    def engine_services(self) -> list[str]:
+        """Returns the services whose workers are model engine_services."""
         if self.table is None:
             return []
         services = self.table.services.values()
@@ -102,59 +102,59 @@
         known = None if self.table is None else self.table.services.get(service)
         return "" if known is None else known.health_path
 
-    def take_table(self, table: RouteTable, source: str) -> None:
+    def apply_table(self, table: RouteTable, source: str) -> None:
         """Puts a route table in force unless it is older."""
         if table.version <= self.table_version:
             return
-        before = self.table_version
+        previous = self.table_version
         self.table = table
         self.tables.on_next(table)
         log.info(
             "Routes in force.",
             version=table.version,
-            before=before,
+            before=previous,
             routes=len(table.routes),
             source=source,
         )
 
-    def take_worker_page(self, page: Page, after_outage: bool) -> None:
+    def apply_worker_page(self, page: Page, after_outage: bool) -> None:
         """Takes in registrations."""
-        news = list(self.worker_news(page))
-        for item in news:
+        items = list(self.decode_worker_rows(page))
+        for item in items:
             if isinstance(item, UnreadableRow):
                 self.drop_unreadable(item.key)
         if page.whole:
             workers = [
-                item for item in news if isinstance(item, RegisteredWorker)
+                item for item in items if isinstance(item, RegisteredWorker)
             ]
-            self.forget(
+            self.notify_deregistered(
                 self.directory.replace(workers, after_outage, page.revision)
             )
             return
-        for item in news:
+        for item in items:
             if isinstance(item, RegisteredWorker):
                 if self.directory.put(item):
-                    self.forget([item.id])
+                    self.notify_deregistered([item.id])
             elif isinstance(item, FeedRow) and self.directory.remove(
                 item.key, after_outage, item.revision
             ):
-                self.forget([item.key])
+                self.notify_deregistered([item.key])
 
     def drop_unreadable(self, id: str) -> None:
         """Takes in that a worker's registration names none any more."""
         if self.directory.drop_unreadable(id):
-            self.forget([id])
+            self.notify_deregistered([id])
 
     def drop_missing(self) -> None:
         """Drops what the store lacks and what did not come back in time."""
         if self.health.available:
-            self.forget(self.directory.drop_missing())
+            self.notify_deregistered(self.directory.drop_missing())
             self.domains.expire_grace_periods()
 
-    def forget(self, ids: Iterable[str]) -> None:
+    def notify_deregistered(self, ids: Iterable[str]) -> None:
         """Tells that what was known of workers no longer holds."""
         for id in ids:
-            self.gone.on_next(id)
+            self.deregistered.on_next(id)
 
     def snapshot(self) -> Snapshot:
         """Returns the beliefs, for a peer that does not reach the store."""
@@ -171,13 +171,13 @@
 
     def pack_table(self) -> bytes:
         """Returns the route table, packed once for each version."""
-        version, packed = self.packed
+        version, packed = self.table_cache
         if version != self.table_version and self.table is not None:
             packed = pack(self.table)
-            self.packed = self.table_version, packed
+            self.table_cache = self.table_version, packed
         return packed
 
-    def restore(self, snapshot: Snapshot) -> None:
+    def apply_snapshot(self, snapshot: Snapshot) -> None:
         """Takes a peer's beliefs while this entry does not reach the store.
 
         A peer that reaches it knows the workers better; of one that does not,
@@ -188,7 +188,7 @@
         if snapshot.table_version > self.table_version:
             table = snapshot.table()
             if table is not None:
-                self.take_table(table, "peer")
+                self.apply_table(table, "peer")
         for order in snapshot.orders:
             self.rollouts.apply_order(order)
         for record in snapshot.records:
@@ -198,7 +198,9 @@
         if self.health.available or as_of.era < self.directory.as_of.era:
             return
         if snapshot.from_store:
-            self.forget(self.directory.replace(workers, False, as_of))
+            self.notify_deregistered(
+                self.directory.replace(workers, False, as_of)
+            )
         elif not self.directory.known and workers:
             self.directory.replace(workers, False, as_of)
             self.rollouts.records_known = True
--- a/tests/relay/test_rows.py
+++ b/tests/relay/test_rows.py
@@ -99,7 +99,7 @@
 def forgotten(state):
     """The ids that the state tells to be forgotten, as they come."""
     found = []
-    state.gone.subscribe(found.append)
+    state.deregistered.subscribe(found.append)
     return found
 
 
@@ -144,8 +144,8 @@
 
 @pytest.mark.parametrize("fields", WRONG, ids=str)
 def test_a_wrong_field_names_no_worker(state, fields):
-    state.take_worker_page(page(row("good", GOOD)), False)
-    state.take_worker_page(page(row("bad", changed(**fields))), False)
+    state.apply_worker_page(page(row("good", GOOD)), False)
+    state.apply_worker_page(page(row("bad", changed(**fields))), False)
     assert [each.id for each in state.directory.accepting_workers("s")] == [
         "good"
     ]
@@ -155,8 +155,8 @@
     "value", [b"", b"\xff\xfe", b"{", b"[" * 60000, b"9" * 60000, b"null", b"7"]
 )
 def test_bytes_that_are_no_row_name_no_worker(state, value):
-    state.take_worker_page(page(row("good", GOOD)), False)
-    state.take_worker_page(page(FeedRow("bad", value, at(2))), False)
+    state.apply_worker_page(page(row("good", GOOD)), False)
+    state.apply_worker_page(page(FeedRow("bad", value, at(2))), False)
     assert [each.id for each in state.directory.accepting_workers("s")] == [
         "good"
     ]
@@ -168,7 +168,7 @@
 
 
 def test_a_worker_that_does_not_tell_its_start_is_used(state):
-    state.take_worker_page(page(row("w", changed(born=MISSING))), False)
+    state.apply_worker_page(page(row("w", changed(born=MISSING))), False)
     assert state.directory.accepts_requests("w")
 
 
@@ -177,10 +177,10 @@
 def test_one_that_turns_unreadable_names_no_worker_at_once(
     state, whole, after_outage
 ):
-    state.take_worker_page(page(row("w", GOOD), row("other", GOOD)), False)
+    state.apply_worker_page(page(row("w", GOOD), row("other", GOOD)), False)
     gone = forgotten(state)
     rows = [row("w", changed(slots="8"), 2), row("other", GOOD, 2)]
-    state.take_worker_page(page(*rows, version=2, whole=whole), after_outage)
+    state.apply_worker_page(page(*rows, version=2, whole=whole), after_outage)
     assert [each.id for each in state.directory.accepting_workers("s")] == [
         "other"
     ]
@@ -188,9 +188,9 @@
 
 
 def test_one_that_is_readable_again_is_used_again(state):
-    state.take_worker_page(page(row("w", GOOD)), False)
-    state.take_worker_page(page(row("w", changed(slots="8"), 2)), False)
-    state.take_worker_page(page(row("w", GOOD, 3)), False)
+    state.apply_worker_page(page(row("w", GOOD)), False)
+    state.apply_worker_page(page(row("w", changed(slots="8"), 2)), False)
+    state.apply_worker_page(page(row("w", GOOD, 3)), False)
     assert state.directory.accepts_requests("w")
 
 
@@ -198,31 +198,31 @@
 
 
 def test_what_was_known_of_the_incarnation_before_is_forgotten(state):
-    state.take_worker_page(page(row("w", GOOD)), False)
+    state.apply_worker_page(page(row("w", GOOD)), False)
     gone = forgotten(state)
-    state.take_worker_page(page(row("w", changed(sequence=4), 2)), False)
+    state.apply_worker_page(page(row("w", changed(sequence=4), 2)), False)
     assert gone == []
     again = changed(born=1790000000007, sequence=1)
-    state.take_worker_page(page(row("w", again, 3)), False)
+    state.apply_worker_page(page(row("w", again, 3)), False)
     assert gone == ["w"]
     assert state.directory.accepts_requests("w")
 
 
 def test_a_start_whose_clock_is_behind_is_another_one_too(state):
-    state.take_worker_page(page(row("w", GOOD)), False)
+    state.apply_worker_page(page(row("w", GOOD)), False)
     gone = forgotten(state)
     earlier = changed(born=GOOD["born"] - 1, sequence=1)
-    state.take_worker_page(page(row("w", earlier, 2)), False)
+    state.apply_worker_page(page(row("w", earlier, 2)), False)
     assert gone == ["w"]
 
 
 @pytest.mark.parametrize("whole", [False, True])
 def test_a_row_that_comes_late_does_not_bring_the_old_one_back(state, whole):
     again = changed(born=1790000000007, address="10.0.0.2:81")
-    state.take_worker_page(page(row("w", again, 5)), False)
+    state.apply_worker_page(page(row("w", again, 5)), False)
     gone = forgotten(state)
     old = changed(state="draining")
-    state.take_worker_page(page(row("w", old, 4), whole=whole), False)
+    state.apply_worker_page(page(row("w", old, 4), whole=whole), False)
     worker = state.directory.workers["w"]
     assert (worker.born, worker.host) == (1790000000007, "10.0.0.2")
     assert not worker.draining
@@ -230,21 +230,21 @@
 
 
 def test_two_starts_within_one_page_are_told_of(state):
-    state.take_worker_page(page(row("w", GOOD)), False)
+    state.apply_worker_page(page(row("w", GOOD)), False)
     gone = forgotten(state)
     first = row("w", changed(born=1790000000007), 2)
     second = row("w", changed(born=1790000000900, version="v2"), 3)
-    state.take_worker_page(page(first, second), False)
+    state.apply_worker_page(page(first, second), False)
     assert gone == ["w", "w"]
     assert state.directory.workers["w"].version == "v2"
 
 
 def test_one_that_is_back_from_an_outage_as_another_start(state):
-    state.take_worker_page(page(row("w", GOOD)), False)
-    state.take_worker_page(page(version=2, whole=True), True)
+    state.apply_worker_page(page(row("w", GOOD)), False)
+    state.apply_worker_page(page(version=2, whole=True), True)
     gone = forgotten(state)
     again = changed(born=1790000000007)
-    state.take_worker_page(page(row("w", again, 3)), False)
+    state.apply_worker_page(page(row("w", again, 3)), False)
     assert gone == ["w"]
     assert state.directory.missing == {}
 
