--- a/src/rattanpier/_internal/relay/state.py
+++ b/src/rattanpier/_internal/relay/state.py
@@ -1,4 +1,8 @@
-"""What an entry believes: the route table, the workers and the roll-outs."""
+"""State of an entry: route table, workers, failure domains and roll-outs.
+
+It is read from the store, and from a peer's snapshot while the store is
+unreachable.
+"""
 
 from __future__ import annotations
 
@@ -25,16 +29,19 @@
 
 @attrs.define(eq=False, repr=False)
 class RelayState:
-    """The entry's beliefs and where they come from.
+    """State that an entry reads from the store or from a peer.
 
     Attributes:
-      domains: Failure domains that get nothing new.
+      directory: Registered workers.
+      rollouts: Roll-outs of new versions.
+      health: Whether the store answers.
+      decode_operator_rows: Decodes the operators' rows of a page.
+      decode_worker_rows: Decodes the registrations of a page.
+      domains: Failure domains that are drained.
       table: The route table in force, None before the first.
-      decode_operator_rows: Decodes the operators' rows.
-      decode_worker_rows: Decodes workers' registrations.
-      table_cache: The version of a table and the table, packed for peers.
-      deregistered: Emits the id of each worker that is gone, or whose registration
-        is now of another incarnation.
+      table_cache: Version of a route table, and the table packed for peers.
+      deregistered: Emits the id of each worker that was deregistered or that
+        registered as another incarnation.
       tables: Emits each route table that comes into force.
     """
 
@@ -59,7 +66,7 @@
         return -1 if self.table is None else self.table.version
 
     def ready(self) -> bool:
-        """Says whether requests can be served."""
+        """Returns whether requests can be served."""
         return (
             self.table is not None
             and self.directory.known
@@ -67,7 +74,12 @@
         )
 
     def apply_operator_page(self, page: Page, after_outage: bool) -> None:
-        """Takes in what operators wrote."""
+        """Applies a page of the operators' table.
+
+        Args:
+          page: Rows that were read.
+          after_outage: Unused; followers pass it for each table.
+        """
         if page.whole:
             self.rollouts.known_orders.record_full_read(page.revision)
         domain_orders: list[DomainOrder] = []
@@ -93,17 +105,25 @@
         return [each.name for each in services if each.engine is not None]
 
     def warm_up_of(self, service: str) -> WarmUp | None:
-        """Returns what a service's workers bear after a start, if less."""
+        """Returns the load limits of a service's workers after a start.
+
+        None if they take the full load from the start.
+        """
         known = None if self.table is None else self.table.services.get(service)
         return None if known is None else known.warm_up
 
     def health_path_of(self, service: str) -> str:
-        """Returns where a service's workers say who they are, or nothing."""
+        """Returns the path at which workers report their identity, or ""."""
         known = None if self.table is None else self.table.services.get(service)
         return "" if known is None else known.health_path
 
     def apply_table(self, table: RouteTable, source: str) -> None:
-        """Puts a route table in force unless it is older."""
+        """Puts a route table in force unless it is outdated.
+
+        Args:
+          table: The route table.
+          source: Where it came from, for the log.
+        """
         if table.version <= self.table_version:
             return
         previous = self.table_version
@@ -118,7 +138,12 @@
         )
 
     def apply_worker_page(self, page: Page, after_outage: bool) -> None:
-        """Takes in registrations."""
+        """Applies a page of registrations.
+
+        Args:
+          page: Rows that were read.
+          after_outage: Whether the store was unavailable until just now.
+        """
         items = list(self.decode_worker_rows(page))
         for item in items:
             if isinstance(item, UnreadableRow):
@@ -141,23 +166,26 @@
                 self.notify_deregistered([item.key])
 
     def drop_unreadable(self, id: str) -> None:
-        """Takes in that a worker's registration names none any more."""
+        """Removes a worker whose registration became unreadable."""
         if self.directory.drop_unreadable(id):
             self.notify_deregistered([id])
 
     def drop_missing(self) -> None:
-        """Drops what the store lacks and what did not come back in time."""
+        """Settles workers and domain orders whose waiting time has passed.
+
+        Nothing changes while the store is unavailable.
+        """
         if self.health.available:
             self.notify_deregistered(self.directory.drop_missing())
             self.domains.expire_grace_periods()
 
     def notify_deregistered(self, ids: Iterable[str]) -> None:
-        """Tells that what was known of workers no longer holds."""
+        """Notifies subscribers that state about workers is outdated."""
         for id in ids:
             self.deregistered.on_next(id)
 
     def snapshot(self) -> Snapshot:
-        """Returns the beliefs, for a peer that does not reach the store."""
+        """Returns a snapshot, for a peer that does not reach the store."""
         return Snapshot(
             self.pack_table(),
             self.table_version,
@@ -170,7 +198,7 @@
         )
 
     def pack_table(self) -> bytes:
-        """Returns the route table, packed once for each version."""
+        """Returns the packed route table, which is cached by version."""
         version, packed = self.table_cache
         if version != self.table_version and self.table is not None:
             packed = pack(self.table)
@@ -178,10 +206,11 @@
         return packed
 
     def apply_snapshot(self, snapshot: Snapshot) -> None:
-        """Takes a peer's beliefs while this entry does not reach the store.
+        """Applies a peer's snapshot while this entry does not reach the store.
 
-        A peer that reaches it knows the workers better; of one that does not,
-        workers are only added to an entry that knows none.
+        A peer that reaches the store has the more recent registrations. The
+        workers of a peer that does not are only used by an entry that has not
+        read the table yet.
         """
         for order in snapshot.domain_orders:
             self.domains.apply_order(order, "snapshot")
