--- a/src/rattanpier/_internal/programs/relay.py
+++ b/src/rattanpier/_internal/programs/relay.py
@@ -150,7 +150,7 @@
     log.info("Stopping.", running=entry.drain.running)
     entry.drain.begin()
     await entry.gossip.round()
-    await entry.drain.finished()
+    await entry.drain.wait_until_exit()
     try:
         async with asyncio.timeout(CLOSE_LIMIT_S):
             await close(entry)
--- a/src/rattanpier/_internal/programs/relay_dispatch.py
+++ b/src/rattanpier/_internal/programs/relay_dispatch.py
@@ -27,9 +27,9 @@
 from rattanpier._internal.relay.placement import Chooser
 from rattanpier._internal.relay.pool import ConnectionPool
 from rattanpier._internal.relay.state import RelayState
-from rattanpier._internal.relay.worker_ends import (
+from rattanpier._internal.relay.termination_checks import (
     HEARTBEATS_TO_EXPIRY,
-    WorkerEnds,
+    TerminationChecks,
 )
 from rattanpier._internal.retries.quarantine import Quarantine
 from rattanpier._internal.utils.clock import SystemClock
@@ -50,7 +50,7 @@
     pool = ConnectionPool()
     health = Health(clock, settings.policy)
     dialect = WorkerDialect(upstream.encode_request, upstream.decode_answer)
-    ends = WorkerEnds(clock, HEARTBEATS_TO_EXPIRY * settings.heartbeat_s)
+    ends = TerminationChecks(clock, HEARTBEATS_TO_EXPIRY * settings.heartbeat_s)
     quarantine = Quarantine(clock)
     shares = SharedRates(fleet, clock)
     warm_ups = make_warm_ups(settings, state, shares)
@@ -87,7 +87,7 @@
     # What must hold goes before what is preferred: avoidance leaves half of the
     # workers that come to it, and would else make up for those left out.
     conditions = (
-        Condition(eligibility.ENDED, lambda _, some: ends.living(some)),
+        Condition(eligibility.ENDED, lambda _, some: ends.running(some)),
         Condition(
             eligibility.DRAINED_DOMAIN,
             lambda _, some: state.domains.open_workers(some),
--- a/src/rattanpier/_internal/programs/relay_workers.py
+++ b/src/rattanpier/_internal/programs/relay_workers.py
@@ -60,7 +60,7 @@
     def look_at(incarnation: str) -> None:
         for worker in entry.state.directory.workers.values():
             if worker.incarnation == incarnation:
-                dispatcher.ends.begin_check(worker)
+                dispatcher.ends.start_check(worker)
 
     dispatcher.quarantine.on_peer_crash = look_at
     looks = LivenessChecks(
@@ -69,7 +69,7 @@
         entry.fleet,
         dispatcher.clock,
         identifier(session, entry.state.health_path_of, read_report),
-        dispatcher.ends.note_alive,
+        dispatcher.ends.record_alive,
     )
     entry.kernel.spawn(looks.run())
 
--- a/src/rattanpier/_internal/relay/dispatch.py
+++ b/src/rattanpier/_internal/relay/dispatch.py
@@ -48,7 +48,7 @@
     round_for_log,
 )
 from rattanpier._internal.relay.rollouts import Rollouts
-from rattanpier._internal.relay.worker_ends import WorkerEnds
+from rattanpier._internal.relay.termination_checks import TerminationChecks
 from rattanpier._internal.retries.quarantine import Quarantine
 from rattanpier._internal.utils.clock import Clock
 from rattanpier._internal.utils.metrics import Metrics
@@ -99,7 +99,7 @@
     loads: Loads
     chooser: Chooser
     sender: Sender
-    ends: WorkerEnds
+    ends: TerminationChecks
     conditions: Sequence[Condition]
     available_in_s: Callable[[RegisteredWorker], float]
     on_request_started: Callable[[RegisteredWorker], None]
@@ -330,7 +330,7 @@
         self, request: RelayRequest, worker: RegisteredWorker
     ) -> None:
         """Attributes a crash of a worker to a request, if it crashed."""
-        if not await self.ends.has_ended(worker):
+        if not await self.ends.has_terminated(worker):
             return
         self.metrics.count("relay.worker_ended")
         log.info(
--- a/src/rattanpier/_internal/relay/drain.py
+++ b/src/rattanpier/_internal/relay/drain.py
@@ -15,12 +15,12 @@
 
 # Shares of the time between SIGTERM and SIGKILL. Streams last some seconds,
 # plain requests at most one or two. The last part is left for the exit.
-STREAMS_FOR = 0.3
-PLAIN_FOR = 0.6
-FINISH_FOR = 0.92
+STREAM_ACCEPT_RATIO = 0.3
+PLAIN_ACCEPT_RATIO = 0.6
+FORCED_EXIT_RATIO = 0.92
 # Callers learn of the leave when they ask for the list again.
-LISTED_FOR = 0.4
-POLL_S = 0.05
+MIN_EXIT_RATIO = 0.4
+POLL_INTERVAL_S = 0.05
 
 
 @attrs.define(eq=False, repr=False)
@@ -31,50 +31,52 @@
       clock: Monotonic.
       grace_s: From SIGTERM to SIGKILL.
       running: Requests in flight.
-      left_at: When the planned stop began, None before.
+      begun_at: When the planned stop began, None before.
     """
 
     clock: Clock
     grace_s: float
     running: int = 0
-    left_at: float | None = None
+    begun_at: float | None = None
 
     @property
     def leaving(self) -> bool:
         """Whether connections are not kept for another request."""
-        return self.left_at is not None
+        return self.begun_at is not None
 
-    def enter(self) -> None:
+    def begin_request(self) -> None:
         """Counts a request in."""
         self.running += 1
 
-    def leave(self) -> None:
+    def end_request(self) -> None:
         """Counts a request out."""
         self.running -= 1
 
     def begin(self) -> None:
         """Begins the planned stop."""
-        if self.left_at is None:
-            self.left_at = self.clock.monotonic()
+        if self.begun_at is None:
+            self.begun_at = self.clock.monotonic()
 
-    def age(self) -> float:
+    def elapsed_ratio(self) -> float:
         """Returns the share of the time to SIGKILL that has passed."""
-        if self.left_at is None:
+        if self.begun_at is None:
             return 0.0
-        return (self.clock.monotonic() - self.left_at) / self.grace_s
+        return (self.clock.monotonic() - self.begun_at) / self.grace_s
 
-    def takes(self, streaming: bool) -> bool:
+    def accepts(self, streaming: bool) -> bool:
         """Says whether a new request will surely end in time."""
-        return self.age() < (STREAMS_FOR if streaming else PLAIN_FOR)
+        return self.elapsed_ratio() < (
+            STREAM_ACCEPT_RATIO if streaming else PLAIN_ACCEPT_RATIO
+        )
 
     def may_exit(self) -> bool:
         """Says whether the process may end now."""
-        age = self.age()
-        if age >= FINISH_FOR:
+        elapsed_ratio = self.elapsed_ratio()
+        if elapsed_ratio >= FORCED_EXIT_RATIO:
             return True
-        return age >= LISTED_FOR and self.running == 0
+        return elapsed_ratio >= MIN_EXIT_RATIO and self.running == 0
 
-    async def finished(self) -> None:
+    async def wait_until_exit(self) -> None:
         """Returns once the process may end."""
         while not self.may_exit():
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
--- a/src/rattanpier/_internal/relay/edge.py
+++ b/src/rattanpier/_internal/relay/edge.py
@@ -85,7 +85,7 @@
 
     async def handle(self, request: BaseRequest) -> StreamResponse:
         """Answers one request."""
-        self.drain.enter()
+        self.drain.begin_request()
         arrived = self.clock.monotonic()
         headers = self.dialect.decode(request.headers)
         self.metrics.count("relay.request")
@@ -106,7 +106,7 @@
             )
             raise
         finally:
-            self.drain.leave()
+            self.drain.end_request()
 
     async def take_in(
         self,
@@ -142,7 +142,7 @@
                 f"Version {table.version} does not know the key.",
                 401,
             )
-        if not self.drain.takes(route.streaming):
+        if not self.drain.accepts(route.streaming):
             raise leaving()
         body = await self.read_body(request, table.limits.body_bytes)
         wait_s = route.timeout_s
--- a/src/rattanpier/_internal/relay/worker_ends.py
+++ b/src/rattanpier/_internal/relay/termination_checks.py
@@ -31,33 +31,33 @@
 
 
 @attrs.define(eq=False, repr=False)
-class WorkerEnds:
+class TerminationChecks:
     """Checks workers, each once at a time, and keeps which ended.
 
     Attributes:
       expiry_s: Time after which a registration runs out.
-      ended: When each was found to have ended, in monotonic seconds, by
+      terminated_at: When each was listening to have ended, in monotonic seconds, by
         incarnation.
       checks: Those that are being made, by incarnation.
     """
 
     clock: Clock
     expiry_s: float
-    ended: dict[str, float] = attrs.Factory(dict)
+    terminated_at: dict[str, float] = attrs.Factory(dict)
     checks: dict[str, asyncio.Task[bool]] = attrs.Factory(dict)
 
-    async def has_ended(self, worker: RegisteredWorker) -> bool:
+    async def has_terminated(self, worker: RegisteredWorker) -> bool:
         """Says whether a worker's process surely ended.
 
         Many answers of a worker break off at the same moment: they share one
         connection.
         """
-        if self.is_known(worker.incarnation):
+        if self.is_terminated(worker.incarnation):
             return True
         # A caller that leaves must not end the check for the others.
-        return await asyncio.shield(self.begin_check(worker))
+        return await asyncio.shield(self.start_check(worker))
 
-    def begin_check(self, worker: RegisteredWorker) -> asyncio.Task[bool]:
+    def start_check(self, worker: RegisteredWorker) -> asyncio.Task[bool]:
         """Returns the check of a worker that is being made, or a new one.
 
         Each entry looks for itself: one that is cut off finds that workers
@@ -72,14 +72,14 @@
             )
         return check
 
-    def is_known(self, worker: str) -> bool:
+    def is_terminated(self, worker: str) -> bool:
         """Says whether a registered worker is known to have ended."""
-        at = self.ended.get(worker)
+        at = self.terminated_at.get(worker)
         if at is None:
             return False
         return self.clock.monotonic() - at < self.expiry_s
 
-    def living(
+    def running(
         self, workers: Sequence[RegisteredWorker]
     ) -> Sequence[RegisteredWorker]:
         """Returns the workers that are not known to have ended.
@@ -88,27 +88,31 @@
         in which 16 workers ended 62 of 287 requests for models lost two or
         more of three so, by the entries' logs, and 48 of them were refused.
         """
-        if not self.ended:
+        if not self.terminated_at:
             return workers
-        return [each for each in workers if not self.is_known(each.incarnation)]
+        return [
+            each for each in workers if not self.is_terminated(each.incarnation)
+        ]
 
     async def check(self, worker: RegisteredWorker) -> bool:
         """Looks whether a process listens at a worker's address."""
-        found = await listens(worker.host, worker.port, CHECK_TIMEOUT_S)
-        if found is False:
-            self.note_ended(worker.incarnation)
-        return found is False
+        listening = await listens(worker.host, worker.port, CHECK_TIMEOUT_S)
+        if listening is False:
+            self.record_terminated(worker.incarnation)
+        return listening is False
 
-    def note_ended(self, worker: str) -> None:
+    def record_terminated(self, worker: str) -> None:
         """Takes in that the process of an incarnation ended."""
         now = self.clock.monotonic()
         oldest = now - self.expiry_s
-        self.ended = {id: at for id, at in self.ended.items() if at > oldest}
-        self.ended[worker] = now
+        self.terminated_at = {
+            id: at for id, at in self.terminated_at.items() if at > oldest
+        }
+        self.terminated_at[worker] = now
         log.info("Worker ended.", worker=worker)
 
-    def note_alive(self, worker: str, at: float) -> None:
+    def record_alive(self, worker: str, at: float) -> None:
         """Takes in that an incarnation lived at some monotonic time."""
-        if self.ended.get(worker, at) < at:
-            del self.ended[worker]
+        if self.terminated_at.get(worker, at) < at:
+            del self.terminated_at[worker]
             log.info("Worker lives.", worker=worker)
--- a/tests/relay/test_crashing_requests.py
+++ b/tests/relay/test_crashing_requests.py
@@ -24,7 +24,7 @@
 
 from rattanpier._internal.models.sending import ReportedLoad
 from rattanpier._internal.programs.relay import close
-from rattanpier._internal.relay import worker_ends
+from rattanpier._internal.relay import termination_checks
 from rattanpier._internal.relay.own_table import QUARANTINED_PREFIX
 from rattanpier._internal.relay.rollouts import Rollouts
 from rattanpier._internal.retries.quarantine import QUARANTINE_S
@@ -178,7 +178,9 @@
     assert len(pool.crash_times) == 1
     entries = [site.entries[name] for name in site.entries]
     await until(
-        lambda: all(entry.edge.dispatcher.ends.ended for entry in entries)
+        lambda: all(
+            entry.edge.dispatcher.ends.terminated_at for entry in entries
+        )
     )
     for entry in site.entries:
         for _ in range(4):
@@ -214,7 +216,7 @@
         await asyncio.sleep(0.1)
         return False
 
-    monkeypatch.setattr(worker_ends, "listens", look_slowly)
+    monkeypatch.setattr(termination_checks, "listens", look_slowly)
     await start_crashing_pool(site, "plain", 2)
     entry = await site.add_entry()
     leaving = asyncio.ensure_future(
--- a/tests/relay/test_decisions.py
+++ b/tests/relay/test_decisions.py
@@ -547,26 +547,26 @@
 async def test_a_draining_entry_accepts_only_requests_that_can_finish(clock):
     drain = DrainState(clock, grace_s=8.0)
     drain.begin()
-    assert drain.takes(streaming=True)
+    assert drain.accepts(streaming=True)
     await clock.advance(3.0)
-    assert not drain.takes(streaming=True)
-    assert drain.takes(streaming=False)
+    assert not drain.accepts(streaming=True)
+    assert drain.accepts(streaming=False)
     await clock.advance(2.0)
-    assert not drain.takes(streaming=False)
+    assert not drain.accepts(streaming=False)
 
 
 async def test_a_draining_entry_exits_when_idle_or_before_the_grace_period_ends(
     clock,
 ):
     drain = DrainState(clock, grace_s=8.0)
-    drain.enter()
+    drain.begin_request()
     drain.begin()
     assert not drain.may_exit()
     await clock.advance(4.0)
     assert not drain.may_exit()
-    drain.leave()
+    drain.end_request()
     assert drain.may_exit()
-    drain.enter()
+    drain.begin_request()
     await clock.advance(3.5)
     assert drain.may_exit()
 
--- a/tests/relay/test_worker_ends.py
+++ b/tests/relay/test_termination_checks.py
@@ -6,8 +6,8 @@
 import pytest
 
 from rattanpier._internal.models.route_table import Workspace
-from rattanpier._internal.relay import worker_ends as module
-from rattanpier._internal.relay.worker_ends import WorkerEnds
+from rattanpier._internal.relay import termination_checks as module
+from rattanpier._internal.relay.termination_checks import TerminationChecks
 from rattanpier._internal.standin.platform_worker import PlatformWorkerServer
 from tests.lib.clock import ManualClock
 from tests.lib.relay_parts import make_request, make_route, make_worker
@@ -16,7 +16,7 @@
 
 
 def make_ends():
-    return WorkerEnds(ManualClock(), EXPIRY_S)
+    return TerminationChecks(ManualClock(), EXPIRY_S)
 
 
 async def make_listener():
@@ -29,11 +29,11 @@
 async def test_a_worker_that_listens_has_not_ended():
     server, worker = await make_listener()
     ends = make_ends()
-    assert not await ends.has_ended(worker)
-    assert ends.ended == {}
+    assert not await ends.has_terminated(worker)
+    assert ends.terminated_at == {}
     await server.stop()
     # What held a moment ago is looked at again.
-    assert await ends.has_ended(worker)
+    assert await ends.has_terminated(worker)
 
 
 async def test_answers_that_break_together_share_one_check(monkeypatch):
@@ -46,7 +46,7 @@
 
     monkeypatch.setattr(module, "listens", listens)
     ends = make_ends()
-    checks = [ends.has_ended(make_worker("w1")) for _ in range(12)]
+    checks = [ends.has_terminated(make_worker("w1")) for _ in range(12)]
     assert await asyncio.gather(*checks) == [False] * 12
     assert asked == [1]
 
@@ -56,15 +56,15 @@
         return None
 
     monkeypatch.setattr(module, "listens", listens)
-    assert not await make_ends().has_ended(make_worker("w1"))
+    assert not await make_ends().has_terminated(make_worker("w1"))
 
 
 async def test_a_caller_that_leaves_does_not_end_the_check_of_others():
     server, worker = await make_listener()
     await server.stop()
     ends = make_ends()
-    leaving = asyncio.ensure_future(ends.has_ended(worker))
-    staying = asyncio.ensure_future(ends.has_ended(worker))
+    leaving = asyncio.ensure_future(ends.has_terminated(worker))
+    staying = asyncio.ensure_future(ends.has_terminated(worker))
     await asyncio.sleep(0)
     leaving.cancel()
     assert await staying
@@ -75,15 +75,15 @@
     await server.stop()
     ends = make_ends()
     other = make_worker("w2")
-    assert await ends.has_ended(worker)
-    assert ends.living([worker, other]) == [other]
+    assert await ends.has_terminated(worker)
+    assert ends.running([worker, other]) == [other]
     again = attrs.evolve(worker, born=8)
-    assert ends.living([again]) == [again]
+    assert ends.running([again]) == [again]
     # One that starts under its id and tells no birth is not shut out for good.
     ends.clock.now += EXPIRY_S
-    assert ends.living([worker]) == [worker]
-    ends.note_ended("w2")
-    assert list(ends.ended) == ["w2"]
+    assert ends.running([worker]) == [worker]
+    ends.record_terminated("w2")
+    assert list(ends.terminated_at) == ["w2"]
 
 
 ACME, OTHER = Workspace("acme"), Workspace("other")
