--- a/src/rattanpier/_internal/relay/drain.py
+++ b/src/rattanpier/_internal/relay/drain.py
@@ -1,8 +1,8 @@
-"""The planned stop of an entry: callers are led away, nothing is cut.
+"""Graceful shutdown of an entry: no request in flight is interrupted.
 
-Load answered: SIGTERM under traffic. Callers keep the list of entries for a
-while and go on using this one, so it serves on as long as what it takes will
-surely end before the VM is killed.
+Callers cache the list of entries and keep using this one for a while after
+SIGTERM. The entry therefore goes on accepting requests as long as they will
+certainly end before SIGKILL.
 """
 
 from __future__ import annotations
@@ -13,25 +13,26 @@
 
 from rattanpier._internal.utils.clock import Clock
 
-# Shares of the time between SIGTERM and SIGKILL. Streams last some seconds,
-# plain requests at most one or two. The last part is left for the exit.
+# Ratios of the time between SIGTERM and SIGKILL. Streams last a few seconds,
+# other requests at most one or two. The time after the last ratio is left for
+# the exit.
 STREAM_ACCEPT_RATIO = 0.3
 PLAIN_ACCEPT_RATIO = 0.6
 FORCED_EXIT_RATIO = 0.92
-# Callers learn of the leave when they ask for the list again.
+# Callers notice the shutdown when they fetch the list of entries again.
 MIN_EXIT_RATIO = 0.4
 POLL_INTERVAL_S = 0.05
 
 
 @attrs.define(eq=False, repr=False)
 class DrainState:
-    """Whether an entry takes requests.
+    """Whether an entry accepts requests.
 
     Attributes:
-      clock: Monotonic.
-      grace_s: From SIGTERM to SIGKILL.
-      running: Requests in flight.
-      begun_at: When the planned stop began, None before.
+      clock: Monotonic clock.
+      grace_s: Seconds from SIGTERM to SIGKILL.
+      running: Number of requests in flight.
+      begun_at: When the shutdown began, in monotonic seconds, None before.
     """
 
     clock: Clock
@@ -41,42 +42,42 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether connections are not kept for another request."""
+        """Whether the shutdown began, so that connections are not reused."""
         return self.begun_at is not None
 
     def begin_request(self) -> None:
-        """Counts a request in."""
+        """Counts a request as in flight."""
         self.running += 1
 
     def end_request(self) -> None:
-        """Counts a request out."""
+        """Counts a request as no longer in flight."""
         self.running -= 1
 
     def begin(self) -> None:
-        """Begins the planned stop."""
+        """Begins the shutdown, unless it has begun."""
         if self.begun_at is None:
             self.begun_at = self.clock.monotonic()
 
     def elapsed_ratio(self) -> float:
-        """Returns the share of the time to SIGKILL that has passed."""
+        """Returns the ratio of the time to SIGKILL that has passed."""
         if self.begun_at is None:
             return 0.0
         return (self.clock.monotonic() - self.begun_at) / self.grace_s
 
     def accepts(self, streaming: bool) -> bool:
-        """Says whether a new request will surely end in time."""
+        """Returns whether a new request will certainly end in time."""
         return self.elapsed_ratio() < (
             STREAM_ACCEPT_RATIO if streaming else PLAIN_ACCEPT_RATIO
         )
 
     def may_exit(self) -> bool:
-        """Says whether the process may end now."""
+        """Returns whether the process may exit now."""
         elapsed_ratio = self.elapsed_ratio()
         if elapsed_ratio >= FORCED_EXIT_RATIO:
             return True
         return elapsed_ratio >= MIN_EXIT_RATIO and self.running == 0
 
     async def wait_until_exit(self) -> None:
-        """Returns once the process may end."""
+        """Waits until the process may exit."""
         while not self.may_exit():
             await asyncio.sleep(POLL_INTERVAL_S)
--- a/src/rattanpier/_internal/relay/termination_checks.py
+++ b/src/rattanpier/_internal/relay/termination_checks.py
@@ -1,10 +1,11 @@
-"""Whether a worker whose answer broke off has ended.
-
-A broken answer may be the end of its worker's process, of the path to it or of
-that one connection. Only the first says something of the requests that ran
-there, and it shows at once: no process listens any more. The registration of a
-worker that crashed runs out only after three heartbeats, by when a request that
-crashed it may have crashed several more.
+"""Checks whether a worker whose answer broke off has terminated.
+
+An answer may break off because the worker's process terminated, or because the
+network path or just the connection failed. Only a termination counts against
+the requests that ran there. It is detected by connecting to the worker, since
+no process listens any more. The registration is no help: that of a crashed
+worker expires only after three heartbeats, and by then the request that crashed
+it may have crashed several more.
 """
 
 from __future__ import annotations
@@ -21,24 +22,26 @@
 
 log = structlog.get_logger(part="health")
 
-# A registration outlives its worker by so many heartbeats at most. One that
-# starts again under its id and tells no birth is sent requests again then.
+# A registration outlives its worker by at most so many heartbeats. After that,
+# a worker that restarted under the same id and reports no start time gets
+# requests again.
 HEARTBEATS_TO_EXPIRY = 3
-# A listening worker's VM answers a SYN within some ms, and so does one where no
-# process listens; a slow entry takes part of this to notice. A caller waits for
-# as long at most before its request is sent elsewhere.
+# A VM answers a SYN within a few ms, whether or not a process listens. The rest
+# is for an entry that is slow to handle the answer. It also limits how long a
+# caller waits before its request is sent to another worker.
 CHECK_TIMEOUT_S = 0.3
 
 
 @attrs.define(eq=False, repr=False)
 class TerminationChecks:
-    """Checks workers, each once at a time, and keeps which ended.
+    """Checks workers, one check per worker at a time, and stores the results.
 
     Attributes:
-      expiry_s: Time after which a registration runs out.
-      terminated_at: When each was listening to have ended, in monotonic seconds, by
-        incarnation.
-      checks: Those that are being made, by incarnation.
+      clock: Monotonic clock.
+      expiry_s: Seconds after which a registration expires.
+      terminated_at: When each worker was found to have terminated, in monotonic
+        seconds, by incarnation.
+      checks: Checks in progress, by incarnation.
     """
 
     clock: Clock
@@ -47,21 +50,21 @@
     checks: dict[str, asyncio.Task[bool]] = attrs.Factory(dict)
 
     async def has_terminated(self, worker: RegisteredWorker) -> bool:
-        """Says whether a worker's process surely ended.
+        """Returns whether a worker's process has certainly terminated.
 
-        Many answers of a worker break off at the same moment: they share one
-        connection.
+        Answers of a worker that share a connection break off together; they
+        share one check.
         """
         if self.is_terminated(worker.incarnation):
             return True
-        # A caller that leaves must not end the check for the others.
+        # A caller that disconnects must not cancel the check for the others.
         return await asyncio.shield(self.start_check(worker))
 
     def start_check(self, worker: RegisteredWorker) -> asyncio.Task[bool]:
-        """Returns the check of a worker that is being made, or a new one.
+        """Returns the check of a worker in progress, or a new one.
 
-        Each entry looks for itself: one that is cut off finds that workers
-        refuse connections which serve all others.
+        Each entry checks for itself: to a partitioned entry it looks as if all
+        workers refused connections, although they serve all other entries.
         """
         check = self.checks.get(worker.incarnation)
         if check is None:
@@ -73,7 +76,7 @@
         return check
 
     def is_terminated(self, worker: str) -> bool:
-        """Says whether a registered worker is known to have ended."""
+        """Returns whether an incarnation is known to have terminated."""
         at = self.terminated_at.get(worker)
         if at is None:
             return False
@@ -82,11 +85,12 @@
     def running(
         self, workers: Sequence[RegisteredWorker]
     ) -> Sequence[RegisteredWorker]:
-        """Returns the workers that are not known to have ended.
+        """Returns the workers that are not known to have terminated.
 
-        A send to one that ended costs its request one of a few sends: in 9 s
-        in which 16 workers ended 62 of 287 requests for models lost two or
-        more of three so, by the entries' logs, and 48 of them were refused.
+        A request to a terminated worker uses up one of its few upstream
+        requests. In 9 s in which 16 workers terminated, 62 of 287 requests for
+        models lost two or more of three this way, and 48 of them were refused
+        (from the entries' logs).
         """
         if not self.terminated_at:
             return workers
@@ -95,24 +99,32 @@
         ]
 
     async def check(self, worker: RegisteredWorker) -> bool:
-        """Looks whether a process listens at a worker's address."""
+        """Returns whether no process listens at a worker's address.
+
+        A worker that can't be reached at all may still run: False.
+        """
         listening = await listens(worker.host, worker.port, CHECK_TIMEOUT_S)
         if listening is False:
             self.record_terminated(worker.incarnation)
         return listening is False
 
     def record_terminated(self, worker: str) -> None:
-        """Takes in that the process of an incarnation ended."""
+        """Records that the process of an incarnation terminated."""
         now = self.clock.monotonic()
         oldest = now - self.expiry_s
         self.terminated_at = {
             id: at for id, at in self.terminated_at.items() if at > oldest
         }
         self.terminated_at[worker] = now
-        log.info("Worker ended.", worker=worker)
+        log.info("Worker terminated.", worker=worker)
 
     def record_alive(self, worker: str, at: float) -> None:
-        """Takes in that an incarnation lived at some monotonic time."""
+        """Records that an incarnation was running.
+
+        Args:
+          worker: The incarnation.
+          at: Monotonic time in seconds at which it was running.
+        """
         if self.terminated_at.get(worker, at) < at:
             del self.terminated_at[worker]
-            log.info("Worker lives.", worker=worker)
+            log.info("Worker is running.", worker=worker)
