--- a/tests/lib/restored_fleet.py
+++ b/tests/lib/restored_fleet.py
@@ -30,38 +30,40 @@
 
 WORKERS, DOMAINS = "servers", "op"
 # Authors have written again what was lost by then.
-REWRITTEN_BY_S = 1.5
+REWRITE_TIMEOUT_S = 1.5
 SETTLED_S = 2 * (DEFAULT_REGISTRATION_TTL_S + RESTORE_MARGIN_S)
 
 
 @attrs.define
-class CopiedStore:
+class RestorableStore:
     """Tables with versions that are given out again after a return."""
 
     rows: dict = attrs.Factory(dict)
     version: int = 0
     era: int = 1
-    kept: tuple = ({}, 0)
+    backup: tuple = ({}, 0)
 
     def write(self, table, key, value=None):
         self.version += 1
         self.rows[table, key] = (self.version, value)
 
-    def keep(self):
-        self.kept = copy.deepcopy(self.rows), self.version
+    def back_up(self):
+        self.backup = copy.deepcopy(self.rows), self.version
 
-    def come_back(self):
-        rows, self.version = self.kept
+    def restore(self):
+        rows, self.version = self.backup
         self.rows = copy.deepcopy(rows)
         self.era += 1
 
     def page(self, table, since, whole):
         rows = [
-            FeedRow(key, b"" if gone else json.dumps(value).encode(), at, gone)
+            FeedRow(
+                key, b"" if deleted else json.dumps(value).encode(), at, deleted
+            )
             for (name, key), (version, value) in self.rows.items()
             if name == table
-            for at, gone in [(Revision(self.era, version), value is None)]
-            if version > since and not (whole and gone)
+            for at, deleted in [(Revision(self.era, version), value is None)]
+            if version > since and not (whole and deleted)
         ]
         rows.sort(key=lambda row: row.revision)
         return Page(rows, Revision(self.era, self.version), 0.0, whole)
@@ -71,10 +73,10 @@
 class Entry:
     """One entry, as far as it follows the store."""
 
-    store: CopiedStore
+    store: RestorableStore
     clock: SkippingClock
     watches: bool
-    tell: object
+    publish: object
     history: StoreHistory = None
     directory: WorkerDirectory = None
     domains: DrainedDomains = None
@@ -85,8 +87,8 @@
         self.directory = WorkerDirectory(self.clock)
         self.domains = DrainedDomains(clock=self.clock)
         for table, take in (
-            (WORKERS, self.take_workers),
-            (DOMAINS, self.take_domains),
+            (WORKERS, self.apply_workers),
+            (DOMAINS, self.apply_domains),
         ):
             health = StoreHealth(self.clock)
             health.record_answer()
@@ -98,7 +100,7 @@
                 table=table,
                 on_page=take,
                 rank=lambda: 0 if self.watches else None,
-                publish=self.tell,
+                publish=self.publish,
                 history=self.history,
             )
 
@@ -114,9 +116,9 @@
             raise HistoryGoneError("gone")
         return self.store.page(table, since.version, whole=False)
 
-    def take_workers(self, page, after_outage):
+    def apply_workers(self, page, after_outage):
         workers = [
-            registered(row.key, row.revision, **json.loads(row.value))
+            make_worker(row.key, row.revision, **json.loads(row.value))
             for row in page.rows
             if not row.deleted
         ]
@@ -129,7 +131,7 @@
             if row.deleted:
                 self.directory.remove(row.key, after_outage, row.revision)
 
-    def take_domains(self, page, _after_outage):
+    def apply_domains(self, page, _after_outage):
         orders = [domain_rows.decode_order(row) for row in page.rows]
         if page.whole:
             self.domains.replace(orders, page.revision)
@@ -141,11 +143,11 @@
         self.directory.drop_missing()
         self.domains.expire_grace_periods()
 
-    def ready(self):
+    def ready_ids(self):
         return {worker.id for worker in self.directory.accepting_workers("s")}
 
 
-def registered(key, revision, sequence, draining):
+def make_worker(key, revision, sequence, draining):
     return RegisteredWorker(
         key,
         "s",
@@ -162,40 +164,42 @@
 class Fleet:
     """All of it, and what authors last said."""
 
-    store: CopiedStore = attrs.Factory(CopiedStore)
+    store: RestorableStore = attrs.Factory(RestorableStore)
     clock: SkippingClock = attrs.Factory(SkippingClock)
     entries: list = attrs.Factory(list)
     messages: list = attrs.Factory(list)
-    said: dict = attrs.Factory(dict)
+    intended: dict = attrs.Factory(dict)
     written_at: dict = attrs.Factory(dict)
     ordered_at: dict = attrs.Factory(dict)
-    lost_at: float = float("inf")
+    restored_at: float = float("inf")
     started: int = 0
     # What each entry knew of workers that end and of domains, as authors said.
-    ended: dict = attrs.Factory(dict)
-    served: dict = attrs.Factory(dict)
-    drained: dict = attrs.Factory(dict)
-    open: dict = attrs.Factory(dict)
+    known_leaving: dict = attrs.Factory(dict)
+    previously_ready: dict = attrs.Factory(dict)
+    known_drained: dict = attrs.Factory(dict)
+    known_undrained: dict = attrs.Factory(dict)
 
     def __attrs_post_init__(self):
         for number in range(3):
-            entry = Entry(self.store, self.clock, number == 0, self.tell_from)
+            entry = Entry(
+                self.store, self.clock, number == 0, self.publish_update
+            )
             self.entries.append(entry)
             for known in (
-                self.ended,
-                self.served,
-                self.drained,
-                self.open,
+                self.known_leaving,
+                self.previously_ready,
+                self.known_drained,
+                self.known_undrained,
             ):
                 known[entry] = set()
 
-    def tell_from(self, news):
-        self.messages += [(entry, news) for entry in self.entries[1:]]
+    def publish_update(self, update):
+        self.messages += [(entry, update) for entry in self.entries[1:]]
 
     # What authors do.
 
-    def say(self, table, key, value):
-        self.said[table, key] = value
+    def write_intended(self, table, key, value):
+        self.intended[table, key] = value
         self.write(table, key, value)
 
     def write(self, table, key, value):
@@ -206,46 +210,46 @@
     def start_worker(self, _number):
         self.started += 1
         value = {"sequence": 1, "draining": False}
-        self.say(WORKERS, f"w{self.started}", value)
+        self.write_intended(WORKERS, f"w{self.started}", value)
 
-    def living(self):
+    def registered_workers(self):
         return [
             (key, value)
-            for (table, key), value in self.said.items()
+            for (table, key), value in self.intended.items()
             if table == WORKERS and value is not None
         ]
 
     def renew_worker(self, number, **more):
-        living = self.living()
-        if living:
-            key, value = living[number % len(living)]
+        workers = self.registered_workers()
+        if workers:
+            key, value = workers[number % len(workers)]
             sequence = value["sequence"] + 1
             changed = {**value, **more, "sequence": sequence}
-            self.say(WORKERS, key, changed)
+            self.write_intended(WORKERS, key, changed)
 
     def drain_worker(self, number):
         self.renew_worker(number, draining=True)
 
     def remove_worker(self, number):
-        living = self.living()
-        if living:
-            key, _ = living[number % len(living)]
-            self.say(WORKERS, key, None)
+        workers = self.registered_workers()
+        if workers:
+            key, _ = workers[number % len(workers)]
+            self.write_intended(WORKERS, key, None)
 
     def order_domain(self, number):
         key = f"{domain_rows.ORDER_PREFIX}{'ab'[number % 2]}"
-        standing = self.said.get((DOMAINS, key)) is not None
-        self.say(DOMAINS, key, None if standing else {})
-        if not standing:
+        is_drained = self.intended.get((DOMAINS, key)) is not None
+        self.write_intended(DOMAINS, key, None if is_drained else {})
+        if not is_drained:
             self.ordered_at[key[-1]] = self.written_at[DOMAINS, key].version
         for entry in self.entries:
-            self.drained[entry].discard(key[-1])
-            self.open[entry].discard(key[-1])
+            self.known_drained[entry].discard(key[-1])
+            self.known_undrained[entry].discard(key[-1])
 
     def write_again(self, number=0):
         lost = [
             (where, value)
-            for where, value in self.said.items()
+            for where, value in self.intended.items()
             if self.store.rows.get(where, (0, None))
             != (self.written_at[where].version, value)
         ]
@@ -257,11 +261,11 @@
     # What befalls the store and the messages.
 
     def keep_copy(self, _number):
-        self.store.keep()
+        self.store.back_up()
 
     def come_back(self, _number):
-        self.store.come_back()
-        self.lost_at = self.clock.now
+        self.store.restore()
+        self.restored_at = self.clock.now
 
     def lose_message(self, number):
         if self.messages:
@@ -269,8 +273,8 @@
 
     def deliver_message(self, number):
         if self.messages:
-            entry, news = self.messages.pop(number % len(self.messages))
-            entry.followers[news.table].apply_update(news)
+            entry, update = self.messages.pop(number % len(self.messages))
+            entry.followers[update.table].apply_update(update)
 
     async def ask_store(self, number):
         entry = self.entries[number % 3]
@@ -293,7 +297,7 @@
         done = getattr(self, name)(number)
         if done is not None and asyncio.iscoroutine(done):
             await done
-        if self.clock.now - self.lost_at > REWRITTEN_BY_S:
+        if self.clock.now - self.restored_at > REWRITE_TIMEOUT_S:
             while self.write_again():
                 pass
         for entry in self.entries:
@@ -307,23 +311,23 @@
             self.check_domains(entry)
 
     def check_workers(self, entry):
-        ready = entry.ready()
-        lost = self.served[entry] & self.serving() - ready
+        ready = entry.ready_ids()
+        lost = self.previously_ready[entry] & self.ready_workers() - ready
         waited = self.clock.now - entry.directory.new_era_read_at
         assert not lost or waited >= REREGISTRATION_TIMEOUT_S, (
             f"{lost} are gone and live"
         )
-        self.served[entry] = ready
-        back = ready & self.ended[entry]
+        self.previously_ready[entry] = ready
+        back = ready & self.known_leaving[entry]
         assert not back, f"{back} get requests again"
         known = entry.directory.workers
-        for (table, key), value in self.said.items():
+        for (table, key), value in self.intended.items():
             if table != WORKERS:
                 continue
             if key in known and known[key].draining:
-                self.ended[entry].add(key)
+                self.known_leaving[entry].add(key)
             if value is None and self.knows_removal(entry, key):
-                self.ended[entry].add(key)
+                self.known_leaving[entry].add(key)
 
     def knows_removal(self, entry, key):
         """Whether an entry heard that a worker is gone, and dropped it."""
@@ -339,15 +343,15 @@
     def check_domains(self, entry):
         for domain in "ab":
             key = f"{domain_rows.ORDER_PREFIX}{domain}"
-            ordered = self.said.get((DOMAINS, key)) is not None
+            ordered = self.intended.get((DOMAINS, key)) is not None
             is_drained = domain in entry.domains.drained
             known = self.knows_order(entry, domain)
             if ordered and is_drained and known:
-                self.drained[entry].add(domain)
+                self.known_drained[entry].add(domain)
             if not ordered and known and self.knows_end(entry, domain):
-                self.open[entry].add(domain)
-            assert is_drained or domain not in self.drained[entry]
-            if is_drained and domain in self.open[entry]:
+                self.known_undrained[entry].add(domain)
+            assert is_drained or domain not in self.known_drained[entry]
+            if is_drained and domain in self.known_undrained[entry]:
                 # Rows from before the last order may be a new one.
                 version, _ = self.store.rows[DOMAINS, key]
                 assert version != self.ordered_at[domain]
@@ -371,10 +375,10 @@
             and order.revision >= written
         )
 
-    def serving(self):
+    def ready_workers(self):
         """Workers that take work, as they said last."""
-        living = self.living()
-        return {key for key, value in living if not value["draining"]}
+        workers = self.registered_workers()
+        return {key for key, value in workers if not value["draining"]}
 
     async def settle(self):
         """Authors write all again, and entries read it."""
@@ -392,9 +396,9 @@
     def check_end(self):
         ordered = {
             key[-1]
-            for (table, key), value in self.said.items()
+            for (table, key), value in self.intended.items()
             if table == DOMAINS and value is not None
         }
         for entry in self.entries:
-            assert entry.ready() == self.serving()
+            assert entry.ready_ids() == self.ready_workers()
             assert entry.domains.drained == ordered
--- a/tests/relay/test_restored_fleet.py
+++ b/tests/relay/test_restored_fleet.py
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize("seed", range(150))
-async def test_no_return_from_a_copy_takes_an_authors_word_back(seed):
+async def test_store_restore_reverts_no_change_of_author(seed):
     random.seed(seed)  # Followers spread their readings.
     rng = random.Random(seed)
     names = rng.choices(list(ACTIONS), ACTIONS.values(), k=STEPS)
--- a/tests/relay/test_restored_workers.py
+++ b/tests/relay/test_restored_workers.py
@@ -11,7 +11,7 @@
 from tests.lib.clock import ManualClock
 from tests.lib.relay_parts import at, make_worker
 
-NEW = 2  # The era that the store came back with.
+NEW_ERA = 2  # The era that the store came back with.
 
 
 @pytest.fixture
@@ -24,191 +24,213 @@
     return WorkerDirectory(clock)
 
 
-def registered(version, era=1, sequence=1, **more):
+def registration(version, era=1, sequence=1, **more):
     return make_worker(
         "w", revision=at(version, era), sequence=sequence, **more
     )
 
 
-def whole(directory, *workers, era=NEW):
+def full_read(directory, *workers, era=NEW_ERA):
     return directory.replace(workers, after_outage=False, as_of=at(9, era))
 
 
-def takes_work(directory):
+def accepting_ids(directory):
     return [worker.id for worker in directory.accepting_workers("s")]
 
 
 @pytest.mark.parametrize("version", [3, 9, 12])
-def test_an_older_copy_does_not_make_a_leaving_worker_ready(directory, version):
-    whole(directory, registered(9, sequence=4, draining=True), era=1)
-    whole(directory, registered(version, NEW, sequence=3))
-    assert takes_work(directory) == []
+def test_restored_store_does_not_make_draining_worker_ready(
+    directory, version
+):
+    full_read(directory, registration(9, sequence=4, draining=True), era=1)
+    full_read(directory, registration(version, NEW_ERA, sequence=3))
+    assert accepting_ids(directory) == []
     assert directory.workers["w"].sequence == 4
     # Nor does what is told after the table.
-    directory.put(registered(version + 1, NEW, sequence=3))
-    assert takes_work(directory) == []
+    directory.put(registration(version + 1, NEW_ERA, sequence=3))
+    assert accepting_ids(directory) == []
     assert directory.leaving_incarnations() == ["w"]
 
 
-def test_what_a_worker_writes_anew_counts_under_any_version(directory):
-    whole(directory, registered(9, sequence=4), era=1)
-    whole(directory, registered(3, NEW, sequence=2))
-    directory.put(registered(4, NEW, sequence=5, draining=True))
-    assert takes_work(directory) == []
+def test_renewal_with_higher_sequence_counts_at_any_version(directory):
+    full_read(directory, registration(9, sequence=4), era=1)
+    full_read(directory, registration(3, NEW_ERA, sequence=2))
+    directory.put(registration(4, NEW_ERA, sequence=5, draining=True))
+    assert accepting_ids(directory) == []
 
 
-def test_a_worker_that_left_stays_gone_until_it_writes_anew(directory):
-    whole(directory, registered(5, sequence=4), era=1)
+def test_deregistered_worker_stays_removed_until_it_registers_again(
+    directory,
+):
+    full_read(directory, registration(5, sequence=4), era=1)
     directory.remove("w", after_outage=False)
-    whole(directory, registered(3, NEW, sequence=3))
-    assert takes_work(directory) == []
-    whole(directory, registered(3, NEW, sequence=3))
-    assert takes_work(directory) == []
-    directory.put(registered(8, NEW, sequence=5))
-    assert takes_work(directory) == ["w"]
+    full_read(directory, registration(3, NEW_ERA, sequence=3))
+    assert accepting_ids(directory) == []
+    full_read(directory, registration(3, NEW_ERA, sequence=3))
+    assert accepting_ids(directory) == []
+    directory.put(registration(8, NEW_ERA, sequence=5))
+    assert accepting_ids(directory) == ["w"]
 
 
-def test_a_removal_that_is_written_again_ends_the_dispute(directory, clock):
-    whole(directory, registered(5, sequence=4), era=1)
+def test_repeated_removal_drops_pending_registration(directory, clock):
+    full_read(directory, registration(5, sequence=4), era=1)
     directory.remove("w", after_outage=False)
-    whole(directory, registered(3, NEW, sequence=3))
+    full_read(directory, registration(3, NEW_ERA, sequence=3))
     directory.remove("w", after_outage=False)
     clock.now += DEFAULT_REGISTRATION_TTL_S + RESTORE_MARGIN_S
     directory.drop_missing()
-    assert takes_work(directory) == []
+    assert accepting_ids(directory) == []
 
 
-def test_a_registration_that_is_renewed_is_believed(directory, clock):
+def test_pending_registration_is_accepted_after_its_ttl(directory, clock):
     """It would have run out; its worker was cut off and is not gone."""
-    whole(directory, registered(5, sequence=4), era=1)
+    full_read(directory, registration(5, sequence=4), era=1)
     directory.remove("w", after_outage=False)
-    whole(directory, registered(3, NEW, sequence=3))
+    full_read(directory, registration(3, NEW_ERA, sequence=3))
     clock.now += DEFAULT_REGISTRATION_TTL_S + RESTORE_MARGIN_S - 0.1
     directory.drop_missing()
-    assert takes_work(directory) == []
+    assert accepting_ids(directory) == []
     clock.now += 0.2
     directory.drop_missing()
-    assert takes_work(directory) == ["w"]
+    assert accepting_ids(directory) == ["w"]
 
 
-def test_one_that_left_after_it_had_said_so_is_never_ready(directory, clock):
-    whole(directory, registered(5, sequence=4, draining=True), era=1)
+def test_worker_that_drained_before_its_removal_is_never_ready(
+    directory, clock
+):
+    full_read(directory, registration(5, sequence=4, draining=True), era=1)
     directory.remove("w", after_outage=False)
-    whole(directory, registered(3, NEW, sequence=3))
+    full_read(directory, registration(3, NEW_ERA, sequence=3))
     clock.now += DEFAULT_REGISTRATION_TTL_S + RESTORE_MARGIN_S
     directory.drop_missing()
-    assert takes_work(directory) == []
+    assert accepting_ids(directory) == []
 
 
-def test_a_living_worker_that_the_copy_lacks_is_waited_for(directory, clock):
-    whole(directory, registered(9, sequence=1), era=1)
-    whole(directory)
-    assert takes_work(directory) == ["w"]
+def test_worker_that_restored_store_lacks_is_kept_for_while(
+    directory, clock
+):
+    full_read(directory, registration(9, sequence=1), era=1)
+    full_read(directory)
+    assert accepting_ids(directory) == ["w"]
     clock.now += REREGISTRATION_TIMEOUT_S - 0.1
-    whole(directory)
+    full_read(directory)
     directory.drop_missing()
-    assert takes_work(directory) == ["w"]
-    directory.put(registered(4, NEW, sequence=2))
+    assert accepting_ids(directory) == ["w"]
+    directory.put(registration(4, NEW_ERA, sequence=2))
     clock.now += REREGISTRATION_TIMEOUT_S
     directory.drop_missing()
-    assert takes_work(directory) == ["w"]
+    assert accepting_ids(directory) == ["w"]
 
 
-def test_one_that_does_not_come_back_in_time_is_gone(directory, clock):
-    whole(directory, registered(9, sequence=1), era=1)
-    whole(directory)
+def test_worker_that_does_not_register_again_in_time_is_removed(
+    directory, clock
+):
+    full_read(directory, registration(9, sequence=1), era=1)
+    full_read(directory)
     clock.now += REREGISTRATION_TIMEOUT_S
     assert directory.drop_missing() == ["w"]
-    assert takes_work(directory) == []
+    assert accepting_ids(directory) == []
 
 
-def test_a_copy_does_not_bring_back_the_start_before(directory):
-    whole(directory, registered(5, born=1), era=1)
-    directory.put(registered(8, born=2))
-    assert whole(directory, registered(5, NEW, born=1, sequence=7)) == []
+def test_restored_store_does_not_revive_earlier_incarnation(directory):
+    full_read(directory, registration(5, born=1), era=1)
+    directory.put(registration(8, born=2))
+    assert (
+        full_read(directory, registration(5, NEW_ERA, born=1, sequence=7)) == []
+    )
     assert directory.workers["w"].born == 2
-    assert directory.put(registered(9, NEW, born=3))
-
-
-def test_a_peer_of_an_earlier_era_does_not_take_a_word_back(directory):
-    whole(directory, registered(3, NEW, sequence=4, draining=True))
-    directory.put(registered(9, sequence=3))
-    assert takes_work(directory) == []
-    # What it knows better counts: the store lost it.
-    whole(directory, registered(4, NEW, sequence=5))
-    directory.put(registered(9, sequence=6, draining=True))
-    assert takes_work(directory) == []
-    directory.put(registered(5, NEW, sequence=6, draining=True))
-    assert directory.workers["w"].revision == at(5, NEW)
-
-
-def test_entries_tell_each_other_of_those_that_an_older_copy_shows(clock):
-    knows, lacks = WorkerDirectory(clock), WorkerDirectory(clock)
-    for each in (knows, lacks):
-        whole(each, registered(5, sequence=4), era=1)
-    knows.remove("w", after_outage=False)
-    for each in (knows, lacks):
-        whole(each, registered(3, NEW, sequence=3))
-    assert takes_work(lacks) == ["w"]
-    assert knows.deregistrations.digest() != lacks.deregistrations.digest()
-    assert lacks.apply_deregistrations(knows.deregistrations.disputed()) == [
-        "w"
-    ]
-    assert takes_work(lacks) == []
-    assert knows.deregistrations.digest() == lacks.deregistrations.digest()
+    assert directory.put(registration(9, NEW_ERA, born=3))
+
+
+def test_earlier_era_counts_only_with_higher_sequence(directory):
+    full_read(directory, registration(3, NEW_ERA, sequence=4, draining=True))
+    directory.put(registration(9, sequence=3))
+    assert accepting_ids(directory) == []
+    # What it informed better counts: the store lost it.
+    full_read(directory, registration(4, NEW_ERA, sequence=5))
+    directory.put(registration(9, sequence=6, draining=True))
+    assert accepting_ids(directory) == []
+    directory.put(registration(5, NEW_ERA, sequence=6, draining=True))
+    assert directory.workers["w"].revision == at(5, NEW_ERA)
+
+
+def test_disputed_deregistrations_are_shared_with_peers(clock):
+    informed, uninformed = WorkerDirectory(clock), WorkerDirectory(clock)
+    for each in (informed, uninformed):
+        full_read(each, registration(5, sequence=4), era=1)
+    informed.remove("w", after_outage=False)
+    for each in (informed, uninformed):
+        full_read(each, registration(3, NEW_ERA, sequence=3))
+    assert accepting_ids(uninformed) == ["w"]
+    assert (
+        informed.deregistrations.digest() != uninformed.deregistrations.digest()
+    )
+    assert uninformed.apply_deregistrations(
+        informed.deregistrations.disputed()
+    ) == ["w"]
+    assert accepting_ids(uninformed) == []
+    assert (
+        informed.deregistrations.digest() == uninformed.deregistrations.digest()
+    )
     # Nothing is told once the worker has written anew.
-    for each in (knows, lacks):
-        each.put(registered(4, NEW, sequence=5))
-        assert takes_work(each) == ["w"]
+    for each in (informed, uninformed):
+        each.put(registration(4, NEW_ERA, sequence=5))
+        assert accepting_ids(each) == ["w"]
         assert each.deregistrations.disputed() == []
-    assert lacks.apply_deregistrations([]) == []
+    assert uninformed.apply_deregistrations([]) == []
 
 
-def test_what_ended_in_the_newest_era_is_registered_again_at_once(directory):
-    whole(directory, registered(5, sequence=4), era=1)
+def test_registration_in_era_of_removal_counts_at_once(directory):
+    full_read(directory, registration(5, sequence=4), era=1)
     directory.remove("w", after_outage=False)
-    directory.put(registered(6, sequence=1))
-    assert takes_work(directory) == ["w"]
+    directory.put(registration(6, sequence=1))
+    assert accepting_ids(directory) == ["w"]
 
 
-def test_one_that_left_right_after_a_renewal_that_was_not_heard(directory):
-    whole(directory, registered(5, sequence=4), era=1)
+def test_removal_right_after_missed_renewal_is_not_undone(directory):
+    full_read(directory, registration(5, sequence=4), era=1)
     directory.remove("w", after_outage=False, revision=at(8))
     # The copy was made after the renewal and before the removal.
-    whole(directory, registered(7, NEW, sequence=5))
-    assert takes_work(directory) == []
+    full_read(directory, registration(7, NEW_ERA, sequence=5))
+    assert accepting_ids(directory) == []
     # What a feed tells was written in the new era.
-    directory.put(registered(7, NEW, sequence=5))
-    assert takes_work(directory) == ["w"]
+    directory.put(registration(7, NEW_ERA, sequence=5))
+    assert accepting_ids(directory) == ["w"]
 
 
-def test_each_era_has_its_own_time_to_write_again(directory, clock):
-    whole(directory, registered(5, sequence=4), era=1)
+def test_pending_time_starts_anew_in_each_era(directory, clock):
+    full_read(directory, registration(5, sequence=4), era=1)
     directory.remove("w", after_outage=False)
-    whole(directory, registered(3, NEW, sequence=3))
+    full_read(directory, registration(3, NEW_ERA, sequence=3))
     clock.now += DEFAULT_REGISTRATION_TTL_S + RESTORE_MARGIN_S - 0.1
-    whole(directory, registered(3, NEW + 1, sequence=3), era=NEW + 1)
+    full_read(
+        directory, registration(3, NEW_ERA + 1, sequence=3), era=NEW_ERA + 1
+    )
     clock.now += 0.2
     directory.drop_missing()
-    assert takes_work(directory) == []
+    assert accepting_ids(directory) == []
 
 
-def test_a_living_worker_has_as_long_in_each_era(directory, clock):
-    whole(directory, registered(9, sequence=1), era=1)
-    whole(directory)
+def test_reregistration_timeout_starts_anew_in_each_era(directory, clock):
+    full_read(directory, registration(9, sequence=1), era=1)
+    full_read(directory)
     clock.now += REREGISTRATION_TIMEOUT_S - 0.1
-    whole(directory, era=NEW + 1)
+    full_read(directory, era=NEW_ERA + 1)
     clock.now += 0.2
     directory.drop_missing()
-    assert takes_work(directory) == ["w"]
+    assert accepting_ids(directory) == ["w"]
 
 
-def test_a_removal_counts_of_one_that_was_dropped_before(directory, clock):
-    whole(directory, registered(9, sequence=1), era=1)
-    whole(directory)
+def test_removal_of_worker_that_was_already_removed_counts(
+    directory, clock
+):
+    full_read(directory, registration(9, sequence=1), era=1)
+    full_read(directory)
     clock.now += REREGISTRATION_TIMEOUT_S
     assert directory.drop_missing() == ["w"]
     # It was back meanwhile, which was not heard here, and left.
-    directory.remove("w", after_outage=False, revision=at(16, NEW))
-    whole(directory, registered(12, NEW + 1, sequence=2), era=NEW + 1)
-    assert takes_work(directory) == []
+    directory.remove("w", after_outage=False, revision=at(16, NEW_ERA))
+    full_read(
+        directory, registration(12, NEW_ERA + 1, sequence=2), era=NEW_ERA + 1
+    )
+    assert accepting_ids(directory) == []
