--- a/tests/lib/relay_parts.py
+++ b/tests/lib/relay_parts.py
@@ -1,4 +1,4 @@
-"""Requests, routes and workers as the relay's decisions see them."""
+"""Builders of requests, routes and workers for tests of the relay."""
 
 from rattanpier._internal.models.relay_request import (
     Prompt,
@@ -54,13 +54,13 @@
 
 
 def make_prompt(*parts):
-    """A prompt of parts, each an id and its tokens."""
+    """Returns a prompt of parts, each given as id and number of tokens."""
     made = tuple(PromptPart(*part) for part in parts)
     return Prompt(sum(part.tokens for part in made), 50, made)
 
 
 def make_chat(id="1", parts=(("a", 400), ("b", 400), ("own", 200)), **more):
-    """A request for any model of a route with three."""
+    """Returns a request for any model of a route that has three."""
     route = make_route(streaming=True, resumable=True, models=MODELS)
     return make_request(
         id, route=route, prompt=make_prompt(*parts), any_model=True, **more
@@ -68,11 +68,11 @@
 
 
 def kept_tokens(loads, worker, model, prompt):
-    """What a worker keeps of a prompt, as the placement asks for it."""
+    """Returns the tokens of a prompt that a worker has cached."""
     now = loads.clock.monotonic()
     return loads.cached_tokens(worker, part_sizes(model, prompt), now)
 
 
 def at(version, era=1):
-    """A place in the store's history."""
+    """Returns a revision of the store."""
     return Revision(era, version)
--- a/tests/lib/restored_fleet.py
+++ b/tests/lib/restored_fleet.py
@@ -1,7 +1,8 @@
-"""Authors, a store that comes back from copies, and entries that follow it.
+"""Simulation of authors, a store that is restored from backups, and entries.
 
-Everything runs in one loop and in time that a test moves; messages between
-entries may be late, overtake each other or be lost.
+Authors are the workers and operators that write to the store. Everything runs
+in one loop, and tests advance the time. Messages between entries may be late,
+reordered or lost.
 """
 
 import asyncio
@@ -29,14 +30,14 @@
 from tests.lib.clock import SkippingClock
 
 WORKERS, DOMAINS = "servers", "op"
-# Authors have written again what was lost by then.
+# Time after a restore within which authors write lost rows again.
 REWRITE_TIMEOUT_S = 1.5
 SETTLED_S = 2 * (DEFAULT_REGISTRATION_TTL_S + RESTORE_MARGIN_S)
 
 
 @attrs.define
 class RestorableStore:
-    """Tables with versions that are given out again after a return."""
+    """Tables whose versions are assigned again after a restore."""
 
     rows: dict = attrs.Factory(dict)
     version: int = 0
@@ -71,7 +72,7 @@
 
 @attrs.define(eq=False)
 class Entry:
-    """One entry, as far as it follows the store."""
+    """The part of an entry that follows the store."""
 
     store: RestorableStore
     clock: SkippingClock
@@ -110,7 +111,7 @@
 
     async def changes(self, table, since, _wait_s):
         self.history.record_era(self.store.era, "store")
-        # A feed whose answer tells a new era is given up.
+        # Lets the follower abort a feed whose answer shows a new era.
         await asyncio.sleep(0)
         if since.version > self.store.version:
             raise HistoryGoneError("gone")
@@ -162,7 +163,7 @@
 
 @attrs.define(eq=False)
 class Fleet:
-    """All of it, and what authors last said."""
+    """Store, entries and messages, and the state that authors intend."""
 
     store: RestorableStore = attrs.Factory(RestorableStore)
     clock: SkippingClock = attrs.Factory(SkippingClock)
@@ -173,7 +174,9 @@
     ordered_at: dict = attrs.Factory(dict)
     restored_at: float = float("inf")
     started: int = 0
-    # What each entry knew of workers that end and of domains, as authors said.
+    # By entry: workers that it knew to be leaving or removed, those that were
+    # ready at the last check, and domains that it knew to be (un)drained, each
+    # time after it received the author's latest change.
     known_leaving: dict = attrs.Factory(dict)
     previously_ready: dict = attrs.Factory(dict)
     known_drained: dict = attrs.Factory(dict)
@@ -196,7 +199,7 @@
     def publish_update(self, update):
         self.messages += [(entry, update) for entry in self.entries[1:]]
 
-    # What authors do.
+    # Actions of authors.
 
     def write_intended(self, table, key, value):
         self.intended[table, key] = value
@@ -258,7 +261,7 @@
             self.write(table, key, value)
         return len(lost) > 1
 
-    # What befalls the store and the messages.
+    # Actions on the store, the messages and the entries.
 
     def keep_copy(self, _number):
         self.store.back_up()
@@ -282,7 +285,7 @@
         await entry.followers[table].step()
 
     async def catch_up(self, number):
-        """Most entries learn what the store says, each by its own reading."""
+        """Lets most entries read the store, each for itself."""
         for entry in self.entries:
             if entry is self.entries[number % 5 % 4 - 1]:
                 continue
@@ -303,7 +306,7 @@
         for entry in self.entries:
             entry.tick()
 
-    # What must hold.
+    # Invariants.
 
     def check(self):
         for entry in self.entries:
@@ -330,7 +333,7 @@
                 self.known_leaving[entry].add(key)
 
     def knows_removal(self, entry, key):
-        """Whether an entry heard that a worker is gone, and dropped it."""
+        """Whether an entry received a worker's removal and removed it."""
         departure = entry.directory.deregistrations.deregistered.get(key)
         written = self.written_at[WORKERS, key]
         return (
@@ -352,19 +355,19 @@
                 self.known_undrained[entry].add(domain)
             assert is_drained or domain not in self.known_drained[entry]
             if is_drained and domain in self.known_undrained[entry]:
-                # Rows from before the last order may be a new one.
+                # Only a row at another version may be a new order.
                 version, _ = self.store.rows[DOMAINS, key]
                 assert version != self.ordered_at[domain]
 
     def knows_end(self, entry, domain):
-        """Whether an entry knows which row of an order has ended."""
+        """Whether an entry knows at which version the ended order was."""
         order = entry.domains.orders[domain]
         if order.drained:
             return False
         return order.ended.version == self.ordered_at.get(domain)
 
     def knows_order(self, entry, domain):
-        """Whether an entry heard what was said last of a domain."""
+        """Whether an entry received the latest order of a domain."""
         order = entry.domains.orders.get(domain)
         written = self.written_at.get(
             (DOMAINS, f"{domain_rows.ORDER_PREFIX}{domain}")
@@ -376,12 +379,12 @@
         )
 
     def ready_workers(self):
-        """Workers that take work, as they said last."""
+        """Ids of the workers that last registered as ready."""
         workers = self.registered_workers()
         return {key for key, value in workers if not value["draining"]}
 
     async def settle(self):
-        """Authors write all again, and entries read it."""
+        """Lets authors write lost rows again, and entries read them."""
         while self.write_again():
             pass
         for _ in range(3):
--- a/tests/relay/test_restored_fleet.py
+++ b/tests/relay/test_restored_fleet.py
@@ -1,6 +1,6 @@
-"""What entries believe in the end is what the store says.
+"""Entries converge to the state that authors wrote, despite store restores.
 
-On the way no belief goes back on what an author said.
+Before that, no entry reverts a change of an author that it has received.
 """
 
 import random
@@ -29,7 +29,7 @@
 
 @pytest.mark.parametrize("seed", range(150))
 async def test_store_restore_reverts_no_change_of_author(seed):
-    random.seed(seed)  # Followers spread their readings.
+    random.seed(seed)  # Followers randomize the times of their reads.
     rng = random.Random(seed)
     names = rng.choices(list(ACTIONS), ACTIONS.values(), k=STEPS)
     fleet = Fleet()
--- a/tests/relay/test_restored_workers.py
+++ b/tests/relay/test_restored_workers.py
@@ -1,4 +1,9 @@
-"""Registrations as a store shows them that came back from an older copy."""
+"""Registrations in a store that was restored from a backup.
+
+The backup may list workers that were removed, list draining ones as ready, and
+lack those that registered later. The sequence of a registration tells which of
+two is newer, where the store's versions don't.
+"""
 
 import pytest
 
@@ -11,7 +16,7 @@
 from tests.lib.clock import ManualClock
 from tests.lib.relay_parts import at, make_worker
 
-NEW_ERA = 2  # The era that the store came back with.
+NEW_ERA = 2  # The era after the restore.
 
 
 @pytest.fixture
@@ -39,14 +44,12 @@
 
 
 @pytest.mark.parametrize("version", [3, 9, 12])
-def test_restored_store_does_not_make_draining_worker_ready(
-    directory, version
-):
+def test_restored_store_does_not_make_draining_worker_ready(directory, version):
     full_read(directory, registration(9, sequence=4, draining=True), era=1)
     full_read(directory, registration(version, NEW_ERA, sequence=3))
     assert accepting_ids(directory) == []
     assert directory.workers["w"].sequence == 4
-    # Nor does what is told after the table.
+    # Nor does a later change from the feed.
     directory.put(registration(version + 1, NEW_ERA, sequence=3))
     assert accepting_ids(directory) == []
     assert directory.leaving_incarnations() == ["w"]
@@ -83,7 +86,7 @@
 
 
 def test_pending_registration_is_accepted_after_its_ttl(directory, clock):
-    """It would have run out; its worker was cut off and is not gone."""
+    """Otherwise it would have expired: its worker was partitioned."""
     full_read(directory, registration(5, sequence=4), era=1)
     directory.remove("w", after_outage=False)
     full_read(directory, registration(3, NEW_ERA, sequence=3))
@@ -106,9 +109,7 @@
     assert accepting_ids(directory) == []
 
 
-def test_worker_that_restored_store_lacks_is_kept_for_while(
-    directory, clock
-):
+def test_worker_that_restored_store_lacks_is_kept_for_while(directory, clock):
     full_read(directory, registration(9, sequence=1), era=1)
     full_read(directory)
     assert accepting_ids(directory) == ["w"]
@@ -146,7 +147,7 @@
     full_read(directory, registration(3, NEW_ERA, sequence=4, draining=True))
     directory.put(registration(9, sequence=3))
     assert accepting_ids(directory) == []
-    # What it informed better counts: the store lost it.
+    # A higher sequence counts: the store lost that registration.
     full_read(directory, registration(4, NEW_ERA, sequence=5))
     directory.put(registration(9, sequence=6, draining=True))
     assert accepting_ids(directory) == []
@@ -172,7 +173,7 @@
     assert (
         informed.deregistrations.digest() == uninformed.deregistrations.digest()
     )
-    # Nothing is told once the worker has written anew.
+    # Nothing is shared once the worker has registered again.
     for each in (informed, uninformed):
         each.put(registration(4, NEW_ERA, sequence=5))
         assert accepting_ids(each) == ["w"]
@@ -190,10 +191,10 @@
 def test_removal_right_after_missed_renewal_is_not_undone(directory):
     full_read(directory, registration(5, sequence=4), era=1)
     directory.remove("w", after_outage=False, revision=at(8))
-    # The copy was made after the renewal and before the removal.
+    # The backup was made after the renewal and before the removal.
     full_read(directory, registration(7, NEW_ERA, sequence=5))
     assert accepting_ids(directory) == []
-    # What a feed tells was written in the new era.
+    # Changes from a feed were written in the new era.
     directory.put(registration(7, NEW_ERA, sequence=5))
     assert accepting_ids(directory) == ["w"]
 
@@ -221,14 +222,12 @@
     assert accepting_ids(directory) == ["w"]
 
 
-def test_removal_of_worker_that_was_already_removed_counts(
-    directory, clock
-):
+def test_removal_of_worker_that_was_already_removed_counts(directory, clock):
     full_read(directory, registration(9, sequence=1), era=1)
     full_read(directory)
     clock.now += REREGISTRATION_TIMEOUT_S
     assert directory.drop_missing() == ["w"]
-    # It was back meanwhile, which was not heard here, and left.
+    # It registered again, which this entry missed, and was removed.
     directory.remove("w", after_outage=False, revision=at(16, NEW_ERA))
     full_read(
         directory, registration(12, NEW_ERA + 1, sequence=2), era=NEW_ERA + 1
