--- a/tests/relay/test_crashing_requests.py
+++ b/tests/relay/test_crashing_requests.py
@@ -35,9 +35,9 @@
 WORKERS = 9
 # Operators take three ended workers for one request; what is under way at other
 # entries when the third ends may end one more each.
-MOST_ENDED = 3 + ENTRIES - 1
-REPEAT_S = 0.1  # The deadly request comes again, at any entry.
-PLAY_S = 3.0
+MAX_CRASHED = 3 + ENTRIES - 1
+REPEAT_INTERVAL_S = 0.1  # The deadly request comes again, at any entry.
+REPEAT_DURATION_S = 3.0
 
 
 @pytest.fixture
@@ -58,14 +58,14 @@
 async def repeat(site, path, kind):
     """Sends the deadly request again and again; returns the answers."""
     loop = asyncio.get_running_loop()
-    end = loop.time() + PLAY_S
+    end = loop.time() + REPEAT_DURATION_S
     asked = []
     while loop.time() < end:
         entry = f"entry-{len(asked) % ENTRIES}"
         asked.append(
             asyncio.ensure_future(kind(site, path, entry, CRASHING_BODY))
         )
-        await asyncio.sleep(REPEAT_S)
+        await asyncio.sleep(REPEAT_INTERVAL_S)
     return await asyncio.gather(*asked)
 
 
@@ -80,12 +80,12 @@
     )
 
 
-BESIDE = 12  # Streams that run at the same worker.
-BEGIN_S = 0.2  # Until they all run there.
+CONCURRENT_STREAMS = 12  # Streams that run at the same worker.
+START_S = 0.2  # Until they all run there.
 CRASH_S = 1.0  # Until it ends; by then the others are known.
 
 
-async def play_beside(site):
+async def run_concurrent_streams(site):
     """Streams beside the deadly request; returns how many came whole.
 
     All begin at the only worker; others are there by the time that it ends.
@@ -93,17 +93,17 @@
     more = {"event_gap_s": 0.4, "crash_s": CRASH_S}
     pool = await start_crashing_pool(site, "engine", 1, **more)
     entry = await site.add_entry()
-    beside = [
+    streams = [
         asyncio.ensure_future(
             ask_engine(site, "/chat/x", "entry-1", f"usual {number}".encode())
         )
-        for number in range(BESIDE)
+        for number in range(CONCURRENT_STREAMS)
     ]
-    await asyncio.sleep(BEGIN_S)
+    await asyncio.sleep(START_S)
     deadly = asyncio.ensure_future(
         ask_engine(site, "/chat/x", "entry-1", CRASHING_BODY)
     )
-    await asyncio.sleep(BEGIN_S)
+    await asyncio.sleep(START_S)
     pool.options["crash_s"] = 0.1
     for _ in range(WORKERS - 1):
         await pool.add()
@@ -112,7 +112,7 @@
     loads = entry.edge.dispatcher.loads
     for number in range(1, WORKERS):
         loads.record_report(f"w{number}", ReportedLoad(20 * number, 0, 128))
-    answers = await asyncio.gather(*beside)
+    answers = await asyncio.gather(*streams)
     assert (await deadly).status == 502
     assert len(pool.crash_times) == 3
     return sum(
@@ -129,12 +129,12 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-async def test_a_request_that_crashes_its_workers_reaches_few(site, kind):
+async def test_crashing_request_reaches_few_workers(site, kind):
     service, path, ask = KINDS[kind]
     pool = await start_crashing_pool(site, service, WORKERS)
     await add_entries(site)
     answers = await repeat(site, path, ask)
-    assert len(pool.crash_times) <= MOST_ENDED
+    assert len(pool.crash_times) <= MAX_CRASHED
     # It is no success, and a promise that it did not run is true.
     assert {answer.status for answer in answers} <= {502, 503}
     promised = sum(answer.status == 503 for answer in answers)
@@ -146,17 +146,17 @@
         assert events(served[0].body) == [1, 2, 3, 4, 5]
 
 
-async def test_what_ran_beside_such_a_request_is_answered_elsewhere(site):
-    assert await play_beside(site) == BESIDE
+async def test_streams_beside_crashing_request_complete_elsewhere(site):
+    assert await run_concurrent_streams(site) == CONCURRENT_STREAMS
 
 
-async def test_it_stays_held_when_all_entries_are_lost(site):
+async def test_quarantine_outlives_loss_of_all_entries(site):
     pool = await start_crashing_pool(site, "plain", WORKERS)
     entry = await site.add_entry()
     for _ in range(3):
         await ask_plain(site, "/unsafe/x", "entry-1", CRASHING_BODY)
     assert len(pool.crash_times) == 3
-    await until(lambda: has_held_row(site))
+    await until(lambda: has_quarantine_row(site))
     await close(entry)
     del site.entries["entry-1"]
     entry = await site.add_entry()
@@ -167,11 +167,11 @@
     assert len(pool.crash_times) == 3
 
 
-def has_held_row(site):
+def has_quarantine_row(site):
     return any(QUARANTINED_PREFIX in key for _, key in site.store.rows)
 
 
-async def test_other_entries_send_nothing_to_a_worker_that_ended(site):
+async def test_peers_send_nothing_to_terminated_worker(site):
     pool = await start_crashing_pool(site, "plain", 2)
     await add_entries(site)
     await ask_plain(site, "/unsafe/x", "entry-0", CRASHING_BODY)
@@ -191,7 +191,9 @@
     ] == [0] * ENTRIES
 
 
-async def test_a_version_is_not_worse_for_such_a_request(site, monkeypatch):
+async def test_crashing_request_does_not_count_against_version(
+    site, monkeypatch
+):
     judged = []
 
     def note(self, worker, route, bad, relative_s):
@@ -206,23 +208,23 @@
     assert len(judged) == 1
 
 
-async def test_an_end_counts_though_the_caller_leaves_meanwhile(
+async def test_crash_counts_if_caller_disconnects_during_check(
     site, monkeypatch
 ):
-    looking = asyncio.Event()
+    check_started = asyncio.Event()
 
-    async def look_slowly(host, port, timeout_s):
-        looking.set()
+    async def listens_slowly(host, port, timeout_s):
+        check_started.set()
         await asyncio.sleep(0.1)
         return False
 
-    monkeypatch.setattr(termination_checks, "listens", look_slowly)
+    monkeypatch.setattr(termination_checks, "listens", listens_slowly)
     await start_crashing_pool(site, "plain", 2)
     entry = await site.add_entry()
     leaving = asyncio.ensure_future(
         ask_plain(site, "/unsafe/x", "entry-1", CRASHING_BODY)
     )
-    await looking.wait()
+    await check_started.wait()
     leaving.cancel()
     quarantine = entry.edge.dispatcher.quarantine
     await until(lambda: quarantine.crashes)
--- a/tests/relay/test_footprint.py
+++ b/tests/relay/test_footprint.py
@@ -8,10 +8,12 @@
 
 from tests.lib.counters import ROOT
 
-LIST = "import sys, rattanpier._internal.cli.relay; print(*sorted(sys.modules))"
+LIST_MODULES = (
+    "import sys, rattanpier._internal.cli.relay; print(*sorted(sys.modules))"
+)
 # Names the classes of state, which have identity, for which methods are made
 # that they have no use for.
-MADE_FOR_STATE = """
+LIST_GENERATED_METHODS = """
 import sys, attrs, rattanpier._internal.cli.relay
 for module in [m for n, m in sys.modules.items() if n.startswith("rattanpier")]:
     for made in vars(module).values():
@@ -24,7 +26,7 @@
         if not frozen and methods:
             print(module.__name__, made.__name__)
 """
-OTHER_PATHS = (
+UNUSED_PACKAGES = (
     "cascade",
     "claims",
     "commands",
@@ -37,7 +39,7 @@
     "routing",
     "standin",
 )
-NOT_USED = (
+UNUSED_LIBRARIES = (
     "cryptography",
     "fire",
     "hdrh",
@@ -50,7 +52,7 @@
 
 
 # Of aiohttp's server the path of a request uses the lower half.
-NOT_USED_MODULES = (
+UNUSED_MODULES = (
     "aiohttp.web",
     "aiohttp.web_app",
     "aiohttp.web_runner",
@@ -63,7 +65,7 @@
 def loaded():
     """The modules that an entry has loaded when it begins to start."""
     made = subprocess.run(
-        [sys.executable, "-c", LIST],
+        [sys.executable, "-c", LIST_MODULES],
         check=True,
         capture_output=True,
         text=True,
@@ -71,25 +73,25 @@
     return made.stdout.split()
 
 
-@pytest.mark.parametrize("package", OTHER_PATHS)
-def test_other_paths_are_not_loaded(loaded, package):
+@pytest.mark.parametrize("package", UNUSED_PACKAGES)
+def test_unused_packages_are_not_loaded(loaded, package):
     prefix = f"rattanpier._internal.{package}"
     assert [name for name in loaded if name.startswith(prefix)] == []
 
 
-@pytest.mark.parametrize("package", NOT_USED)
-def test_libraries_of_other_paths_are_not_loaded(loaded, package):
+@pytest.mark.parametrize("package", UNUSED_LIBRARIES)
+def test_unused_libraries_are_not_loaded(loaded, package):
     assert [name for name in loaded if name.split(".")[0] == package] == []
 
 
-@pytest.mark.parametrize("module", NOT_USED_MODULES)
-def test_modules_of_other_paths_are_not_loaded(loaded, module):
+@pytest.mark.parametrize("module", UNUSED_MODULES)
+def test_unused_modules_are_not_loaded(loaded, module):
     assert module not in loaded
 
 
-def test_state_has_no_methods_that_are_made_anew_at_each_start():
+def test_state_classes_have_no_generated_methods():
     made = subprocess.run(
-        [sys.executable, "-c", MADE_FOR_STATE],
+        [sys.executable, "-c", LIST_GENERATED_METHODS],
         check=True,
         capture_output=True,
         text=True,
@@ -97,12 +99,12 @@
     assert made.stdout.split() == []
 
 
-def test_a_start_loads_nothing_that_a_vm_has_installed_besides():
+def test_entry_starts_without_site_packages_of_vm():
     deployed = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
     assert deployed["roles"]["entry"]["run"].split()[:2] == ["python3", "-S"]
 
 
-def test_callers_are_let_wait_before_libraries_are_loaded():
+def test_listener_opens_before_libraries_are_loaded():
     lines = (ROOT / "deploy" / "relay.py").read_text().splitlines()
     loads = [number for number, line in enumerate(lines) if "cli.relay" in line]
     opens = [
--- a/tests/relay/test_leaving_workers.py
+++ b/tests/relay/test_leaving_workers.py
@@ -14,7 +14,7 @@
         yield made
 
 
-async def heard(site, path="/safe/x", **more):
+async def ask_until_answered(site, path="/safe/x", **more):
     """Asks until an answer of w1 came, and returns how often it ran by then."""
     worker = site.workers["w1"]
     before = len(worker.runs)
@@ -23,12 +23,12 @@
     return len(worker.runs)
 
 
-async def test_nothing_is_sent_to_a_worker_whose_answer_said_it_leaves(site):
+async def test_worker_that_announced_its_leave_gets_no_requests(site):
     for name in ("w1", "w2"):
         await site.add_worker(name)
     await site.add_entry()
     site.workers["w1"].leaving = True
-    runs = await heard(site)
+    runs = await ask_until_answered(site)
     # Its row says that it is ready, and goes on saying so.
     site.register("w1", sequence=2)
     for _ in range(40):
@@ -50,87 +50,87 @@
     return entries
 
 
-def leaves(entry, worker="w1"):
+def is_leaving(entry, worker="w1"):
     return not entry.state.directory.accepts_requests(worker)
 
 
-async def test_entries_tell_each_other_of_a_worker_that_leaves(site):
+async def test_leaving_workers_are_shared_with_peers(site):
     for name in ("w1", "w2"):
         await site.add_worker(name)
     entries = await add_entries(site, 3)
     site.workers["w1"].leaving = True
-    runs = await heard(site, entry="entry-1")
-    await until(lambda: all(map(leaves, entries)))
+    runs = await ask_until_answered(site, entry="entry-1")
+    await until(lambda: all(map(is_leaving, entries)))
     late = await site.add_entry(
         "entry-4", seeds=[str(entries[0].settings.peers)]
     )
-    await until(lambda: leaves(late))
+    await until(lambda: is_leaving(late))
     for name in site.entries:
         for _ in range(10):
             assert (await site.ask(entry=name)).status == 200
     assert len(site.workers["w1"].runs) == runs
 
 
-async def test_what_an_engine_says_beside_its_load_counts(site):
+async def test_leave_and_limit_in_load_reports_count(site):
     for name in ("w1", "w2"):
         await site.add_worker(name, "engine")
     entries = await add_entries(site, 2)
     site.workers["w1"].leaving = True
     site.workers["w2"].limit = "0.5"
-    await until(lambda: all(map(leaves, entries)))
+    await until(lambda: all(map(is_leaving, entries)))
     limits = [entry.edge.dispatcher.limits for entry in entries]
     await until(lambda: all(each.rates == {"w2": 0.5} for each in limits))
     assert not site.workers["w1"].runs + site.workers["w2"].runs
 
 
-async def test_an_engine_whose_report_says_that_it_drains_gets_nothing(site):
+async def test_engine_that_reports_draining_gets_no_requests(site):
     for name in ("w1", "w2"):
         await site.add_worker(name, "engine")
     entries = await add_entries(site, 2)
     site.workers["w1"].state = "draining"
     site.workers["w2"].state = "ready"
-    await until(lambda: all(map(leaves, entries)))
-    assert not any(leaves(entry, "w2") for entry in entries)
+    await until(lambda: all(map(is_leaving, entries)))
+    assert not any(is_leaving(entry, "w2") for entry in entries)
     for _ in range(5):
         assert (await site.chat()).status == 200
     assert not site.workers["w1"].runs
 
 
-async def test_a_stream_under_way_ends_whole_at_a_worker_that_leaves(site):
+async def test_stream_in_flight_completes_on_leaving_worker(site):
     worker = await site.add_worker("w1", "engine", event_gap_s=0.05)
     entry = await site.add_entry()
     asked = asyncio.create_task(site.chat())
     await until(lambda: worker.runs)
     worker.leaving = True
     await site.chat()
-    assert leaves(entry)
+    assert is_leaving(entry)
     answer = await asked
     assert answer.whole
     assert events(answer.body) == [1, 2, 3, 4, 5]
 
 
-async def test_a_new_start_under_the_same_id_is_sent_requests(site):
+async def test_new_incarnation_of_leaving_worker_gets_requests(site):
     worker = await site.add_worker("w1")
     site.register("w1", born=1)
     entry = await site.add_entry()
     worker.leaving = True
     before = entry.state.directory.workers["w1"]
-    await heard(site)
+    await ask_until_answered(site)
     assert (await site.ask()).status == 503
     worker.leaving = False
     site.register("w1", born=2)
-    await until(lambda: not leaves(entry))
+    await until(lambda: not is_leaving(entry))
     assert (await site.ask()).status == 200
     # A late answer of the former start.
     entry.state.directory.record_leaving(before)
-    assert not leaves(entry)
+    assert not is_leaving(entry)
 
 
-async def test_with_all_workers_leaving_a_request_is_refused_at_once(site):
+async def test_request_is_refused_at_once_if_all_workers_are_leaving(site):
     await site.add_worker("w1")
     await site.add_entry()
     site.workers["w1"].leaving = True
-    await heard(site)
+    await ask_until_answered(site)
     answer = await site.ask()
     assert answer.status == 503
     assert b"leaving 1" in answer.body
@@ -141,5 +141,5 @@
     ("text", "leaving"),
     [("1", True), (" 1 ", True), ("0", False), ("", True), ("nan", True)],
 )
-def test_odd_words_of_leaving_have_a_safe_meaning(text, leaving):
+def test_unknown_value_of_leaving_header_counts_as_leaving(text, leaving):
     assert read_leaving(text) == leaving
--- a/tests/relay/test_cut_off_ends.py
+++ b/tests/relay/test_partitioned_entry.py
@@ -13,7 +13,9 @@
 
 CONTENT = "a request that ends nobody"
 WORKERS = ("w1", "w2", "w3")
-LOOKED_S = 2.0  # For the others to look at the workers, and to say so.
+LIVENESS_TIMEOUT_S = (
+    2.0  # For the others to look at the workers, and to say so.
+)
 
 
 @pytest.fixture
@@ -32,22 +34,22 @@
     return site.entries[name].edge.dispatcher.quarantine
 
 
-async def cut_off(site, name):
+async def partition(site, name):
     """Lets an entry find that all workers ended."""
     directory = site.entries[name].state.directory
     for worker in directory.workers.values():
         quarantine_of(site, name).record_crash(CONTENT, worker.incarnation)
 
 
-async def test_others_that_reach_the_workers_hold_nothing(site):
-    await cut_off(site, "entry-0")
+async def test_peers_that_reach_workers_lift_quarantine(site):
+    await partition(site, "entry-0")
     other = quarantine_of(site, "entry-1")
     await until(lambda: CONTENT in other.crashes)
-    await until(lambda: not other.remaining_s(CONTENT), LOOKED_S)
+    await until(lambda: not other.remaining_s(CONTENT), LIVENESS_TIMEOUT_S)
 
 
-async def test_an_entry_whose_cut_is_over_holds_nothing(site):
-    await cut_off(site, "entry-0")
+async def test_entry_lifts_quarantine_after_its_partition(site):
+    await partition(site, "entry-0")
     first = quarantine_of(site, "entry-0")
     assert first.remaining_s(CONTENT)
-    await until(lambda: not first.remaining_s(CONTENT), LOOKED_S)
+    await until(lambda: not first.remaining_s(CONTENT), LIVENESS_TIMEOUT_S)
--- a/tests/relay/test_restarts.py
+++ b/tests/relay/test_restarts.py
@@ -19,16 +19,16 @@
     )
 
 
-async def start_again(site, name, born, **more):
+async def restart(site, name, born, **more):
     """Ends a worker at once and starts it under its id, at another address."""
     await site.workers[name].stop()
     runs = site.workers[name].runs
-    again = await add_engine(site, name)
+    restarted = await add_engine(site, name)
     site.register(name, "engine", born=born, **more)
-    return runs, again
+    return runs, restarted
 
 
-async def test_a_stream_goes_on_when_its_worker_starts_again():
+async def test_stream_continues_when_its_worker_restarts():
     async with platform_site() as site:
         await add_engine(site, "w1")
         site.register("w1", "engine", born=1)
@@ -38,14 +38,14 @@
         await asyncio.sleep(10 * GAP_S)
         await add_engine(site, "w2")
         await until(lambda: entry.state.directory.accepts_requests("w2"))
-        _, again = await start_again(site, "w1", born=2)
+        _, restarted = await restart(site, "w1", born=2)
         answer = await asked
         assert answer.whole
         assert events(answer.body) == list(range(1, EVENTS + 1))
-        assert again.runs or site.workers["w2"].runs
+        assert restarted.runs or site.workers["w2"].runs
 
 
-async def test_nothing_is_believed_of_the_incarnation_before():
+async def test_state_of_previous_incarnation_is_dropped():
     async with platform_site() as site:
         await add_engine(site, "w1")
         site.register("w1", "engine", born=1)
@@ -55,7 +55,7 @@
         before = dispatcher.loads.workers["w1"]
         assert before.parts
         assert dispatcher.health.records
-        await start_again(site, "w1", born=2)
+        await restart(site, "w1", born=2)
         await until(
             lambda: (
                 dispatcher.loads.workers["w1"] is not before
@@ -68,7 +68,7 @@
         assert (await site.chat()).whole
 
 
-async def test_two_starts_within_a_second_lose_no_request():
+async def test_two_restarts_within_one_second_lose_no_request():
     async with platform_site() as site:
         for name in ("w1", "w2"):
             await add_engine(site, name)
@@ -78,7 +78,7 @@
         await until(lambda: site.workers["w1"].runs)
         for born in (2, 3):
             await asyncio.sleep(10 * GAP_S)
-            await start_again(site, "w1", born=born)
+            await restart(site, "w1", born=born)
         for answer in await asyncio.gather(*asked):
             assert answer.whole
             assert events(answer.body) == list(range(1, EVENTS + 1))
--- a/tests/relay/test_restored_workers.py
+++ b/tests/relay/test_restored_workers.py
@@ -109,7 +109,9 @@
     assert accepting_ids(directory) == []
 
 
-def test_worker_that_restored_store_lacks_is_kept_for_while(directory, clock):
+def test_worker_missing_from_restored_store_is_kept_until_timeout(
+    directory, clock
+):
     full_read(directory, registration(9, sequence=1), era=1)
     full_read(directory)
     assert accepting_ids(directory) == ["w"]
--- a/tests/relay/test_rows.py
+++ b/tests/relay/test_rows.py
@@ -37,7 +37,7 @@
 from tests.lib.platform_site import manifest as manifest_document
 from tests.lib.relay_parts import at
 
-GOOD = {
+VALID = {
     "service": "s",
     "address": "10.0.0.1:80",
     "zone": "zone-a",
@@ -64,7 +64,7 @@
 
 JSON = documents(st.integers())
 # Its integers have 64 bits, and it has bytes.
-MESSAGE_PACK = documents(st.integers(-(2**63), 2**64 - 1) | st.binary())
+MSGPACK = documents(st.integers(-(2**63), 2**64 - 1) | st.binary())
 
 
 def row(key, document, version=1, era=1):
@@ -72,7 +72,7 @@
 
 
 def changed(**fields):
-    document = {**GOOD, **fields}
+    document = {**VALID, **fields}
     return {
         name: value for name, value in document.items() if value is not MISSING
     }
@@ -96,14 +96,14 @@
     )
 
 
-def forgotten(state):
+def collect_deregistered(state):
     """The ids that the state tells to be forgotten, as they come."""
     found = []
     state.deregistered.subscribe(found.append)
     return found
 
 
-WRONG = [{field: MISSING} for field in GOOD if field != "born"] + [
+INVALID = [{field: MISSING} for field in VALID if field != "born"] + [
     {"slots": "8"},
     {"slots": [8]},
     {"slots": -1},
@@ -142,9 +142,9 @@
 ]
 
 
-@pytest.mark.parametrize("fields", WRONG, ids=str)
-def test_a_wrong_field_names_no_worker(state, fields):
-    state.apply_worker_page(page(row("good", GOOD)), False)
+@pytest.mark.parametrize("fields", INVALID, ids=str)
+def test_registration_with_invalid_field_is_ignored(state, fields):
+    state.apply_worker_page(page(row("good", VALID)), False)
     state.apply_worker_page(page(row("bad", changed(**fields))), False)
     assert [each.id for each in state.directory.accepting_workers("s")] == [
         "good"
@@ -154,98 +154,98 @@
 @pytest.mark.parametrize(
     "value", [b"", b"\xff\xfe", b"{", b"[" * 60000, b"9" * 60000, b"null", b"7"]
 )
-def test_bytes_that_are_no_row_name_no_worker(state, value):
-    state.apply_worker_page(page(row("good", GOOD)), False)
+def test_row_that_is_not_valid_json_is_ignored(state, value):
+    state.apply_worker_page(page(row("good", VALID)), False)
     state.apply_worker_page(page(FeedRow("bad", value, at(2))), False)
     assert [each.id for each in state.directory.accepting_workers("s")] == [
         "good"
     ]
 
 
-def test_fields_that_are_not_known_are_left_out():
-    worker = decode_worker(row("w", {**GOOD, "phase": ["any"]}))
+def test_unknown_fields_are_ignored():
+    worker = decode_worker(row("w", {**VALID, "phase": ["any"]}))
     assert (worker.host, worker.port, worker.slots) == ("10.0.0.1", 80, 8)
 
 
-def test_a_worker_that_does_not_tell_its_start_is_used(state):
+def test_worker_without_start_time_gets_requests(state):
     state.apply_worker_page(page(row("w", changed(born=MISSING))), False)
     assert state.directory.accepts_requests("w")
 
 
 @pytest.mark.parametrize("whole", [False, True])
 @pytest.mark.parametrize("after_outage", [False, True])
-def test_one_that_turns_unreadable_names_no_worker_at_once(
+def test_worker_whose_row_turns_unreadable_is_removed_at_once(
     state, whole, after_outage
 ):
-    state.apply_worker_page(page(row("w", GOOD), row("other", GOOD)), False)
-    gone = forgotten(state)
-    rows = [row("w", changed(slots="8"), 2), row("other", GOOD, 2)]
+    state.apply_worker_page(page(row("w", VALID), row("other", VALID)), False)
+    deregistered = collect_deregistered(state)
+    rows = [row("w", changed(slots="8"), 2), row("other", VALID, 2)]
     state.apply_worker_page(page(*rows, version=2, whole=whole), after_outage)
     assert [each.id for each in state.directory.accepting_workers("s")] == [
         "other"
     ]
-    assert gone == ["w"]
+    assert deregistered == ["w"]
 
 
-def test_one_that_is_readable_again_is_used_again(state):
-    state.apply_worker_page(page(row("w", GOOD)), False)
+def test_worker_whose_row_is_readable_again_gets_requests(state):
+    state.apply_worker_page(page(row("w", VALID)), False)
     state.apply_worker_page(page(row("w", changed(slots="8"), 2)), False)
-    state.apply_worker_page(page(row("w", GOOD, 3)), False)
+    state.apply_worker_page(page(row("w", VALID, 3)), False)
     assert state.directory.accepts_requests("w")
 
 
 # A worker that starts again under its id.
 
 
-def test_what_was_known_of_the_incarnation_before_is_forgotten(state):
-    state.apply_worker_page(page(row("w", GOOD)), False)
-    gone = forgotten(state)
+def test_state_of_previous_incarnation_is_forgotten(state):
+    state.apply_worker_page(page(row("w", VALID)), False)
+    deregistered = collect_deregistered(state)
     state.apply_worker_page(page(row("w", changed(sequence=4), 2)), False)
-    assert gone == []
+    assert deregistered == []
     again = changed(born=1790000000007, sequence=1)
     state.apply_worker_page(page(row("w", again, 3)), False)
-    assert gone == ["w"]
+    assert deregistered == ["w"]
     assert state.directory.accepts_requests("w")
 
 
-def test_a_start_whose_clock_is_behind_is_another_one_too(state):
-    state.apply_worker_page(page(row("w", GOOD)), False)
-    gone = forgotten(state)
-    earlier = changed(born=GOOD["born"] - 1, sequence=1)
+def test_incarnation_with_earlier_start_time_is_a_new_one(state):
+    state.apply_worker_page(page(row("w", VALID)), False)
+    deregistered = collect_deregistered(state)
+    earlier = changed(born=VALID["born"] - 1, sequence=1)
     state.apply_worker_page(page(row("w", earlier, 2)), False)
-    assert gone == ["w"]
+    assert deregistered == ["w"]
 
 
 @pytest.mark.parametrize("whole", [False, True])
-def test_a_row_that_comes_late_does_not_bring_the_old_one_back(state, whole):
+def test_late_row_does_not_revive_previous_incarnation(state, whole):
     again = changed(born=1790000000007, address="10.0.0.2:81")
     state.apply_worker_page(page(row("w", again, 5)), False)
-    gone = forgotten(state)
+    deregistered = collect_deregistered(state)
     old = changed(state="draining")
     state.apply_worker_page(page(row("w", old, 4), whole=whole), False)
     worker = state.directory.workers["w"]
     assert (worker.born, worker.host) == (1790000000007, "10.0.0.2")
     assert not worker.draining
-    assert gone == []
+    assert deregistered == []
 
 
-def test_two_starts_within_one_page_are_told_of(state):
-    state.apply_worker_page(page(row("w", GOOD)), False)
-    gone = forgotten(state)
+def test_two_restarts_within_one_page_are_both_reported(state):
+    state.apply_worker_page(page(row("w", VALID)), False)
+    deregistered = collect_deregistered(state)
     first = row("w", changed(born=1790000000007), 2)
     second = row("w", changed(born=1790000000900, version="v2"), 3)
     state.apply_worker_page(page(first, second), False)
-    assert gone == ["w", "w"]
+    assert deregistered == ["w", "w"]
     assert state.directory.workers["w"].version == "v2"
 
 
-def test_one_that_is_back_from_an_outage_as_another_start(state):
-    state.apply_worker_page(page(row("w", GOOD)), False)
+def test_worker_that_restarted_during_outage_is_a_new_incarnation(state):
+    state.apply_worker_page(page(row("w", VALID)), False)
     state.apply_worker_page(page(version=2, whole=True), True)
-    gone = forgotten(state)
+    deregistered = collect_deregistered(state)
     again = changed(born=1790000000007)
     state.apply_worker_page(page(row("w", again, 3)), False)
-    assert gone == ["w"]
+    assert deregistered == ["w"]
     assert state.directory.missing == {}
 
 
@@ -253,13 +253,13 @@
 
 
 @settings(deadline=None)
-@given(st.dictionaries(st.sampled_from([*GOOD, "more"]), JSON), st.binary())
-def test_any_row_is_a_worker_or_is_refused(fields, value):
+@given(st.dictionaries(st.sampled_from([*VALID, "more"]), JSON), st.binary())
+def test_any_row_is_decoded_or_reported_as_unreadable(fields, value):
     metrics = Metrics()
     rows = [
         FeedRow("bytes", value, at(1)),
-        row("fields", {**GOOD, **fields}, 2),
-        row("good", GOOD, 3),
+        row("fields", {**VALID, **fields}, 2),
+        row("good", VALID, 3),
     ]
     found = list(feeds.worker_news(metrics)(page(*rows)))
     assert len(found) == 3
@@ -274,7 +274,7 @@
 
 @settings(deadline=None)
 @given(st.dictionaries(st.sampled_from(["version", "routes"]), JSON), JSON)
-def test_any_operators_row_is_read_or_left_out(fields, order):
+def test_any_operator_row_is_read_or_ignored(fields, order):
     rows = [
         row(manifest.KEY, {**manifest_document(), **fields}),
         row("rollout/s", order, 2),
@@ -286,8 +286,8 @@
 
 
 @settings(deadline=None)
-@given(MESSAGE_PACK)
-def test_any_packed_document_is_read_or_refused(document):
+@given(MSGPACK)
+def test_any_packed_document_is_read_or_rejected(document):
     packed = zlib.compress(msgpack.packb(document))
     for kind in (Snapshot, TableUpdate, KnownStates, StateDiff, QueueUpdate):
         try:
@@ -298,7 +298,7 @@
 
 @settings(deadline=None)
 @given(st.binary() | JSON.map(lambda made: json.dumps(made).encode()))
-def test_any_message_is_read_or_refused(value):
+def test_any_message_is_read_or_rejected(value):
     kinds = (
         EntryState,
         StateUpdate,
--- a/tests/relay/test_termination_checks.py
+++ b/tests/relay/test_termination_checks.py
@@ -15,7 +15,7 @@
 EXPIRY_S = 3.6  # Three heartbeats.
 
 
-def make_ends():
+def make_checks():
     return TerminationChecks(ManualClock(), EXPIRY_S)
 
 
@@ -26,17 +26,17 @@
     return server, make_worker("w1", host=host, port=int(port))
 
 
-async def test_a_worker_that_listens_has_not_ended():
+async def test_worker_that_listens_has_not_terminated():
     server, worker = await make_listener()
-    ends = make_ends()
-    assert not await ends.has_terminated(worker)
-    assert ends.terminated_at == {}
+    checks = make_checks()
+    assert not await checks.has_terminated(worker)
+    assert checks.terminated_at == {}
     await server.stop()
     # What held a moment ago is looked at again.
-    assert await ends.has_terminated(worker)
+    assert await checks.has_terminated(worker)
 
 
-async def test_answers_that_break_together_share_one_check(monkeypatch):
+async def test_answers_that_break_off_together_share_one_check(monkeypatch):
     asked = []
 
     async def listens(host, port, timeout_s):
@@ -45,45 +45,45 @@
         return True
 
     monkeypatch.setattr(module, "listens", listens)
-    ends = make_ends()
-    checks = [ends.has_terminated(make_worker("w1")) for _ in range(12)]
-    assert await asyncio.gather(*checks) == [False] * 12
+    checks = make_checks()
+    results = [checks.has_terminated(make_worker("w1")) for _ in range(12)]
+    assert await asyncio.gather(*results) == [False] * 12
     assert asked == [1]
 
 
-async def test_a_worker_that_cannot_be_reached_may_live(monkeypatch):
+async def test_unreachable_worker_may_be_running(monkeypatch):
     async def listens(host, port, timeout_s):
         return None
 
     monkeypatch.setattr(module, "listens", listens)
-    assert not await make_ends().has_terminated(make_worker("w1"))
+    assert not await make_checks().has_terminated(make_worker("w1"))
 
 
-async def test_a_caller_that_leaves_does_not_end_the_check_of_others():
+async def test_cancelled_caller_does_not_cancel_check_of_others():
     server, worker = await make_listener()
     await server.stop()
-    ends = make_ends()
-    leaving = asyncio.ensure_future(ends.has_terminated(worker))
-    staying = asyncio.ensure_future(ends.has_terminated(worker))
+    checks = make_checks()
+    leaving = asyncio.ensure_future(checks.has_terminated(worker))
+    staying = asyncio.ensure_future(checks.has_terminated(worker))
     await asyncio.sleep(0)
     leaving.cancel()
     assert await staying
 
 
-async def test_a_worker_that_ended_is_passed_over_until_it_starts_anew():
+async def test_terminated_worker_is_excluded_until_its_next_incarnation():
     server, worker = await make_listener()
     await server.stop()
-    ends = make_ends()
+    checks = make_checks()
     other = make_worker("w2")
-    assert await ends.has_terminated(worker)
-    assert ends.running([worker, other]) == [other]
-    again = attrs.evolve(worker, born=8)
-    assert ends.running([again]) == [again]
+    assert await checks.has_terminated(worker)
+    assert checks.running([worker, other]) == [other]
+    restarted = attrs.evolve(worker, born=8)
+    assert checks.running([restarted]) == [restarted]
     # One that starts under its id and tells no birth is not shut out for good.
-    ends.clock.now += EXPIRY_S
-    assert ends.running([worker]) == [worker]
-    ends.record_terminated("w2")
-    assert list(ends.terminated_at) == ["w2"]
+    checks.clock.now += EXPIRY_S
+    assert checks.running([worker]) == [worker]
+    checks.record_terminated("w2")
+    assert list(checks.terminated_at) == ["w2"]
 
 
 ACME, OTHER = Workspace("acme"), Workspace("other")
@@ -102,8 +102,8 @@
         ({"route": make_route(host="other")}, False),
     ],
 )
-def test_the_content_of_a_request_outlives_its_attempt(more, same):
+def test_content_key_is_same_for_each_attempt(more, same):
     fields = {"method": "POST", "workspace": ACME, "body": b"text"}
     first = make_request(**fields)
-    again = make_request(**{**fields, **more})
-    assert (again.content == first.content) is same
+    restarted = make_request(**{**fields, **more})
+    assert (restarted.content == first.content) is same
