--- a/tests/relay/test_crashing_requests.py
+++ b/tests/relay/test_crashing_requests.py
@@ -1,21 +1,15 @@
 """A request that crashes each worker that runs it reaches few of them.
 
-What users saw: within seconds nine of nine model workers ended, came back and
-ended again, and whole kinds of requests went unserved, four times in a day. The
-order of events: one request came to an entry, which sent it to a worker; the
-worker crashed 0.2 s later; the entry took the broken answer as that worker's
-failure and sent the request to the next one, and to a third, which crashed as
-well, along with all that ran there. The caller, or another one with the same
-request, came to another entry, which knew nothing of it and did the same.
-
-The cause: a failure was only ever put down to the worker. Nothing remembered
-what a request had done, neither from one send to the next, nor from attempt to
-attempt, nor between entries.
-
-The evidence: of 16 workers whose end the logs cover, one session was under way
-at 15 and the next most frequent at 4; three ends within 0.55 s followed one
-request from worker to worker; one worker ended with that request alone under
-way; and between such requests no worker ended.
+If a broken answer counted against its worker only, an entry would send such a
+request to one worker after the other, and callers would repeat it on other
+entries. This crashed nine of nine model workers within seconds, 0.2 s after
+each upstream request, together with all requests that ran there, four times in
+a day; some kinds of requests were not served at all.
+
+The request is the cause, not the workers: in the logs of 16 crashes, one
+session ran on 15 of the workers and the next most frequent one on 4, and three
+crashes within 0.55 s followed one request from worker to worker. One worker
+crashed with such a request alone in flight, and none crashed between them.
 """
 
 import asyncio
@@ -33,10 +27,12 @@
 
 ENTRIES = 3
 WORKERS = 9
-# Operators take three ended workers for one request; what is under way at other
-# entries when the third ends may end one more each.
+# Operators accept three crashed workers for one request. Requests in flight on
+# other entries at the third crash may crash one more each.
 MAX_CRASHED = 3 + ENTRIES - 1
-REPEAT_INTERVAL_S = 0.1  # The deadly request comes again, at any entry.
+REPEAT_INTERVAL_S = (
+    0.1  # Between arrivals of the crashing request, at any entry.
+)
 REPEAT_DURATION_S = 3.0
 
 
@@ -47,7 +43,7 @@
 
 
 async def add_entries(site):
-    """Starts entries that know each other."""
+    """Starts entries and waits until they know each other."""
     entries = [
         await site.add_entry(f"entry-{number}") for number in range(ENTRIES)
     ]
@@ -56,7 +52,7 @@
 
 
 async def repeat(site, path, kind):
-    """Sends the deadly request again and again; returns the answers."""
+    """Sends the crashing request repeatedly; returns the answers."""
     loop = asyncio.get_running_loop()
     end = loop.time() + REPEAT_DURATION_S
     asked = []
@@ -80,15 +76,15 @@
     )
 
 
-CONCURRENT_STREAMS = 12  # Streams that run at the same worker.
-START_S = 0.2  # Until they all run there.
-CRASH_S = 1.0  # Until it ends; by then the others are known.
+CONCURRENT_STREAMS = 12  # Streams on the same worker.
+START_S = 0.2  # Until all streams run there.
+CRASH_S = 1.0  # Until the worker crashes; by then the others are registered.
 
 
 async def run_concurrent_streams(site):
-    """Streams beside the deadly request; returns how many came whole.
+    """Runs streams beside the crashing request; returns how many complete.
 
-    All begin at the only worker; others are there by the time that it ends.
+    All start on the only worker; others have registered when it crashes.
     """
     more = {"event_gap_s": 0.4, "crash_s": CRASH_S}
     pool = await start_crashing_pool(site, "engine", 1, **more)
@@ -108,7 +104,7 @@
     for _ in range(WORKERS - 1):
         await pool.add()
     await until(lambda: len(entry.state.directory.workers) == WORKERS)
-    # Some are much busier than others, so that the same one is best for all.
+    # Loads differ widely, so that one worker is the best choice for all.
     loads = entry.edge.dispatcher.loads
     for number in range(1, WORKERS):
         loads.record_report(f"w{number}", ReportedLoad(20 * number, 0, 128))
@@ -135,11 +131,11 @@
     await add_entries(site)
     answers = await repeat(site, path, ask)
     assert len(pool.crash_times) <= MAX_CRASHED
-    # It is no success, and a promise that it did not run is true.
+    # It never succeeds, and 503 is answered only if it did not run.
     assert {answer.status for answer in answers} <= {502, 503}
     promised = sum(answer.status == 503 for answer in answers)
     assert len(answers) - promised <= pool.count_crashing_runs()
-    # All others are served by the workers that are left.
+    # Other requests are served by the remaining workers.
     served = [await ask(site, path, f"entry-{n}", b"usual") for n in range(3)]
     assert all(answer.status == 200 and answer.whole for answer in served)
     if kind == "stream":
@@ -204,7 +200,7 @@
     await site.add_entry()
     await ask_engine(site, "/chat/x", "entry-1", CRASHING_BODY)
     assert len(pool.crash_times) == 3
-    # Only its first end may be its worker's own doing.
+    # Only the first crash may be the fault of the worker.
     assert len(judged) == 1
 
 
--- a/tests/relay/test_footprint.py
+++ b/tests/relay/test_footprint.py
@@ -1,4 +1,7 @@
-"""An entry loads what its path uses: many start at once, on half a core."""
+"""An entry loads only the modules that it uses.
+
+Many entries may start at once, each on half a core.
+"""
 
 import subprocess
 import sys
@@ -11,8 +14,8 @@
 LIST_MODULES = (
     "import sys, rattanpier._internal.cli.relay; print(*sorted(sys.modules))"
 )
-# Names the classes of state, which have identity, for which methods are made
-# that they have no use for.
+# Lists mutable attrs classes with generated `__eq__` or `__repr__`: they are
+# compared by identity, so that generating these methods only costs start time.
 LIST_GENERATED_METHODS = """
 import sys, attrs, rattanpier._internal.cli.relay
 for module in [m for n, m in sys.modules.items() if n.startswith("rattanpier")]:
@@ -51,7 +54,7 @@
 )
 
 
-# Of aiohttp's server the path of a request uses the lower half.
+# Requests use only the low-level part of aiohttp's server.
 UNUSED_MODULES = (
     "aiohttp.web",
     "aiohttp.web_app",
@@ -63,7 +66,7 @@
 
 @pytest.fixture(scope="module")
 def loaded():
-    """The modules that an entry has loaded when it begins to start."""
+    """Returns the modules that importing an entry's program loads."""
     made = subprocess.run(
         [sys.executable, "-c", LIST_MODULES],
         check=True,
--- a/tests/relay/test_leaving_workers.py
+++ b/tests/relay/test_leaving_workers.py
@@ -1,4 +1,7 @@
-"""Workers that say in their answers that they leave, before real entries."""
+"""Workers that announce in their answers that they are leaving.
+
+The entries and workers run on real sockets.
+"""
 
 import asyncio
 
@@ -15,7 +18,7 @@
 
 
 async def ask_until_answered(site, path="/safe/x", **more):
-    """Asks until an answer of w1 came, and returns how often it ran by then."""
+    """Sends requests until w1 answers one; returns the runs of w1 by then."""
     worker = site.workers["w1"]
     before = len(worker.runs)
     while len(worker.runs) == before:
@@ -29,7 +32,7 @@
     await site.add_entry()
     site.workers["w1"].leaving = True
     runs = await ask_until_answered(site)
-    # Its row says that it is ready, and goes on saying so.
+    # Its registration still says that it is ready.
     site.register("w1", sequence=2)
     for _ in range(40):
         assert (await site.ask()).status == 200
@@ -38,7 +41,7 @@
 
 
 async def add_entries(site, count):
-    """Entries that know each other."""
+    """Starts entries and waits until they know each other."""
     first = await site.add_entry("entry-1")
     seeds = [str(first.settings.peers)]
     for number in range(2, count + 1):
@@ -121,7 +124,7 @@
     site.register("w1", born=2)
     await until(lambda: not is_leaving(entry))
     assert (await site.ask()).status == 200
-    # A late answer of the former start.
+    # A late answer of the previous incarnation.
     entry.state.directory.record_leaving(before)
     assert not is_leaving(entry)
 
--- a/tests/relay/test_partitioned_entry.py
+++ b/tests/relay/test_partitioned_entry.py
@@ -1,10 +1,9 @@
-"""A cut that looks like the end of workers holds no request that is sound.
+"""A partitioned entry does not quarantine requests that crash no worker.
 
-What is feared: an entry is cut off so that its connections to workers are
-refused. Answers break off, no process seems to listen, and each such worker
-counts as ended under what was under way there. Three of them hold a request
-that ends nobody, at all entries and for ten minutes, though the others see that
-the workers live.
+To an entry whose connections to workers are refused, each worker seems to have
+crashed under the requests that ran there. Three such crashes quarantine a
+request on all entries for ten minutes, although the peers see that the workers
+are running.
 """
 
 import pytest
@@ -13,9 +12,8 @@
 
 CONTENT = "a request that ends nobody"
 WORKERS = ("w1", "w2", "w3")
-LIVENESS_TIMEOUT_S = (
-    2.0  # For the others to look at the workers, and to say so.
-)
+# Within this time peers check the workers and publish that they are running.
+LIVENESS_TIMEOUT_S = 2.0
 
 
 @pytest.fixture
@@ -35,7 +33,7 @@
 
 
 async def partition(site, name):
-    """Lets an entry find that all workers ended."""
+    """Lets an entry record that all workers crashed under one request."""
     directory = site.entries[name].state.directory
     for worker in directory.workers.values():
         quarantine_of(site, name).record_crash(CONTENT, worker.incarnation)
--- a/tests/relay/test_restarts.py
+++ b/tests/relay/test_restarts.py
@@ -1,4 +1,4 @@
-"""Workers that start again under their id, at a site of real sockets."""
+"""Workers that restart under the same id, on real sockets."""
 
 import asyncio
 
@@ -20,7 +20,7 @@
 
 
 async def restart(site, name, born, **more):
-    """Ends a worker at once and starts it under its id, at another address."""
+    """Stops a worker and starts it under the same id at another address."""
     await site.workers[name].stop()
     runs = site.workers[name].runs
     restarted = await add_engine(site, name)
--- a/tests/relay/test_rows.py
+++ b/tests/relay/test_rows.py
@@ -1,4 +1,8 @@
-"""What other writers leave in the store's tables, and what peers send."""
+"""Decoding of rows that others write to the store, and of peers' messages.
+
+Invalid input must neither raise nor yield a worker; registrations of several
+incarnations of a worker must be told apart.
+"""
 
 import enum
 import json
@@ -49,12 +53,13 @@
     "born": 1790000000000,
 }
 MISSING = enum.Enum("Missing", "FIELD").FIELD
-# Few letters, but those that decide: whole Unicode takes seconds to draw from.
+# Only characters that matter to the parsers: drawing from all of Unicode takes
+# seconds.
 TEXT = st.text(alphabet='a1٨:.[{"', max_size=8)
 
 
 def documents(scalars):
-    """Documents of some scalars, lists and objects."""
+    """Returns a strategy for documents of scalars, lists and objects."""
     return st.recursive(
         st.none() | st.booleans() | st.floats() | TEXT | scalars,
         lambda inner: st.lists(inner) | st.dictionaries(TEXT, inner),
@@ -63,7 +68,7 @@
 
 
 JSON = documents(st.integers())
-# Its integers have 64 bits, and it has bytes.
+# MessagePack has 64-bit integers, and bytes.
 MSGPACK = documents(st.integers(-(2**63), 2**64 - 1) | st.binary())
 
 
@@ -97,7 +102,7 @@
 
 
 def collect_deregistered(state):
-    """The ids that the state tells to be forgotten, as they come."""
+    """Returns a list that collects the ids of deregistered workers."""
     found = []
     state.deregistered.subscribe(found.append)
     return found
@@ -194,7 +199,7 @@
     assert state.directory.accepts_requests("w")
 
 
-# A worker that starts again under its id.
+# A worker that restarts under the same id.
 
 
 def test_state_of_previous_incarnation_is_forgotten(state):
@@ -249,7 +254,7 @@
     assert state.directory.missing == {}
 
 
-# Any bytes at all.
+# Arbitrary input.
 
 
 @settings(deadline=None)
--- a/tests/relay/test_termination_checks.py
+++ b/tests/relay/test_termination_checks.py
@@ -1,4 +1,4 @@
-"""Whether a broken answer was the end of its worker."""
+"""Detection of terminated workers after an answer broke off."""
 
 import asyncio
 
@@ -32,7 +32,7 @@
     assert not await checks.has_terminated(worker)
     assert checks.terminated_at == {}
     await server.stop()
-    # What held a moment ago is looked at again.
+    # A negative result is not cached.
     assert await checks.has_terminated(worker)
 
 
@@ -79,7 +79,8 @@
     assert checks.running([worker, other]) == [other]
     restarted = attrs.evolve(worker, born=8)
     assert checks.running([restarted]) == [restarted]
-    # One that starts under its id and tells no birth is not shut out for good.
+    # A worker that restarts under its id and reports no start time is excluded
+    # only until the old registration would have expired.
     checks.clock.now += EXPIRY_S
     assert checks.running([worker]) == [worker]
     checks.record_terminated("w2")
