--- a/src/rattanpier/_internal/relay/deregistrations.py
+++ b/src/rattanpier/_internal/relay/deregistrations.py
@@ -150,7 +150,7 @@
     def add_pending(self, worker: RegisteredWorker) -> None:
         """Adds a registration that may be outdated.
 
-        The waiting time starts anew only in a new era.
+        The waiting time starts again only for another incarnation or era.
         """
         known = self.pending.get(worker.id)
         if known is not None and same_incarnation_and_era(known.worker, worker):
--- a/src/rattanpier/_internal/relay/directory.py
+++ b/src/rattanpier/_internal/relay/directory.py
@@ -31,8 +31,8 @@
 # missing after that are removed.
 REREGISTRATION_TIMEOUT_S = 2.0
 DEFAULT_REGISTRATION_TTL_S = 3.6  # Three default heartbeats.
-# Bounds `WorkerDirectory.seen` and `leaving`; an incarnation that was evicted
-# counts as new again.
+# Bounds `WorkerDirectory.seen` and `leaving`. An incarnation that was evicted
+# from `seen` counts as new again.
 MAX_INCARNATIONS = 4096
 
 
