--- a/src/rattanpier/_internal/relay/state.py
+++ b/src/rattanpier/_internal/relay/state.py
@@ -98,7 +98,7 @@
             self.domains.apply_order(order, "store")
 
     def engine_services(self) -> list[str]:
-        """Returns the services whose workers are model engine_services."""
+        """Returns the services whose workers are model engines."""
         if self.table is None:
             return []
         services = self.table.services.values()
