--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -22,27 +22,27 @@
 import attrs
 import numpy as np
 
-from rattanpier._internal.rollout.course import Course
+from rattanpier._internal.rollout.evaluation import RolloutEvaluation
 from rattanpier._internal.rollout.evidence import (
-    BUCKETS,
-    LATENCY_EDGES_S,
+    BUCKET_COUNT,
+    LATENCY_BUCKET_EDGES_S,
     Counts,
     Measure,
-    Pair,
-    slow_bucket,
+    VersionCounts,
+    first_slow_bucket,
     trials_of,
 )
-from rattanpier._internal.rollout.judge import (
-    EVERYONE,
+from rattanpier._internal.rollout.paired_evaluator import (
+    ALL_WORKSPACES,
     Batch,
     Halt,
-    Judge,
     Narrow,
+    PairedEvaluator,
     Widen,
 )
 from rattanpier._internal.rollout.sequential import (
-    RATIOS,
-    ChangeTest,
+    ALTERNATIVE_RATIOS,
+    ChangePointTest,
     paired_factors,
 )
 
@@ -65,7 +65,7 @@
 MIN_ATTEMPTS, MIN_RATED = 50, 20
 MEASURES = tuple(Measure)
 
-Totals = Callable[[], dict[str, Pair]]
+Totals = Callable[[], dict[str, VersionCounts]]
 
 
 @attrs.frozen
@@ -102,7 +102,7 @@
 
     edges = [
         0.5 * (1 + erf(log(edge / median_s) / SIGMA / sqrt(2)))
-        for edge in LATENCY_EDGES_S
+        for edge in LATENCY_BUCKET_EDGES_S
     ]
     return np.diff([0.0, *edges, 1.0])
 
@@ -128,7 +128,7 @@
         self.late: collections.deque = collections.deque()
         shape = (len(WORKSPACES), 2)
         self.sums = np.zeros((*shape, 5), dtype=np.int64)
-        self.histogram = np.zeros((*shape, BUCKETS), dtype=np.int64)
+        self.histogram = np.zeros((*shape, BUCKET_COUNT), dtype=np.int64)
         self.exposed = 0
         self.bad = 0
 
@@ -182,10 +182,10 @@
         if fault.slowdown > 1:
             self.bad += int(latency[affected][:, 10:].sum())
 
-    def totals(self) -> dict[str, Pair]:
+    def totals(self) -> dict[str, VersionCounts]:
         """Returns the sums by workspace."""
         return {
-            name: Pair(self.counts(row, 0), self.counts(row, 1))
+            name: VersionCounts(self.counts(row, 0), self.counts(row, 1))
             for row, name in enumerate(WORKSPACES)
         }
 
@@ -200,16 +200,18 @@
 class ByEvidence:
     """The product's course of judgement."""
 
-    def __init__(self, judge: Callable[[], Judge] = Judge) -> None:
-        self.course = Course(judge=judge())
+    def __init__(
+        self, evaluator: Callable[[], PairedEvaluator] = PairedEvaluator
+    ) -> None:
+        self.evaluation = RolloutEvaluation(paired_evaluator=evaluator())
         self.share = 0.0
         self.full = False
         self.narrowed = 0
 
     def step(self, now: float, totals: Totals) -> Halt | None:
         """Takes in evidence; sets the share; returns a halt."""
-        self.course.observe(totals())
-        match self.course.decide(self.share, 1.0):
+        self.evaluation.observe(totals())
+        match self.evaluation.decide(self.share, 1.0):
             case Halt() as halt:
                 return halt
             case Widen(share):
@@ -222,51 +224,59 @@
     def change(self, share: float) -> None:
         """Sets the share."""
         self.share = share
-        self.course.share_changed()
+        self.evaluation.start_share_step()
         self.full = self.full or share >= 1.0
 
 
-class NoRestart(Judge):
+class NoRestart(PairedEvaluator):
     """Betting, from the start only: no restarts for later changes."""
 
-    def judge(self, workspace: str, measure: Measure, batch: Batch) -> None:
+    def update_tests(
+        self, workspace: str, measure: Measure, batch: Batch
+    ) -> None:
         """Updates products of likelihood ratios from the first batch on."""
         if not batch.stable.bad and not batch.candidate.bad:
             return
         factors = paired_factors(
             batch.stable, batch.candidate, self.policy.tolerance
         )
-        for scope in (EVERYONE, workspace):
+        for scope in (ALL_WORKSPACES, workspace):
             test = self.tests.setdefault(
-                (scope, measure), ChangeTest([1.0] * len(RATIOS))
+                (scope, measure),
+                ChangePointTest([1.0] * len(ALTERNATIVE_RATIOS)),
             )
-            test.sums = [
+            test.ratio_sums = [
                 total * factor
-                for total, factor in zip(test.sums, factors, strict=True)
+                for total, factor in zip(test.ratio_sums, factors, strict=True)
             ]
-            if test.value >= self.limit(scope) and self.worst is None:
-                self.worst = Halt(measure, scope, test.value)
+            if (
+                test.value >= self.halt_threshold(scope)
+                and self.first_halt is None
+            ):
+                self.first_halt = Halt(measure, scope, test.value)
 
 
-class NormalMixture(Judge):
+class NormalMixture(PairedEvaluator):
     """Always-valid difference of shares: a normal mixture (mSPRT)."""
 
     def __init__(self) -> None:
         super().__init__()
         self.sides: dict = collections.defaultdict(Batch)
 
-    def judge(self, workspace: str, measure: Measure, batch: Batch) -> None:
+    def update_tests(
+        self, workspace: str, measure: Measure, batch: Batch
+    ) -> None:
         """Updates the difference of shares and its mixture."""
-        for scope in (EVERYONE, workspace):
+        for scope in (ALL_WORKSPACES, workspace):
             side = self.sides[scope, measure]
             side.stable += batch.stable
             side.candidate += batch.candidate
             value = normal_mixture(side, self.policy.tolerance)
-            self.tests.setdefault((scope, measure), ChangeTest()).sums = [
-                value
-            ] * len(RATIOS)
-            if value >= self.limit(scope) and self.worst is None:
-                self.worst = Halt(measure, scope, value)
+            self.tests.setdefault(
+                (scope, measure), ChangePointTest()
+            ).ratio_sums = [value] * len(ALTERNATIVE_RATIOS)
+            if value >= self.halt_threshold(scope) and self.first_halt is None:
+                self.first_halt = Halt(measure, scope, value)
 
 
 def normal_mixture(side: Batch, tolerance: float) -> float:
@@ -306,7 +316,7 @@
         self.began: float | None = None
         self.past: collections.deque = collections.deque()
         self.checked = 0.0
-        self.reference: dict[str, Pair] | None = None
+        self.reference: dict[str, VersionCounts] | None = None
         self.highest: collections.Counter = collections.Counter()
 
     def step(self, now: float, totals: Totals) -> Halt | None:
@@ -327,14 +337,14 @@
             return None
         return self.check(self.past[-1][1], self.past[0][1])
 
-    def check(self, last: Pair, first: Pair) -> Halt | None:
+    def check(self, last: VersionCounts, first: VersionCounts) -> Halt | None:
         """Compares the window with the stable, or with its past."""
         candidate = last.candidate - first.candidate
         stable = last.stable - first.stable
         if self.reference is not None:
             past = add_up(self.reference)
             stable = past.stable + past.candidate
-        slow_from = slow_bucket(stable.latency, 0.9)
+        slow_from = first_slow_bucket(stable.latency, 0.9)
         for measure in MEASURES:
             least = MIN_RATED if measure is Measure.POOR else MIN_ATTEMPTS
             usual = trials_of(stable, measure, slow_from)
@@ -344,13 +354,13 @@
             rise = present.bad / present.total - usual.bad / usual.total
             self.highest[measure] = max(self.highest[measure], rise)
             if rise > self.thresholds.rises.get(measure, float("inf")):
-                return Halt(measure, EVERYONE, 0.0)
+                return Halt(measure, ALL_WORKSPACES, 0.0)
         return None
 
 
-def add_up(totals: dict[str, Pair]) -> Pair:
+def add_up(totals: dict[str, VersionCounts]) -> VersionCounts:
     """Returns the sums over all workspaces."""
-    return Pair(
+    return VersionCounts(
         sum((pair.stable for pair in totals.values()), Counts()),
         sum((pair.candidate for pair in totals.values()), Counts()),
     )
--- a/src/rattanpier/_internal/rollout/changes.py
+++ b/src/rattanpier/_internal/rollout/changes.py
@@ -27,8 +27,8 @@
     RolloutState,
     VersionState,
 )
-from rattanpier._internal.rollout.judge import FULL_SHARE
 from rattanpier._internal.rollout.lease import HeldLease
+from rattanpier._internal.rollout.paired_evaluator import FULL_SHARE
 from rattanpier._internal.store.table import Table
 from rattanpier._internal.utils.clock import Clock
 
--- a/src/rattanpier/_internal/rollout/collect.py
+++ b/src/rattanpier/_internal/rollout/collect.py
@@ -23,14 +23,14 @@
 from rattanpier._internal.peers.links import Links
 from rattanpier._internal.peers.proto import peer_pb2
 from rattanpier._internal.rollout.evidence import (
-    NO_LATENCY,
-    NOTHING,
+    EMPTY_HISTOGRAM,
+    NO_COUNTS,
     Counts,
-    Pair,
+    VersionCounts,
     latency_bucket,
 )
-from rattanpier._internal.rollout.judge import Judge
 from rattanpier._internal.rollout.ledger import pair_up
+from rattanpier._internal.rollout.paired_evaluator import PairedEvaluator
 from rattanpier._internal.rollout.records import EvidenceRow, EvidenceRows
 from rattanpier._internal.routing.brakes import Brakes
 from rattanpier._internal.utils.clock import Clock
@@ -82,7 +82,7 @@
     metrics: Metrics
     sums: dict[tuple[str, str], Counts] = attrs.Factory(dict)
     sending: dict[tuple[str, str], SentRow] = attrs.Factory(dict)
-    judges: dict[str, Judge] = attrs.Factory(dict)
+    judges: dict[str, PairedEvaluator] = attrs.Factory(dict)
     braked: set[str] = attrs.Factory(set)
     watched: dict[str, Rollout] = attrs.Factory(dict)
     turn: int = 0
@@ -95,7 +95,7 @@
 
     def take_attempt(self, result: AttemptResult) -> None:
         """Counts one attempt."""
-        latency = NO_LATENCY
+        latency = EMPTY_HISTOGRAM
         if result.first_token_s is not None:
             bucket = latency_bucket(result.first_token_s)
             latency = (*latency[:bucket], 1, *latency[bucket + 1 :])
@@ -119,7 +119,7 @@
         if not self.is_watched(version):
             return
         key = (workspace, version)
-        self.sums[key] = self.sums.get(key, NOTHING) + counts
+        self.sums[key] = self.sums.get(key, NO_COUNTS) + counts
         self.sending.setdefault(key, SentRow()).sequence += 1
 
     def is_watched(self, version: str) -> bool:
@@ -141,7 +141,7 @@
             if not same_versions(rollout, self.watched.get(name)):
                 self.start(name, rollout)
             elif rollout.share != self.watched[name].share:
-                self.judges[name].share_changed()
+                self.judges[name].start_share_step()
         for name in self.judges.keys() - watched.keys():
             del self.judges[name]
             self.braked.discard(name)
@@ -149,10 +149,10 @@
 
     def start(self, name: str, rollout: Rollout) -> None:
         """Begins to judge a roll-out; what came before does not count."""
-        self.judges[name] = Judge()
-        self.judges[name].adopt(self.pairs(rollout))
+        self.judges[name] = PairedEvaluator()
+        self.judges[name].start_from(self.pairs(rollout))
 
-    def pairs(self, rollout: Rollout) -> dict[str, Pair]:
+    def pairs(self, rollout: Rollout) -> dict[str, VersionCounts]:
         """Returns this entry's own sums for a roll-out, by workspace."""
         return pair_up(self.sums, rollout.stable, rollout.candidate)
 
@@ -183,12 +183,12 @@
             self.start(name, rollout)
         judge = self.judges[name]
         judge.observe(self.pairs(rollout))
-        if judge.worst is None or rollout.candidate in self.brakes:
+        if judge.first_halt is None or rollout.candidate in self.brakes:
             return
         self.braked.add(name)
         self.metrics.count("rollout.local_brake")
         self.brakes.apply(
-            rollout.candidate, judge.worst.reason, self.me.name, name
+            rollout.candidate, judge.first_halt.reason, self.me.name, name
         )
 
     def send(self, name: str, rollout: Rollout, driver: Member) -> None:
--- a/src/rattanpier/_internal/rollout/driver.py
+++ b/src/rattanpier/_internal/rollout/driver.py
@@ -29,19 +29,19 @@
 from rattanpier._internal.peers.proto import peer_pb2
 from rattanpier._internal.rollout.changes import Change, Writer, halt, set_share
 from rattanpier._internal.rollout.collect import find_driver, same_versions
-from rattanpier._internal.rollout.course import Course
-from rattanpier._internal.rollout.evidence import Pair
-from rattanpier._internal.rollout.judge import (
+from rattanpier._internal.rollout.evaluation import RolloutEvaluation
+from rattanpier._internal.rollout.evidence import VersionCounts
+from rattanpier._internal.rollout.lease import HeldLease, take_lease
+from rattanpier._internal.rollout.ledger import Ledger
+from rattanpier._internal.rollout.paired_evaluator import (
     Decision,
     Halt,
     Hold,
     Narrow,
     Widen,
 )
-from rattanpier._internal.rollout.lease import HeldLease, take_lease
-from rattanpier._internal.rollout.ledger import Ledger
 from rattanpier._internal.rollout.records import EvidenceRows, reference_key
-from rattanpier._internal.rollout.watch import Reference
+from rattanpier._internal.rollout.regression_monitor import Reference
 from rattanpier._internal.routing.brakes import Brakes
 from rattanpier._internal.store.table import Put, Table, Transaction
 from rattanpier._internal.utils.clock import Clock
@@ -69,7 +69,7 @@
 
     rollout: Rollout
     ledger: Ledger
-    course: Course = attrs.Factory(Course)
+    course: RolloutEvaluation = attrs.Factory(RolloutEvaluation)
     held: HeldLease | None = None
     decision: Decision = attrs.Factory(lambda: Hold("no evidence yet"))
     braked: bool = False
@@ -95,7 +95,7 @@
     brakes: Brakes
     metrics: Metrics
     accepted: Callable[[Revision], None]
-    make_course: Callable[[], Course] = Course
+    make_evaluation: Callable[[], RolloutEvaluation] = RolloutEvaluation
     ledgers: dict[str, Ledger] = attrs.Factory(dict)
     drives: dict[str, Drive] = attrs.Factory(dict)
 
@@ -168,11 +168,11 @@
         drive = self.drives.get(name)
         if drive is None or self.is_stale(drive, rollout):
             ledger = self.ledgers.setdefault(name, Ledger())
-            drive = Drive(rollout, ledger, self.make_course())
-            drive.course.adopt(self.totals(drive))
+            drive = Drive(rollout, ledger, self.make_evaluation())
+            drive.course.start_from(self.totals(drive))
             self.drives[name] = drive
         elif drive.rollout.share != rollout.share:
-            drive.course.share_changed()
+            drive.course.start_share_step()
         drive.rollout = rollout
         return drive
 
@@ -185,7 +185,7 @@
         lifted = drive.braked and rollout.candidate not in self.brakes
         return lifted or not same_versions(rollout, drive.rollout)
 
-    def totals(self, drive: Drive) -> dict[str, Pair]:
+    def totals(self, drive: Drive) -> dict[str, VersionCounts]:
         """Returns the sums of all entries, by workspace."""
         members = self.members.live.value.values()
         live = {incarnation_id(member) for member in members}
@@ -236,7 +236,7 @@
             return
         if row is not None:
             # An earlier driver's past is longer than what was seen here.
-            drive.course.use(decode(Reference, row.value))
+            drive.course.restore_reference(decode(Reference, row.value))
             drive.stored = True
         drive.held = held
         log.info("Driving.", rollout=name, epoch=held.lease.epoch)
--- a/src/rattanpier/_internal/rollout/evidence.py
+++ b/src/rattanpier/_internal/rollout/evidence.py
@@ -9,9 +9,9 @@
 
 # Upper edges in seconds of the buckets of the time to the first token; one
 # more bucket holds what took longer.
-LATENCY_EDGES_S = tuple(0.02 * 1.5**step for step in range(15))
-BUCKETS = len(LATENCY_EDGES_S) + 1
-NO_LATENCY = (0,) * BUCKETS
+LATENCY_BUCKET_EDGES_S = tuple(0.02 * 1.5**step for step in range(15))
+BUCKET_COUNT = len(LATENCY_BUCKET_EDGES_S) + 1
+EMPTY_HISTOGRAM = (0,) * BUCKET_COUNT
 
 
 class Measure(enum.StrEnum):
@@ -41,7 +41,7 @@
     truncated: int = 0
     rated: int = 0
     poor: int = 0
-    latency: tuple[int, ...] = NO_LATENCY
+    latency: tuple[int, ...] = EMPTY_HISTOGRAM
 
     def __add__(self, other: Counts) -> Counts:
         """Returns the sums of both."""
@@ -69,15 +69,15 @@
         )
 
 
-NOTHING = Counts()
+NO_COUNTS = Counts()
 
 
 @attrs.frozen
-class Pair:
+class VersionCounts:
     """Both versions of a roll-out in one workspace."""
 
-    stable: Counts = NOTHING
-    candidate: Counts = NOTHING
+    stable: Counts = NO_COUNTS
+    candidate: Counts = NO_COUNTS
 
 
 def latency_bucket(seconds: float) -> int:
@@ -86,13 +86,13 @@
     >>> latency_bucket(0.01), latency_bucket(0.03), latency_bucket(99.0)
     (0, 1, 15)
     """
-    return bisect.bisect_left(LATENCY_EDGES_S, seconds)
+    return bisect.bisect_left(LATENCY_BUCKET_EDGES_S, seconds)
 
 
-def slow_bucket(latency: tuple[int, ...], quantile: float) -> int:
+def first_slow_bucket(latency: tuple[int, ...], quantile: float) -> int:
     """Returns the first bucket above a quantile of a histogram.
 
-    >>> slow_bucket((0, 90, 10) + (0,) * 13, 0.9)
+    >>> first_slow_bucket((0, 90, 10) + (0,) * 13, 0.9)
     2
     """
     needed = quantile * sum(latency)
@@ -101,7 +101,7 @@
         seen += count
         if seen >= needed:
             return bucket + 1
-    return BUCKETS
+    return BUCKET_COUNT
 
 
 @attrs.frozen
--- a/src/rattanpier/_internal/rollout/ledger.py
+++ b/src/rattanpier/_internal/rollout/ledger.py
@@ -10,7 +10,11 @@
 
 import attrs
 
-from rattanpier._internal.rollout.evidence import NOTHING, Counts, Pair
+from rattanpier._internal.rollout.evidence import (
+    NO_COUNTS,
+    Counts,
+    VersionCounts,
+)
 from rattanpier._internal.rollout.records import EvidenceRow
 
 MAX_ORIGINS = 2048  # Processes whose rows are kept apart.
@@ -49,8 +53,8 @@
         if before is not None and before.sequence >= row.sequence:
             return
         known[key] = row
-        added = row.counts - (before.counts if before else NOTHING)
-        self.sums[key] = self.sums.get(key, NOTHING) + added
+        added = row.counts - (before.counts if before else NO_COUNTS)
+        self.sums[key] = self.sums.get(key, NO_COUNTS) + added
 
     def retire(
         self, live: Collection[str], max_origins: int = MAX_ORIGINS
@@ -67,14 +71,14 @@
         while len(self.ended) > MAX_RETIRED:
             del self.ended[next(iter(self.ended))]
 
-    def totals(self, stable: str, candidate: str) -> dict[str, Pair]:
+    def totals(self, stable: str, candidate: str) -> dict[str, VersionCounts]:
         """Returns the sums of two versions by workspace."""
         return pair_up(self.sums, stable, candidate)
 
 
 def pair_up(
     sums: dict[tuple[str, str], Counts], stable: str, candidate: str
-) -> dict[str, Pair]:
+) -> dict[str, VersionCounts]:
     """Returns the sums of two versions by workspace."""
     workspaces = sorted(
         {
@@ -84,9 +88,9 @@
         }
     )
     return {
-        workspace: Pair(
-            sums.get((workspace, stable), NOTHING),
-            sums.get((workspace, candidate), NOTHING),
+        workspace: VersionCounts(
+            sums.get((workspace, stable), NO_COUNTS),
+            sums.get((workspace, candidate), NO_COUNTS),
         )
         for workspace in workspaces
     }
--- a/src/rattanpier/_internal/rollout/judge.py
+++ b/src/rattanpier/_internal/rollout/paired_evaluator.py
@@ -11,26 +11,26 @@
 import attrs
 
 from rattanpier._internal.rollout.evidence import (
-    BUCKETS,
-    NO_LATENCY,
+    BUCKET_COUNT,
+    EMPTY_HISTOGRAM,
     Measure,
-    Pair,
     Trials,
-    slow_bucket,
+    VersionCounts,
+    first_slow_bucket,
     trials_of,
 )
 from rattanpier._internal.rollout.sequential import (
-    ChangeTest,
+    ChangePointTest,
     paired_factors,
 )
 
-EVERYONE = ""  # The scope of all workspaces together.
+ALL_WORKSPACES = ""  # The scope of all workspaces together.
 MEASURES = tuple(Measure)
 FULL_SHARE = 1.0
 
 
 @attrs.frozen
-class Policy:
+class EvaluationPolicy:
     """How careful the judgement is.
 
     Attributes:
@@ -129,7 +129,7 @@
 
 
 @attrs.define
-class Judge:
+class PairedEvaluator:
     """Judges one roll-out.
 
     Attributes:
@@ -143,17 +143,17 @@
       worst: The first halt found; a halt stands.
     """
 
-    policy: Policy = attrs.Factory(Policy)
-    totals: dict[str, Pair] = attrs.Factory(dict)
-    tests: dict[tuple[str, Measure], ChangeTest] = attrs.Factory(dict)
+    policy: EvaluationPolicy = attrs.Factory(EvaluationPolicy)
+    totals: dict[str, VersionCounts] = attrs.Factory(dict)
+    tests: dict[tuple[str, Measure], ChangePointTest] = attrs.Factory(dict)
     batches: dict[tuple[str, Measure], Batch] = attrs.Factory(dict)
-    since: dict[Measure, Trials] = attrs.Factory(dict)
-    stable: dict[Measure, Trials] = attrs.Factory(dict)
-    latency: tuple[int, ...] = NO_LATENCY
-    slow_from: int = BUCKETS
-    worst: Halt | None = None
+    step_trials: dict[Measure, Trials] = attrs.Factory(dict)
+    stable_trials: dict[Measure, Trials] = attrs.Factory(dict)
+    latency: tuple[int, ...] = EMPTY_HISTOGRAM
+    slow_from: int = BUCKET_COUNT
+    first_halt: Halt | None = None
 
-    def adopt(self, totals: Mapping[str, Pair]) -> None:
+    def start_from(self, totals: Mapping[str, VersionCounts]) -> None:
         """Starts from sums of which it is not known how they came about.
 
         They were gathered under shares that changed, so they are no evidence
@@ -161,72 +161,83 @@
         """
         self.totals = dict(totals)
         for pair in totals.values():
-            self.learn_latency(pair)
+            self.update_slow_threshold(pair)
 
-    def observe(self, totals: Mapping[str, Pair]) -> None:
+    def observe(self, totals: Mapping[str, VersionCounts]) -> None:
         """Takes in what was added to the sums of each workspace."""
         for workspace, pair in totals.items():
-            before = self.totals.get(workspace, Pair())
+            before = self.totals.get(workspace, VersionCounts())
             if pair == before:
                 continue
             self.totals[workspace] = pair
-            added = Pair(
+            added = VersionCounts(
                 pair.stable - before.stable, pair.candidate - before.candidate
             )
             for measure in MEASURES:
-                self.take(workspace, measure, added)
+                self.add_trials(workspace, measure, added)
             # Only earlier answers decide what is slow.
-            self.learn_latency(added)
+            self.update_slow_threshold(added)
 
-    def learn_latency(self, added: Pair) -> None:
+    def update_slow_threshold(self, added: VersionCounts) -> None:
         """Moves the limit of what is slow with the stable's first tokens."""
         self.latency = tuple(
             map(sum, zip(self.latency, added.stable.latency, strict=True))
         )
         if sum(self.latency) >= self.policy.min_latencies:
-            self.slow_from = slow_bucket(
+            self.slow_from = first_slow_bucket(
                 self.latency, self.policy.slow_quantile
             )
 
-    def take(self, workspace: str, measure: Measure, added: Pair) -> None:
+    def add_trials(
+        self, workspace: str, measure: Measure, added: VersionCounts
+    ) -> None:
         """Takes in one measure of one workspace."""
-        if measure is Measure.SLOW and self.slow_from >= BUCKETS:
+        if measure is Measure.SLOW and self.slow_from >= BUCKET_COUNT:
             return
         stable = trials_of(added.stable, measure, self.slow_from)
         candidate = trials_of(added.candidate, measure, self.slow_from)
-        self.stable[measure] = self.stable.get(measure, Trials()) + stable
-        self.since[measure] = self.since.get(measure, Trials()) + candidate
+        self.stable_trials[measure] = (
+            self.stable_trials.get(measure, Trials()) + stable
+        )
+        self.step_trials[measure] = (
+            self.step_trials.get(measure, Trials()) + candidate
+        )
         batch = self.batches.setdefault((workspace, measure), Batch())
         batch.stable += stable
         batch.candidate += candidate
         if batch.stable.total and batch.candidate.total:
             del self.batches[workspace, measure]
-            self.judge(workspace, measure, batch)
+            self.update_tests(workspace, measure, batch)
 
-    def judge(self, workspace: str, measure: Measure, batch: Batch) -> None:
+    def update_tests(
+        self, workspace: str, measure: Measure, batch: Batch
+    ) -> None:
         """Updates the tests with a batch; good answers alone say nothing."""
         if not batch.stable.bad and not batch.candidate.bad:
             return
         factors = paired_factors(
             batch.stable, batch.candidate, self.policy.tolerance
         )
-        for scope in (EVERYONE, workspace):
-            test = self.tests.setdefault((scope, measure), ChangeTest())
+        for scope in (ALL_WORKSPACES, workspace):
+            test = self.tests.setdefault((scope, measure), ChangePointTest())
             test.update(factors)
-            if test.value >= self.limit(scope) and self.worst is None:
-                self.worst = Halt(measure, scope, test.value)
+            if (
+                test.value >= self.halt_threshold(scope)
+                and self.first_halt is None
+            ):
+                self.first_halt = Halt(measure, scope, test.value)
 
-    def limit(self, scope: str) -> float:
+    def halt_threshold(self, scope: str) -> float:
         """Returns the evidence that halts; all tests share the chance.
 
         Half of it is for all workspaces together, half for each alone.
         """
-        scopes = 1 if scope == EVERYONE else max(1, len(self.totals))
+        scopes = 1 if scope == ALL_WORKSPACES else max(1, len(self.totals))
         return 2 * len(MEASURES) * scopes / self.policy.false_halts
 
-    def share_changed(self) -> None:
+    def start_share_step(self) -> None:
         """Begins a step: evidence for widening is gathered anew."""
-        self.since.clear()
+        self.step_trials.clear()
         self.batches.clear()
 
     def decide(self, share: float, max_share: float) -> Decision:
@@ -236,58 +247,58 @@
           share: The share in force.
           max_share: Share that is not to be exceeded.
         """
-        if self.worst is not None:
-            return self.worst
-        doubt = self.find_doubt()
-        if doubt and share > self.policy.narrow_share:
-            return Narrow(self.policy.narrow_share, doubt)
-        if doubt:
-            return Hold(doubt)
+        if self.first_halt is not None:
+            return self.first_halt
+        suspect = self.find_suspect_test()
+        if suspect and share > self.policy.narrow_share:
+            return Narrow(self.policy.narrow_share, suspect)
+        if suspect:
+            return Hold(suspect)
         if share >= max_share:
             return Hold("at the largest share allowed")
         if share <= 0.0:
             return Widen(min(self.policy.first_share, max_share))
-        missing = self.find_missing()
-        if missing:
-            return Hold(missing)
+        missing_evidence = self.find_missing_evidence()
+        if missing_evidence:
+            return Hold(missing_evidence)
         return Widen(min(share * self.policy.growth, max_share))
 
-    def find_doubt(self) -> str:
+    def find_suspect_test(self) -> str:
         """Returns which test is on its way to a halt, or nothing."""
         for (scope, measure), test in self.tests.items():
-            if test.value >= self.limit(scope) ** self.policy.doubt:
+            if test.value >= self.halt_threshold(scope) ** self.policy.doubt:
                 place = scope or "all workspaces"
                 return f"{measure} in {place} is in doubt"
         return ""
 
-    def find_missing(self) -> str:
+    def find_missing_evidence(self) -> str:
         """Returns which measure lacks evidence for widening, or nothing."""
         for measure in MEASURES:
-            stable = self.stable.get(measure, Trials())
+            stable = self.stable_trials.get(measure, Trials())
             if measure is Measure.POOR and not stable.total:
                 continue  # Nobody pays for ratings here.
-            if measure is Measure.SLOW and self.nothing_is_slow():
+            if measure is Measure.SLOW and self.has_no_slow_bucket():
                 continue
-            candidate = self.since.get(measure, Trials())
-            if not self.excludes(measure, stable, candidate):
+            candidate = self.step_trials.get(measure, Trials())
+            if not self.excludes_rise(measure, stable, candidate):
                 return f"{measure} needs more than {candidate.total} trials"
         return ""
 
-    def nothing_is_slow(self) -> bool:
+    def has_no_slow_bucket(self) -> bool:
         """Says whether the stable is so slow that no limit can be set."""
         known = sum(self.latency) >= self.policy.min_latencies
-        return known and self.slow_from >= BUCKETS
+        return known and self.slow_from >= BUCKET_COUNT
 
-    def excludes(
+    def excludes_rise(
         self, measure: Measure, stable: Trials, candidate: Trials
     ) -> bool:
         """Says whether a rise by the margin is excluded."""
         margin = self.policy.margins[measure]
-        usual = (stable.bad + 0.5) / (stable.total + 1)
-        worse = min(usual + margin, 0.99)
-        usual = min(usual, worse - margin / 2)
+        stable_rate = (stable.bad + 0.5) / (stable.total + 1)
+        worse_rate = min(stable_rate + margin, 0.99)
+        stable_rate = min(stable_rate, worse_rate - margin / 2)
         good = candidate.total - candidate.bad
-        support = candidate.bad * math.log(usual / worse) + good * math.log(
-            (1 - usual) / (1 - worse)
-        )
-        return support >= math.log(1 / self.policy.widen_error)
+        log_ratio = candidate.bad * math.log(
+            stable_rate / worse_rate
+        ) + good * math.log((1 - stable_rate) / (1 - worse_rate))
+        return log_ratio >= math.log(1 / self.policy.widen_error)
--- a/src/rattanpier/_internal/rollout/watch.py
+++ b/src/rattanpier/_internal/rollout/regression_monitor.py
@@ -14,25 +14,30 @@
 import attrs
 
 from rattanpier._internal.rollout.evidence import (
-    BUCKETS,
+    BUCKET_COUNT,
     Counts,
     Measure,
-    Pair,
     Trials,
-    slow_bucket,
+    VersionCounts,
+    first_slow_bucket,
     trials_of,
 )
-from rattanpier._internal.rollout.judge import (
-    EVERYONE,
+from rattanpier._internal.rollout.paired_evaluator import (
+    ALL_WORKSPACES,
     MEASURES,
+    EvaluationPolicy,
     Halt,
-    Policy,
 )
-from rattanpier._internal.rollout.sequential import ChangeTest, past_factors
+from rattanpier._internal.rollout.sequential import (
+    ChangePointTest,
+    baseline_factors,
+)
 
 PRIOR_TRIALS = 100.0  # Weight of all workspaces in the rate of one.
-MIN_TRIALS = 500  # Trials of the past without which nothing is judged.
-DEVIATIONS = 2.0
+MIN_REFERENCE_TRIALS = (
+    500  # Trials of the past without which nothing is judged.
+)
+RATE_DEVIATIONS = 2.0
 MAX_BASE_RATE = 0.9
 
 
@@ -46,24 +51,28 @@
       workspaces: By workspace and measure.
     """
 
-    slow_from: int = BUCKETS
+    slow_from: int = BUCKET_COUNT
     overall: dict[Measure, float] = attrs.Factory(dict)
     workspaces: dict[str, dict[Measure, float]] = attrs.Factory(dict)
 
 
-def make_reference(totals: Mapping[str, Pair], policy: Policy) -> Reference:
+def make_reference(
+    totals: Mapping[str, VersionCounts], policy: EvaluationPolicy
+) -> Reference:
     """Returns the past as found during a roll-out."""
     both = {name: pair.stable + pair.candidate for name, pair in totals.items()}
-    everyone = sum(both.values(), Counts())
-    slow_from = slow_bucket(everyone.latency, policy.slow_quantile)
+    combined = sum(both.values(), Counts())
+    slow_from = first_slow_bucket(combined.latency, policy.slow_quantile)
     overall = {}
     for measure in MEASURES:
-        trials = trials_of(everyone, measure, slow_from)
-        if trials.total >= MIN_TRIALS:
-            overall[measure] = highest_rate(trials.bad, trials.total)
+        trials = trials_of(combined, measure, slow_from)
+        if trials.total >= MIN_REFERENCE_TRIALS:
+            overall[measure] = upper_rate_bound(trials.bad, trials.total)
     workspaces = {
         name: {
-            measure: shrink(trials_of(counts, measure, slow_from), rate)
+            measure: shrunk_rate_bound(
+                trials_of(counts, measure, slow_from), rate
+            )
             for measure, rate in overall.items()
         }
         for name, counts in both.items()
@@ -71,24 +80,24 @@
     return Reference(slow_from, overall, workspaces)
 
 
-def highest_rate(bad: float, total: float) -> float:
+def upper_rate_bound(bad: float, total: float) -> float:
     """Returns the highest rate that fits the past: two deviations up.
 
-    >>> highest_rate(99, 1200)
+    >>> upper_rate_bound(99, 1200)
     0.1
     """
-    return (bad + DEVIATIONS * math.sqrt(bad + 1) + 1) / total
+    return (bad + RATE_DEVIATIONS * math.sqrt(bad + 1) + 1) / total
 
 
-def shrink(trials: Trials, rate: float) -> float:
+def shrunk_rate_bound(trials: Trials, rate: float) -> float:
     """Returns a workspace's highest rate, drawn towards that of all."""
-    return highest_rate(
+    return upper_rate_bound(
         trials.bad + PRIOR_TRIALS * rate, trials.total + PRIOR_TRIALS
     )
 
 
 @attrs.define
-class Watch:
+class RegressionMonitor:
     """Looks for a change for the worse in one version.
 
     Attributes:
@@ -99,29 +108,29 @@
     """
 
     reference: Reference
-    policy: Policy = attrs.Factory(Policy)
+    policy: EvaluationPolicy = attrs.Factory(EvaluationPolicy)
     totals: dict[str, Counts] = attrs.Factory(dict)
-    tests: dict[tuple[str, Measure], ChangeTest] = attrs.Factory(dict)
+    tests: dict[tuple[str, Measure], ChangePointTest] = attrs.Factory(dict)
     alarm: Halt | None = None
 
-    def adopt(self, totals: Mapping[str, Pair]) -> None:
+    def start_from(self, totals: Mapping[str, VersionCounts]) -> None:
         """Starts from sums that were judged before."""
         self.totals = {name: pair.candidate for name, pair in totals.items()}
 
-    def observe(self, totals: Mapping[str, Pair]) -> None:
+    def observe(self, totals: Mapping[str, VersionCounts]) -> None:
         """Takes in what was added to the sums of each workspace."""
-        everyone = Counts()
+        combined = Counts()
         for workspace, pair in totals.items():
             added = pair.candidate - self.totals.get(workspace, Counts())
             self.totals[workspace] = pair.candidate
             if added == Counts():
                 continue
-            everyone += added
+            combined += added
             rates = self.reference.workspaces.get(workspace, {})
-            self.judge(workspace, added, rates)
-        self.judge(EVERYONE, everyone, self.reference.overall)
+            self.update_tests(workspace, added, rates)
+        self.update_tests(ALL_WORKSPACES, combined, self.reference.overall)
 
-    def judge(
+    def update_tests(
         self, scope: str, added: Counts, rates: Mapping[Measure, float]
     ) -> None:
         """Updates the tests of one scope."""
@@ -129,13 +138,13 @@
             trials = trials_of(added, measure, self.reference.slow_from)
             if not trials.total:
                 continue
-            highest = min(rate * self.policy.tolerance, MAX_BASE_RATE)
-            test = self.tests.setdefault((scope, measure), ChangeTest())
-            test.update(past_factors(trials, highest))
-            if test.value >= self.limit(scope) and self.alarm is None:
+            max_rate = min(rate * self.policy.tolerance, MAX_BASE_RATE)
+            test = self.tests.setdefault((scope, measure), ChangePointTest())
+            test.update(baseline_factors(trials, max_rate))
+            if test.value >= self.alarm_threshold(scope) and self.alarm is None:
                 self.alarm = Halt(measure, scope, test.value)
 
-    def limit(self, scope: str) -> float:
+    def alarm_threshold(self, scope: str) -> float:
         """Returns the evidence that alarms; shared as in `Judge.limit`."""
-        scopes = 1 if scope == EVERYONE else max(1, len(self.totals))
+        scopes = 1 if scope == ALL_WORKSPACES else max(1, len(self.totals))
         return 2 * len(MEASURES) * scopes / self.policy.false_alarms
--- a/src/rattanpier/_internal/rollout/sequential.py
+++ b/src/rattanpier/_internal/rollout/sequential.py
@@ -16,16 +16,16 @@
 from rattanpier._internal.rollout.evidence import Trials
 
 # How many times as often the candidate may be bad, as alternatives.
-RATIOS = (1.25, 1.5, 2.0, 3.0, 5.0, 10.0, 30.0)
+ALTERNATIVE_RATIOS = (1.25, 1.5, 2.0, 3.0, 5.0, 10.0, 30.0)
 # Least weight of a change that begins now; bounds the delay of detection.
-RESTART = 1e-4
+MIN_RESTART_WEIGHT = 1e-4
 MAX_EXPONENT = 230.0  # About 1e100, so that the ceiling times it is finite.
-CEILING = 1e200  # Against overflow; far above any threshold.
-MAX_RATE = 0.95
+MAX_EVIDENCE = 1e200  # Against overflow; far above any threshold.
+MAX_ALTERNATIVE_RATE = 0.95
 
 
 @attrs.define
-class ChangeTest:
+class ChangePointTest:
     """Evidence that one version is or became worse.
 
     Attributes:
@@ -33,21 +33,25 @@
       steps: Batches taken in.
     """
 
-    sums: list[float] = attrs.Factory(lambda: [0.0] * len(RATIOS))
-    steps: int = 0
+    ratio_sums: list[float] = attrs.Factory(
+        lambda: [0.0] * len(ALTERNATIVE_RATIOS)
+    )
+    batches: int = 0
 
     @property
     def value(self) -> float:
         """The evidence; compared with 1/alpha."""
-        return sum(self.sums) / len(self.sums)
+        return sum(self.ratio_sums) / len(self.ratio_sums)
 
     def update(self, factors: Sequence[float]) -> None:
         """Takes in the likelihood ratios of one batch."""
-        self.steps += 1
-        weight = max(1 / (self.steps * (self.steps + 1)), RESTART)
-        self.sums = [
-            min((total + weight) * factor, CEILING)
-            for total, factor in zip(self.sums, factors, strict=True)
+        self.batches += 1
+        weight = max(
+            1 / (self.batches * (self.batches + 1)), MIN_RESTART_WEIGHT
+        )
+        self.ratio_sums = [
+            min((total + weight) * factor, MAX_EVIDENCE)
+            for total, factor in zip(self.ratio_sums, factors, strict=True)
         ]
 
 
@@ -67,17 +71,17 @@
     """
     bad = stable.bad + candidate.bad
     weight = candidate.total * tolerance
-    expected = weight / (weight + stable.total)
+    candidate_share = weight / (weight + stable.total)
     return [
         bounded_exp(
             candidate.bad * math.log(ratio)
-            - bad * math.log1p((ratio - 1) * expected)
+            - bad * math.log1p((ratio - 1) * candidate_share)
         )
-        for ratio in RATIOS
+        for ratio in ALTERNATIVE_RATIOS
     ]
 
 
-def past_factors(trials: Trials, rate: float) -> list[float]:
+def baseline_factors(trials: Trials, rate: float) -> list[float]:
     """Returns likelihood ratios of a batch against a known rate.
 
     Args:
@@ -86,11 +90,11 @@
     """
     good = trials.total - trials.bad
     factors = []
-    for ratio in RATIOS:
-        worse = min(rate * ratio, max(rate, MAX_RATE))
-        support = trials.bad * math.log(worse / rate)
-        support += good * math.log((1 - worse) / (1 - rate))
-        factors.append(bounded_exp(support))
+    for ratio in ALTERNATIVE_RATIOS:
+        alternative = min(rate * ratio, max(rate, MAX_ALTERNATIVE_RATE))
+        log_ratio = trials.bad * math.log(alternative / rate)
+        log_ratio += good * math.log((1 - alternative) / (1 - rate))
+        factors.append(bounded_exp(log_ratio))
     return factors
 
 
--- a/tests/unit/test_rollout_judge.py
+++ b/tests/unit/test_rollout_judge.py
@@ -4,21 +4,21 @@
 
 import pytest
 
-from rattanpier._internal.rollout.course import Course
+from rattanpier._internal.rollout.evaluation import RolloutEvaluation
 from rattanpier._internal.rollout.evidence import (
-    NOTHING,
+    NO_COUNTS,
     Counts,
     Measure,
-    Pair,
+    VersionCounts,
     latency_bucket,
 )
-from rattanpier._internal.rollout.judge import (
-    EVERYONE,
+from rattanpier._internal.rollout.paired_evaluator import (
+    ALL_WORKSPACES,
+    EvaluationPolicy,
     Halt,
     Hold,
-    Judge,
     Narrow,
-    Policy,
+    PairedEvaluator,
     Widen,
 )
 
@@ -30,19 +30,19 @@
         self.rng = random.Random(seed)
         self.workspaces = workspaces
         self.per_step = per_step
-        self.totals = {name: Pair() for name in workspaces}
+        self.totals = {name: VersionCounts() for name in workspaces}
 
     def run(self, share, candidate=None, stable=None, victim=None):
         """Adds one step; rates by measure, `victim` alone if given."""
         for name in self.workspaces:
             hit = victim in (None, name)
-            sums = {True: NOTHING, False: NOTHING}
+            sums = {True: NO_COUNTS, False: NO_COUNTS}
             for _ in range(self.per_step):
                 is_candidate = self.rng.random() < share
                 rates = (candidate if hit else None) if is_candidate else stable
                 sums[is_candidate] += self.answer(rates or {})
             pair = self.totals[name]
-            self.totals[name] = Pair(
+            self.totals[name] = VersionCounts(
                 pair.stable + sums[False], pair.candidate + sums[True]
             )
         return self.totals
@@ -60,10 +60,10 @@
 
 
 def run_until_halt(traffic, share=0.2, steps=60, **rates):
-    judge = Judge()
+    evaluator = PairedEvaluator()
     for _ in range(steps):
-        judge.observe(traffic.run(share, **rates))
-        decision = judge.decide(share, 1.0)
+        evaluator.observe(traffic.run(share, **rates))
+        decision = evaluator.decide(share, 1.0)
         if isinstance(decision, Halt):
             return decision
     return decision
@@ -110,12 +110,12 @@
     """A plain sequential test would first have to unlearn the good time."""
 
     def steps_to_halt(good_steps):
-        traffic, judge = Traffic(), Judge()
+        traffic, evaluator = Traffic(), PairedEvaluator()
         for _ in range(good_steps):
-            judge.observe(traffic.run(0.2))
+            evaluator.observe(traffic.run(0.2))
         for step in range(100):
-            judge.observe(traffic.run(0.2, {Measure.POOR: 0.4}))
-            if judge.worst:
+            evaluator.observe(traffic.run(0.2, {Measure.POOR: 0.4}))
+            if evaluator.first_halt:
                 return step
         return 100
 
@@ -123,106 +123,108 @@
 
 
 def test_widens_only_on_evidence_and_not_on_steps():
-    judge = Judge()
-    assert judge.decide(0.0, 1.0) == Widen(0.01)
-    judge.share_changed()
+    evaluator = PairedEvaluator()
+    assert evaluator.decide(0.0, 1.0) == Widen(0.01)
+    evaluator.start_share_step()
     for _ in range(1000):
-        judge.observe({})
-    assert isinstance(judge.decide(0.01, 1.0), Hold)
+        evaluator.observe({})
+    assert isinstance(evaluator.decide(0.01, 1.0), Hold)
 
 
 def test_widens_a_good_version_up_to_the_largest_share():
-    traffic, judge, share = Traffic(per_step=500), Judge(), 0.0
+    traffic, evaluator, share = Traffic(per_step=500), PairedEvaluator(), 0.0
     shares = []
     for _ in range(60):
-        judge.observe(traffic.run(share))
-        decision = judge.decide(share, 0.5)
+        evaluator.observe(traffic.run(share))
+        decision = evaluator.decide(share, 0.5)
         if isinstance(decision, Widen):
             share = decision.share
             shares.append(share)
-            judge.share_changed()
+            evaluator.start_share_step()
     assert shares[-1] == 0.5
     assert shares == sorted(shares)
 
 
 def test_doubt_narrows_before_it_halts():
-    traffic, judge = Traffic(per_step=20), Judge()
+    traffic, evaluator = Traffic(per_step=20), PairedEvaluator()
     for _ in range(200):
-        judge.observe(traffic.run(0.5, {Measure.POOR: 0.25}))
-        decision = judge.decide(0.5, 1.0)
+        evaluator.observe(traffic.run(0.5, {Measure.POOR: 0.25}))
+        decision = evaluator.decide(0.5, 1.0)
         if not isinstance(decision, Hold | Widen):
             break
     assert isinstance(decision, Narrow)
-    assert decision.share == Policy().narrow_share
+    assert decision.share == EvaluationPolicy().narrow_share
 
 
 def test_adopted_sums_are_no_evidence():
     """Sums over shares that changed would compare unlike times."""
-    pair = Pair(
+    pair = VersionCounts(
         Counts(1000, 10, 10, 1000, 100), Counts(1000, 500, 500, 1000, 900)
     )
-    judge = Judge()
-    judge.adopt({"a": pair})
-    judge.observe({"a": pair})
-    assert judge.worst is None
-    assert isinstance(judge.decide(0.1, 1.0), Hold)
+    evaluator = PairedEvaluator()
+    evaluator.start_from({"a": pair})
+    evaluator.observe({"a": pair})
+    assert evaluator.first_halt is None
+    assert isinstance(evaluator.decide(0.1, 1.0), Hold)
 
 
 @pytest.mark.parametrize("measure", list(Measure))
 def test_a_version_that_turns_bad_after_full_roll_out_is_narrowed(measure):
-    course, traffic = run_full_roll_out()
+    evaluation, traffic = run_full_roll_out()
     for _ in range(40):
-        course.observe(traffic.run(1.0, {measure: 0.4}))
-        decision = course.decide(1.0, 1.0)
+        evaluation.observe(traffic.run(1.0, {measure: 0.4}))
+        decision = evaluation.decide(1.0, 1.0)
         if isinstance(decision, Narrow):
             break
     assert isinstance(decision, Narrow)
 
 
 def test_a_good_version_stays_at_full_share():
-    course, traffic = run_full_roll_out()
+    evaluation, traffic = run_full_roll_out()
     for _ in range(100):
-        course.observe(traffic.run(1.0))
-        assert isinstance(course.decide(1.0, 1.0), Hold)
+        evaluation.observe(traffic.run(1.0))
+        assert isinstance(evaluation.decide(1.0, 1.0), Hold)
 
 
 def test_after_an_alarm_the_paired_test_settles_the_matter():
-    course, traffic = run_full_roll_out()
+    evaluation, traffic = run_full_roll_out()
     bad = {Measure.FAILED: 0.3}
     share = 1.0
     for _ in range(60):
-        course.observe(traffic.run(share, bad))
-        decision = course.decide(share, 1.0)
+        evaluation.observe(traffic.run(share, bad))
+        decision = evaluation.decide(share, 1.0)
         if isinstance(decision, Narrow):
             share = decision.share
-            course.share_changed()
+            evaluation.start_share_step()
         if isinstance(decision, Halt):
             break
     assert decision.measure is Measure.FAILED
-    assert decision.workspace in (EVERYONE, "a", "b")
+    assert decision.workspace in (ALL_WORKSPACES, "a", "b")
 
 
 def run_full_roll_out():
     """A course at full share whose past is known."""
-    course, traffic = Course(), Traffic()
+    evaluation, traffic = RolloutEvaluation(), Traffic()
     for _ in range(20):
-        course.observe(traffic.run(0.5))
-    course.share_changed()
-    course.decide(1.0, 1.0)
-    return course, traffic
+        evaluation.observe(traffic.run(0.5))
+    evaluation.start_share_step()
+    evaluation.decide(1.0, 1.0)
+    return evaluation, traffic
 
 
 @pytest.mark.parametrize("bad", [0, 100_000, 900_000])
 def test_a_batch_of_any_size_is_judged(bad):
     """After an outage of the store, or at thousands of requests a second."""
     million = Counts(1_000_000, bad, 0, 1_000_000, bad)
-    judge = Judge()
-    judge.observe({"a": Pair(million, million)})
-    assert judge.worst is None
+    evaluator = PairedEvaluator()
+    evaluator.observe({"a": VersionCounts(million, million)})
+    assert evaluator.first_halt is None
     worse = Counts(2_000_000, bad + 950_000, 0, 2_000_000, bad + 950_000)
-    judge.observe({"a": Pair(million, worse)})
-    course, traffic = run_full_roll_out()
+    evaluator.observe({"a": VersionCounts(million, worse)})
+    evaluation, traffic = run_full_roll_out()
     totals = traffic.totals
-    totals["a"] = Pair(totals["a"].stable, totals["a"].candidate + million)
-    course.observe(totals)
-    assert isinstance(course.decide(1.0, 1.0), Hold if bad == 0 else Narrow)
+    totals["a"] = VersionCounts(
+        totals["a"].stable, totals["a"].candidate + million
+    )
+    evaluation.observe(totals)
+    assert isinstance(evaluation.decide(1.0, 1.0), Hold if bad == 0 else Narrow)
--- a/tests/unit/test_rollout_ledger.py
+++ b/tests/unit/test_rollout_ledger.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from rattanpier._internal.rollout.evidence import Counts, Pair
+from rattanpier._internal.rollout.evidence import Counts, VersionCounts
 from rattanpier._internal.rollout.ledger import Ledger
 from rattanpier._internal.rollout.records import EvidenceRow
 
@@ -15,7 +15,11 @@
 
 
 def total(ledger):
-    return ledger.totals("old", "new").get("desk", Pair()).candidate.attempts
+    return (
+        ledger.totals("old", "new")
+        .get("desk", VersionCounts())
+        .candidate.attempts
+    )
 
 
 @given(st.integers(0, 2**32), st.integers(1, 30))
