--- a/src/rattanpier/_internal/programs/entry.py
+++ b/src/rattanpier/_internal/programs/entry.py
@@ -275,7 +275,7 @@
         return
 
     def take(news: RatingUpdate) -> None:
-        collector.take_rating(news.workspace, news.version, news.good)
+        collector.record_rating(news.workspace, news.version, news.good)
 
     kernel.find("ratings").updates.subscribe(take)
 
--- a/src/rattanpier/_internal/rollout/changes.py
+++ b/src/rattanpier/_internal/rollout/changes.py
@@ -32,7 +32,7 @@
 from rattanpier._internal.store.table import Table
 from rattanpier._internal.utils.clock import Clock
 
-TIMEOUT_S = 3.0
+STORE_TIMEOUT_S = 3.0
 
 
 @attrs.frozen
@@ -53,7 +53,7 @@
 
 
 @attrs.frozen
-class Writer:
+class ChangeWriter:
     """How changes are written.
 
     Attributes:
@@ -65,8 +65,8 @@
     accepted: Callable[[Revision], None]
 
 
-async def set_share(
-    writer: Writer, held: HeldLease, change: Change, share: float
+async def write_share(
+    writer: ChangeWriter, held_lease: HeldLease, change: Change, share: float
 ) -> ChangeOutcome:
     """Sets the share, if nobody changed anything since it was judged."""
     done = share >= FULL_SHARE
@@ -79,11 +79,11 @@
             {"share": round(share, 6), "state": state.value},
         )
 
-    return await propose_edit(writer, held, change, edit)
+    return await propose_edit(writer, held_lease, change, edit)
 
 
-async def halt(
-    writer: Writer, held: HeldLease, change: Change, withdraw: bool
+async def write_halt(
+    writer: ChangeWriter, held_lease: HeldLease, change: Change, withdraw: bool
 ) -> ChangeOutcome:
     """Halts a roll-out and withdraws its candidate, likewise.
 
@@ -92,7 +92,7 @@
 
     Args:
       writer: Where to write.
-      held: The driver's lease.
+      held_lease: The driver's lease.
       change: What is changed.
       withdraw: Whether the candidate gets no new work at all; an operator who
         halted it decides that alone.
@@ -115,11 +115,11 @@
             {"state": VersionState.WITHDRAWN.value},
         )
 
-    return await propose_edit(writer, held, change, edit)
+    return await propose_edit(writer, held_lease, change, edit)
 
 
 async def propose_edit(
-    writer: Writer, held: HeldLease, change: Change, edit: Edit
+    writer: ChangeWriter, held_lease: HeldLease, change: Change, edit: Edit
 ) -> ChangeOutcome:
     """Makes an edit follow exactly the revision that was judged.
 
@@ -139,7 +139,11 @@
         writer.clock.time(),
     )
     outcome = await change_surely(
-        writer.table, writer.clock, revision, TIMEOUT_S, (held.check,)
+        writer.table,
+        writer.clock,
+        revision,
+        STORE_TIMEOUT_S,
+        (held_lease.check,),
     )
     if isinstance(outcome, Accepted):
         writer.accepted(revision)
--- a/src/rattanpier/_internal/rollout/collect.py
+++ b/src/rattanpier/_internal/rollout/collect.py
@@ -29,7 +29,7 @@
     VersionCounts,
     latency_bucket,
 )
-from rattanpier._internal.rollout.ledger import pair_up
+from rattanpier._internal.rollout.ledger import totals_by_workspace
 from rattanpier._internal.rollout.paired_evaluator import PairedEvaluator
 from rattanpier._internal.rollout.records import EvidenceRow, EvidenceRows
 from rattanpier._internal.routing.brakes import Brakes
@@ -39,13 +39,15 @@
 
 log = structlog.get_logger(part="rollout")
 
-STEP_S = 1.0
-ROWS_PER_NOTICE = 8  # Bounds what a notice weighs, however many workspaces.
-NOTICES_PER_S = 40.0  # That one driver takes, from all entries together.
+STEP_INTERVAL_S = 1.0
+MAX_ROWS_PER_NOTICE = 8  # Bounds what a notice weighs, however many workspaces.
+MAX_DRIVER_NOTICES_PER_S = (
+    40.0  # That one driver takes, from all entries together.
+)
 
 
 @attrs.define
-class SentRow:
+class RowSendState:
     """What is known of sending one row.
 
     Attributes:
@@ -55,8 +57,8 @@
     """
 
     sequence: int = 0
-    sent: int = 0
-    turn: int = 0
+    sent_sequence: int = 0
+    last_notice: int = 0
 
 
 @attrs.define
@@ -81,25 +83,25 @@
     clock: Clock
     metrics: Metrics
     sums: dict[tuple[str, str], Counts] = attrs.Factory(dict)
-    sending: dict[tuple[str, str], SentRow] = attrs.Factory(dict)
-    judges: dict[str, PairedEvaluator] = attrs.Factory(dict)
+    send_states: dict[tuple[str, str], RowSendState] = attrs.Factory(dict)
+    evaluators: dict[str, PairedEvaluator] = attrs.Factory(dict)
     braked: set[str] = attrs.Factory(set)
-    watched: dict[str, Rollout] = attrs.Factory(dict)
-    turn: int = 0
-    due: float = float("-inf")
+    active_rollouts: dict[str, Rollout] = attrs.Factory(dict)
+    notices_sent: int = 0
+    next_send_s: float = float("-inf")
 
     @property
     def origin(self) -> str:
         """How this start of the entry is named in notices."""
         return incarnation_id(self.me)
 
-    def take_attempt(self, result: AttemptResult) -> None:
+    def record_attempt(self, result: AttemptResult) -> None:
         """Counts one attempt."""
         latency = EMPTY_HISTOGRAM
         if result.first_token_s is not None:
             bucket = latency_bucket(result.first_token_s)
             latency = (*latency[:bucket], 1, *latency[bucket + 1 :])
-        self.add(
+        self.add_counts(
             result.workspace,
             result.version,
             Counts(
@@ -110,113 +112,113 @@
             ),
         )
 
-    def take_rating(self, workspace: str, version: str, good: bool) -> None:
+    def record_rating(self, workspace: str, version: str, good: bool) -> None:
         """Counts one rating, whenever it comes."""
-        self.add(workspace, version, Counts(rated=1, poor=int(not good)))
+        self.add_counts(workspace, version, Counts(rated=1, poor=int(not good)))
 
-    def add(self, workspace: str, version: str, counts: Counts) -> None:
+    def add_counts(self, workspace: str, version: str, counts: Counts) -> None:
         """Adds to the sums of a version that is in a roll-out."""
-        if not self.is_watched(version):
+        if not self.is_in_rollout(version):
             return
         key = (workspace, version)
         self.sums[key] = self.sums.get(key, NO_COUNTS) + counts
-        self.sending.setdefault(key, SentRow()).sequence += 1
+        self.send_states.setdefault(key, RowSendState()).sequence += 1
 
-    def is_watched(self, version: str) -> bool:
+    def is_in_rollout(self, version: str) -> bool:
         """Says whether a version is in a roll-out that is not halted."""
         return any(
             version in (rollout.stable, rollout.candidate)
-            for rollout in self.watched.values()
+            for rollout in self.active_rollouts.values()
         )
 
-    def follow(self, configuration: Configuration) -> None:
+    def apply_configuration(self, configuration: Configuration) -> None:
         """Takes in a configuration; starts afresh what was started anew."""
         self.configuration = configuration
-        watched = {
+        active_rollouts = {
             name: rollout
             for name, rollout in configuration.rollouts.items()
             if rollout.state is not RolloutState.HALTED
         }
-        for name, rollout in watched.items():
-            if not same_versions(rollout, self.watched.get(name)):
-                self.start(name, rollout)
-            elif rollout.share != self.watched[name].share:
-                self.judges[name].start_share_step()
-        for name in self.judges.keys() - watched.keys():
-            del self.judges[name]
+        for name, rollout in active_rollouts.items():
+            if not same_versions(rollout, self.active_rollouts.get(name)):
+                self.start_evaluation(name, rollout)
+            elif rollout.share != self.active_rollouts[name].share:
+                self.evaluators[name].start_share_step()
+        for name in self.evaluators.keys() - active_rollouts.keys():
+            del self.evaluators[name]
             self.braked.discard(name)
-        self.watched = watched
+        self.active_rollouts = active_rollouts
 
-    def start(self, name: str, rollout: Rollout) -> None:
+    def start_evaluation(self, name: str, rollout: Rollout) -> None:
         """Begins to judge a roll-out; what came before does not count."""
-        self.judges[name] = PairedEvaluator()
-        self.judges[name].start_from(self.pairs(rollout))
+        self.evaluators[name] = PairedEvaluator()
+        self.evaluators[name].start_from(self.own_totals(rollout))
 
-    def pairs(self, rollout: Rollout) -> dict[str, VersionCounts]:
+    def own_totals(self, rollout: Rollout) -> dict[str, VersionCounts]:
         """Returns this entry's own sums for a roll-out, by workspace."""
-        return pair_up(self.sums, rollout.stable, rollout.candidate)
+        return totals_by_workspace(self.sums, rollout.stable, rollout.candidate)
 
     async def run(self, kernel: Kernel) -> None:
         """Judges once a second, and sends, until the end."""
         while not kernel.stopping.is_set():
             self.step()
-            await self.clock.sleep(STEP_S)
+            await self.clock.sleep(STEP_INTERVAL_S)
 
     def step(self) -> None:
         """Judges what this entry saw, and sends it when it is time."""
-        for name, rollout in self.watched.items():
-            self.judge(name, rollout)
+        for name, rollout in self.active_rollouts.items():
+            self.evaluate(name, rollout)
         now = self.clock.monotonic()
-        if now < self.due:
+        if now < self.next_send_s:
             return
-        self.due = now + send_interval_s(self.configuration.fleet)
-        for name, rollout in self.watched.items():
+        self.next_send_s = now + send_interval_s(self.configuration.fleet)
+        for name, rollout in self.active_rollouts.items():
             driver = find_driver(name, self.members)
             if driver is not None:
                 self.send(name, rollout, driver)
 
-    def judge(self, name: str, rollout: Rollout) -> None:
+    def evaluate(self, name: str, rollout: Rollout) -> None:
         """Brakes a candidate that this entry's own evidence halts."""
         if name in self.braked and rollout.candidate not in self.brakes:
             # Only a revision lifts a brake: somebody decided to go on.
             self.braked.discard(name)
-            self.start(name, rollout)
-        judge = self.judges[name]
-        judge.observe(self.pairs(rollout))
-        if judge.first_halt is None or rollout.candidate in self.brakes:
+            self.start_evaluation(name, rollout)
+        evaluator = self.evaluators[name]
+        evaluator.observe(self.own_totals(rollout))
+        if evaluator.first_halt is None or rollout.candidate in self.brakes:
             return
         self.braked.add(name)
         self.metrics.count("rollout.local_brake")
         self.brakes.apply(
-            rollout.candidate, judge.first_halt.reason, self.me.name, name
+            rollout.candidate, evaluator.first_halt.reason, self.me.name, name
         )
 
     def send(self, name: str, rollout: Rollout, driver: Member) -> None:
         """Sends rows to the driver: changed ones first, then the oldest."""
         versions = (rollout.stable, rollout.candidate)
-        keys = [key for key in self.sending if key[1] in versions]
-        keys.sort(key=lambda key: self.order(self.sending[key]))
+        keys = [key for key in self.send_states if key[1] in versions]
+        keys.sort(key=lambda key: self.send_order(self.send_states[key]))
         if not keys:
             return
-        self.turn += 1
-        rows = [self.make_row(key) for key in keys[:ROWS_PER_NOTICE]]
+        self.notices_sent += 1
+        rows = [self.make_row(key) for key in keys[:MAX_ROWS_PER_NOTICE]]
         evidence = peer_pb2.Evidence(
             rollout=name,
             origin=self.origin,
-            sequence=self.turn,
+            sequence=self.notices_sent,
             counts=encode(EvidenceRows(rows)).encode(),
         )
         self.links.to(driver).notify(peer_pb2.Notice(evidence=evidence))
         self.metrics.count("rollout.evidence_sent")
 
-    def order(self, row: SentRow) -> tuple[bool, int]:
+    def send_order(self, row: RowSendState) -> tuple[bool, int]:
         """Returns the place of a row in the order of sending."""
-        return (row.sent == row.sequence, row.turn)
+        return (row.sent_sequence == row.sequence, row.last_notice)
 
     def make_row(self, key: tuple[str, str]) -> EvidenceRow:
         """Returns a row and notes that it is sent."""
-        row = self.sending[key]
-        row.sent, row.turn = row.sequence, self.turn
+        row = self.send_states[key]
+        row.sent_sequence, row.last_notice = row.sequence, self.notices_sent
         return EvidenceRow(*key, row.sequence, self.sums[key])
 
 
@@ -228,7 +230,7 @@
     >>> send_interval_s(Fleet(size=8)), send_interval_s(Fleet(size=420))
     (0.5, 10.5)
     """
-    return max(STEP_S / 2, fleet.size / NOTICES_PER_S)
+    return max(STEP_INTERVAL_S / 2, fleet.size / MAX_DRIVER_NOTICES_PER_S)
 
 
 def same_versions(rollout: Rollout, before: Rollout | None) -> bool:
--- a/src/rattanpier/_internal/rollout/driver.py
+++ b/src/rattanpier/_internal/rollout/driver.py
@@ -27,11 +27,16 @@
 from rattanpier._internal.models.configuration import Rollout, RolloutState
 from rattanpier._internal.models.member import Member
 from rattanpier._internal.peers.proto import peer_pb2
-from rattanpier._internal.rollout.changes import Change, Writer, halt, set_share
+from rattanpier._internal.rollout.changes import (
+    Change,
+    ChangeWriter,
+    write_halt,
+    write_share,
+)
 from rattanpier._internal.rollout.collect import find_driver, same_versions
 from rattanpier._internal.rollout.evaluation import RolloutEvaluation
 from rattanpier._internal.rollout.evidence import VersionCounts
-from rattanpier._internal.rollout.lease import HeldLease, take_lease
+from rattanpier._internal.rollout.lease import HeldLease, acquire_lease
 from rattanpier._internal.rollout.ledger import Ledger
 from rattanpier._internal.rollout.paired_evaluator import (
     Decision,
@@ -50,11 +55,11 @@
 
 log = structlog.get_logger(part="rollout")
 
-STEP_S = 1.0
+STEP_INTERVAL_S = 1.0
 
 
 @attrs.define
-class Drive:
+class DrivenRollout:
     """One roll-out while this process drives it.
 
     Attributes:
@@ -69,11 +74,11 @@
 
     rollout: Rollout
     ledger: Ledger
-    course: RolloutEvaluation = attrs.Factory(RolloutEvaluation)
-    held: HeldLease | None = None
+    evaluation: RolloutEvaluation = attrs.Factory(RolloutEvaluation)
+    held_lease: HeldLease | None = None
     decision: Decision = attrs.Factory(lambda: Hold("no evidence yet"))
     braked: bool = False
-    stored: bool = False
+    reference_stored: bool = False
 
 
 @attrs.define
@@ -97,38 +102,40 @@
     accepted: Callable[[Revision], None]
     make_evaluation: Callable[[], RolloutEvaluation] = RolloutEvaluation
     ledgers: dict[str, Ledger] = attrs.Factory(dict)
-    drives: dict[str, Drive] = attrs.Factory(dict)
+    driven_rollouts: dict[str, DrivenRollout] = attrs.Factory(dict)
 
     @property
-    def writer(self) -> Writer:
+    def writer(self) -> ChangeWriter:
         """How this process writes changes."""
-        return Writer(self.table, self.clock, self.accepted)
+        return ChangeWriter(self.table, self.clock, self.accepted)
 
     def receive(self, notice: peer_pb2.Notice) -> None:
         """Takes in an entry's evidence."""
         evidence = notice.evidence
         ledger = self.ledgers.setdefault(evidence.rollout, Ledger())
         for row in decode(EvidenceRows, evidence.counts).rows:
-            ledger.take(evidence.origin, row)
+            ledger.apply_row(evidence.origin, row)
 
     async def run(self, kernel: Kernel) -> None:
         """Steps once a second until the end."""
         while not kernel.stopping.is_set():
             await self.step()
-            await self.clock.sleep(STEP_S)
+            await self.clock.sleep(STEP_INTERVAL_S)
 
     async def step(self) -> None:
         """Looks at each roll-out once."""
         rollouts = self.follower.configuration.rollouts
         for name in self.ledgers.keys() - rollouts.keys():
             del self.ledgers[name]
-        for name in self.drives.keys() - self.mine(rollouts):
+        for name in self.driven_rollouts.keys() - self.assigned_rollouts(
+            rollouts
+        ):
             log.info("No longer driving.", rollout=name)
-            del self.drives[name]
-        for name in sorted(self.mine(rollouts)):
-            await self.drive(name, rollouts[name])
+            del self.driven_rollouts[name]
+        for name in sorted(self.assigned_rollouts(rollouts)):
+            await self.drive_rollout(name, rollouts[name])
 
-    def mine(self, rollouts: dict[str, Rollout]) -> set[str]:
+    def assigned_rollouts(self, rollouts: dict[str, Rollout]) -> set[str]:
         """Returns the roll-outs that this process is to drive."""
         return {
             name
@@ -141,65 +148,67 @@
         driver = find_driver(name, self.members)
         return driver is not None and driver.name == self.me.name
 
-    async def drive(self, name: str, rollout: Rollout) -> None:
+    async def drive_rollout(self, name: str, rollout: Rollout) -> None:
         """Judges one roll-out and acts on the decision."""
         revision = self.follower.configuration.revision
-        drive = self.follow(name, rollout)
-        if drive.held is None:
-            await self.take(name, drive)
-        totals = self.totals(drive)
-        drive.course.observe(totals)
-        drive.decision = self.decide(drive)
-        change = Change(name, rollout, revision, self.sign(drive.decision))
-        if isinstance(drive.decision, Halt):
+        driven = self.find_or_start(name, rollout)
+        if driven.held_lease is None:
+            await self.take_over(name, driven)
+        totals = self.totals(driven)
+        driven.evaluation.observe(totals)
+        driven.decision = self.decide(driven)
+        change = Change(
+            name, rollout, revision, self.change_author(driven.decision)
+        )
+        if isinstance(driven.decision, Halt):
             # First what needs no store; then the store.
             self.brakes.apply(
-                rollout.candidate, drive.decision.reason, self.me.name, name
+                rollout.candidate, driven.decision.reason, self.me.name, name
             )
         if rollout.candidate in self.brakes:
-            drive.braked = True
-            await self.halt(drive, change)
+            driven.braked = True
+            await self.halt(driven, change)
             return
-        await self.act(drive, change)
-        await self.store_reference(name, drive)
+        await self.apply_decision(driven, change)
+        await self.store_reference(name, driven)
 
-    def follow(self, name: str, rollout: Rollout) -> Drive:
+    def find_or_start(self, name: str, rollout: Rollout) -> DrivenRollout:
         """Returns the drive of a roll-out, started afresh if it is new."""
-        drive = self.drives.get(name)
-        if drive is None or self.is_stale(drive, rollout):
+        driven = self.driven_rollouts.get(name)
+        if driven is None or self.was_restarted(driven, rollout):
             ledger = self.ledgers.setdefault(name, Ledger())
-            drive = Drive(rollout, ledger, self.make_evaluation())
-            drive.course.start_from(self.totals(drive))
-            self.drives[name] = drive
-        elif drive.rollout.share != rollout.share:
-            drive.course.start_share_step()
-        drive.rollout = rollout
-        return drive
-
-    def is_stale(self, drive: Drive, rollout: Rollout) -> bool:
+            driven = DrivenRollout(rollout, ledger, self.make_evaluation())
+            driven.evaluation.start_from(self.totals(driven))
+            self.driven_rollouts[name] = driven
+        elif driven.rollout.share != rollout.share:
+            driven.evaluation.start_share_step()
+        driven.rollout = rollout
+        return driven
+
+    def was_restarted(self, driven: DrivenRollout, rollout: Rollout) -> bool:
         """Says whether an operator started the roll-out anew.
 
         Only a revision lifts a brake, so one that is gone was an operator's
         decision to go on: what was found before does not count any more.
         """
-        lifted = drive.braked and rollout.candidate not in self.brakes
-        return lifted or not same_versions(rollout, drive.rollout)
+        lifted = driven.braked and rollout.candidate not in self.brakes
+        return lifted or not same_versions(rollout, driven.rollout)
 
-    def totals(self, drive: Drive) -> dict[str, VersionCounts]:
+    def totals(self, driven: DrivenRollout) -> dict[str, VersionCounts]:
         """Returns the sums of all entries, by workspace."""
         members = self.members.live.value.values()
         live = {incarnation_id(member) for member in members}
-        drive.ledger.retire(live)
-        return drive.ledger.totals(
-            drive.rollout.stable, drive.rollout.candidate
+        driven.ledger.drop_stopped_origins(live)
+        return driven.ledger.totals(
+            driven.rollout.stable, driven.rollout.candidate
         )
 
-    def decide(self, drive: Drive) -> Decision:
+    def decide(self, driven: DrivenRollout) -> Decision:
         """Returns the decision at the share in force."""
-        rollout = drive.rollout
-        return drive.course.decide(rollout.share, rollout.max_share)
+        rollout = driven.rollout
+        return driven.evaluation.decide(rollout.share, rollout.max_share)
 
-    def sign(self, decision: Decision) -> str:
+    def change_author(self, decision: Decision) -> str:
         """Returns the author of a change, with its reason."""
         match decision:
             case Halt() | Narrow():
@@ -207,62 +216,70 @@
             case _:
                 return f"driver {self.me.name}: by evidence"
 
-    async def halt(self, drive: Drive, change: Change) -> None:
+    async def halt(self, driven: DrivenRollout, change: Change) -> None:
         """Writes a halt; tried again at each step until it is in force."""
-        record = self.brakes.active[change.rollout.candidate]
-        author = f"driver {self.me.name}: {record.reason}"
-        signed = attrs.evolve(change, author=author)
-        if drive.held is None:
+        brake = self.brakes.active[change.rollout.candidate]
+        author = f"driver {self.me.name}: {brake.reason}"
+        authored_change = attrs.evolve(change, author=author)
+        if driven.held_lease is None:
             return
         # An operator's halt is completed as it was meant.
-        withdraw = record.origin in self.members.live.value
-        outcome = await halt(self.writer, drive.held, signed, withdraw)
+        withdraw = brake.origin in self.members.live.value
+        outcome = await write_halt(
+            self.writer, driven.held_lease, authored_change, withdraw
+        )
         if isinstance(outcome, Fenced):
-            drive.held = None
-        self.note("halt", signed, outcome)
+            driven.held_lease = None
+        self.record_outcome("halt", authored_change, outcome)
 
-    async def take(self, name: str, drive: Drive) -> None:
+    async def take_over(self, name: str, driven: DrivenRollout) -> None:
         """Takes the lease, and the past that an earlier driver stored."""
-        held = await take_lease(
+        held_lease = await acquire_lease(
             self.table, name, self.me.name, self.me.incarnation
         )
-        if held is None:
+        if held_lease is None:
             return
         try:
             row = await self.table.get(
-                reference_key(name, drive.rollout.candidate)
+                reference_key(name, driven.rollout.candidate)
             )
         except StoreUnavailableError:
             return
         if row is not None:
             # An earlier driver's past is longer than what was seen here.
-            drive.course.restore_reference(decode(Reference, row.value))
-            drive.stored = True
-        drive.held = held
-        log.info("Driving.", rollout=name, epoch=held.lease.epoch)
-
-    async def act(self, drive: Drive, change: Change) -> None:
+            driven.evaluation.restore_reference(decode(Reference, row.value))
+            driven.reference_stored = True
+        driven.held_lease = held_lease
+        log.info("Driving.", rollout=name, epoch=held_lease.lease.epoch)
+
+    async def apply_decision(
+        self, driven: DrivenRollout, change: Change
+    ) -> None:
         """Carries out a widening or narrowing."""
-        match drive.decision:
+        match driven.decision:
             case Widen(share) | Narrow(share):
                 pass
             case _:
                 return
         outcome: ChangeOutcome | None = None
-        if drive.held is not None:
-            outcome = await set_share(self.writer, drive.held, change, share)
-            self.note(f"share {share:.3g}", change, outcome)
+        if driven.held_lease is not None:
+            outcome = await write_share(
+                self.writer, driven.held_lease, change, share
+            )
+            self.record_outcome(f"share {share:.3g}", change, outcome)
         if isinstance(outcome, Fenced):
-            drive.held = None  # Another took over, or the head moved.
-        narrowing = isinstance(drive.decision, Narrow)
+            driven.held_lease = None  # Another took over, or the head moved.
+        narrowing = isinstance(driven.decision, Narrow)
         if narrowing and not self.follower.store_reachable:
             # A doubt that can't be settled at a smaller share: stop.
-            reason = f"{drive.decision.reason}, store unreachable"
+            reason = f"{driven.decision.reason}, store unreachable"
             self.brakes.apply(
                 change.rollout.candidate, reason, self.me.name, change.name
             )
 
-    def note(self, what: str, change: Change, outcome: ChangeOutcome) -> None:
+    def record_outcome(
+        self, what: str, change: Change, outcome: ChangeOutcome
+    ) -> None:
         """Logs and counts what became of a change."""
         kind = type(outcome).__name__.lower()
         self.metrics.count(f"rollout.change.{kind}")
@@ -276,14 +293,18 @@
             outcome=kind,
         )
 
-    async def store_reference(self, name: str, drive: Drive) -> None:
+    async def store_reference(self, name: str, driven: DrivenRollout) -> None:
         """Stores the past, for the next driver."""
-        reference = drive.course.reference
-        if drive.stored or reference is None or drive.held is None:
+        reference = driven.evaluation.reference
+        if (
+            driven.reference_stored
+            or reference is None
+            or driven.held_lease is None
+        ):
             return
         put = Put(
-            reference_key(name, drive.rollout.candidate), encode(reference)
+            reference_key(name, driven.rollout.candidate), encode(reference)
         )
-        await self.table.transact(Transaction([drive.held.check], [put]))
+        await self.table.transact(Transaction([driven.held_lease.check], [put]))
         # Writing it again would be harmless; losing it costs a relearning.
-        drive.stored = True
+        driven.reference_stored = True
--- a/src/rattanpier/_internal/rollout/lease.py
+++ b/src/rattanpier/_internal/rollout/lease.py
@@ -45,7 +45,7 @@
     return decode(DriverLease, row.value) if row else None
 
 
-async def take_lease(
+async def acquire_lease(
     table: Table, rollout: str, owner: str, incarnation: str
 ) -> HeldLease | None:
     """Takes a roll-out over, whoever drove it before.
--- a/src/rattanpier/_internal/rollout/ledger.py
+++ b/src/rattanpier/_internal/rollout/ledger.py
@@ -18,7 +18,7 @@
 from rattanpier._internal.rollout.records import EvidenceRow
 
 MAX_ORIGINS = 2048  # Processes whose rows are kept apart.
-MAX_RETIRED = 4096  # Ended processes whose late notices are known.
+MAX_DROPPED_ORIGINS = 4096  # Ended processes whose late notices are known.
 
 
 @attrs.define
@@ -35,16 +35,16 @@
 
     rows: dict[str, dict[tuple[str, str], EvidenceRow]] = attrs.Factory(dict)
     sums: dict[tuple[str, str], Counts] = attrs.Factory(dict)
-    ended: dict[str, None] = attrs.Factory(dict)
+    dropped_origins: dict[str, None] = attrs.Factory(dict)
 
-    def take(self, origin: str, row: EvidenceRow) -> None:
+    def apply_row(self, origin: str, row: EvidenceRow) -> None:
         """Takes in a row unless a newer one is known.
 
         Args:
           origin: "name/incarnation" of the entry.
           row: Sums since that start.
         """
-        if origin in self.ended:
+        if origin in self.dropped_origins:
             return
         known = self.rows.pop(origin, {})
         self.rows[origin] = known
@@ -56,7 +56,7 @@
         added = row.counts - (before.counts if before else NO_COUNTS)
         self.sums[key] = self.sums.get(key, NO_COUNTS) + added
 
-    def retire(
+    def drop_stopped_origins(
         self, live: Collection[str], max_origins: int = MAX_ORIGINS
     ) -> None:
         """Drops rows of origins that are not live, once there are many.
@@ -64,19 +64,19 @@
         Not sooner: a process that only seemed to have ended goes on sending.
         """
         surplus = len(self.rows) - max_origins
-        gone = [name for name in self.rows if name not in live]
-        for origin in gone[: max(0, surplus)]:
+        not_live = [name for name in self.rows if name not in live]
+        for origin in not_live[: max(0, surplus)]:
             del self.rows[origin]
-            self.ended[origin] = None
-        while len(self.ended) > MAX_RETIRED:
-            del self.ended[next(iter(self.ended))]
+            self.dropped_origins[origin] = None
+        while len(self.dropped_origins) > MAX_DROPPED_ORIGINS:
+            del self.dropped_origins[next(iter(self.dropped_origins))]
 
     def totals(self, stable: str, candidate: str) -> dict[str, VersionCounts]:
         """Returns the sums of two versions by workspace."""
-        return pair_up(self.sums, stable, candidate)
+        return totals_by_workspace(self.sums, stable, candidate)
 
 
-def pair_up(
+def totals_by_workspace(
     sums: dict[tuple[str, str], Counts], stable: str, candidate: str
 ) -> dict[str, VersionCounts]:
     """Returns the sums of two versions by workspace."""
--- a/src/rattanpier/_internal/rollout/services.py
+++ b/src/rattanpier/_internal/rollout/services.py
@@ -21,8 +21,8 @@
         clock=kernel.find("clock"),
         metrics=kernel.find("metrics"),
     )
-    follower.current.subscribe(collector.follow)
-    attempts.subscribe(collector.take_attempt)
+    follower.current.subscribe(collector.apply_configuration)
+    attempts.subscribe(collector.record_attempt)
     kernel.spawn(collector.run(kernel))
     return kernel.add("rollout_collector", collector)
 
--- a/tests/lib/rollouts.py
+++ b/tests/lib/rollouts.py
@@ -162,7 +162,7 @@
             world.clock,
             self.metrics,
         )
-        self.follower.current.subscribe(self.collector.follow)
+        self.follower.current.subscribe(self.collector.apply_configuration)
 
     def receive(self, notice):
         if notice.WhichOneof("body") == "brake":
@@ -187,7 +187,7 @@
         world.runs.append((world.clock.now, self.name, version))
         failed = world.rng.random() < world.failing.get(version, 0.01)
         outcome = AttemptOutcome.FAILED if failed else AttemptOutcome.COMPLETE
-        self.collector.take_attempt(
+        self.collector.record_attempt(
             AttemptResult("desk", version, outcome, 0.2, 10)
         )
 
@@ -372,7 +372,7 @@
 
     def driving(self):
         """The control process that drives now."""
-        return next(c for c in self.controls if c.driver.drives)
+        return next(c for c in self.controls if c.driver.driven_rollouts)
 
 
 def rollout_text(
--- a/tests/unit/test_rollout_ledger.py
+++ b/tests/unit/test_rollout_ledger.py
@@ -32,39 +32,39 @@
     rng.shuffle(arrived)
     ledger = Ledger()
     for row in arrived:
-        ledger.take("entry-1/i1", row)
+        ledger.apply_row("entry-1/i1", row)
     assert total(ledger) == newest
 
 
 def test_sums_of_two_starts_of_an_entry_add_up():
     ledger = Ledger()
-    ledger.take("entry-1/i1", make_row(9, 90))
-    ledger.take("entry-1/i2", make_row(1, 5))
+    ledger.apply_row("entry-1/i1", make_row(9, 90))
+    ledger.apply_row("entry-1/i2", make_row(1, 5))
     assert total(ledger) == 95
 
 
 def test_a_late_notice_of_an_ended_process_is_not_counted_twice():
     ledger = Ledger()
-    ledger.take("entry-1/i1", make_row(2, 20))
-    ledger.retire(live={"entry-2/i1"}, max_origins=0)
+    ledger.apply_row("entry-1/i1", make_row(2, 20))
+    ledger.drop_stopped_origins(live={"entry-2/i1"}, max_origins=0)
     assert total(ledger) == 20
-    ledger.take("entry-1/i1", make_row(2, 20))
-    ledger.take("entry-1/i1", make_row(3, 30))
+    ledger.apply_row("entry-1/i1", make_row(2, 20))
+    ledger.apply_row("entry-1/i1", make_row(3, 30))
     assert total(ledger) == 20
 
 
 def test_sums_never_shrink_while_processes_come_and_go():
     ledger, sums = Ledger(), []
     for start in range(1, 6):
-        ledger.take(f"entry/{start}", make_row(1, 7))
-        ledger.retire(live={f"entry/{start}"}, max_origins=1)
+        ledger.apply_row(f"entry/{start}", make_row(1, 7))
+        ledger.drop_stopped_origins(live={f"entry/{start}"}, max_origins=1)
         sums.append(total(ledger))
     assert sums == [7, 14, 21, 28, 35]
 
 
 def test_an_entry_that_only_seemed_to_have_ended_is_still_heard():
     ledger = Ledger()
-    ledger.take("entry-1/i1", make_row(1, 10))
-    ledger.retire(live=set())
-    ledger.take("entry-1/i1", make_row(2, 30))
+    ledger.apply_row("entry-1/i1", make_row(1, 10))
+    ledger.drop_stopped_origins(live=set())
+    ledger.apply_row("entry-1/i1", make_row(2, 30))
     assert total(ledger) == 30
