--- a/src/rattanpier/_internal/rollout/__init__.py
+++ b/src/rattanpier/_internal/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Roll-outs: evidence, the judgement, and the driver."""
+"""Version roll-outs: evidence collection, evaluation and the driver."""
