--- a/src/rattanpier/_internal/rollout/evidence.py
+++ b/src/rattanpier/_internal/rollout/evidence.py
@@ -1,4 +1,4 @@
-"""Counts of what a version did, as they are judged and sent."""
+"""Counters of the outcomes of a version, as evaluated and sent to drivers."""
 
 from __future__ import annotations
 
@@ -7,33 +7,34 @@
 
 import attrs
 
-# Upper edges in seconds of the buckets of the time to the first token; one
-# more bucket holds what took longer.
+# Upper edges in seconds of the histogram buckets of the time to the first
+# token. One more bucket counts everything above the last edge.
 LATENCY_BUCKET_EDGES_S = tuple(0.02 * 1.5**step for step in range(15))
 BUCKET_COUNT = len(LATENCY_BUCKET_EDGES_S) + 1
 EMPTY_HISTOGRAM = (0,) * BUCKET_COUNT
 
 
 class Measure(enum.StrEnum):
-    """What can be wrong with an answer."""
+    """Ways in which an answer can be bad."""
 
     FAILED = "failed"
     TRUNCATED = "truncated"
     POOR = "poor"  # Rated as not good enough.
-    SLOW = "slow"  # The first token was later than most of the stable's.
+    SLOW = "slow"  # First token later than most of the stable version's.
 
 
 @attrs.frozen
 class Counts:
-    """Sums for one version and one workspace.
+    """Counters of one version in one workspace.
 
     Attributes:
-      attempts: Attempts that ran to some end.
-      failed: Of these, without any answer.
-      truncated: Of these, with an answer that is not whole.
-      rated: Answers with a rating.
-      poor: Of these, rated as not good enough.
-      latency: First tokens by bucket of `LATENCY_EDGES_S`.
+      attempts: Attempts that finished, with any outcome.
+      failed: Attempts that ended without an answer.
+      truncated: Attempts that ended with an incomplete answer.
+      rated: Ratings received.
+      poor: Ratings below the required quality.
+      latency: Number of answers by bucket of the time to the first token;
+        one item for each bucket, see `LATENCY_BUCKET_EDGES_S`.
     """
 
     attempts: int = 0
@@ -44,7 +45,7 @@
     latency: tuple[int, ...] = EMPTY_HISTOGRAM
 
     def __add__(self, other: Counts) -> Counts:
-        """Returns the sums of both."""
+        """Returns the sum of each counter."""
         return Counts(
             self.attempts + other.attempts,
             self.failed + other.failed,
@@ -55,7 +56,7 @@
         )
 
     def __sub__(self, other: Counts) -> Counts:
-        """Returns what was added since `other`."""
+        """Returns the increase of each counter since `other`."""
         return Counts(
             self.attempts - other.attempts,
             self.failed - other.failed,
@@ -74,14 +75,17 @@
 
 @attrs.frozen
 class VersionCounts:
-    """Both versions of a roll-out in one workspace."""
+    """Counters of both versions of a roll-out in one workspace."""
 
     stable: Counts = NO_COUNTS
     candidate: Counts = NO_COUNTS
 
 
 def latency_bucket(seconds: float) -> int:
-    """Returns the bucket of a time to the first token.
+    """Returns the index of the bucket of a time to the first token.
+
+    Args:
+      seconds: Time to the first token in seconds.
 
     >>> latency_bucket(0.01), latency_bucket(0.03), latency_bucket(99.0)
     (0, 1, 15)
@@ -90,7 +94,7 @@
 
 
 def first_slow_bucket(latency: tuple[int, ...], quantile: float) -> int:
-    """Returns the first bucket above a quantile of a histogram.
+    """Returns the index of the first bucket above a quantile of a histogram.
 
     >>> first_slow_bucket((0, 90, 10) + (0,) * 13, 0.9)
     2
@@ -106,23 +110,29 @@
 
 @attrs.frozen
 class Trials:
-    """How many were looked at, and how many of these were bad."""
+    """Number of Bernoulli trials, and how many of them were bad.
+
+    Attributes:
+      total: All trials.
+      bad: Trials with a bad outcome.
+    """
 
     total: int = 0
     bad: int = 0
 
     def __add__(self, other: Trials) -> Trials:
-        """Returns the sums of both."""
+        """Returns the sums of both numbers."""
         return Trials(self.total + other.total, self.bad + other.bad)
 
 
 def trials_of(counts: Counts, measure: Measure, slow_from: int) -> Trials:
-    """Returns the trials of a measure.
+    """Returns the trials of one measure.
 
     Args:
-      counts: Sums.
-      measure: What to look at.
-      slow_from: First bucket that counts as slow; `BUCKETS` or more: none.
+      counts: Counters of one version.
+      measure: Kind of bad answer to count.
+      slow_from: First bucket that counts as slow; with `BUCKET_COUNT` or
+        more, no answer is slow.
     """
     match measure:
         case Measure.FAILED:
