--- a/src/rattanpier/_internal/rollout/regression_monitor.py
+++ b/src/rattanpier/_internal/rollout/regression_monitor.py
@@ -1,9 +1,9 @@
-"""The watch over a version after its full roll-out.
+"""Detection of regressions of a version after its full roll-out.
 
-There is no version beside it to compare with any more, so it is compared with
-the past: its own and the previous version's, as found during the roll-out. An
-incident that hits all versions looks the same, so an alarm does not halt; it
-narrows the share, and the paired test settles the matter.
+At full share no other version runs to compare with. The version is therefore
+compared with reference rates of both versions from the time of the roll-out.
+An incident that affects all versions looks the same as a regression, so an
+alarm does not halt: it narrows the share, and the paired test then decides.
 """
 
 from __future__ import annotations
@@ -33,22 +33,23 @@
     baseline_factors,
 )
 
-PRIOR_TRIALS = 100.0  # Weight of all workspaces in the rate of one.
-MIN_REFERENCE_TRIALS = (
-    500  # Trials of the past without which nothing is judged.
-)
+# Weight, in trials, of the overall rate in the rate of one workspace.
+PRIOR_TRIALS = 100.0
+# Trials that a measure needs for a reference rate.
+MIN_REFERENCE_TRIALS = 500
+# Standard deviations by which an upper bound exceeds the observed rate.
 RATE_DEVIATIONS = 2.0
 MAX_BASE_RATE = 0.9
 
 
 @attrs.frozen
 class Reference:
-    """Shares of bad answers in the past.
+    """Rates of bad answers during the roll-out.
 
     Attributes:
       slow_from: First bucket that counts as slow.
-      overall: By measure, for all workspaces.
-      workspaces: By workspace and measure.
+      overall: Rate over all workspaces, by measure.
+      workspaces: Rate by workspace and measure.
     """
 
     slow_from: int = BUCKET_COUNT
@@ -59,7 +60,12 @@
 def make_reference(
     totals: Mapping[str, VersionCounts], policy: EvaluationPolicy
 ) -> Reference:
-    """Returns the past as found during a roll-out."""
+    """Returns the reference rates observed during a roll-out.
+
+    Args:
+      totals: Cumulative counters by workspace.
+      policy: Provides the quantile above which answers are slow.
+    """
     both = {name: pair.stable + pair.candidate for name, pair in totals.items()}
     combined = sum(both.values(), Counts())
     slow_from = first_slow_bucket(combined.latency, policy.slow_quantile)
@@ -81,7 +87,7 @@
 
 
 def upper_rate_bound(bad: float, total: float) -> float:
-    """Returns the highest rate that fits the past: two deviations up.
+    """Returns an upper bound of a rate: two standard deviations above it.
 
     >>> upper_rate_bound(99, 1200)
     0.1
@@ -90,7 +96,12 @@
 
 
 def shrunk_rate_bound(trials: Trials, rate: float) -> float:
-    """Returns a workspace's highest rate, drawn towards that of all."""
+    """Returns a workspace's upper bound, shrunk towards the overall rate.
+
+    Args:
+      trials: Trials of the workspace.
+      rate: The overall rate; counts as `PRIOR_TRIALS` trials.
+    """
     return upper_rate_bound(
         trials.bad + PRIOR_TRIALS * rate, trials.total + PRIOR_TRIALS
     )
@@ -98,13 +109,13 @@
 
 @attrs.define
 class RegressionMonitor:
-    """Looks for a change for the worse in one version.
+    """Tests whether one version became worse than its reference rates.
 
     Attributes:
-      reference: The past to compare with.
-      totals: Counts already taken in, by workspace.
-      tests: Evidence of a change, by workspace and measure.
-      alarm: The first alarm found.
+      reference: Rates to compare with.
+      totals: Counters already processed, by workspace.
+      tests: Change-point tests by scope and measure.
+      alarm: The first alarm found; only its reason is used.
     """
 
     reference: Reference
@@ -114,11 +125,15 @@
     alarm: Halt | None = None
 
     def start_from(self, totals: Mapping[str, VersionCounts]) -> None:
-        """Starts from sums that were judged before."""
+        """Starts from counters that were evaluated before."""
         self.totals = {name: pair.candidate for name, pair in totals.items()}
 
     def observe(self, totals: Mapping[str, VersionCounts]) -> None:
-        """Takes in what was added to the sums of each workspace."""
+        """Processes the increase of the counters of each workspace.
+
+        Args:
+          totals: Cumulative counters by workspace.
+        """
         combined = Counts()
         for workspace, pair in totals.items():
             added = pair.candidate - self.totals.get(workspace, Counts())
@@ -145,6 +160,9 @@
                 self.alarm = Halt(measure, scope, test.value)
 
     def alarm_threshold(self, scope: str) -> float:
-        """Returns the evidence that alarms; shared as in `Judge.limit`."""
+        """Returns the evidence at which a test raises an alarm.
+
+        It is shared as in `PairedEvaluator.halt_threshold`.
+        """
         scopes = 1 if scope == ALL_WORKSPACES else max(1, len(self.totals))
         return 2 * len(MEASURES) * scopes / self.policy.false_alarms
