--- a/src/rattanpier/_internal/rollout/evaluation.py
+++ b/src/rattanpier/_internal/rollout/evaluation.py
@@ -1,4 +1,8 @@
-"""The judgement over the whole course of a roll-out, and after it."""
+"""Evaluation of a version during its roll-out and at full share.
+
+The paired comparison runs all the time. At full share a regression monitor is
+added, since then the stable version no longer runs beside the candidate.
+"""
 
 from __future__ import annotations
 
@@ -24,12 +28,13 @@
 
 @attrs.define
 class RolloutEvaluation:
-    """One roll-out as it is judged.
+    """State of the evaluation of one roll-out.
 
     Attributes:
-      judge: The paired test.
-      reference: The past, from the first time at full share on.
-      watch: The test against the past, while at full share.
+      policy: Error rates and steps.
+      paired_evaluator: The comparison of both versions.
+      reference: Reference rates; set when full share is first reached.
+      monitor: The test against the reference rates, while at full share.
     """
 
     policy: EvaluationPolicy = attrs.Factory(EvaluationPolicy)
@@ -42,17 +47,26 @@
     monitor: RegressionMonitor | None = None
 
     def start_from(self, totals: Mapping[str, VersionCounts]) -> None:
-        """Starts from sums that an earlier driver gathered."""
+        """Starts from counters collected under an earlier driver."""
         self.paired_evaluator.start_from(totals)
 
     def observe(self, totals: Mapping[str, VersionCounts]) -> None:
-        """Takes in what was added to the sums of each workspace."""
+        """Processes the increase of the counters of each workspace.
+
+        Args:
+          totals: Cumulative counters by workspace.
+        """
         self.paired_evaluator.observe(totals)
         if self.monitor is not None:
             self.monitor.observe(totals)
 
     def decide(self, share: float, max_share: float) -> Decision:
-        """Returns what to do at a share."""
+        """Returns the decision at a share.
+
+        Args:
+          share: The share in force, from 0 to 1.
+          max_share: Maximum share that the operator allows.
+        """
         if share >= FULL_SHARE and self.monitor is None:
             self.start_monitor()
         decision = self.paired_evaluator.decide(share, max_share)
@@ -62,7 +76,7 @@
         return decision
 
     def start_monitor(self) -> None:
-        """Begins to compare with the past, once enough of it is known."""
+        """Starts the regression monitor if there are reference rates."""
         totals = self.paired_evaluator.totals
         reference = self.reference or make_reference(totals, self.policy)
         if not reference.overall:
@@ -72,11 +86,11 @@
         self.monitor.start_from(totals)
 
     def restore_reference(self, reference: Reference) -> None:
-        """Takes over the past as an earlier driver stored it."""
+        """Restores the reference rates that an earlier driver stored."""
         self.reference = reference
         self.monitor = None
 
     def start_share_step(self) -> None:
-        """Begins a step at another share."""
+        """Begins a step at a new share."""
         self.paired_evaluator.start_share_step()
         self.monitor = None
