--- a/src/rattanpier/_internal/rollout/sequential.py
+++ b/src/rattanpier/_internal/rollout/sequential.py
@@ -1,9 +1,9 @@
-"""Sequential tests that hold at any time, also for a change on the way.
+"""Anytime-valid sequential tests that also detect a change during the run.
 
-Each test is a sum of likelihood ratios over the places where a change may
-have begun. With weights w that add up to W, the chance that a version which
-is no worse ever reaches 1/alpha is at most alpha * W (Ville's inequality), so
-it may be looked at after every answer.
+Each test sums likelihood ratios over all batches at which a change may have
+begun. With weights w that add up to W, the probability that a version which is
+no worse ever reaches 1/alpha is at most alpha * W (Ville's inequality).
+Therefore the test may be evaluated after every answer.
 """
 
 from __future__ import annotations
@@ -15,22 +15,24 @@
 
 from rattanpier._internal.rollout.evidence import Trials
 
-# How many times as often the candidate may be bad, as alternatives.
+# Alternative hypotheses: how many times as often the candidate is bad.
 ALTERNATIVE_RATIOS = (1.25, 1.5, 2.0, 3.0, 5.0, 10.0, 30.0)
-# Least weight of a change that begins now; bounds the delay of detection.
+# Minimum weight of a change that begins with the current batch; bounds the
+# detection delay.
 MIN_RESTART_WEIGHT = 1e-4
-MAX_EXPONENT = 230.0  # About 1e100, so that the ceiling times it is finite.
-MAX_EVIDENCE = 1e200  # Against overflow; far above any threshold.
+MAX_EXPONENT = 230.0  # About 1e100; its product with MAX_EVIDENCE is finite.
+MAX_EVIDENCE = 1e200  # Avoids overflow; far above any threshold.
 MAX_ALTERNATIVE_RATE = 0.95
 
 
 @attrs.define
 class ChangePointTest:
-    """Evidence that one version is or became worse.
+    """Test for a version being worse from the start or becoming worse.
 
     Attributes:
-      sums: Evidence for each of `RATIOS`.
-      steps: Batches taken in.
+      ratio_sums: Weighted sum of likelihood ratios for each of
+        `ALTERNATIVE_RATIOS`.
+      batches: Number of batches applied.
     """
 
     ratio_sums: list[float] = attrs.Factory(
@@ -40,11 +42,15 @@
 
     @property
     def value(self) -> float:
-        """The evidence; compared with 1/alpha."""
+        """Evidence, averaged over the alternatives; compared with 1/alpha."""
         return sum(self.ratio_sums) / len(self.ratio_sums)
 
     def update(self, factors: Sequence[float]) -> None:
-        """Takes in the likelihood ratios of one batch."""
+        """Applies the likelihood ratios of one batch.
+
+        Args:
+          factors: One for each of `ALTERNATIVE_RATIOS`.
+        """
         self.batches += 1
         weight = max(
             1 / (self.batches * (self.batches + 1)), MIN_RESTART_WEIGHT
@@ -60,14 +66,15 @@
 ) -> list[float]:
     """Returns likelihood ratios of a batch in which both versions ran.
 
-    Each bad answer is a draw of "was it the candidate's?"; how often answers
-    are bad at all drops out, so that an incident which hits both versions is
-    no evidence against one of them.
+    The test conditions on the number of bad answers: each of them is a trial
+    whether it came from the candidate. The overall rate of bad answers cancels
+    out, so that an incident which affects both versions is no evidence against
+    either of them.
 
     Args:
-      stable: Trials of the version in service.
+      stable: Trials of the stable version.
       candidate: Trials of the candidate in the same batch.
-      tolerance: Ratio of bad answers that is still no worse.
+      tolerance: Ratio of bad answers that still counts as no worse.
     """
     bad = stable.bad + candidate.bad
     weight = candidate.total * tolerance
@@ -82,11 +89,11 @@
 
 
 def baseline_factors(trials: Trials, rate: float) -> list[float]:
-    """Returns likelihood ratios of a batch against a known rate.
+    """Returns likelihood ratios of a batch compared to a known rate.
 
     Args:
       trials: Trials of the version in service.
-      rate: Highest share of bad answers that is still no worse.
+      rate: Highest rate of bad answers that still counts as no worse.
     """
     good = trials.total - trials.bad
     factors = []
@@ -99,7 +106,7 @@
 
 
 def bounded_exp(exponent: float) -> float:
-    """Returns e to a power, within what sums of it can hold.
+    """Returns the exponential, bounded so that sums of it stay finite.
 
     >>> bounded_exp(0.0), bounded_exp(1e6) > 1e90, bounded_exp(-1e6) > 0
     (1.0, True, True)
