--- a/src/rattanpier/_internal/rollout/paired_evaluator.py
+++ b/src/rattanpier/_internal/rollout/paired_evaluator.py
@@ -1,6 +1,7 @@
-"""The judgement of a candidate against the version in service.
+"""Evaluation of a candidate version by comparison with the stable version.
 
-Pure: counts go in, a decision comes out; no clock and no network.
+It is a pure function of the counters, without clock or network, so that
+entries, drivers and simulations evaluate the same evidence alike.
 """
 
 from __future__ import annotations
@@ -24,30 +25,36 @@
     paired_factors,
 )
 
-ALL_WORKSPACES = ""  # The scope of all workspaces together.
+ALL_WORKSPACES = ""  # Scope of the tests over all workspaces together.
 MEASURES = tuple(Measure)
 FULL_SHARE = 1.0
 
 
 @attrs.frozen
 class EvaluationPolicy:
-    """How careful the judgement is.
+    """Error rates and steps of an evaluation.
 
     Attributes:
-      false_halts: Share of no worse candidates that may be halted.
+      false_halts: Maximum probability of halting a candidate that is no
+        worse.
       tolerance: Ratio of bad answers that still counts as no worse.
-      first_share: Share that a new roll-out begins with.
-      growth: Factor by which a share is widened.
-      widen_error: Chance of widening a candidate worse by a margin.
-      margins: Rise of the share of bad answers that has to be excluded
-        before the next widening.
-      slow_quantile: Quantile of the stable's first tokens that is slow.
-      min_latencies: First tokens of the stable before any counts as slow.
-      doubt: Part of the way to a halt, in orders of magnitude, at which the
-        share is narrowed: cheap, reversible, and needs no proof.
-      narrow_share: Share at which a doubt is settled.
-      false_alarms: Share of false alarms allowed to the watch after full
-        roll-out; an alarm only narrows.
+      first_share: Share of the candidate in the first step of a roll-out.
+      growth: Factor by which each widening raises the share.
+      widen_error: Maximum probability, at each step, of widening a candidate
+        that is worse by the margin.
+      margins: Increase of the rate of bad answers, by measure, that the
+        evidence has to exclude before the next widening.
+      slow_quantile: Quantile of the stable version's time to the first token
+        above which an answer is slow.
+      min_latencies: Number of answers of the stable version that are needed
+        to set the threshold for slow answers.
+      doubt: Fraction of the logarithm of the halt threshold at which the
+        share is narrowed. Narrowing is cheap and reversible, so it needs
+        less evidence than a halt.
+      narrow_share: Share to which a suspected candidate is narrowed, and at
+        which the test continues.
+      false_alarms: Maximum probability of a false alarm after full roll-out;
+        higher than `false_halts`, because an alarm only narrows.
     """
 
     false_halts: float = 0.01
@@ -72,14 +79,25 @@
 
 @attrs.frozen
 class Widen:
-    """The evidence supports a larger share."""
+    """The evidence supports a larger share.
+
+    Attributes:
+      share: The next share, from 0 to 1.
+    """
 
     share: float
 
 
 @attrs.frozen
 class Narrow:
-    """There is cause for doubt; fewer callers are to settle it."""
+    """The candidate is suspected of being worse.
+
+    A smaller share continues the test with fewer affected callers.
+
+    Attributes:
+      share: The smaller share, from 0 to 1.
+      reason: The test that raised the suspicion.
+    """
 
     share: float
     reason: str
@@ -87,10 +105,10 @@
 
 @attrs.frozen
 class Hold:
-    """The share stays.
+    """The share is kept.
 
     Attributes:
-      reason: What is missing, or what gives cause for doubt.
+      reason: The missing evidence, or the test that raised a suspicion.
     """
 
     reason: str
@@ -98,12 +116,12 @@
 
 @attrs.frozen
 class Halt:
-    """The candidate is worse.
+    """The candidate is worse and has to be halted.
 
     Attributes:
-      measure: In what.
-      workspace: Where, or `EVERYONE`.
-      evidence: Likelihood ratio against "no worse".
+      measure: Kind of bad answer that increased.
+      workspace: Affected workspace, or `ALL_WORKSPACES`.
+      evidence: Likelihood ratio against the hypothesis "no worse".
     """
 
     measure: Measure
@@ -112,7 +130,7 @@
 
     @property
     def reason(self) -> str:
-        """The reason in words."""
+        """The reason as text for operators."""
         place = f"workspace {self.workspace}" if self.workspace else "overall"
         return f"{self.measure} {place}, evidence {self.evidence:.3g}"
 
@@ -122,7 +140,7 @@
 
 @attrs.define
 class Batch:
-    """Trials not yet judged: both versions have to occur in it."""
+    """Trials that wait until the batch has trials of both versions."""
 
     stable: Trials = attrs.Factory(Trials)
     candidate: Trials = attrs.Factory(Trials)
@@ -130,17 +148,19 @@
 
 @attrs.define
 class PairedEvaluator:
-    """Judges one roll-out.
+    """Evaluates one roll-out by a paired comparison of both versions.
 
     Attributes:
-      totals: Counts already taken in, by workspace.
-      tests: Evidence against the candidate, by workspace and measure.
-      batches: Trials that wait for the other version, likewise.
-      since: The candidate's trials since the share last changed.
-      stable: The stable's trials since the start.
-      latency: The stable's first tokens by bucket, of all workspaces.
+      totals: Counters already processed, by workspace.
+      tests: Tests against the candidate, by scope and measure.
+      batches: Trials that wait for the other version, by workspace and
+        measure.
+      step_trials: The candidate's trials since the share last changed.
+      stable_trials: The stable version's trials since the start.
+      latency: Histogram of the stable version's time to the first token over
+        all workspaces.
       slow_from: First bucket that counts as slow.
-      worst: The first halt found; a halt stands.
+      first_halt: The first halt found; it is final.
     """
 
     policy: EvaluationPolicy = attrs.Factory(EvaluationPolicy)
@@ -154,17 +174,21 @@
     first_halt: Halt | None = None
 
     def start_from(self, totals: Mapping[str, VersionCounts]) -> None:
-        """Starts from sums of which it is not known how they came about.
+        """Starts from counters whose history is unknown.
 
-        They were gathered under shares that changed, so they are no evidence
-        for either side; only the stable's first tokens are used.
+        They were collected while the share changed, so a comparison of the
+        versions would be biased. Only the stable version's latencies are used.
         """
         self.totals = dict(totals)
         for pair in totals.values():
             self.update_slow_threshold(pair)
 
     def observe(self, totals: Mapping[str, VersionCounts]) -> None:
-        """Takes in what was added to the sums of each workspace."""
+        """Processes the increase of the counters of each workspace.
+
+        Args:
+          totals: Cumulative counters by workspace.
+        """
         for workspace, pair in totals.items():
             before = self.totals.get(workspace, VersionCounts())
             if pair == before:
@@ -175,11 +199,11 @@
             )
             for measure in MEASURES:
                 self.add_trials(workspace, measure, added)
-            # Only earlier answers decide what is slow.
+            # Last, so that only earlier answers decide what counts as slow.
             self.update_slow_threshold(added)
 
     def update_slow_threshold(self, added: VersionCounts) -> None:
-        """Moves the limit of what is slow with the stable's first tokens."""
+        """Updates the slow threshold from the stable version's latencies."""
         self.latency = tuple(
             map(sum, zip(self.latency, added.stable.latency, strict=True))
         )
@@ -191,7 +215,7 @@
     def add_trials(
         self, workspace: str, measure: Measure, added: VersionCounts
     ) -> None:
-        """Takes in one measure of one workspace."""
+        """Adds the new trials of one measure in one workspace."""
         if measure is Measure.SLOW and self.slow_from >= BUCKET_COUNT:
             return
         stable = trials_of(added.stable, measure, self.slow_from)
@@ -212,7 +236,10 @@
     def update_tests(
         self, workspace: str, measure: Measure, batch: Batch
     ) -> None:
-        """Updates the tests with a batch; good answers alone say nothing."""
+        """Updates the tests with a batch.
+
+        A batch without bad answers is no evidence and is skipped.
+        """
         if not batch.stable.bad and not batch.candidate.bad:
             return
         factors = paired_factors(
@@ -228,24 +255,25 @@
                 self.first_halt = Halt(measure, scope, test.value)
 
     def halt_threshold(self, scope: str) -> float:
-        """Returns the evidence that halts; all tests share the chance.
+        """Returns the evidence at which a test halts the roll-out.
 
-        Half of it is for all workspaces together, half for each alone.
+        All tests share the probability of a false halt: half of it goes to the
+        tests over all workspaces, half to those of single workspaces.
         """
         scopes = 1 if scope == ALL_WORKSPACES else max(1, len(self.totals))
         return 2 * len(MEASURES) * scopes / self.policy.false_halts
 
     def start_share_step(self) -> None:
-        """Begins a step: evidence for widening is gathered anew."""
+        """Begins a step at a new share; evidence for widening is reset."""
         self.step_trials.clear()
         self.batches.clear()
 
     def decide(self, share: float, max_share: float) -> Decision:
-        """Returns what to do at a share.
+        """Returns the decision at a share.
 
         Args:
-          share: The share in force.
-          max_share: Share that is not to be exceeded.
+          share: The share in force, from 0 to 1.
+          max_share: Maximum share that the operator allows.
         """
         if self.first_halt is not None:
             return self.first_halt
@@ -264,7 +292,7 @@
         return Widen(min(share * self.policy.growth, max_share))
 
     def find_suspect_test(self) -> str:
-        """Returns which test is on its way to a halt, or nothing."""
+        """Returns which test raised a suspicion, or an empty string."""
         for (scope, measure), test in self.tests.items():
             if test.value >= self.halt_threshold(scope) ** self.policy.doubt:
                 place = scope or "all workspaces"
@@ -272,11 +300,11 @@
         return ""
 
     def find_missing_evidence(self) -> str:
-        """Returns which measure lacks evidence for widening, or nothing."""
+        """Returns which measure lacks evidence to widen, or an empty string."""
         for measure in MEASURES:
             stable = self.stable_trials.get(measure, Trials())
             if measure is Measure.POOR and not stable.total:
-                continue  # Nobody pays for ratings here.
+                continue  # Ratings are not in use.
             if measure is Measure.SLOW and self.has_no_slow_bucket():
                 continue
             candidate = self.step_trials.get(measure, Trials())
@@ -285,14 +313,14 @@
         return ""
 
     def has_no_slow_bucket(self) -> bool:
-        """Says whether the stable is so slow that no limit can be set."""
+        """Returns whether the stable version is too slow to set a threshold."""
         known = sum(self.latency) >= self.policy.min_latencies
         return known and self.slow_from >= BUCKET_COUNT
 
     def excludes_rise(
         self, measure: Measure, stable: Trials, candidate: Trials
     ) -> bool:
-        """Says whether a rise by the margin is excluded."""
+        """Returns whether the evidence excludes a rise by the margin."""
         margin = self.policy.margins[measure]
         stable_rate = (stable.bad + 0.5) / (stable.total + 1)
         worse_rate = min(stable_rate + margin, 0.99)
