--- a/src/rattanpier/_internal/rollout/changes.py
+++ b/src/rattanpier/_internal/rollout/changes.py
@@ -1,4 +1,4 @@
-"""The changes of configuration that a driver makes."""
+"""Configuration changes that the driver of a roll-out writes."""
 
 from __future__ import annotations
 
@@ -37,13 +37,13 @@
 
 @attrs.frozen
 class Change:
-    """What a change is of, and who makes it.
+    """The subject and the author of a configuration change.
 
     Attributes:
-      name: The roll-out.
-      rollout: The roll-out as the driver judged it.
-      revision: Revision that it was read from.
-      author: The driver and its reason, for operators.
+      name: Name of the roll-out.
+      rollout: The roll-out as the driver evaluated it.
+      revision: Configuration revision that the roll-out was read from.
+      author: The driver and its reason, shown to operators.
     """
 
     name: str
@@ -54,9 +54,11 @@
 
 @attrs.frozen
 class ChangeWriter:
-    """How changes are written.
+    """What is needed to write a change.
 
     Attributes:
+      table: The table service.
+      clock: Source of timestamps and timeouts.
       accepted: Called with each revision that the store accepted.
     """
 
@@ -68,7 +70,14 @@
 async def write_share(
     writer: ChangeWriter, held_lease: HeldLease, change: Change, share: float
 ) -> ChangeOutcome:
-    """Sets the share, if nobody changed anything since it was judged."""
+    """Writes a share, unless the configuration changed since evaluation.
+
+    Args:
+      writer: Where to write.
+      held_lease: The driver's lease.
+      change: What is changed.
+      share: The new share, from 0 to 1.
+    """
     done = share >= FULL_SHARE
     state = RolloutState.DONE if done else RolloutState.RUNNING
 
@@ -85,17 +94,17 @@
 async def write_halt(
     writer: ChangeWriter, held_lease: HeldLease, change: Change, withdraw: bool
 ) -> ChangeOutcome:
-    """Halts a roll-out and withdraws its candidate, likewise.
+    """Writes a halt, unless the configuration changed since evaluation.
 
-    The brake is on already, so there is time to let an operator's change
+    The brake is active already, so that an operator's concurrent change can
     come into force first.
 
     Args:
       writer: Where to write.
       held_lease: The driver's lease.
       change: What is changed.
-      withdraw: Whether the candidate gets no new work at all; an operator who
-        halted it decides that alone.
+      withdraw: Whether to withdraw the candidate, so that it gets no new work
+        at all. If an operator halted it, this is left to the operator.
     """
 
     def edit(text: str) -> str:
@@ -121,9 +130,10 @@
 async def propose_edit(
     writer: ChangeWriter, held_lease: HeldLease, change: Change, edit: Edit
 ) -> ChangeOutcome:
-    """Makes an edit follow exactly the revision that was judged.
+    """Writes an edit on top of exactly the revision that was evaluated.
 
-    An operator's change in between wins; the driver judges again on it.
+    A change that an operator made in between takes precedence; the driver
+    evaluates the roll-out again on the new revision.
     """
     try:
         base = await newest(writer.table)
