--- a/src/rattanpier/_internal/rollout/collect.py
+++ b/src/rattanpier/_internal/rollout/collect.py
@@ -1,4 +1,9 @@
-"""Evidence as an entry gathers it, sends it, and acts on it alone."""
+"""Collection of roll-out evidence on an entry.
+
+An entry counts the outcomes of both versions and sends the counters to the
+driver. It also evaluates its own counters and brakes a bad candidate without
+waiting for a driver or the store.
+"""
 
 from __future__ import annotations
 
@@ -40,20 +45,19 @@
 log = structlog.get_logger(part="rollout")
 
 STEP_INTERVAL_S = 1.0
-MAX_ROWS_PER_NOTICE = 8  # Bounds what a notice weighs, however many workspaces.
-MAX_DRIVER_NOTICES_PER_S = (
-    40.0  # That one driver takes, from all entries together.
-)
+MAX_ROWS_PER_NOTICE = 8  # Bounds the size of a notice.
+# Notices that one driver receives from all entries together.
+MAX_DRIVER_NOTICES_PER_S = 40.0
 
 
 @attrs.define
 class RowSendState:
-    """What is known of sending one row.
+    """State of sending one row of counters.
 
     Attributes:
-      sequence: Rises with each change.
-      sent: Sequence sent last.
-      turn: Number of the notice that carried it last.
+      sequence: Increases with each change of the row.
+      sent_sequence: Sequence that was sent last.
+      last_notice: Number of the notice that contained the row last.
     """
 
     sequence: int = 0
@@ -63,16 +67,16 @@
 
 @attrs.define
 class Collector:
-    """Counts attempts and ratings of versions in a roll-out.
+    """Counts attempts and ratings of the versions in roll-outs.
 
     Attributes:
-      sums: Since the start, by workspace and version.
-      sending: State of sending, likewise.
-      judges: This entry's own judgement, by roll-out.
-      braked: Roll-outs that this entry braked.
-      watched: Roll-outs as last seen.
-      turn: Number of notices sent.
-      due: Monotonic time of the next notices.
+      sums: Counters since the process started, by workspace and version.
+      send_states: State of sending, by workspace and version.
+      evaluators: Evaluation of this entry's own counters, by roll-out.
+      braked: Roll-outs whose candidate this entry braked.
+      active_rollouts: Roll-outs that are not halted, as last configured.
+      notices_sent: Number of notices sent; the sequence of the next follows.
+      next_send_s: Monotonic time in seconds at which notices are sent next.
     """
 
     me: Member
@@ -92,7 +96,7 @@
 
     @property
     def origin(self) -> str:
-        """How this start of the entry is named in notices."""
+        """Identifier of this incarnation of the entry in notices."""
         return incarnation_id(self.me)
 
     def record_attempt(self, result: AttemptResult) -> None:
@@ -113,11 +117,11 @@
         )
 
     def record_rating(self, workspace: str, version: str, good: bool) -> None:
-        """Counts one rating, whenever it comes."""
+        """Counts one rating, which may arrive long after the answer."""
         self.add_counts(workspace, version, Counts(rated=1, poor=int(not good)))
 
     def add_counts(self, workspace: str, version: str, counts: Counts) -> None:
-        """Adds to the sums of a version that is in a roll-out."""
+        """Adds to the counters of a version if it is in a roll-out."""
         if not self.is_in_rollout(version):
             return
         key = (workspace, version)
@@ -125,14 +129,14 @@
         self.send_states.setdefault(key, RowSendState()).sequence += 1
 
     def is_in_rollout(self, version: str) -> bool:
-        """Says whether a version is in a roll-out that is not halted."""
+        """Returns whether a version is in a roll-out that is not halted."""
         return any(
             version in (rollout.stable, rollout.candidate)
             for rollout in self.active_rollouts.values()
         )
 
     def apply_configuration(self, configuration: Configuration) -> None:
-        """Takes in a configuration; starts afresh what was started anew."""
+        """Applies a configuration; restarts roll-outs with other versions."""
         self.configuration = configuration
         active_rollouts = {
             name: rollout
@@ -150,22 +154,22 @@
         self.active_rollouts = active_rollouts
 
     def start_evaluation(self, name: str, rollout: Rollout) -> None:
-        """Begins to judge a roll-out; what came before does not count."""
+        """Starts an evaluation that ignores the evidence so far."""
         self.evaluators[name] = PairedEvaluator()
         self.evaluators[name].start_from(self.own_totals(rollout))
 
     def own_totals(self, rollout: Rollout) -> dict[str, VersionCounts]:
-        """Returns this entry's own sums for a roll-out, by workspace."""
+        """Returns this entry's own counters for a roll-out, by workspace."""
         return totals_by_workspace(self.sums, rollout.stable, rollout.candidate)
 
     async def run(self, kernel: Kernel) -> None:
-        """Judges once a second, and sends, until the end."""
+        """Evaluates and sends once a second until the process stops."""
         while not kernel.stopping.is_set():
             self.step()
             await self.clock.sleep(STEP_INTERVAL_S)
 
     def step(self) -> None:
-        """Judges what this entry saw, and sends it when it is time."""
+        """Evaluates this entry's evidence and sends it when it is due."""
         for name, rollout in self.active_rollouts.items():
             self.evaluate(name, rollout)
         now = self.clock.monotonic()
@@ -178,9 +182,9 @@
                 self.send(name, rollout, driver)
 
     def evaluate(self, name: str, rollout: Rollout) -> None:
-        """Brakes a candidate that this entry's own evidence halts."""
+        """Brakes a candidate if this entry's own evidence halts it."""
         if name in self.braked and rollout.candidate not in self.brakes:
-            # Only a revision lifts a brake: somebody decided to go on.
+            # Only a new revision lifts a brake, so an operator chose to resume.
             self.braked.discard(name)
             self.start_evaluation(name, rollout)
         evaluator = self.evaluators[name]
@@ -194,7 +198,10 @@
         )
 
     def send(self, name: str, rollout: Rollout, driver: Member) -> None:
-        """Sends rows to the driver: changed ones first, then the oldest."""
+        """Sends rows to the driver.
+
+        Changed rows come first, then those that were sent least recently.
+        """
         versions = (rollout.stable, rollout.candidate)
         keys = [key for key in self.send_states if key[1] in versions]
         keys.sort(key=lambda key: self.send_order(self.send_states[key]))
@@ -212,20 +219,20 @@
         self.metrics.count("rollout.evidence_sent")
 
     def send_order(self, row: RowSendState) -> tuple[bool, int]:
-        """Returns the place of a row in the order of sending."""
+        """Returns the sort key of a row in the order of sending."""
         return (row.sent_sequence == row.sequence, row.last_notice)
 
     def make_row(self, key: tuple[str, str]) -> EvidenceRow:
-        """Returns a row and notes that it is sent."""
+        """Returns a row and records that it is sent."""
         row = self.send_states[key]
         row.sent_sequence, row.last_notice = row.sequence, self.notices_sent
         return EvidenceRow(*key, row.sequence, self.sums[key])
 
 
 def send_interval_s(fleet: Fleet) -> float:
-    """Returns the pause between notices of one entry.
+    """Returns the interval in seconds between notices of one entry.
 
-    It grows with the fleet, so that the driver's work does not.
+    It grows with the fleet, so that the load of the driver stays bounded.
 
     >>> send_interval_s(Fleet(size=8)), send_interval_s(Fleet(size=420))
     (0.5, 10.5)
@@ -234,12 +241,12 @@
 
 
 def same_versions(rollout: Rollout, before: Rollout | None) -> bool:
-    """Says whether a roll-out is the one seen before."""
+    """Returns whether a roll-out has the same versions as before."""
     return before is not None and (
         (rollout.stable, rollout.candidate) == (before.stable, before.candidate)
     )
 
 
 def find_driver(rollout: str, members: Members) -> Member | None:
-    """Returns the control process that is to drive a roll-out."""
+    """Returns the control process responsible for a roll-out, if any."""
     return control_for(rollout, members.live.value)
