--- a/src/rattanpier/_internal/rollout/ledger.py
+++ b/src/rattanpier/_internal/rollout/ledger.py
@@ -1,7 +1,7 @@
-"""The driver's sums of what entries sent.
+"""The driver's totals of the counters that entries send.
 
-Entries send sums since their start with a sequence, so that a notice which is
-lost, repeated or overtaken does no harm.
+Entries send cumulative counters with a sequence number, so that notices may be
+lost, duplicated or reordered without an effect on the totals.
 """
 
 from __future__ import annotations
@@ -17,20 +17,22 @@
 )
 from rattanpier._internal.rollout.records import EvidenceRow
 
-MAX_ORIGINS = 2048  # Processes whose rows are kept apart.
-MAX_DROPPED_ORIGINS = 4096  # Ended processes whose late notices are known.
+MAX_ORIGINS = 2048  # Processes whose rows are kept separately.
+MAX_DROPPED_ORIGINS = 4096  # Dropped processes whose late notices are ignored.
 
 
 @attrs.define
 class Ledger:
-    """Sums by origin.
+    """Counters by origin, and their totals.
 
     Attributes:
-      rows: Latest row by origin, workspace and version; the origin heard of
-        last comes last.
-      sums: Of all rows ever, by workspace and version; kept as rows come, so
-        that reading them costs the same whatever the number of entries.
-      ended: Origins whose rows were dropped, oldest first.
+      rows: Latest row by origin, workspace and version; the origin that sent
+        most recently comes last.
+      sums: Totals of all rows ever received, by workspace and version. They
+        are updated with each row, so that the cost of reading them does not
+        depend on the number of entries.
+      dropped_origins: Origins whose rows were dropped, oldest first. Their
+        late notices are ignored, since they would be counted twice.
     """
 
     rows: dict[str, dict[tuple[str, str], EvidenceRow]] = attrs.Factory(dict)
@@ -38,11 +40,11 @@
     dropped_origins: dict[str, None] = attrs.Factory(dict)
 
     def apply_row(self, origin: str, row: EvidenceRow) -> None:
-        """Takes in a row unless a newer one is known.
+        """Applies a row unless a newer one is known.
 
         Args:
           origin: "name/incarnation" of the entry.
-          row: Sums since that start.
+          row: Counters since the start of that incarnation.
         """
         if origin in self.dropped_origins:
             return
@@ -59,9 +61,14 @@
     def drop_stopped_origins(
         self, live: Collection[str], max_origins: int = MAX_ORIGINS
     ) -> None:
-        """Drops rows of origins that are not live, once there are many.
+        """Drops the rows of stopped origins if there are too many origins.
 
-        Not sooner: a process that only seemed to have ended goes on sending.
+        They are kept until then, since a process that was only believed to
+        have stopped continues to send.
+
+        Args:
+          live: Origins that are live.
+          max_origins: Number of origins above which rows are dropped.
         """
         surplus = len(self.rows) - max_origins
         not_live = [name for name in self.rows if name not in live]
@@ -72,14 +79,20 @@
             del self.dropped_origins[next(iter(self.dropped_origins))]
 
     def totals(self, stable: str, candidate: str) -> dict[str, VersionCounts]:
-        """Returns the sums of two versions by workspace."""
+        """Returns the totals of two versions by workspace."""
         return totals_by_workspace(self.sums, stable, candidate)
 
 
 def totals_by_workspace(
     sums: dict[tuple[str, str], Counts], stable: str, candidate: str
 ) -> dict[str, VersionCounts]:
-    """Returns the sums of two versions by workspace."""
+    """Returns the counters of two versions by workspace.
+
+    Args:
+      sums: Counters by workspace and version.
+      stable: The stable version.
+      candidate: The candidate.
+    """
     workspaces = sorted(
         {
             workspace
