--- a/src/rattanpier/_internal/rollout/lease.py
+++ b/src/rattanpier/_internal/rollout/lease.py
@@ -1,7 +1,7 @@
-"""The lease of a roll-out's driver: an epoch that rises with each driver.
+"""The lease of a roll-out's driver, with an epoch that fences old drivers.
 
-It need not be renewed: who may drive follows from who is alive, and a driver
-that was replaced fails the check of the lease row in each of its changes.
+The lease is not renewed. The set of live processes determines the driver, and
+each change checks the lease row, so that a replaced driver cannot write.
 """
 
 from __future__ import annotations
@@ -23,7 +23,13 @@
 
 @attrs.frozen
 class HeldLease:
-    """A lease as its holder wrote it, and the version of its row."""
+    """A lease as written by its holder.
+
+    Attributes:
+      rollout: Name of the roll-out.
+      lease: The lease.
+      version: Version of its row in the table.
+    """
 
     rollout: str
     lease: DriverLease
@@ -31,12 +37,12 @@
 
     @property
     def check(self) -> Check:
-        """The condition that nobody took over since."""
+        """Condition that no other driver has acquired the lease since."""
         return Check(lease_key(self.rollout), self.version)
 
 
 async def read_lease(table: Table, rollout: str) -> DriverLease | None:
-    """Returns the present lease.
+    """Returns the current lease, or None if there is none.
 
     Raises:
       StoreUnavailableError: The store did not answer.
@@ -48,10 +54,11 @@
 async def acquire_lease(
     table: Table, rollout: str, owner: str, incarnation: str
 ) -> HeldLease | None:
-    """Takes a roll-out over, whoever drove it before.
+    """Acquires the lease of a roll-out, regardless of its current holder.
 
     Returns:
-      The lease, or None if the store did not answer or another came first.
+      The lease, or None if the store did not answer or another process
+      acquired it first.
     """
     key = lease_key(rollout)
     try:
@@ -66,7 +73,8 @@
         )
         if isinstance(outcome, NotRun):
             return None
-        # Read back: the answer may be lost, and the row's version is needed.
+        # Read back: the answer of the transaction may be lost, and the version
+        # of the row is needed.
         present = await table.get(key)
     except StoreUnavailableError:
         return None
