--- a/src/rattanpier/_internal/rollout/records.py
+++ b/src/rattanpier/_internal/rollout/records.py
@@ -1,4 +1,4 @@
-"""What a roll-out keeps in the table service, and what entries send."""
+"""Records of roll-outs in the table service and in evidence notices."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 @attrs.frozen
 class DriverLease:
-    """Who drives a roll-out.
+    """The process that drives a roll-out.
 
     Attributes:
       owner: Member name.
-      incarnation: Start of that process.
-      epoch: Rises with each new driver: the fencing number.
+      incarnation: Incarnation of that process.
+      epoch: Fencing token; increases with each new driver.
     """
 
     owner: str
@@ -26,10 +26,13 @@
 
 @attrs.frozen
 class EvidenceRow:
-    """Sums of one entry since its start.
+    """Counters of one entry since its start.
 
     Attributes:
-      sequence: Rises with each change of the row; the highest counts.
+      workspace: Workspace of the requests.
+      version: Version that ran.
+      sequence: Increases with each change of the row; the highest is valid.
+      counts: Cumulative counters.
     """
 
     workspace: str
@@ -40,16 +43,16 @@
 
 @attrs.frozen
 class EvidenceRows:
-    """The rows of one evidence notice."""
+    """Rows of one evidence notice."""
 
     rows: list[EvidenceRow]
 
 
 def lease_key(rollout: str) -> str:
-    """Returns the key of a driver's lease."""
+    """Returns the table key of a driver's lease."""
     return f"{PREFIX}{rollout}/lease"
 
 
 def reference_key(rollout: str, candidate: str) -> str:
-    """Returns the key of the past to compare with after full roll-out."""
+    """Returns the table key of the reference rates of a candidate."""
     return f"{PREFIX}{rollout}/reference/{candidate}"
