--- a/src/rattanpier/_internal/rollout/services.py
+++ b/src/rattanpier/_internal/rollout/services.py
@@ -1,4 +1,4 @@
-"""Adds the parts of roll-outs to the programs."""
+"""Kernel services for roll-outs."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def add_collector(kernel: Kernel, attempts: Attempts) -> Collector:
-    """Adds an entry's collection of evidence."""
+    """Adds and starts the evidence collector of an entry."""
     follower = kernel.find("follower")
     members = kernel.find("members")
     collector = Collector(
@@ -28,7 +28,7 @@
 
 
 def add_driver(kernel: Kernel) -> Driver:
-    """Adds a control process's driver of roll-outs."""
+    """Adds and starts the roll-out driver of a control process."""
     members = kernel.find("members")
     driver = Driver(
         me=members.me,
