--- a/src/rattanpier/_internal/rollout/status.py
+++ b/src/rattanpier/_internal/rollout/status.py
@@ -1,4 +1,4 @@
-"""Where a roll-out stands, and what comes next, in words for operators."""
+"""State and next step of a roll-out, as text for operators."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 @attrs.frozen
 class RolloutStatus:
-    """One roll-out as this process knows it.
+    """State of one roll-out as known to this process.
 
     Attributes:
       state: One of "halted", "halting", "paused", "done" and "running".
-      reason: Why it is so, as far as this process knows.
-      next_step: What happens next, or what the operator is to do.
+      reason: Reason for the state, as far as known to this process.
+      next_step: What happens next, or what the operator has to do.
     """
 
     state: str
@@ -34,12 +34,12 @@
     configuration: Configuration,
     brakes: Mapping[str, BrakeRecord],
 ) -> RolloutStatus:
-    """Returns the first state that fits a roll-out, and the one next step.
+    """Returns the first matching state of a roll-out and its next step.
 
     Args:
-      name: The roll-out; it has to be in the configuration.
+      name: Name of the roll-out; it has to be in the configuration.
       configuration: The configuration in force.
-      brakes: The brakes that stand, by version.
+      brakes: Active brakes by version.
     """
     rollout = configuration.rollouts[name]
     candidate = rollout.candidate
@@ -78,6 +78,6 @@
 
 
 def is_serving(configuration: Configuration, version: str) -> bool:
-    """Says whether a version takes new sessions."""
+    """Returns whether a version accepts new sessions."""
     known = configuration.versions.get(version)
     return known is not None and known.state is VersionState.SERVING
