--- a/src/rattanpier/_internal/rollout/driver.py
+++ b/src/rattanpier/_internal/rollout/driver.py
@@ -1,9 +1,9 @@
-"""Drives roll-outs from a control process, by evidence.
+"""Driver that widens, narrows or halts roll-outs according to evidence.
 
-One control process drives a roll-out at a time: the first live one in the
-roll-out's rendezvous order. A halt is a brake first, which needs no store;
-then it is written. A larger share needs the store, the lease and the very
-revision that was judged.
+One control process at a time drives a roll-out: the first live one in the
+rendezvous order of the roll-out. A halt applies a brake first, which works
+without the store, and is written afterwards. A larger share requires the
+store, the lease and exactly the revision that was evaluated.
 """
 
 from __future__ import annotations
@@ -60,16 +60,16 @@
 
 @attrs.define
 class DrivenRollout:
-    """One roll-out while this process drives it.
+    """State of a roll-out that this process drives.
 
     Attributes:
-      rollout: As last seen.
-      ledger: What entries sent.
-      course: The judgement.
-      held: The lease, or None while it is not certain.
-      decision: The last one.
-      braked: Whether the candidate was found braked.
-      stored: Whether the reference is in the store.
+      rollout: The roll-out as last configured.
+      ledger: Counters received from entries.
+      evaluation: The evaluation of the counters.
+      held_lease: The lease, or None unless this process is known to hold it.
+      decision: The last decision.
+      braked: Whether a brake on the candidate was seen.
+      reference_stored: Whether the reference rates are in the store.
     """
 
     rollout: Rollout
@@ -83,13 +83,13 @@
 
 @attrs.define
 class Driver:
-    """The roll-outs that this control process drives.
+    """Drives the roll-outs assigned to this control process.
 
     Attributes:
       accepted: Called with each revision that the store accepted.
-      ledgers: What entries sent, by roll-out.
-      drives: By roll-out.
-      make_course: Returns a new judgement.
+      make_evaluation: Returns a new evaluation.
+      ledgers: Counters received from entries, by roll-out.
+      driven_rollouts: State of the driven roll-outs, by name.
     """
 
     me: Member
@@ -106,24 +106,24 @@
 
     @property
     def writer(self) -> ChangeWriter:
-        """How this process writes changes."""
+        """Writer of this process for configuration changes."""
         return ChangeWriter(self.table, self.clock, self.accepted)
 
     def receive(self, notice: peer_pb2.Notice) -> None:
-        """Takes in an entry's evidence."""
+        """Applies an evidence notice of an entry."""
         evidence = notice.evidence
         ledger = self.ledgers.setdefault(evidence.rollout, Ledger())
         for row in decode(EvidenceRows, evidence.counts).rows:
             ledger.apply_row(evidence.origin, row)
 
     async def run(self, kernel: Kernel) -> None:
-        """Steps once a second until the end."""
+        """Runs a step once a second until the process stops."""
         while not kernel.stopping.is_set():
             await self.step()
             await self.clock.sleep(STEP_INTERVAL_S)
 
     async def step(self) -> None:
-        """Looks at each roll-out once."""
+        """Evaluates each assigned roll-out once and acts on the result."""
         rollouts = self.follower.configuration.rollouts
         for name in self.ledgers.keys() - rollouts.keys():
             del self.ledgers[name]
@@ -136,7 +136,7 @@
             await self.drive_rollout(name, rollouts[name])
 
     def assigned_rollouts(self, rollouts: dict[str, Rollout]) -> set[str]:
-        """Returns the roll-outs that this process is to drive."""
+        """Returns the names of the roll-outs that this process has to drive."""
         return {
             name
             for name, rollout in rollouts.items()
@@ -144,12 +144,12 @@
         }
 
     def is_driver(self, name: str) -> bool:
-        """Says whether this process is first among the live ones."""
+        """Returns whether this process is the driver of a roll-out."""
         driver = find_driver(name, self.members)
         return driver is not None and driver.name == self.me.name
 
     async def drive_rollout(self, name: str, rollout: Rollout) -> None:
-        """Judges one roll-out and acts on the decision."""
+        """Evaluates one roll-out and acts on the decision."""
         revision = self.follower.configuration.revision
         driven = self.find_or_start(name, rollout)
         if driven.held_lease is None:
@@ -161,7 +161,7 @@
             name, rollout, revision, self.change_author(driven.decision)
         )
         if isinstance(driven.decision, Halt):
-            # First what needs no store; then the store.
+            # The brake works without the store, so it comes before the write.
             self.brakes.apply(
                 rollout.candidate, driven.decision.reason, self.me.name, name
             )
@@ -173,7 +173,7 @@
         await self.store_reference(name, driven)
 
     def find_or_start(self, name: str, rollout: Rollout) -> DrivenRollout:
-        """Returns the drive of a roll-out, started afresh if it is new."""
+        """Returns the state of a roll-out, reset if it was restarted."""
         driven = self.driven_rollouts.get(name)
         if driven is None or self.was_restarted(driven, rollout):
             ledger = self.ledgers.setdefault(name, Ledger())
@@ -186,16 +186,16 @@
         return driven
 
     def was_restarted(self, driven: DrivenRollout, rollout: Rollout) -> bool:
-        """Says whether an operator started the roll-out anew.
+        """Returns whether an operator restarted the roll-out.
 
-        Only a revision lifts a brake, so one that is gone was an operator's
-        decision to go on: what was found before does not count any more.
+        Only a new revision lifts a brake, so a lifted brake means that an
+        operator chose to resume. Earlier evidence is then ignored.
         """
         lifted = driven.braked and rollout.candidate not in self.brakes
         return lifted or not same_versions(rollout, driven.rollout)
 
     def totals(self, driven: DrivenRollout) -> dict[str, VersionCounts]:
-        """Returns the sums of all entries, by workspace."""
+        """Returns the counters of all entries, by workspace."""
         members = self.members.live.value.values()
         live = {incarnation_id(member) for member in members}
         driven.ledger.drop_stopped_origins(live)
@@ -209,7 +209,7 @@
         return driven.evaluation.decide(rollout.share, rollout.max_share)
 
     def change_author(self, decision: Decision) -> str:
-        """Returns the author of a change, with its reason."""
+        """Returns the author of a change, including the reason."""
         match decision:
             case Halt() | Narrow():
                 return f"driver {self.me.name}: {decision.reason}"
@@ -217,13 +217,14 @@
                 return f"driver {self.me.name}: by evidence"
 
     async def halt(self, driven: DrivenRollout, change: Change) -> None:
-        """Writes a halt; tried again at each step until it is in force."""
+        """Writes a halt; repeated at each step until it is in force."""
         brake = self.brakes.active[change.rollout.candidate]
         author = f"driver {self.me.name}: {brake.reason}"
         authored_change = attrs.evolve(change, author=author)
         if driven.held_lease is None:
             return
-        # An operator's halt is completed as it was meant.
+        # A brake of an operator only halts the roll-out: withdrawing the
+        # candidate is left to the operator.
         withdraw = brake.origin in self.members.live.value
         outcome = await write_halt(
             self.writer, driven.held_lease, authored_change, withdraw
@@ -233,7 +234,7 @@
         self.record_outcome("halt", authored_change, outcome)
 
     async def take_over(self, name: str, driven: DrivenRollout) -> None:
-        """Takes the lease, and the past that an earlier driver stored."""
+        """Acquires the lease and restores the stored reference rates."""
         held_lease = await acquire_lease(
             self.table, name, self.me.name, self.me.incarnation
         )
@@ -246,7 +247,8 @@
         except StoreUnavailableError:
             return
         if row is not None:
-            # An earlier driver's past is longer than what was seen here.
+            # The earlier driver's rates cover more of the roll-out than the
+            # counters of this process.
             driven.evaluation.restore_reference(decode(Reference, row.value))
             driven.reference_stored = True
         driven.held_lease = held_lease
@@ -255,7 +257,7 @@
     async def apply_decision(
         self, driven: DrivenRollout, change: Change
     ) -> None:
-        """Carries out a widening or narrowing."""
+        """Writes the share of a widening or narrowing."""
         match driven.decision:
             case Widen(share) | Narrow(share):
                 pass
@@ -268,10 +270,13 @@
             )
             self.record_outcome(f"share {share:.3g}", change, outcome)
         if isinstance(outcome, Fenced):
-            driven.held_lease = None  # Another took over, or the head moved.
+            driven.held_lease = (
+                None  # Another driver took over, or the head moved.
+            )
         narrowing = isinstance(driven.decision, Narrow)
         if narrowing and not self.follower.store_reachable:
-            # A doubt that can't be settled at a smaller share: stop.
+            # The test cannot continue at a smaller share, so the candidate is
+            # braked.
             reason = f"{driven.decision.reason}, store unreachable"
             self.brakes.apply(
                 change.rollout.candidate, reason, self.me.name, change.name
@@ -280,7 +285,7 @@
     def record_outcome(
         self, what: str, change: Change, outcome: ChangeOutcome
     ) -> None:
-        """Logs and counts what became of a change."""
+        """Logs and counts the outcome of a change."""
         kind = type(outcome).__name__.lower()
         self.metrics.count(f"rollout.change.{kind}")
         log.info(
@@ -294,7 +299,7 @@
         )
 
     async def store_reference(self, name: str, driven: DrivenRollout) -> None:
-        """Stores the past, for the next driver."""
+        """Stores the reference rates for the next driver."""
         reference = driven.evaluation.reference
         if (
             driven.reference_stored
@@ -306,5 +311,6 @@
             reference_key(name, driven.rollout.candidate), encode(reference)
         )
         await self.table.transact(Transaction([driven.held_lease.check], [put]))
-        # Writing it again would be harmless; losing it costs a relearning.
+        # The outcome is not checked. Writing again would be harmless, and a
+        # lost row only makes the next driver collect the rates again.
         driven.reference_stored = True
