--- a/src/rattanpier/_internal/rollout/collect.py
+++ b/src/rattanpier/_internal/rollout/collect.py
@@ -45,7 +45,8 @@
 log = structlog.get_logger(part="rollout")
 
 STEP_INTERVAL_S = 1.0
-MAX_ROWS_PER_NOTICE = 8  # Bounds the size of a notice.
+# Bounds the size of a notice for any number of workspaces.
+MAX_ROWS_PER_NOTICE = 8
 # Notices that one driver receives from all entries together.
 MAX_DRIVER_NOTICES_PER_S = 40.0
 
@@ -75,7 +76,7 @@
       evaluators: Evaluation of this entry's own counters, by roll-out.
       braked: Roll-outs whose candidate this entry braked.
       active_rollouts: Roll-outs that are not halted, as last configured.
-      notices_sent: Number of notices sent; the sequence of the next follows.
+      notices_sent: Number of notices sent; the sequence of the last one.
       next_send_s: Monotonic time in seconds at which notices are sent next.
     """
 
@@ -136,7 +137,7 @@
         )
 
     def apply_configuration(self, configuration: Configuration) -> None:
-        """Applies a configuration; restarts roll-outs with other versions."""
+        """Applies a configuration; starts evaluations of new roll-outs."""
         self.configuration = configuration
         active_rollouts = {
             name: rollout
