--- a/tests/failure/test_allowed.py
+++ b/tests/failure/test_allowed.py
@@ -11,11 +11,11 @@
 from tests.lib.cluster import Cluster, wait_for
 from tests.lib.version_load import (
     ENTRIES,
-    Load,
-    ask,
+    BackgroundLoad,
+    count_runs,
     has_answers,
     has_runs,
-    runs_of,
+    send_request,
     start_nodes,
 )
 
@@ -82,15 +82,15 @@
 
 async def test_revoked_version_gets_no_new_runs(system):
     cluster, operator = system
-    load = Load(cluster, ENTRIES, **await pinned_token(cluster))
+    load = BackgroundLoad(cluster, ENTRIES, **await pinned_token(cluster))
     await wait_for(lambda: has_runs(cluster, 20))
-    assert await runs_of(cluster, SMALL) > 0
+    assert await count_runs(cluster, SMALL) > 0
     await revoke_small_version(operator)
-    started = await runs_of(cluster, SMALL)
+    started = await count_runs(cluster, SMALL)
     before = len(load.answers)
     await wait_for(lambda: has_answers(load, before + 60))
     await load.stop()
-    assert await runs_of(cluster, SMALL) == started
+    assert await count_runs(cluster, SMALL) == started
     assert {status for status, _ in load.answers} == {200}
     assert load.answers[-1][1]["model"] == LARGE
 
@@ -101,32 +101,33 @@
     token = await pinned_token(cluster)
     frozen.send(signal.SIGSTOP)
     waiting = [
-        asyncio.create_task(ask(cluster, "entry-1", **token)) for _ in range(20)
+        asyncio.create_task(send_request(cluster, "entry-1", **token))
+        for _ in range(20)
     ]
     await asyncio.sleep(0)
     await revoke_small_version(operator)
-    started = await runs_of(cluster, SMALL)
+    started = await count_runs(cluster, SMALL)
     frozen.send(signal.SIGCONT)
     await asyncio.gather(*waiting)
-    assert await runs_of(cluster, SMALL) == started
+    assert await count_runs(cluster, SMALL) == started
 
 
 async def test_session_token_of_another_workspace_grants_no_access(system):
     cluster, _operator = system
     token = await pinned_token(cluster)
-    started = await runs_of(cluster, SMALL)
+    started = await count_runs(cluster, SMALL)
     for entry in ENTRIES:
-        status, body = await ask(cluster, entry, OTHER_KEY, **token)
+        status, body = await send_request(cluster, entry, OTHER_KEY, **token)
         assert (status, body["model"]) == (200, LARGE)
-    assert await runs_of(cluster, SMALL) == started
+    assert await count_runs(cluster, SMALL) == started
 
 
 async def test_failed_request_is_not_retried_on_a_disallowed_version(system):
     cluster, _operator = system
     for fault in ("refuse", "fail", "cut_before_answer"):
         await cluster.set_faults("engine", fault=fault)
-        started = await runs_of(cluster, SMALL)
+        started = await count_runs(cluster, SMALL)
         for entry in ENTRIES:
-            status, _ = await ask(cluster, entry, OTHER_KEY)
+            status, _ = await send_request(cluster, entry, OTHER_KEY)
             assert status >= 500
-        assert await runs_of(cluster, SMALL) == started
+        assert await count_runs(cluster, SMALL) == started
--- a/tests/failure/test_rollout_driver.py
+++ b/tests/failure/test_rollout_driver.py
@@ -7,50 +7,50 @@
 from tests.lib.builders import SMALL, build_request
 from tests.lib.rollouts import (
     CANDIDATE,
-    NAME,
-    World,
+    ROLLOUT_NAME,
+    RolloutSimulation,
     edit_rollout,
-    resume,
+    resume_rollout,
 )
 
-BAD = {CANDIDATE: 0.5}
+CANDIDATE_FAILS = {CANDIDATE: 0.5}
 
 
-async def start(**options):
-    world = World(**options)
-    await world.start()
-    return world
+async def start_simulation(**options):
+    simulation = RolloutSimulation(**options)
+    await simulation.start()
+    return simulation
 
 
-async def test_a_good_version_gets_to_full_share_by_evidence():
-    world = await start(share=0.0)
-    await world.steps(200, world.is_done, requests=200)
-    assert world.shares == sorted(world.shares)
-    assert (await world.rollout()).share == 1.0
+async def test_good_version_reaches_full_share():
+    simulation = await start_simulation(share=0.0)
+    await simulation.run_steps(200, simulation.is_done, requests=200)
+    assert simulation.shares == sorted(simulation.shares)
+    assert (await simulation.rollout()).share == 1.0
 
 
-async def test_no_evidence_no_widening():
-    world = await start(share=0.05)
-    await world.steps(100, requests=0)
-    assert set(world.shares) == {0.05}
+async def test_share_is_not_widened_without_evidence():
+    simulation = await start_simulation(share=0.05)
+    await simulation.run_steps(100, requests=0)
+    assert set(simulation.shares) == {0.05}
 
 
-async def test_a_bad_version_is_halted_and_gets_nothing_more():
-    world = await start()
-    world.failing = BAD
-    await world.steps(60, world.is_halted)
-    halted = world.clock.now
-    await world.steps(5)
-    assert world.runs_of(CANDIDATE, halted) == 0
-    assert world.runs_of(SMALL, halted) == 5 * 3 * 60
-    assert world.refused == 0
+async def test_bad_version_is_halted_and_gets_no_more_requests():
+    simulation = await start_simulation()
+    simulation.failure_rates = CANDIDATE_FAILS
+    await simulation.run_steps(60, simulation.is_halted)
+    halted = simulation.clock.now
+    await simulation.run_steps(5)
+    assert simulation.runs_of(CANDIDATE, halted) == 0
+    assert simulation.runs_of(SMALL, halted) == 5 * 3 * 60
+    assert simulation.refused == 0
 
 
-async def test_pinned_sessions_leave_a_halted_candidate_and_are_told():
-    world = await start()
-    world.failing = BAD
-    await world.steps(60, world.is_halted)
-    entry = world.entries[0]
+async def test_pinned_session_moves_off_a_halted_candidate_and_is_told():
+    simulation = await start_simulation()
+    simulation.failure_rates = CANDIDATE_FAILS
+    await simulation.run_steps(60, simulation.is_halted)
+    entry = simulation.entries[0]
     plan = make_plan(
         entry.follower.configuration,
         build_request(session="s", pinned=CANDIDATE),
@@ -61,79 +61,83 @@
 
 @pytest.mark.parametrize("after_effect", [False, True])
 @pytest.mark.parametrize("call", range(1, 14))
-async def test_driver_killed_at_each_call_of_the_store(call, after_effect):
+async def test_candidate_is_halted_when_the_driver_is_killed_at_any_store_call(
+    call, after_effect
+):
     """Whatever the driver was at, another one ends the same way."""
-    world = await start()
-    world.failing = BAD
-    driver = (await find_driver(world)).table
+    simulation = await start_simulation()
+    simulation.failure_rates = CANDIDATE_FAILS
+    driver = (await find_driving_control(simulation)).table
     driver.kill_at = driver.calls + call
     driver.kill_after_effect = after_effect
-    await world.steps(60, world.is_halted)
-    assert max(world.shares) <= 0.2
-    halted = world.clock.now
-    await world.steps(3)
-    assert world.runs_of(CANDIDATE, halted) == 0
+    await simulation.run_steps(60, simulation.is_halted)
+    assert max(simulation.shares) <= 0.2
+    halted = simulation.clock.now
+    await simulation.run_steps(3)
+    assert simulation.runs_of(CANDIDATE, halted) == 0
 
 
-async def test_driver_frozen_before_a_widening_changes_nothing_when_thawed():
+async def test_thawed_driver_cannot_write_a_stale_widening():
     """The head row is untouched meanwhile, so only the lease tells."""
-    world = await start(share=0.2)
-    driver = await find_driver(world)
-    thawed = await freeze_in_write(world, driver)
-    await world.steps(3, requests=0)
-    before = await world.present()
+    simulation = await start_simulation(share=0.2)
+    driver = await find_driving_control(simulation)
+    thawed = await freeze_in_write(simulation, driver)
+    await simulation.run_steps(3, requests=0)
+    before = await simulation.head_revision()
     await thawed()
-    assert await world.present() == before
+    assert await simulation.head_revision() == before
 
 
 async def test_thawed_driver_does_not_revert_an_operators_resume():
     """It froze before writing a halt that another wrote in its place."""
-    world = await start()
-    world.failing = BAD
-    driver = await find_driver(world)
-    thawed = await freeze_in_write(world, driver)
-    await world.steps(60, world.is_halted)
-    world.failing = {}
-    await world.change(edit=resume)
-    await world.steps(5)
+    simulation = await start_simulation()
+    simulation.failure_rates = CANDIDATE_FAILS
+    driver = await find_driving_control(simulation)
+    thawed = await freeze_in_write(simulation, driver)
+    await simulation.run_steps(60, simulation.is_halted)
+    simulation.failure_rates = {}
+    await simulation.apply_change(edit=resume_rollout)
+    await simulation.run_steps(5)
     await thawed()
-    world.announce()
-    await world.steps(30)
-    assert not await world.is_halted()
+    simulation.publish_members()
+    await simulation.run_steps(30)
+    assert not await simulation.is_halted()
 
 
 @pytest.mark.parametrize("controls", [0, 1, 2])
-async def test_brakes_within_a_second_while_the_store_is_down(controls):
-    world = await start(controls=controls)
-    await world.steps(5)
-    world.set_store(down=True)
-    await world.steps(3)
-    world.failing = BAD
+async def test_bad_version_is_braked_within_a_second_while_the_store_is_down(
+    controls,
+):
+    simulation = await start_simulation(controls=controls)
+    await simulation.run_steps(5)
+    simulation.set_store(down=True)
+    await simulation.run_steps(3)
+    simulation.failure_rates = CANDIDATE_FAILS
     first = None
     for _ in range(60):
-        await world.step()
-        if first is None and any(len(e.brakes) for e in world.entries):
-            first = world.clock.now
+        await simulation.step()
+        if first is None and any(len(e.brakes) for e in simulation.entries):
+            first = simulation.clock.now
     assert first is not None
     # The step in which the first entry braked is over: no run since.
-    assert world.runs_of(CANDIDATE, first + 1) == 0
-    assert world.refused == 0
-    assert all(CANDIDATE in entry.brakes for entry in world.entries)
-
-
-async def test_halt_is_written_once_the_store_is_back():
-    world = await start()
-    await world.steps(5)
-    world.set_store(down=True)
-    world.failing = BAD
-    await world.steps(30)
-    world.set_store(down=False)
-    await world.steps(10, world.is_halted)
-    braked = [len(entry.brakes) for entry in world.entries]
+    assert simulation.runs_of(CANDIDATE, first + 1) == 0
+    assert simulation.refused == 0
+    assert all(CANDIDATE in entry.brakes for entry in simulation.entries)
+
+
+async def test_halt_is_written_when_the_store_is_back():
+    simulation = await start_simulation()
+    await simulation.run_steps(5)
+    simulation.set_store(down=True)
+    simulation.failure_rates = CANDIDATE_FAILS
+    await simulation.run_steps(30)
+    simulation.set_store(down=False)
+    await simulation.run_steps(10, simulation.is_halted)
+    braked = [len(entry.brakes) for entry in simulation.entries]
     assert braked == [0, 0, 0]  # Decided by the revision; the halt stands.
-    last = world.clock.now
-    await world.steps(5)
-    assert world.runs_of(CANDIDATE, last) == 0
+    last = simulation.clock.now
+    await simulation.run_steps(5)
+    assert simulation.runs_of(CANDIDATE, last) == 0
 
 
 @pytest.mark.parametrize(
@@ -145,195 +149,208 @@
         {"max_share": 0.2},
     ],
 )
-async def test_operator_who_changes_it_at_the_same_moment_wins(fields):
-    world = await start(share=0.2)
-    driver = await find_driver(world)
+async def test_concurrent_change_of_an_operator_takes_precedence(fields):
+    simulation = await start_simulation(share=0.2)
+    driver = await find_driving_control(simulation)
     raced = []
 
     async def operator():
-        raced.append(await world.change(edit=edit_rollout(**fields)))
+        raced.append(await simulation.apply_change(edit=edit_rollout(**fields)))
 
     driver.table.before_write = operator
-    await world.steps(60, lambda: done(raced))
-    present = await world.rollout()
-    assert {name: getattr(present, name) for name in fields} == fields
+    await simulation.run_steps(60, lambda: was_called(raced))
+    rollout = await simulation.rollout()
+    assert {name: getattr(rollout, name) for name in fields} == fields
 
 
-async def test_operators_change_that_the_driver_has_not_seen_yet_wins():
+async def test_operators_change_unseen_by_the_driver_takes_precedence():
     """It comes right before the step in which the driver widens."""
-    twin = await start(share=0.2)
-    before = await twin.steps(60, lambda: widened(twin)) - 1
-    world = await start(share=0.2)
-    await world.steps(before)
-    await world.change(edit=edit_rollout(share=0.02))
-    await world.step()
-    assert (await world.rollout()).share == 0.02
+    reference_simulation = await start_simulation(share=0.2)
+    before = (
+        await reference_simulation.run_steps(
+            60, lambda: is_widened(reference_simulation)
+        )
+        - 1
+    )
+    simulation = await start_simulation(share=0.2)
+    await simulation.run_steps(before)
+    await simulation.apply_change(edit=edit_rollout(share=0.02))
+    await simulation.step()
+    assert (await simulation.rollout()).share == 0.02
 
 
-async def test_driver_goes_on_from_an_operators_share():
-    world = await start(share=0.2)
-    await world.steps(2)
-    await world.change(edit=edit_rollout(share=0.02))
-    await world.steps(1, requests=0)
-    assert (await world.rollout()).share == 0.02
-    await world.steps(200, world.is_done, requests=150)
+async def test_driver_continues_from_an_operators_share():
+    simulation = await start_simulation(share=0.2)
+    await simulation.run_steps(2)
+    await simulation.apply_change(edit=edit_rollout(share=0.02))
+    await simulation.run_steps(1, requests=0)
+    assert (await simulation.rollout()).share == 0.02
+    await simulation.run_steps(200, simulation.is_done, requests=150)
 
 
-async def test_operator_may_begin_a_halted_roll_out_anew():
-    world = await start()
-    world.failing = BAD
-    await world.steps(60, world.is_halted)
-    world.failing = {}
-    await world.change(edit=resume)
-    await world.steps(200, world.is_done, requests=150)
+async def test_operator_can_restart_a_halted_roll_out():
+    simulation = await start_simulation()
+    simulation.failure_rates = CANDIDATE_FAILS
+    await simulation.run_steps(60, simulation.is_halted)
+    simulation.failure_rates = {}
+    await simulation.apply_change(edit=resume_rollout)
+    await simulation.run_steps(200, simulation.is_done, requests=150)
 
 
 @pytest.mark.parametrize("lost", [1, 2, 5])
-async def test_lost_answers_of_writes_change_the_share_once(lost):
-    world = await start(share=0.05)
-    driver = await find_driver(world)
+async def test_lost_write_answers_do_not_widen_twice(lost):
+    simulation = await start_simulation(share=0.05)
+    driver = await find_driving_control(simulation)
     driver.table.lose_answers = lost
-    await world.steps(200, world.is_done, requests=150)
-    steps = sorted(set(world.shares))
-    assert steps == [0.05, 0.125, 0.3125, 0.78125, 1.0]
+    await simulation.run_steps(200, simulation.is_done, requests=150)
+    distinct_shares = sorted(set(simulation.shares))
+    assert distinct_shares == [0.05, 0.125, 0.3125, 0.78125, 1.0]
 
 
 @pytest.mark.parametrize("seed", range(5))
-async def test_lost_repeated_and_reordered_evidence(seed):
-    world = await start(seed=seed)
-    world.network.lose = 0.4
-    world.network.repeat = 0.4
-    world.network.shuffle = True
-    await world.steps(40)
-    assert not await world.is_halted()
-    counted = world.driving().driver.ledgers[NAME].totals(SMALL, CANDIDATE)
+async def test_evidence_may_be_lost_repeated_and_reordered(seed):
+    simulation = await start_simulation(seed=seed)
+    simulation.network.loss_rate = 0.4
+    simulation.network.repeat_rate = 0.4
+    simulation.network.reorder = True
+    await simulation.run_steps(40)
+    assert not await simulation.is_halted()
+    counted = (
+        simulation.driving_control()
+        .driver.ledgers[ROLLOUT_NAME]
+        .totals(SMALL, CANDIDATE)
+    )
     attempts = counted["desk"].stable.attempts
-    assert attempts + counted["desk"].candidate.attempts <= len(world.runs)
-    world.failing = BAD
-    await world.steps(40, world.is_halted)
-
-
-async def test_evidence_that_comes_twice_is_not_counted_twice():
-    world = await start()
-    world.network.repeat = 1.0
-    await world.steps(20)
-    await world.steps(3, requests=0)
-    counted = world.driving().driver.ledgers[NAME].totals(SMALL, CANDIDATE)
-    assert counted["desk"].stable.attempts == world.runs_of(SMALL)
-    assert counted["desk"].candidate.attempts == world.runs_of(CANDIDATE)
+    assert attempts + counted["desk"].candidate.attempts <= len(simulation.runs)
+    simulation.failure_rates = CANDIDATE_FAILS
+    await simulation.run_steps(40, simulation.is_halted)
+
+
+async def test_repeated_evidence_is_counted_once():
+    simulation = await start_simulation()
+    simulation.network.repeat_rate = 1.0
+    await simulation.run_steps(20)
+    await simulation.run_steps(3, requests=0)
+    counted = (
+        simulation.driving_control()
+        .driver.ledgers[ROLLOUT_NAME]
+        .totals(SMALL, CANDIDATE)
+    )
+    assert counted["desk"].stable.attempts == simulation.runs_of(SMALL)
+    assert counted["desk"].candidate.attempts == simulation.runs_of(CANDIDATE)
 
 
-async def test_half_done_roll_out_after_a_restart_of_all_nodes():
-    world = await start(share=0.2)
-    await world.steps(4)
-    half = (await world.rollout()).share
+async def test_roll_out_continues_after_a_restart_of_all_nodes():
+    simulation = await start_simulation(share=0.2)
+    await simulation.run_steps(4)
+    half = (await simulation.rollout()).share
     assert half < 1.0
-    for name in world.names + world.control_names:
-        world.kill(name)
-    for name in world.names + world.control_names:
-        world.add(name)
-    await world.poll()
-    await world.steps(3, requests=0)
-    assert (await world.rollout()).share == half
-    await world.steps(100, world.is_done)
-    assert world.shares == sorted(world.shares)
+    for name in simulation.entry_names + simulation.control_names:
+        simulation.kill(name)
+    for name in simulation.entry_names + simulation.control_names:
+        simulation.add(name)
+    await simulation.poll()
+    await simulation.run_steps(3, requests=0)
+    assert (await simulation.rollout()).share == half
+    await simulation.run_steps(100, simulation.is_done)
+    assert simulation.shares == sorted(simulation.shares)
 
 
 async def test_halted_roll_out_stays_halted_after_a_restart_of_all_nodes():
-    world = await start()
-    world.failing = BAD
-    await world.steps(60, world.is_halted)
-    for name in world.names + world.control_names:
-        world.kill(name)
-    for name in world.names + world.control_names:
-        world.add(name)
-    await world.poll()
-    last = world.clock.now
-    await world.steps(5)
-    assert await world.is_halted()
-    assert world.runs_of(CANDIDATE, last) == 0
-
-
-async def test_version_that_turns_bad_after_full_roll_out():
-    world = await start(share=0.2)
-    await world.steps(100, world.is_done)
-    await world.steps(5)
-    world.failing = BAD
-    await world.steps(60, world.is_halted)
-
-
-async def test_version_turns_bad_after_full_roll_out_and_driver_change():
+    simulation = await start_simulation()
+    simulation.failure_rates = CANDIDATE_FAILS
+    await simulation.run_steps(60, simulation.is_halted)
+    for name in simulation.entry_names + simulation.control_names:
+        simulation.kill(name)
+    for name in simulation.entry_names + simulation.control_names:
+        simulation.add(name)
+    await simulation.poll()
+    last = simulation.clock.now
+    await simulation.run_steps(5)
+    assert await simulation.is_halted()
+    assert simulation.runs_of(CANDIDATE, last) == 0
+
+
+async def test_regression_after_full_roll_out_is_halted():
+    simulation = await start_simulation(share=0.2)
+    await simulation.run_steps(100, simulation.is_done)
+    await simulation.run_steps(5)
+    simulation.failure_rates = CANDIDATE_FAILS
+    await simulation.run_steps(60, simulation.is_halted)
+
+
+async def test_regression_is_halted_after_a_change_of_driver():
     """The new driver reads the past that the old one stored."""
-    world = await start(share=0.2)
-    await world.steps(100, world.is_done)
-    await world.steps(5)
-    world.kill((await find_driver(world)).name)
-    await world.steps(3)
-    world.failing = BAD
-    await world.steps(60, world.is_halted)
+    simulation = await start_simulation(share=0.2)
+    await simulation.run_steps(100, simulation.is_done)
+    await simulation.run_steps(5)
+    simulation.kill((await find_driving_control(simulation)).name)
+    await simulation.run_steps(3)
+    simulation.failure_rates = CANDIDATE_FAILS
+    await simulation.run_steps(60, simulation.is_halted)
 
 
-async def test_turns_bad_after_full_roll_out_and_restart_of_all_nodes():
+async def test_regression_is_halted_after_a_restart_of_all_nodes():
     """What entries counted is gone; the past is in the store."""
-    world = await start(share=0.2)
-    await world.steps(100, world.is_done)
-    await world.steps(5)
-    for name in world.names + world.control_names:
-        world.kill(name)
-    for name in world.names + world.control_names:
-        world.add(name)
-    await world.poll()
-    world.failing = BAD
-    await world.steps(60, world.is_halted)
-
-
-async def test_turns_bad_after_full_roll_out_while_the_store_is_down():
-    world = await start(share=0.2)
-    await world.steps(100, world.is_done)
-    await world.steps(5)
-    world.set_store(down=True)
-    world.failing = BAD
-    await world.steps(30)
-    last = world.clock.now
-    await world.steps(3)
-    assert world.runs_of(CANDIDATE, last) == 0
+    simulation = await start_simulation(share=0.2)
+    await simulation.run_steps(100, simulation.is_done)
+    await simulation.run_steps(5)
+    for name in simulation.entry_names + simulation.control_names:
+        simulation.kill(name)
+    for name in simulation.entry_names + simulation.control_names:
+        simulation.add(name)
+    await simulation.poll()
+    simulation.failure_rates = CANDIDATE_FAILS
+    await simulation.run_steps(60, simulation.is_halted)
+
+
+async def test_regression_is_braked_while_the_store_is_down():
+    simulation = await start_simulation(share=0.2)
+    await simulation.run_steps(100, simulation.is_done)
+    await simulation.run_steps(5)
+    simulation.set_store(down=True)
+    simulation.failure_rates = CANDIDATE_FAILS
+    await simulation.run_steps(30)
+    last = simulation.clock.now
+    await simulation.run_steps(3)
+    assert simulation.runs_of(CANDIDATE, last) == 0
 
 
 async def test_each_state_has_one_next_step():
-    world = await start()
-    entry = world.entries[0]
+    simulation = await start_simulation()
+    entry = simulation.entries[0]
 
     def status():
         return rollout_status(
-            NAME, entry.follower.configuration, entry.brakes.active
+            ROLLOUT_NAME, entry.follower.configuration, entry.brakes.active
         )
 
     assert status().state == "running"
-    world.set_store(down=True)
-    world.failing = BAD
-    await world.steps(30)
+    simulation.set_store(down=True)
+    simulation.failure_rates = CANDIDATE_FAILS
+    await simulation.run_steps(30)
     assert status().state == "halting"
-    world.set_store(down=False)
-    await world.steps(10, world.is_halted)
+    simulation.set_store(down=False)
+    await simulation.run_steps(10, simulation.is_halted)
     assert status().state == "halted"
     assert "begin anew" in status().next_step
 
 
-async def find_driver(world):
+async def find_driving_control(simulation):
     """The control process that drives, once one does."""
-    await world.step(requests=0)
-    return world.driving()
+    await simulation.step(requests=0)
+    return simulation.driving_control()
 
 
-async def done(events):
+async def was_called(events):
     return bool(events)
 
 
-async def widened(world):
-    return (await world.rollout()).share > 0.2
+async def is_widened(simulation):
+    return (await simulation.rollout()).share > 0.2
 
 
-async def freeze_in_write(world, driver):
+async def freeze_in_write(simulation, driver):
     """Freezes a driver right before its next change reaches the store.
 
     Returns a coroutine function that thaws it and lets the write go on.
@@ -344,25 +361,25 @@
     async def hold(transaction):
         if any(put.key.startswith("config/") for put in transaction.puts):
             held.append(transaction)
-            driver.table.table = world.table
+            driver.table.table = simulation.table
             raise FrozenError
         return await real(transaction)
 
-    class Holding:
-        get = staticmethod(world.table.get)
-        scan = staticmethod(world.table.scan)
+    class HoldingTable:
+        get = staticmethod(simulation.table.get)
+        scan = staticmethod(simulation.table.scan)
         transact = staticmethod(hold)
 
-    driver.table.table = Holding
+    driver.table.table = HoldingTable
     while not held:
         try:
-            await world.step()
+            await simulation.step()
         except FrozenError:
-            world.freeze(driver.name)
+            simulation.freeze(driver.name)
 
     async def thaw():
-        world.thaw(driver.name)
-        await world.table.transact(held[0])
+        simulation.thaw(driver.name)
+        await simulation.table.transact(held[0])
 
     return thaw
 
--- a/tests/failure/test_rollout_processes.py
+++ b/tests/failure/test_rollout_processes.py
@@ -10,7 +10,7 @@
 from tests.lib.rollouts import CANDIDATE, rollout_text
 
 ENTRIES = ("entry-1", "entry-2", "entry-3")
-QUIET_BATCHES = 4  # At a share of a half, 48 requests without the candidate.
+IDLE_BATCHES = 4  # At a share of a half, 48 requests without the candidate.
 
 
 @pytest.fixture
@@ -31,7 +31,7 @@
         yield cluster
 
 
-async def ask(cluster, entry, number):
+async def send_request(cluster, entry, number):
     """Sends one request; whatever its answer, the engines count runs."""
     body = {
         "model": "auto",
@@ -48,24 +48,24 @@
     """Sends four requests through each entry."""
     await asyncio.gather(
         *(
-            ask(cluster, entry, f"{batch}-{entry}-{number}")
+            send_request(cluster, entry, f"{batch}-{entry}-{number}")
             for entry in ENTRIES
             for number in range(4)
         )
     )
 
 
-async def send_until_quiet(cluster):
+async def send_until_candidate_is_idle(cluster):
     """Sends until all runs on the stable; returns the candidate's runs."""
-    quiet, runs = 0, len(await cluster.runs("candidate"))
+    idle_batches, runs = 0, len(await cluster.runs("candidate"))
     for batch in range(200):
         before = len(await cluster.runs("stable"))
         await send_batch(cluster, f"{runs}-{batch}")
         now = len(await cluster.runs("candidate"))
         served = len(await cluster.runs("stable")) - before
-        quiet = quiet + 1 if now == runs and served == 12 else 0
+        idle_batches = idle_batches + 1 if now == runs and served == 12 else 0
         runs = now
-        if quiet == QUIET_BATCHES:
+        if idle_batches == IDLE_BATCHES:
             return runs
     raise AssertionError("the candidate was never braked")
 
@@ -79,8 +79,8 @@
     if store_down:
         await cluster.set_faults("table", fault=TableFault.DOWN)
     await cluster.set_faults("candidate", fault="fail")
-    runs = await send_until_quiet(cluster)
-    for batch in range(QUIET_BATCHES):
+    runs = await send_until_candidate_is_idle(cluster)
+    for batch in range(IDLE_BATCHES):
         await send_batch(cluster, f"after-{batch}")
     assert len(await cluster.runs("candidate")) == runs
     await cluster.set_faults("table", fault=TableFault.NONE)
--- a/tests/lib/rollouts.py
+++ b/tests/lib/rollouts.py
@@ -32,7 +32,7 @@
 from tests.lib.clock import SkippingClock
 
 CANDIDATE = "small@2"
-NAME = "next"
+ROLLOUT_NAME = "next"
 
 
 class ProcessKilledError(Exception):
@@ -52,34 +52,34 @@
         self.before_write = None
 
     async def get(self, key):
-        self.enter()
-        return await self.finish(self.table.get(key))
+        self.begin_call()
+        return await self.finish_call(self.table.get(key))
 
     async def scan(self, prefix, after="", limit=500):
-        self.enter()
-        return await self.finish(self.table.scan(prefix, after, limit))
+        self.begin_call()
+        return await self.finish_call(self.table.scan(prefix, after, limit))
 
     async def transact(self, transaction):
         if self.down:
             return NotRun("down")
-        self.enter()
+        self.begin_call()
         if self.before_write is not None:
             hook, self.before_write = self.before_write, None
             await hook()
-        outcome = await self.finish(self.table.transact(transaction))
+        outcome = await self.finish_call(self.table.transact(transaction))
         if self.lose_answers:
             self.lose_answers -= 1
             return Uncertain("answer lost")
         return outcome
 
-    def enter(self):
+    def begin_call(self):
         if self.down:
             raise StoreUnavailableError("down")
         self.calls += 1
         if self.calls == self.kill_at and not self.kill_after_effect:
             raise ProcessKilledError
 
-    async def finish(self, call):
+    async def finish_call(self, call):
         result = await call
         if self.calls == self.kill_at and self.kill_after_effect:
             raise ProcessKilledError
@@ -93,9 +93,9 @@
         self.rng = random.Random(seed)
         self.nodes = {}
         self.queue = []
-        self.lose = 0.0
-        self.repeat = 0.0
-        self.shuffle = False
+        self.loss_rate = 0.0
+        self.repeat_rate = 0.0
+        self.reorder = False
 
     def to(self, member):
         network = self
@@ -110,56 +110,65 @@
         """Delivers until nothing is under way."""
         while self.queue:
             queue, self.queue = self.queue, []
-            sent = [item for item in queue if self.rng.random() >= self.lose]
+            sent = [
+                item for item in queue if self.rng.random() >= self.loss_rate
+            ]
             for item in list(sent):
-                if self.rng.random() < self.repeat:
+                if self.rng.random() < self.repeat_rate:
                     sent.append(item)
-            if self.shuffle:
+            if self.reorder:
                 self.rng.shuffle(sent)
             for name, notice in sent:
                 if name in self.nodes:
                     self.nodes[name].receive(notice)
 
 
-class Node:
+class SimulatedNode:
     """What entries and control processes have in common."""
 
-    def __init__(self, world, name, role):
-        self.world = world
+    def __init__(self, simulation, name, role):
+        self.simulation = simulation
         self.name = name
-        self.table = FaultyTable(world.table)
-        self.table.down = world.store_down
-        world.starts[name] += 1
+        self.table = FaultyTable(simulation.table)
+        self.table.down = simulation.store_down
+        simulation.sequence_numbers[name] += 1
         self.member = Member(
-            name, f"i{world.starts[name]}", role, "a", "r", "", name, 1
+            name,
+            f"i{simulation.sequence_numbers[name]}",
+            role,
+            "a",
+            "r",
+            "",
+            name,
+            1,
         )
         self.me = self.member
         self.live = BehaviorSubject({})
-        self.follower = Follower(self.table, world.clock)
+        self.follower = Follower(self.table, simulation.clock)
         self.metrics = Metrics()
         self.brakes = Brakes(
             configuration=self.follower.current,
             own_name=name,
             peers=lambda: self.live.value,
-            links=world.network,
-            clock=world.clock,
+            links=simulation.network,
+            clock=simulation.clock,
             metrics=self.metrics,
             rng=random.Random(name),
         )
 
 
-class Entry(Node):
+class SimulatedEntry(SimulatedNode):
     """An entry: plans requests, counts results, brakes."""
 
-    def __init__(self, world, name):
-        super().__init__(world, name, Role.ENTRY)
+    def __init__(self, simulation, name):
+        super().__init__(simulation, name, Role.ENTRY)
         self.collector = Collector(
             self.member,
             self.follower.configuration,
             self,
-            world.network,
+            simulation.network,
             self.brakes,
-            world.clock,
+            simulation.clock,
             self.metrics,
         )
         self.follower.current.subscribe(self.collector.apply_configuration)
@@ -171,36 +180,38 @@
     def serve(self, count):
         """Answers requests, by the version that the plan names."""
         for _ in range(count):
-            self.world.requests += 1
+            self.simulation.requests += 1
             request = build_request(
-                key=f"k{self.world.requests}",
-                session=f"s{self.world.requests}",
+                key=f"k{self.simulation.requests}",
+                session=f"s{self.simulation.requests}",
             )
             plan = make_plan(self.follower.configuration, request, self.brakes)
             if not isinstance(plan, Plan):
-                self.world.refused += 1
+                self.simulation.refused += 1
                 continue
-            self.run(plan.steps[0])
+            self.run_version(plan.steps[0])
 
-    def run(self, version):
-        world = self.world
-        world.runs.append((world.clock.now, self.name, version))
-        failed = world.rng.random() < world.failing.get(version, 0.01)
+    def run_version(self, version):
+        simulation = self.simulation
+        simulation.runs.append((simulation.clock.now, self.name, version))
+        failed = simulation.rng.random() < simulation.failure_rates.get(
+            version, 0.01
+        )
         outcome = AttemptOutcome.FAILED if failed else AttemptOutcome.COMPLETE
         self.collector.record_attempt(
             AttemptResult("desk", version, outcome, 0.2, 10)
         )
 
 
-class Control(Node):
+class SimulatedControl(SimulatedNode):
     """A control process with its driver."""
 
-    def __init__(self, world, name):
-        super().__init__(world, name, Role.CONTROL)
+    def __init__(self, simulation, name):
+        super().__init__(simulation, name, Role.CONTROL)
         self.driver = Driver(
             me=self.member,
             table=self.table,
-            clock=world.clock,
+            clock=simulation.clock,
             follower=self.follower,
             members=self,
             brakes=self.brakes,
@@ -218,7 +229,7 @@
                 self.driver.receive(notice)
 
 
-class World:
+class RolloutSimulation:
     """Nodes around one table service."""
 
     def __init__(self, seed=1, entries=3, controls=2, share=0.2):
@@ -226,34 +237,34 @@
         self.table = MemoryTable()
         self.network = Network(seed)
         self.rng = random.Random(seed)
-        self.starts = collections.Counter()
+        self.sequence_numbers = collections.Counter()
         self.store_down = False
-        self.failing = {}
+        self.failure_rates = {}
         self.runs = []
         self.requests = 0
         self.refused = 0
         self.shares = []
         self.share = share
-        self.names = [f"entry-{n}" for n in range(entries)]
+        self.entry_names = [f"entry-{n}" for n in range(entries)]
         self.control_names = [f"control-{n}" for n in range(controls)]
         self.frozen = set()
 
     async def start(self):
-        await self.change(rollout_text(self.share))
-        for name in self.names + self.control_names:
+        await self.apply_change(rollout_text(self.share))
+        for name in self.entry_names + self.control_names:
             self.add(name)
         await self.poll()
 
     def add(self, name):
-        kind = Entry if name in self.names else Control
+        kind = SimulatedEntry if name in self.entry_names else SimulatedControl
         self.network.nodes[name] = kind(self, name)
-        self.announce()
+        self.publish_members()
 
     def kill(self, name):
         del self.network.nodes[name]
-        self.announce()
+        self.publish_members()
 
-    def announce(self):
+    def publish_members(self):
         """Tells every node who is alive; the frozen are not seen."""
         live = {
             name: node.member
@@ -266,20 +277,24 @@
 
     def freeze(self, name):
         self.frozen.add(name)
-        self.announce()
+        self.publish_members()
 
     def thaw(self, name):
         self.frozen.discard(name)
 
     @property
     def entries(self):
-        return [n for n in self.awake() if isinstance(n, Entry)]
+        return [
+            n for n in self.unfrozen_nodes() if isinstance(n, SimulatedEntry)
+        ]
 
     @property
     def controls(self):
-        return [n for n in self.awake() if isinstance(n, Control)]
+        return [
+            n for n in self.unfrozen_nodes() if isinstance(n, SimulatedControl)
+        ]
 
-    def awake(self):
+    def unfrozen_nodes(self):
         return [
             node
             for name, node in sorted(self.network.nodes.items())
@@ -291,23 +306,23 @@
         for node in self.network.nodes.values():
             node.table.down = down
 
-    async def change(self, text=None, edit=None):
+    async def apply_change(self, text=None, edit=None):
         """An operator's change; returns the outcome."""
-        head = await self.present()
+        head = await self.head_revision()
         text = text if text is not None else edit(head.text)
-        self.starts["change"] += 1
+        self.sequence_numbers["change"] += 1
         return await propose(
             self.table,
             Revision(
                 head.revision + 1,
                 text,
                 "operator",
-                f"op{self.starts['change']}",
+                f"op{self.sequence_numbers['change']}",
                 0.0,
             ),
         )
 
-    async def present(self):
+    async def head_revision(self):
         """The newest revision, as it is in the table."""
         rows = await self.table.scan("config/revision/")
         if not rows:
@@ -322,14 +337,14 @@
             parse_configuration,
         )
 
-        text = (await self.present()).text
-        return parse_configuration(text).rollouts[NAME]
+        text = (await self.head_revision()).text
+        return parse_configuration(text).rollouts[ROLLOUT_NAME]
 
     async def poll(self):
-        for node in self.awake():
-            await self.alive_or_killed(node, node.follower.poll())
+        for node in self.unfrozen_nodes():
+            await self.run_unless_killed(node, node.follower.poll())
 
-    async def alive_or_killed(self, node, work):
+    async def run_unless_killed(self, node, work):
         """Runs a part of a node, unless its end comes in it."""
         try:
             await work
@@ -344,13 +359,13 @@
             entry.collector.step()
         self.network.deliver()
         for control in self.controls:
-            await self.alive_or_killed(control, control.driver.step())
+            await self.run_unless_killed(control, control.driver.step())
         self.network.deliver()
         await self.poll()
         if not self.store_down:
             self.shares.append((await self.rollout()).share)
 
-    async def steps(self, count, until=None, requests=60):
+    async def run_steps(self, count, until=None, requests=60):
         """Steps until a condition holds; returns how many it took."""
         for number in range(count):
             if until is not None and await until():
@@ -370,7 +385,7 @@
             1 for time, _, ran in self.runs if ran == version and time > since
         )
 
-    def driving(self):
+    def driving_control(self):
         """The control process that drives now."""
         return next(c for c in self.controls if c.driver.driven_rollouts)
 
@@ -393,7 +408,7 @@
 url = "{candidate_url}"
 domain = "a"
 versions = ["{CANDIDATE}"]
-[rollouts.{NAME}]
+[rollouts.{ROLLOUT_NAME}]
 stable = "{SMALL}"
 candidate = "{CANDIDATE}"
 share = {share}
@@ -402,21 +417,21 @@
 
 def edit_rollout(**fields):
     """An operator's edit of the roll-out."""
-    return lambda text: set_fields(text, ["rollouts", NAME], fields)
+    return lambda text: set_fields(text, ["rollouts", ROLLOUT_NAME], fields)
 
 
-def resume(text):
+def resume_rollout(text):
     """An operator's edit that begins a halted roll-out anew."""
     text = set_fields(text, ["versions", CANDIDATE], {"state": "serving"})
     return set_fields(
-        text, ["rollouts", NAME], {"state": "running", "share": 0.2}
+        text, ["rollouts", ROLLOUT_NAME], {"state": "running", "share": 0.2}
     )
 
 
 @contextlib.asynccontextmanager
-async def start_world(**options):
+async def started_simulation(**options):
     """A started world."""
-    world = World(**options)
-    await world.start()
-    yield world
+    simulation = RolloutSimulation(**options)
+    await simulation.start()
+    yield simulation
     await asyncio.sleep(0)
--- a/tests/lib/version_load.py
+++ b/tests/lib/version_load.py
@@ -20,11 +20,11 @@
             for name, domain in zip(ENTRIES, "abc", strict=True)
         ),
     )
-    await wait_for(lambda: know_each_other(cluster))
+    await wait_for(lambda: entries_know_each_other(cluster))
     return await find_operator(cluster)
 
 
-async def know_each_other(cluster):
+async def entries_know_each_other(cluster):
     """Whether each entry knows of all entries."""
     for entry in ENTRIES:
         url = f"{cluster.urls[entry]}/v1/entries"
@@ -35,7 +35,7 @@
     return True
 
 
-async def ask(cluster, entry, key=DESK_KEY, model="auto", **headers):
+async def send_request(cluster, entry, key=DESK_KEY, model="auto", **headers):
     """The status and JSON body of one answer, or None if there was none."""
     try:
         async with cluster.session.post(
@@ -53,13 +53,13 @@
         return None
 
 
-async def runs_of(cluster, version):
+async def count_runs(cluster, version):
     return sum(
         run["version"] == version for run in await cluster.runs("engine")
     )
 
 
-class Load:
+class BackgroundLoad:
     """Keeps asking entries; collects what they answered."""
 
     def __init__(self, cluster, entries, per_entry=4, **headers):
@@ -74,7 +74,7 @@
 
     async def run(self, cluster, entry):
         while not self.stopped:
-            answer = await ask(cluster, entry, **self.headers)
+            answer = await send_request(cluster, entry, **self.headers)
             self.answers.append(answer)
             if answer is None or answer[0] != 200:
                 await asyncio.sleep(0.02)
--- a/tests/unit/test_rollout_judge.py
+++ b/tests/unit/test_rollout_judge.py
@@ -32,14 +32,18 @@
         self.per_step = per_step
         self.totals = {name: VersionCounts() for name in workspaces}
 
-    def run(self, share, candidate=None, stable=None, victim=None):
+    def run(self, share, candidate=None, stable=None, affected_workspace=None):
         """Adds one step; rates by measure, `victim` alone if given."""
         for name in self.workspaces:
-            hit = victim in (None, name)
+            affected = affected_workspace in (None, name)
             sums = {True: NO_COUNTS, False: NO_COUNTS}
             for _ in range(self.per_step):
                 is_candidate = self.rng.random() < share
-                rates = (candidate if hit else None) if is_candidate else stable
+                rates = (
+                    (candidate if affected else None)
+                    if is_candidate
+                    else stable
+                )
                 sums[is_candidate] += self.answer(rates or {})
             pair = self.totals[name]
             self.totals[name] = VersionCounts(
@@ -51,9 +55,9 @@
         failed = self.rng.random() < rates.get(Measure.FAILED, 0.01)
         truncated = self.rng.random() < rates.get(Measure.TRUNCATED, 0.01)
         poor = self.rng.random() < rates.get(Measure.POOR, 0.1)
-        late = self.rng.random() < rates.get(Measure.SLOW, 0.05)
+        slow = self.rng.random() < rates.get(Measure.SLOW, 0.05)
         latency = [0] * 16
-        latency[latency_bucket(2.0 if late else 0.2)] = 1
+        latency[latency_bucket(2.0 if slow else 0.2)] = 1
         return Counts(
             1, int(failed), int(truncated), 1, int(poor), tuple(latency)
         )
@@ -70,7 +74,7 @@
 
 
 @pytest.mark.parametrize("measure", list(Measure))
-def test_each_measure_halts_alone_and_is_named(measure):
+def test_regression_of_each_measure_halts_and_is_reported(measure):
     decision = run_until_halt(Traffic(), candidate={measure: 0.4})
     assert isinstance(decision, Halt)
     assert decision.measure is measure
@@ -79,13 +83,16 @@
 def test_a_fault_in_one_small_workspace_halts():
     traffic = Traffic(workspaces=tuple("abcdefgh"), per_step=20)
     decision = run_until_halt(
-        traffic, steps=200, candidate={Measure.POOR: 0.7}, victim="h"
+        traffic,
+        steps=200,
+        candidate={Measure.POOR: 0.7},
+        affected_workspace="h",
     )
     assert isinstance(decision, Halt)
     assert decision.workspace == "h"
 
 
-def test_good_versions_are_not_halted_more_often_than_promised():
+def test_false_halts_stay_within_the_error_rate():
     halts = sum(
         isinstance(run_until_halt(Traffic(seed), steps=20), Halt)
         for seed in range(30)
@@ -106,7 +113,7 @@
     assert not isinstance(decision, Halt)
 
 
-def test_a_change_after_a_long_good_time_is_found_as_fast_as_at_once():
+def test_regression_after_many_good_answers_is_found_without_delay():
     """A plain sequential test would first have to unlearn the good time."""
 
     def steps_to_halt(good_steps):
@@ -122,7 +129,7 @@
     assert steps_to_halt(200) <= 3 * steps_to_halt(0) + 3
 
 
-def test_widens_only_on_evidence_and_not_on_steps():
+def test_share_is_not_widened_by_steps_without_evidence():
     evaluator = PairedEvaluator()
     assert evaluator.decide(0.0, 1.0) == Widen(0.01)
     evaluator.start_share_step()
@@ -131,7 +138,7 @@
     assert isinstance(evaluator.decide(0.01, 1.0), Hold)
 
 
-def test_widens_a_good_version_up_to_the_largest_share():
+def test_good_version_is_widened_up_to_max_share():
     traffic, evaluator, share = Traffic(per_step=500), PairedEvaluator(), 0.0
     shares = []
     for _ in range(60):
@@ -145,7 +152,7 @@
     assert shares == sorted(shares)
 
 
-def test_doubt_narrows_before_it_halts():
+def test_suspected_version_is_narrowed_before_a_halt():
     traffic, evaluator = Traffic(per_step=20), PairedEvaluator()
     for _ in range(200):
         evaluator.observe(traffic.run(0.5, {Measure.POOR: 0.25}))
@@ -156,7 +163,7 @@
     assert decision.share == EvaluationPolicy().narrow_share
 
 
-def test_adopted_sums_are_no_evidence():
+def test_counters_of_an_earlier_driver_are_no_evidence():
     """Sums over shares that changed would compare unlike times."""
     pair = VersionCounts(
         Counts(1000, 10, 10, 1000, 100), Counts(1000, 500, 500, 1000, 900)
@@ -169,7 +176,7 @@
 
 
 @pytest.mark.parametrize("measure", list(Measure))
-def test_a_version_that_turns_bad_after_full_roll_out_is_narrowed(measure):
+def test_regression_after_full_roll_out_narrows_the_share(measure):
     evaluation, traffic = run_full_roll_out()
     for _ in range(40):
         evaluation.observe(traffic.run(1.0, {measure: 0.4}))
@@ -186,7 +193,7 @@
         assert isinstance(evaluation.decide(1.0, 1.0), Hold)
 
 
-def test_after_an_alarm_the_paired_test_settles_the_matter():
+def test_paired_test_halts_a_bad_version_after_an_alarm():
     evaluation, traffic = run_full_roll_out()
     bad = {Measure.FAILED: 0.3}
     share = 1.0
--- a/tests/unit/test_rollout_ledger.py
+++ b/tests/unit/test_rollout_ledger.py
@@ -23,7 +23,7 @@
 
 
 @given(st.integers(0, 2**32), st.integers(1, 30))
-def test_any_order_with_repeats_and_losses_gives_the_newest_sum(seed, count):
+def test_lost_repeated_and_reordered_rows_give_the_newest_counters(seed, count):
     rng = random.Random(seed)
     rows = [make_row(number, number * 10) for number in range(1, count + 1)]
     sent = [row for row in rows if rng.random() < 0.7] or rows[-1:]
@@ -36,14 +36,14 @@
     assert total(ledger) == newest
 
 
-def test_sums_of_two_starts_of_an_entry_add_up():
+def test_counters_of_two_incarnations_of_an_entry_add_up():
     ledger = Ledger()
     ledger.apply_row("entry-1/i1", make_row(9, 90))
     ledger.apply_row("entry-1/i2", make_row(1, 5))
     assert total(ledger) == 95
 
 
-def test_a_late_notice_of_an_ended_process_is_not_counted_twice():
+def test_late_row_of_a_dropped_process_is_not_counted_twice():
     ledger = Ledger()
     ledger.apply_row("entry-1/i1", make_row(2, 20))
     ledger.drop_stopped_origins(live={"entry-2/i1"}, max_origins=0)
@@ -53,16 +53,16 @@
     assert total(ledger) == 20
 
 
-def test_sums_never_shrink_while_processes_come_and_go():
-    ledger, sums = Ledger(), []
+def test_totals_never_decrease_while_processes_are_replaced():
+    ledger, totals = Ledger(), []
     for start in range(1, 6):
         ledger.apply_row(f"entry/{start}", make_row(1, 7))
         ledger.drop_stopped_origins(live={f"entry/{start}"}, max_origins=1)
-        sums.append(total(ledger))
-    assert sums == [7, 14, 21, 28, 35]
+        totals.append(total(ledger))
+    assert totals == [7, 14, 21, 28, 35]
 
 
-def test_an_entry_that_only_seemed_to_have_ended_is_still_heard():
+def test_rows_of_a_live_entry_believed_stopped_are_counted():
     ledger = Ledger()
     ledger.apply_row("entry-1/i1", make_row(1, 10))
     ledger.drop_stopped_origins(live=set())
