--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -48,20 +48,22 @@
 
 TICK_S = 2.0
 HORIZON_S = 7200.0
-RATE = 40.0  # Requests a second.
+REQUESTS_PER_S = 40.0  # Requests a second.
 WORKSPACES = [f"w{number}" for number in range(10)]
-SHARES = np.array([1 / (number + 1) for number in range(len(WORKSPACES))])
-SHARES /= SHARES.sum()
-RATED = 0.1
+WORKSPACE_SHARES = np.array(
+    [1 / (number + 1) for number in range(len(WORKSPACES))]
+)
+WORKSPACE_SHARES /= WORKSPACE_SHARES.sum()
+RATED_SHARE = 0.1
 RATING_DELAY_TICKS = 15
-FAILED, TRUNCATED, POOR = 0.005, 0.003, 0.1
-MEDIAN_S, SIGMA = 0.25, 0.5
-TUNING = 30  # Seeds below are for tuning only.
+FAILED_RATE, TRUNCATED_RATE, POOR_RATE = 0.005, 0.003, 0.1
+MEDIAN_LATENCY_S, LATENCY_SIGMA = 0.25, 0.5
+TUNING_SEEDS = 30  # Seeds below are for tuning only.
 WINDOWS_S = (60.0, 120.0, 300.0)
-LEVEL_FACTOR = 1.25
-STEPS = (0.01, 0.05, 0.25, 0.5, 1.0)
-DWELL_S = 600.0
-CHECK_S = 60.0
+LOOSE_FACTOR = 1.25
+FIXED_SHARES = (0.01, 0.05, 0.25, 0.5, 1.0)
+STEP_DURATION_S = 600.0
+CHECK_INTERVAL_S = 60.0
 MIN_ATTEMPTS, MIN_RATED = 50, 20
 MEASURES = tuple(Measure)
 
@@ -73,9 +75,9 @@
     """How a candidate turns bad."""
 
     name: str
-    failed: float = FAILED
-    truncated: float = TRUNCATED
-    poor: float = POOR
+    failed: float = FAILED_RATE
+    truncated: float = TRUNCATED_RATE
+    poor: float = POOR_RATE
     slowdown: float = 1.0
     one_workspace: bool = False
     from_start: bool = False
@@ -96,73 +98,80 @@
 )
 
 
-def latency_shares(median_s: float) -> np.ndarray:
+def latency_probabilities(median_s: float) -> np.ndarray:
     """Returns the chance of each latency bucket (lognormal)."""
     from math import erf, log, sqrt
 
     edges = [
-        0.5 * (1 + erf(log(edge / median_s) / SIGMA / sqrt(2)))
+        0.5 * (1 + erf(log(edge / median_s) / LATENCY_SIGMA / sqrt(2)))
         for edge in LATENCY_BUCKET_EDGES_S
     ]
     return np.diff([0.0, *edges, 1.0])
 
 
-class World:
+class TrafficSimulation:
     """What callers send and versions do, from a seed."""
 
     def __init__(self, fault: Fault, seed: int) -> None:
         self.fault = fault
         self.rng = np.random.default_rng([seed, len(fault.name)])
-        self.turn_s = self.rng.uniform(0, 3600)
+        self.onset_s = self.rng.uniform(0, 3600)
         if fault.from_start:
-            self.turn_s = 0.0
-        self.delay_s = self.rng.uniform(300, 1800)
+            self.onset_s = 0.0
+        self.onset_delay_s = self.rng.uniform(300, 1800)
         if fault.after_full:
-            self.turn_s = float("inf")
-        self.victim = int(self.rng.integers(0, 5))
-        self.hardness = self.rng.lognormal(0, 0.3, len(WORKSPACES))
+            self.onset_s = float("inf")
+        self.affected_workspace = int(self.rng.integers(0, 5))
+        self.workspace_difficulty = self.rng.lognormal(0, 0.3, len(WORKSPACES))
         # An incident that hits both versions alike.
         self.incident_s = self.rng.uniform(300, 5000)
-        self.latency = latency_shares(MEDIAN_S)
-        self.slow_latency = latency_shares(MEDIAN_S * fault.slowdown)
-        self.late: collections.deque = collections.deque()
+        self.latency = latency_probabilities(MEDIAN_LATENCY_S)
+        self.slow_latency = latency_probabilities(
+            MEDIAN_LATENCY_S * fault.slowdown
+        )
+        self.pending_ratings: collections.deque = collections.deque()
         shape = (len(WORKSPACES), 2)
         self.sums = np.zeros((*shape, 5), dtype=np.int64)
         self.histogram = np.zeros((*shape, BUCKET_COUNT), dtype=np.int64)
         self.exposed = 0
         self.bad = 0
 
-    def notice_full(self, now: float) -> None:
+    def schedule_late_onset(self, now: float) -> None:
         """Sets when a version turns bad after full roll-out."""
-        if self.fault.after_full and self.turn_s == float("inf"):
-            self.turn_s = now + self.delay_s
+        if self.fault.after_full and self.onset_s == float("inf"):
+            self.onset_s = now + self.onset_delay_s
 
     def tick(self, now: float, share: float) -> None:
         """Runs one tick."""
         rng, fault = self.rng, self.fault
-        mean = RATE * TICK_S * SHARES
+        mean = REQUESTS_PER_S * TICK_S * WORKSPACE_SHARES
         attempts = rng.poisson(
             np.stack([mean * (1 - share), mean * share], axis=1)
         )
         affected = np.zeros(attempts.shape, dtype=bool)
-        if now >= self.turn_s and fault != GOOD:
+        if now >= self.onset_s and fault != GOOD:
             affected[:, 1] = True
             if fault.one_workspace:
-                affected[:, 1] = np.arange(len(WORKSPACES)) == self.victim
+                affected[:, 1] = (
+                    np.arange(len(WORKSPACES)) == self.affected_workspace
+                )
         incident = 0 <= now - self.incident_s < 60
-        failed_rate = np.where(affected, fault.failed, FAILED)
+        failed_rate = np.where(affected, fault.failed, FAILED_RATE)
         failed_rate = failed_rate + (0.05 if incident else 0.0)
         failed = rng.binomial(attempts, failed_rate)
-        cut = rng.binomial(
-            attempts - failed, np.where(affected, fault.truncated, TRUNCATED)
+        truncated = rng.binomial(
+            attempts - failed,
+            np.where(affected, fault.truncated, TRUNCATED_RATE),
         )
         drift = 1 + 0.1 * np.sin(now / 1200)
-        poor_rate = np.where(affected, fault.poor, POOR) * drift
-        poor_rate = np.clip(poor_rate * self.hardness[:, None], 0, 0.95)
-        whole = attempts - failed - cut
-        poor = rng.binomial(whole, poor_rate)
-        rated = rng.binomial(whole, RATED)
-        rated_poor = rng.hypergeometric(poor, whole - poor, rated)
+        poor_rate = np.where(affected, fault.poor, POOR_RATE) * drift
+        poor_rate = np.clip(
+            poor_rate * self.workspace_difficulty[:, None], 0, 0.95
+        )
+        complete = attempts - failed - truncated
+        poor = rng.binomial(complete, poor_rate)
+        rated = rng.binomial(complete, RATED_SHARE)
+        rated_poor = rng.hypergeometric(poor, complete - poor, rated)
         answered = attempts - failed
         latency = rng.multinomial(
             answered,
@@ -171,14 +180,14 @@
         self.histogram += latency
         self.sums[..., 0] += attempts
         self.sums[..., 1] += failed
-        self.sums[..., 2] += cut
-        self.late.append((rated, rated_poor))
-        if len(self.late) > RATING_DELAY_TICKS:
-            rated, rated_poor = self.late.popleft()
+        self.sums[..., 2] += truncated
+        self.pending_ratings.append((rated, rated_poor))
+        if len(self.pending_ratings) > RATING_DELAY_TICKS:
+            rated, rated_poor = self.pending_ratings.popleft()
             self.sums[..., 3] += rated
             self.sums[..., 4] += rated_poor
         self.exposed += int(attempts[affected].sum())
-        self.bad += int((failed + cut + poor)[affected].sum())
+        self.bad += int((failed + truncated + poor)[affected].sum())
         if fault.slowdown > 1:
             self.bad += int(latency[affected][:, 10:].sum())
 
@@ -197,7 +206,7 @@
         )
 
 
-class ByEvidence:
+class EvidenceStrategy:
     """The product's course of judgement."""
 
     def __init__(
@@ -215,20 +224,20 @@
             case Halt() as halt:
                 return halt
             case Widen(share):
-                self.change(share)
+                self.set_share(share)
             case Narrow(share):
                 self.narrowed += 1
-                self.change(share)
+                self.set_share(share)
         return None
 
-    def change(self, share: float) -> None:
+    def set_share(self, share: float) -> None:
         """Sets the share."""
         self.share = share
         self.evaluation.start_share_step()
         self.full = self.full or share >= 1.0
 
 
-class NoRestart(PairedEvaluator):
+class NoRestartEvaluator(PairedEvaluator):
     """Betting, from the start only: no restarts for later changes."""
 
     def update_tests(
@@ -256,7 +265,7 @@
                 self.first_halt = Halt(measure, scope, test.value)
 
 
-class NormalMixture(PairedEvaluator):
+class NormalMixtureEvaluator(PairedEvaluator):
     """Always-valid difference of shares: a normal mixture (mSPRT)."""
 
     def __init__(self) -> None:
@@ -282,14 +291,14 @@
 def normal_mixture(side: Batch, tolerance: float) -> float:
     """Returns the mixture's likelihood ratio, over differences above 0."""
     stable, candidate = side.stable, side.candidate
-    usual = (stable.bad + 0.5) / (stable.total + 1)
-    present = (candidate.bad + 0.5) / (candidate.total + 1)
+    stable_rate = (stable.bad + 0.5) / (stable.total + 1)
+    candidate_rate = (candidate.bad + 0.5) / (candidate.total + 1)
     pooled = (stable.bad + candidate.bad + 1) / (
         stable.total + candidate.total + 2
     )
     variance = pooled * (1 - pooled)
     variance *= 1 / stable.total + 1 / candidate.total
-    difference = present - usual * tolerance
+    difference = candidate_rate - stable_rate * tolerance
     if difference <= 0 or candidate.total < 30:
         return 0.0
     prior = 0.05**2
@@ -306,59 +315,67 @@
     rises: dict[Measure, float]
 
 
-class FixedSteps:
+class FixedStepsStrategy:
     """Steps by the clock, with thresholds checked every minute."""
 
     def __init__(self, thresholds: Thresholds) -> None:
         self.thresholds = thresholds
-        self.share = STEPS[0]
+        self.share = FIXED_SHARES[0]
         self.full = False
-        self.began: float | None = None
-        self.past: collections.deque = collections.deque()
-        self.checked = 0.0
+        self.start_s: float | None = None
+        self.window: collections.deque = collections.deque()
+        self.last_check_s = 0.0
         self.reference: dict[str, VersionCounts] | None = None
         self.highest: collections.Counter = collections.Counter()
 
     def step(self, now: float, totals: Totals) -> Halt | None:
         """Takes in evidence; sets the share; returns a halt."""
-        self.began = now if self.began is None else self.began
-        step = min(int((now - self.began) / DWELL_S), len(STEPS) - 1)
-        self.share = STEPS[step]
+        self.start_s = now if self.start_s is None else self.start_s
+        step = min(
+            int((now - self.start_s) / STEP_DURATION_S), len(FIXED_SHARES) - 1
+        )
+        self.share = FIXED_SHARES[step]
         if self.share >= 1.0 and not self.full:
             self.full = True
             self.reference = totals()
-        if now - self.checked < CHECK_S:
+        if now - self.last_check_s < CHECK_INTERVAL_S:
             return None
-        self.checked = now
-        self.past.append((now, add_up(totals())))
-        while now - self.past[0][0] > self.thresholds.window_s:
-            self.past.popleft()
-        if len(self.past) < 2:
+        self.last_check_s = now
+        self.window.append((now, sum_totals(totals())))
+        while now - self.window[0][0] > self.thresholds.window_s:
+            self.window.popleft()
+        if len(self.window) < 2:
             return None
-        return self.check(self.past[-1][1], self.past[0][1])
+        return self.check(self.window[-1][1], self.window[0][1])
 
     def check(self, last: VersionCounts, first: VersionCounts) -> Halt | None:
         """Compares the window with the stable, or with its past."""
         candidate = last.candidate - first.candidate
         stable = last.stable - first.stable
         if self.reference is not None:
-            past = add_up(self.reference)
-            stable = past.stable + past.candidate
+            reference = sum_totals(self.reference)
+            stable = reference.stable + reference.candidate
         slow_from = first_slow_bucket(stable.latency, 0.9)
         for measure in MEASURES:
-            least = MIN_RATED if measure is Measure.POOR else MIN_ATTEMPTS
-            usual = trials_of(stable, measure, slow_from)
-            present = trials_of(candidate, measure, slow_from)
-            if present.total < least or usual.total < least:
+            min_trials = MIN_RATED if measure is Measure.POOR else MIN_ATTEMPTS
+            stable_trials = trials_of(stable, measure, slow_from)
+            candidate_trials = trials_of(candidate, measure, slow_from)
+            if (
+                candidate_trials.total < min_trials
+                or stable_trials.total < min_trials
+            ):
                 continue
-            rise = present.bad / present.total - usual.bad / usual.total
+            rise = (
+                candidate_trials.bad / candidate_trials.total
+                - stable_trials.bad / stable_trials.total
+            )
             self.highest[measure] = max(self.highest[measure], rise)
             if rise > self.thresholds.rises.get(measure, float("inf")):
                 return Halt(measure, ALL_WORKSPACES, 0.0)
         return None
 
 
-def add_up(totals: dict[str, VersionCounts]) -> VersionCounts:
+def sum_totals(totals: dict[str, VersionCounts]) -> VersionCounts:
     """Returns the sums over all workspaces."""
     return VersionCounts(
         sum((pair.stable for pair in totals.values()), Counts()),
@@ -374,37 +391,37 @@
     bad: int
     halted_s: float | None
     full_s: float | None
-    turn_s: float
+    onset_s: float
     false_halt: bool
     narrowed: int = 0
     highest: dict[Measure, float] = attrs.Factory(dict)
 
 
-def run(way: Callable[[], object], fault: Fault, seed: int) -> Result:
+def run(strategy: Callable[[], object], fault: Fault, seed: int) -> Result:
     """Runs one roll-out in one world."""
-    world, policy = World(fault, seed), way()
+    simulation, policy = TrafficSimulation(fault, seed), strategy()
     full_s = halted_s = None
     now = 0.0
     while now < HORIZON_S and halted_s is None:
         now += TICK_S
-        world.tick(now, policy.share)
+        simulation.tick(now, policy.share)
         # What a decision is made of is one tick old, as are its effects.
-        if policy.step(now, world.totals) is not None:
+        if policy.step(now, simulation.totals) is not None:
             halted_s = now
-            world.tick(now, policy.share)
+            simulation.tick(now, policy.share)
         if policy.full and full_s is None:
             full_s = now
-            world.notice_full(now)
+            simulation.schedule_late_onset(now)
     false_halt = halted_s is not None and (
-        fault == GOOD or halted_s < world.turn_s
+        fault == GOOD or halted_s < simulation.onset_s
     )
     highest = dict(getattr(policy, "highest", {}))
     return Result(
-        world.exposed,
-        world.bad,
+        simulation.exposed,
+        simulation.bad,
         halted_s,
         full_s,
-        world.turn_s,
+        simulation.onset_s,
         false_halt,
         getattr(policy, "narrowed", 0),
         highest,
@@ -418,8 +435,8 @@
 
 def tune(pool, window_s: float, factor: float) -> Thresholds:
     """Returns the tightest thresholds without a false halt in tuning."""
-    loose = functools.partial(FixedSteps, Thresholds(window_s, {}))
-    jobs = [(loose, GOOD, seed) for seed in range(TUNING)]
+    loose = functools.partial(FixedStepsStrategy, Thresholds(window_s, {}))
+    jobs = [(loose, GOOD, seed) for seed in range(TUNING_SEEDS)]
     results = list(pool.map(run_job, jobs))
     return Thresholds(
         window_s,
@@ -435,8 +452,10 @@
     exposure = {}
     for window_s in WINDOWS_S:
         thresholds = tune(pool, window_s, factor)
-        way = functools.partial(FixedSteps, thresholds)
-        jobs = [(way, fault, seed) for fault in FAULTS for seed in range(4)]
+        strategy = functools.partial(FixedStepsStrategy, thresholds)
+        jobs = [
+            (strategy, fault, seed) for fault in FAULTS for seed in range(4)
+        ]
         results = list(pool.map(run_job, jobs))
         exposure[thresholds.window_s] = (
             sum(result.exposed for result in results),
@@ -446,19 +465,25 @@
     return min(exposure.values(), key=lambda pair: pair[0])[1]
 
 
-def make_ways(pool) -> dict[str, Callable[[], object]]:
+def make_strategies(pool) -> dict[str, Callable[[], object]]:
     """Returns the ways compared, baselines tuned."""
-    tight, level = tune_window(pool, 1.0), tune_window(pool, LEVEL_FACTOR)
+    tight, level = tune_window(pool, 1.0), tune_window(pool, LOOSE_FACTOR)
     errors = Thresholds(
         level.window_s, {Measure.FAILED: level.rises[Measure.FAILED]}
     )
     return {
-        "fixed steps, errors only": functools.partial(FixedSteps, errors),
-        "fixed steps, tight": functools.partial(FixedSteps, tight),
-        "fixed steps, level": functools.partial(FixedSteps, level),
-        "betting, no restart": functools.partial(ByEvidence, NoRestart),
-        "normal mixture": functools.partial(ByEvidence, NormalMixture),
-        "by evidence": ByEvidence,
+        "fixed steps, errors only": functools.partial(
+            FixedStepsStrategy, errors
+        ),
+        "fixed steps, tight": functools.partial(FixedStepsStrategy, tight),
+        "fixed steps, level": functools.partial(FixedStepsStrategy, level),
+        "betting, no restart": functools.partial(
+            EvidenceStrategy, NoRestartEvaluator
+        ),
+        "normal mixture": functools.partial(
+            EvidenceStrategy, NormalMixtureEvaluator
+        ),
+        "by evidence": EvidenceStrategy,
     }
 
 
@@ -487,11 +512,18 @@
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(figsize=(10, 5))
-    ways = list(table)
-    for number, way in enumerate(ways):
-        means = [np.mean([r.exposed for r in table[way][f]]) for f in FAULTS]
-        places = np.arange(len(FAULTS)) + number / (len(ways) + 1)
-        axes.bar(places, np.maximum(means, 1), 1 / (len(ways) + 1), label=way)
+    strategies = list(table)
+    for number, strategy in enumerate(strategies):
+        means = [
+            np.mean([r.exposed for r in table[strategy][f]]) for f in FAULTS
+        ]
+        places = np.arange(len(FAULTS)) + number / (len(strategies) + 1)
+        axes.bar(
+            places,
+            np.maximum(means, 1),
+            1 / (len(strategies) + 1),
+            label=strategy,
+        )
     axes.set_yscale("log")
     axes.set_ylabel("callers exposed, mean")
     axes.set_xticks(np.arange(len(FAULTS)) + 0.4)
@@ -518,7 +550,7 @@
     first = arguments.first_seed
     table: dict = {}
     with concurrent.futures.ProcessPoolExecutor(arguments.processes) as pool:
-        ways = make_ways(pool)
+        strategies = make_strategies(pool)
         print(
             "| fault | way | exposed | bad answers | caught | false halts"
             " | runs | full at s |"
@@ -526,12 +558,14 @@
         print("|---|---|---|---|---|---|---|---|")
         for fault in (GOOD, *FAULTS):
             count = arguments.good_seeds if fault == GOOD else arguments.seeds
-            for name, way in ways.items():
-                jobs = [(way, fault, first + seed) for seed in range(count)]
+            for name, strategy in strategies.items():
+                jobs = [
+                    (strategy, fault, first + seed) for seed in range(count)
+                ]
                 results = list(pool.map(run_job, jobs))
                 table.setdefault(name, {})[fault] = results
                 print(report(name, fault.name, results), flush=True)
-    for name in ways:
+    for name in strategies:
         own = sum(r.exposed for f in FAULTS for r in table["by evidence"][f])
         other = sum(r.exposed for f in FAULTS for r in table[name][f])
         print(f"exposure of 'by evidence' to '{name}': {own / other:.3f}")
