--- a/benchmarks/rollout.py
+++ b/benchmarks/rollout.py
@@ -1,12 +1,13 @@
-"""Callers exposed to versions that turn bad, by way of rolling out.
+"""Compares roll-out strategies by the requests exposed to bad versions.
 
 Usage: python benchmarks/rollout.py [--seeds N] [--processes N] [--out DIR]
 
-Every way meets the same worlds. Thresholds of the fixed steps are tuned on
-other seeds than those of the table: "tight" is the least that halts no good
-version in tuning, "level" is looser by a factor, for as few false halts as
-the judgement by evidence has. A way that halts good versions also exposes
-fewer callers to bad ones, so its exposure is no measure by itself.
+All strategies run on the same simulated traffic. The thresholds of the fixed
+steps are tuned on other seeds than those of the table. "tight" is the lowest
+threshold that halts no good version in tuning; "level" is looser by a factor,
+so that it has as few false halts as the evaluation by evidence. A strategy that
+halts good versions also exposes fewer callers to bad ones, so its exposure is
+not meaningful without its false halts.
 """
 
 from __future__ import annotations
@@ -48,7 +49,7 @@
 
 TICK_S = 2.0
 HORIZON_S = 7200.0
-REQUESTS_PER_S = 40.0  # Requests a second.
+REQUESTS_PER_S = 40.0
 WORKSPACES = [f"w{number}" for number in range(10)]
 WORKSPACE_SHARES = np.array(
     [1 / (number + 1) for number in range(len(WORKSPACES))]
@@ -58,7 +59,7 @@
 RATING_DELAY_TICKS = 15
 FAILED_RATE, TRUNCATED_RATE, POOR_RATE = 0.005, 0.003, 0.1
 MEDIAN_LATENCY_S, LATENCY_SIGMA = 0.25, 0.5
-TUNING_SEEDS = 30  # Seeds below are for tuning only.
+TUNING_SEEDS = 30  # Seeds below this are used for tuning only.
 WINDOWS_S = (60.0, 120.0, 300.0)
 LOOSE_FACTOR = 1.25
 FIXED_SHARES = (0.01, 0.05, 0.25, 0.5, 1.0)
@@ -72,7 +73,17 @@
 
 @attrs.frozen
 class Fault:
-    """How a candidate turns bad."""
+    """Fault of a candidate: rates of bad answers and the time of onset.
+
+    Attributes:
+      failed: Rate of failed attempts.
+      truncated: Rate of truncated answers.
+      poor: Rate of answers of low quality.
+      slowdown: Factor of the latency.
+      one_workspace: Whether only one workspace is affected.
+      from_start: Whether the fault is present from the start.
+      after_full: Whether the fault begins after full roll-out.
+    """
 
     name: str
     failed: float = FAILED_RATE
@@ -99,7 +110,7 @@
 
 
 def latency_probabilities(median_s: float) -> np.ndarray:
-    """Returns the chance of each latency bucket (lognormal)."""
+    """Returns the probability of each bucket of a lognormal latency."""
     from math import erf, log, sqrt
 
     edges = [
@@ -110,7 +121,7 @@
 
 
 class TrafficSimulation:
-    """What callers send and versions do, from a seed."""
+    """Requests of callers and behaviour of versions, from a seed."""
 
     def __init__(self, fault: Fault, seed: int) -> None:
         self.fault = fault
@@ -123,7 +134,7 @@
             self.onset_s = float("inf")
         self.affected_workspace = int(self.rng.integers(0, 5))
         self.workspace_difficulty = self.rng.lognormal(0, 0.3, len(WORKSPACES))
-        # An incident that hits both versions alike.
+        # An incident that affects both versions equally.
         self.incident_s = self.rng.uniform(300, 5000)
         self.latency = latency_probabilities(MEDIAN_LATENCY_S)
         self.slow_latency = latency_probabilities(
@@ -137,12 +148,12 @@
         self.bad = 0
 
     def schedule_late_onset(self, now: float) -> None:
-        """Sets when a version turns bad after full roll-out."""
+        """Schedules the onset of a fault that begins after full roll-out."""
         if self.fault.after_full and self.onset_s == float("inf"):
             self.onset_s = now + self.onset_delay_s
 
     def tick(self, now: float, share: float) -> None:
-        """Runs one tick."""
+        """Simulates one tick of `TICK_S`."""
         rng, fault = self.rng, self.fault
         mean = REQUESTS_PER_S * TICK_S * WORKSPACE_SHARES
         attempts = rng.poisson(
@@ -192,14 +203,14 @@
             self.bad += int(latency[affected][:, 10:].sum())
 
     def totals(self) -> dict[str, VersionCounts]:
-        """Returns the sums by workspace."""
+        """Returns the counters by workspace."""
         return {
             name: VersionCounts(self.counts(row, 0), self.counts(row, 1))
             for row, name in enumerate(WORKSPACES)
         }
 
     def counts(self, row: int, column: int) -> Counts:
-        """Returns the sums of one workspace and version."""
+        """Returns the counters of one workspace and version."""
         return Counts(
             *self.sums[row, column].tolist(),
             tuple(self.histogram[row, column].tolist()),
@@ -207,7 +218,7 @@
 
 
 class EvidenceStrategy:
-    """The product's course of judgement."""
+    """The product's evaluation of a roll-out."""
 
     def __init__(
         self, evaluator: Callable[[], PairedEvaluator] = PairedEvaluator
@@ -218,7 +229,7 @@
         self.narrowed = 0
 
     def step(self, now: float, totals: Totals) -> Halt | None:
-        """Takes in evidence; sets the share; returns a halt."""
+        """Processes the counters, sets the share and returns a halt, if any."""
         self.evaluation.observe(totals())
         match self.evaluation.decide(self.share, 1.0):
             case Halt() as halt:
@@ -238,12 +249,12 @@
 
 
 class NoRestartEvaluator(PairedEvaluator):
-    """Betting, from the start only: no restarts for later changes."""
+    """Test by betting without restarts for changes during the run."""
 
     def update_tests(
         self, workspace: str, measure: Measure, batch: Batch
     ) -> None:
-        """Updates products of likelihood ratios from the first batch on."""
+        """Updates products of likelihood ratios since the first batch."""
         if not batch.stable.bad and not batch.candidate.bad:
             return
         factors = paired_factors(
@@ -266,7 +277,7 @@
 
 
 class NormalMixtureEvaluator(PairedEvaluator):
-    """Always-valid difference of shares: a normal mixture (mSPRT)."""
+    """Always-valid test of the difference of rates: normal mixture, mSPRT."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -275,7 +286,7 @@
     def update_tests(
         self, workspace: str, measure: Measure, batch: Batch
     ) -> None:
-        """Updates the difference of shares and its mixture."""
+        """Updates the difference of rates and its mixture."""
         for scope in (ALL_WORKSPACES, workspace):
             side = self.sides[scope, measure]
             side.stable += batch.stable
@@ -289,7 +300,7 @@
 
 
 def normal_mixture(side: Batch, tolerance: float) -> float:
-    """Returns the mixture's likelihood ratio, over differences above 0."""
+    """Returns the likelihood ratio of a mixture of positive differences."""
     stable, candidate = side.stable, side.candidate
     stable_rate = (stable.bad + 0.5) / (stable.total + 1)
     candidate_rate = (candidate.bad + 0.5) / (candidate.total + 1)
@@ -309,14 +320,14 @@
 
 @attrs.frozen
 class Thresholds:
-    """Highest rise of each share of bad answers over a window."""
+    """Highest allowed rise of each rate of bad answers over a window."""
 
     window_s: float
     rises: dict[Measure, float]
 
 
 class FixedStepsStrategy:
-    """Steps by the clock, with thresholds checked every minute."""
+    """Steps at fixed times, with thresholds checked every minute."""
 
     def __init__(self, thresholds: Thresholds) -> None:
         self.thresholds = thresholds
@@ -329,7 +340,7 @@
         self.highest: collections.Counter = collections.Counter()
 
     def step(self, now: float, totals: Totals) -> Halt | None:
-        """Takes in evidence; sets the share; returns a halt."""
+        """Processes the counters, sets the share and returns a halt, if any."""
         self.start_s = now if self.start_s is None else self.start_s
         step = min(
             int((now - self.start_s) / STEP_DURATION_S), len(FIXED_SHARES) - 1
@@ -349,7 +360,7 @@
         return self.check(self.window[-1][1], self.window[0][1])
 
     def check(self, last: VersionCounts, first: VersionCounts) -> Halt | None:
-        """Compares the window with the stable, or with its past."""
+        """Compares the window with the stable version or with the reference."""
         candidate = last.candidate - first.candidate
         stable = last.stable - first.stable
         if self.reference is not None:
@@ -376,7 +387,7 @@
 
 
 def sum_totals(totals: dict[str, VersionCounts]) -> VersionCounts:
-    """Returns the sums over all workspaces."""
+    """Returns the counters over all workspaces."""
     return VersionCounts(
         sum((pair.stable for pair in totals.values()), Counts()),
         sum((pair.candidate for pair in totals.values()), Counts()),
@@ -385,7 +396,7 @@
 
 @attrs.frozen
 class Result:
-    """One run."""
+    """Result of one run."""
 
     exposed: int
     bad: int
@@ -398,14 +409,15 @@
 
 
 def run(strategy: Callable[[], object], fault: Fault, seed: int) -> Result:
-    """Runs one roll-out in one world."""
+    """Runs one roll-out on one simulation."""
     simulation, policy = TrafficSimulation(fault, seed), strategy()
     full_s = halted_s = None
     now = 0.0
     while now < HORIZON_S and halted_s is None:
         now += TICK_S
         simulation.tick(now, policy.share)
-        # What a decision is made of is one tick old, as are its effects.
+        # A decision uses counters that are one tick old, and takes effect one
+        # tick later.
         if policy.step(now, simulation.totals) is not None:
             halted_s = now
             simulation.tick(now, policy.share)
@@ -429,12 +441,18 @@
 
 
 def run_job(job: tuple) -> Result:
-    """Runs one job of a pool."""
+    """Runs one job of the process pool."""
     return run(*job)
 
 
 def tune(pool, window_s: float, factor: float) -> Thresholds:
-    """Returns the tightest thresholds without a false halt in tuning."""
+    """Returns the tightest thresholds without a false halt in tuning.
+
+    Args:
+      pool: The process pool.
+      window_s: Length of the window in seconds.
+      factor: Factor by which the thresholds are raised.
+    """
     loose = functools.partial(FixedStepsStrategy, Thresholds(window_s, {}))
     jobs = [(loose, GOOD, seed) for seed in range(TUNING_SEEDS)]
     results = list(pool.map(run_job, jobs))
@@ -448,7 +466,7 @@
 
 
 def tune_window(pool, factor: float) -> Thresholds:
-    """Returns the thresholds over the window that exposes fewest callers."""
+    """Returns the thresholds of the window with the lowest exposure."""
     exposure = {}
     for window_s in WINDOWS_S:
         thresholds = tune(pool, window_s, factor)
@@ -466,7 +484,7 @@
 
 
 def make_strategies(pool) -> dict[str, Callable[[], object]]:
-    """Returns the ways compared, baselines tuned."""
+    """Returns the strategies to compare, with tuned baselines."""
     tight, level = tune_window(pool, 1.0), tune_window(pool, LOOSE_FACTOR)
     errors = Thresholds(
         level.window_s, {Measure.FAILED: level.rises[Measure.FAILED]}
@@ -505,7 +523,7 @@
 
 
 def plot(table: dict, out: pathlib.Path) -> None:
-    """Draws the exposure by fault and way."""
+    """Plots the exposure by fault and strategy."""
     import matplotlib
 
     matplotlib.use("Agg")
