--- a/tests/lib/version_load.py
+++ b/tests/lib/version_load.py
@@ -1,4 +1,4 @@
-"""A load on entries, counted by version at the engine."""
+"""Load on entries, with runs counted by version at the engine."""
 
 import asyncio
 
@@ -25,7 +25,7 @@
 
 
 async def entries_know_each_other(cluster):
-    """Whether each entry knows of all entries."""
+    """Returns whether each entry lists all entries."""
     for entry in ENTRIES:
         url = f"{cluster.urls[entry]}/v1/entries"
         async with cluster.session.get(url) as response:
@@ -36,7 +36,7 @@
 
 
 async def send_request(cluster, entry, key=DESK_KEY, model="auto", **headers):
-    """The status and JSON body of one answer, or None if there was none."""
+    """Returns status and JSON body of an answer, or None without one."""
     try:
         async with cluster.session.post(
             f"{cluster.urls[entry]}/v1/chat/completions",
@@ -60,7 +60,7 @@
 
 
 class BackgroundLoad:
-    """Keeps asking entries; collects what they answered."""
+    """Sends requests to entries continuously and collects the answers."""
 
     def __init__(self, cluster, entries, per_entry=4, **headers):
         self.answers = []
