--- a/tests/lib/rollouts.py
+++ b/tests/lib/rollouts.py
@@ -1,7 +1,8 @@
-"""Entries and control processes of a roll-out in one process.
+"""Simulation of the entries and control processes of a roll-out.
 
-The parts are the product's own; table service, network, engines and time are
-fakes. What versions really ran is counted at the engine.
+All nodes run in one process. Collector, driver, brakes and planning are the
+product's own; table service, network, engines and time are fakes. The versions
+that really ran are counted at the engine.
 """
 
 import asyncio
@@ -36,11 +37,11 @@
 
 
 class ProcessKilledError(Exception):
-    """The process ended at this call."""
+    """The process was killed at this call."""
 
 
 class FaultyTable:
-    """A process's way to the table service, with faults."""
+    """Connection of a process to the table service, with fault injection."""
 
     def __init__(self, table):
         self.table = table
@@ -87,7 +88,7 @@
 
 
 class Network:
-    """Carries notices between nodes; may lose, repeat and reorder them."""
+    """Delivers notices between nodes; may lose, repeat and reorder them."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
@@ -107,7 +108,7 @@
         return Link()
 
     def deliver(self):
-        """Delivers until nothing is under way."""
+        """Delivers until no notice is in transit."""
         while self.queue:
             queue, self.queue = self.queue, []
             sent = [
@@ -124,7 +125,7 @@
 
 
 class SimulatedNode:
-    """What entries and control processes have in common."""
+    """Common parts of entries and control processes."""
 
     def __init__(self, simulation, name, role):
         self.simulation = simulation
@@ -158,7 +159,7 @@
 
 
 class SimulatedEntry(SimulatedNode):
-    """An entry: plans requests, counts results, brakes."""
+    """An entry that plans requests, counts results and brakes versions."""
 
     def __init__(self, simulation, name):
         super().__init__(simulation, name, Role.ENTRY)
@@ -178,7 +179,7 @@
             self.brakes.receive(notice)
 
     def serve(self, count):
-        """Answers requests, by the version that the plan names."""
+        """Answers requests with the version that the plan names."""
         for _ in range(count):
             self.simulation.requests += 1
             request = build_request(
@@ -204,7 +205,7 @@
 
 
 class SimulatedControl(SimulatedNode):
-    """A control process with its driver."""
+    """A control process with its roll-out driver."""
 
     def __init__(self, simulation, name):
         super().__init__(simulation, name, Role.CONTROL)
@@ -230,7 +231,7 @@
 
 
 class RolloutSimulation:
-    """Nodes around one table service."""
+    """Nodes that share one table service."""
 
     def __init__(self, seed=1, entries=3, controls=2, share=0.2):
         self.clock = SkippingClock()
@@ -265,7 +266,7 @@
         self.publish_members()
 
     def publish_members(self):
-        """Tells every node who is alive; the frozen are not seen."""
+        """Publishes the live members to every node that is not frozen."""
         live = {
             name: node.member
             for name, node in self.network.nodes.items()
@@ -307,7 +308,7 @@
             node.table.down = down
 
     async def apply_change(self, text=None, edit=None):
-        """An operator's change; returns the outcome."""
+        """Proposes an operator's change and returns the outcome."""
         head = await self.head_revision()
         text = text if text is not None else edit(head.text)
         self.sequence_numbers["change"] += 1
@@ -323,7 +324,7 @@
         )
 
     async def head_revision(self):
-        """The newest revision, as it is in the table."""
+        """Returns the newest revision in the table."""
         rows = await self.table.scan("config/revision/")
         if not rows:
             return Revision(0, "", "", "", 0.0)
@@ -332,7 +333,7 @@
         return decode(Revision, rows[-1].value)
 
     async def rollout(self):
-        """The roll-out as it is in the table."""
+        """Returns the roll-out of the newest revision in the table."""
         from rattanpier._internal.configuration.parse import (
             parse_configuration,
         )
@@ -345,14 +346,14 @@
             await self.run_unless_killed(node, node.follower.poll())
 
     async def run_unless_killed(self, node, work):
-        """Runs a part of a node, unless its end comes in it."""
+        """Awaits work of a node; removes the node if it is killed in it."""
         try:
             await work
         except ProcessKilledError:
             self.kill(node.name)
 
     async def step(self, requests=60):
-        """One second."""
+        """Simulates one second."""
         self.clock.now += 1.0
         for entry in self.entries:
             entry.serve(requests)
@@ -366,7 +367,7 @@
             self.shares.append((await self.rollout()).share)
 
     async def run_steps(self, count, until=None, requests=60):
-        """Steps until a condition holds; returns how many it took."""
+        """Runs steps until a condition holds; returns their number."""
         for number in range(count):
             if until is not None and await until():
                 return number
@@ -386,14 +387,14 @@
         )
 
     def driving_control(self):
-        """The control process that drives now."""
+        """Returns the control process that drives a roll-out."""
         return next(c for c in self.controls if c.driver.driven_rollouts)
 
 
 def rollout_text(
     share, url="http://127.0.0.1:1", candidate_url="http://127.0.0.1:2"
 ):
-    """A configuration with one roll-out."""
+    """Returns a configuration with one roll-out."""
     text = configuration_text([url])
     text = text.replace(
         f'versions = ["{SMALL}", "large@1"]',
@@ -416,12 +417,12 @@
 
 
 def edit_rollout(**fields):
-    """An operator's edit of the roll-out."""
+    """Returns an operator's edit of the roll-out."""
     return lambda text: set_fields(text, ["rollouts", ROLLOUT_NAME], fields)
 
 
 def resume_rollout(text):
-    """An operator's edit that begins a halted roll-out anew."""
+    """Returns the text after an operator restarted a halted roll-out."""
     text = set_fields(text, ["versions", CANDIDATE], {"state": "serving"})
     return set_fields(
         text, ["rollouts", ROLLOUT_NAME], {"state": "running", "share": 0.2}
@@ -430,7 +431,7 @@
 
 @contextlib.asynccontextmanager
 async def started_simulation(**options):
-    """A started world."""
+    """Yields a started simulation."""
     simulation = RolloutSimulation(**options)
     await simulation.start()
     yield simulation
