--- a/tests/unit/test_rollout_ledger.py
+++ b/tests/unit/test_rollout_ledger.py
@@ -1,4 +1,4 @@
-"""Evidence on its way: lost, repeated, reordered, from ended processes."""
+"""Tests of evidence that is lost, repeated, reordered or out of date."""
 
 import random
 
