--- a/tests/failure/test_rollout_driver.py
+++ b/tests/failure/test_rollout_driver.py
@@ -1,4 +1,4 @@
-"""Roll-outs while drivers, the store, operators and notices fail."""
+"""Tests of roll-outs under faults of drivers, the store and notices."""
 
 import pytest
 
@@ -64,7 +64,7 @@
 async def test_candidate_is_halted_when_the_driver_is_killed_at_any_store_call(
     call, after_effect
 ):
-    """Whatever the driver was at, another one ends the same way."""
+    """Another driver takes over and reaches the same result."""
     simulation = await start_simulation()
     simulation.failure_rates = CANDIDATE_FAILS
     driver = (await find_driving_control(simulation)).table
@@ -78,7 +78,7 @@
 
 
 async def test_thawed_driver_cannot_write_a_stale_widening():
-    """The head row is untouched meanwhile, so only the lease tells."""
+    """The head row has not changed, so only the lease fences the driver."""
     simulation = await start_simulation(share=0.2)
     driver = await find_driving_control(simulation)
     thawed = await freeze_in_write(simulation, driver)
@@ -89,7 +89,7 @@
 
 
 async def test_thawed_driver_does_not_revert_an_operators_resume():
-    """It froze before writing a halt that another wrote in its place."""
+    """It froze before a halt that another driver wrote in its place."""
     simulation = await start_simulation()
     simulation.failure_rates = CANDIDATE_FAILS
     driver = await find_driving_control(simulation)
@@ -119,7 +119,7 @@
         if first is None and any(len(e.brakes) for e in simulation.entries):
             first = simulation.clock.now
     assert first is not None
-    # The step in which the first entry braked is over: no run since.
+    # No run after the step in which the first entry braked.
     assert simulation.runs_of(CANDIDATE, first + 1) == 0
     assert simulation.refused == 0
     assert all(CANDIDATE in entry.brakes for entry in simulation.entries)
@@ -134,7 +134,7 @@
     simulation.set_store(down=False)
     await simulation.run_steps(10, simulation.is_halted)
     braked = [len(entry.brakes) for entry in simulation.entries]
-    assert braked == [0, 0, 0]  # Decided by the revision; the halt stands.
+    assert braked == [0, 0, 0]  # The written halt replaces the brakes.
     last = simulation.clock.now
     await simulation.run_steps(5)
     assert simulation.runs_of(CANDIDATE, last) == 0
@@ -164,7 +164,7 @@
 
 
 async def test_operators_change_unseen_by_the_driver_takes_precedence():
-    """It comes right before the step in which the driver widens."""
+    """The change comes right before the step in which the driver widens."""
     reference_simulation = await start_simulation(share=0.2)
     before = (
         await reference_simulation.run_steps(
@@ -280,7 +280,7 @@
 
 
 async def test_regression_is_halted_after_a_change_of_driver():
-    """The new driver reads the past that the old one stored."""
+    """The new driver reads the reference rates that the old one stored."""
     simulation = await start_simulation(share=0.2)
     await simulation.run_steps(100, simulation.is_done)
     await simulation.run_steps(5)
@@ -291,7 +291,7 @@
 
 
 async def test_regression_is_halted_after_a_restart_of_all_nodes():
-    """What entries counted is gone; the past is in the store."""
+    """The counters of entries are lost; the reference rates are stored."""
     simulation = await start_simulation(share=0.2)
     await simulation.run_steps(100, simulation.is_done)
     await simulation.run_steps(5)
@@ -337,7 +337,7 @@
 
 
 async def find_driving_control(simulation):
-    """The control process that drives, once one does."""
+    """Runs a step and returns the control process that drives."""
     await simulation.step(requests=0)
     return simulation.driving_control()
 
@@ -353,7 +353,7 @@
 async def freeze_in_write(simulation, driver):
     """Freezes a driver right before its next change reaches the store.
 
-    Returns a coroutine function that thaws it and lets the write go on.
+    Returns a coroutine function that thaws it and lets the write continue.
     """
     held = []
     real = driver.table.table.transact
@@ -385,4 +385,4 @@
 
 
 class FrozenError(Exception):
-    """The process stands still here."""
+    """The process is frozen at this call."""
