--- a/tests/failure/test_rollout_processes.py
+++ b/tests/failure/test_rollout_processes.py
@@ -1,4 +1,4 @@
-"""A candidate that turns bad, on separate processes."""
+"""Tests of a candidate that turns bad, with separate processes."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 from tests.lib.rollouts import CANDIDATE, rollout_text
 
 ENTRIES = ("entry-1", "entry-2", "entry-3")
-IDLE_BATCHES = 4  # At a share of a half, 48 requests without the candidate.
+IDLE_BATCHES = 4  # At share 0.5: 48 requests, none on the candidate.
 
 
 @pytest.fixture
@@ -32,7 +32,7 @@
 
 
 async def send_request(cluster, entry, number):
-    """Sends one request; whatever its answer, the engines count runs."""
+    """Sends one request; the engines count runs whatever the answer is."""
     body = {
         "model": "auto",
         "max_tokens": 2,
@@ -56,7 +56,7 @@
 
 
 async def send_until_candidate_is_idle(cluster):
-    """Sends until all runs on the stable; returns the candidate's runs."""
+    """Sends until only the stable version runs; returns candidate runs."""
     idle_batches, runs = 0, len(await cluster.runs("candidate"))
     for batch in range(200):
         before = len(await cluster.runs("stable"))
