--- a/tests/failure/test_withdrawal.py
+++ b/tests/failure/test_withdrawal.py
@@ -1,4 +1,7 @@
-"""A withdrawn version gets no new work: real processes, counted at engines."""
+"""Tests that a withdrawn version gets no new runs.
+
+They use real processes and count the runs at the engines.
+"""
 
 import asyncio
 import signal
@@ -23,7 +26,7 @@
 
 @pytest.fixture
 async def system(tmp_path):
-    """Three entries whose rule names the small version first."""
+    """Yields three entries whose rule names the small version first."""
     async with Cluster(tmp_path) as cluster:
         await cluster.start_table()
         url = await cluster.start_standin(
@@ -54,7 +57,7 @@
     frozen = cluster.processes["entry-1"]
     await send_request(cluster, "entry-1")
     frozen.send(signal.SIGSTOP)
-    # These wait in the frozen entry's sockets and are read on thaw.
+    # These stay in the socket buffers of the frozen entry until it is thawed.
     waiting = [
         asyncio.create_task(send_request(cluster, "entry-1")) for _ in range(20)
     ]
@@ -82,7 +85,9 @@
     text = (await operator.get("config"))["text"]
     text = set_fields(text, ["versions", SMALL], {"state": "withdrawn"})
     await cluster.apply(text, revision=2)
-    await asyncio.sleep(2.5)  # The validity has run out; others have polled.
+    await asyncio.sleep(
+        2.5
+    )  # The validity of 2 s has expired; other entries have polled.
     started = await count_runs(cluster, SMALL)
     frozen.send(signal.SIGCONT)
     answers = await asyncio.gather(*waiting)
@@ -93,7 +98,7 @@
 async def test_requests_and_brakes_work_during_a_store_outage(system):
     cluster, operator = system
     await cluster.set_faults("table", fault="down")
-    await asyncio.sleep(4.0)  # Longer than the validity.
+    await asyncio.sleep(4.0)  # Longer than the validity of 2 s.
     for entry in ENTRIES:
         assert (await send_request(cluster, entry))[0] == 200
     status, report = await operator.post(f"versions/{SMALL}/withdraw")
