--- a/tests/unit/test_rollout_judge.py
+++ b/tests/unit/test_rollout_judge.py
@@ -1,4 +1,4 @@
-"""The judgement of roll-outs: when it widens, narrows and halts."""
+"""Tests of the evaluation of roll-outs: widening, narrowing and halts."""
 
 import random
 
@@ -24,7 +24,7 @@
 
 
 class Traffic:
-    """Answers of both versions, from a seed."""
+    """Generates the answers of both versions from a seed."""
 
     def __init__(self, seed=1, workspaces=("a", "b"), per_step=100):
         self.rng = random.Random(seed)
@@ -33,7 +33,7 @@
         self.totals = {name: VersionCounts() for name in workspaces}
 
     def run(self, share, candidate=None, stable=None, affected_workspace=None):
-        """Adds one step; rates by measure, `victim` alone if given."""
+        """Adds one step; `candidate` may affect a single workspace only."""
         for name in self.workspaces:
             affected = affected_workspace in (None, name)
             sums = {True: NO_COUNTS, False: NO_COUNTS}
@@ -114,7 +114,7 @@
 
 
 def test_regression_after_many_good_answers_is_found_without_delay():
-    """A plain sequential test would first have to unlearn the good time."""
+    """A test without restarts is delayed by the earlier good answers."""
 
     def steps_to_halt(good_steps):
         traffic, evaluator = Traffic(), PairedEvaluator()
@@ -164,7 +164,7 @@
 
 
 def test_counters_of_an_earlier_driver_are_no_evidence():
-    """Sums over shares that changed would compare unlike times."""
+    """The share changed meanwhile, so they compare different times."""
     pair = VersionCounts(
         Counts(1000, 10, 10, 1000, 100), Counts(1000, 500, 500, 1000, 900)
     )
@@ -210,7 +210,7 @@
 
 
 def run_full_roll_out():
-    """A course at full share whose past is known."""
+    """Returns an evaluation at full share with known reference rates."""
     evaluation, traffic = RolloutEvaluation(), Traffic()
     for _ in range(20):
         evaluation.observe(traffic.run(0.5))
@@ -221,7 +221,10 @@
 
 @pytest.mark.parametrize("bad", [0, 100_000, 900_000])
 def test_a_batch_of_any_size_is_judged(bad):
-    """After an outage of the store, or at thousands of requests a second."""
+    """Guards against overflow in large batches.
+
+    They occur after a store outage or at thousands of requests per second.
+    """
     million = Counts(1_000_000, bad, 0, 1_000_000, bad)
     evaluator = PairedEvaluator()
     evaluator.observe({"a": VersionCounts(million, million)})
