--- a/src/rattanpier/_internal/rollout/driver.py
+++ b/src/rattanpier/_internal/rollout/driver.py
@@ -283,7 +283,7 @@
             )
 
     def record_outcome(
-        self, what: str, change: Change, outcome: ChangeOutcome
+        self, action: str, change: Change, outcome: ChangeOutcome
     ) -> None:
         """Logs and counts the outcome of a change."""
         kind = type(outcome).__name__.lower()
@@ -293,7 +293,7 @@
             if isinstance(outcome, Accepted)
             else "Roll-out not changed.",
             rollout=change.name,
-            change=what,
+            change=action,
             reason=change.author,
             outcome=kind,
         )
--- a/tests/failure/test_rollout_driver.py
+++ b/tests/failure/test_rollout_driver.py
@@ -81,10 +81,10 @@
     """The head row has not changed, so only the lease fences the driver."""
     simulation = await start_simulation(share=0.2)
     driver = await find_driving_control(simulation)
-    thawed = await freeze_in_write(simulation, driver)
+    thaw = await freeze_in_write(simulation, driver)
     await simulation.run_steps(3, requests=0)
     before = await simulation.head_revision()
-    await thawed()
+    await thaw()
     assert await simulation.head_revision() == before
 
 
@@ -93,12 +93,12 @@
     simulation = await start_simulation()
     simulation.failure_rates = CANDIDATE_FAILS
     driver = await find_driving_control(simulation)
-    thawed = await freeze_in_write(simulation, driver)
+    thaw = await freeze_in_write(simulation, driver)
     await simulation.run_steps(60, simulation.is_halted)
     simulation.failure_rates = {}
     await simulation.apply_change(edit=resume_rollout)
     await simulation.run_steps(5)
-    await thawed()
+    await thaw()
     simulation.publish_members()
     await simulation.run_steps(30)
     assert not await simulation.is_halted()
@@ -152,13 +152,15 @@
 async def test_concurrent_change_of_an_operator_takes_precedence(fields):
     simulation = await start_simulation(share=0.2)
     driver = await find_driving_control(simulation)
-    raced = []
+    outcomes = []
 
     async def operator():
-        raced.append(await simulation.apply_change(edit=edit_rollout(**fields)))
+        outcomes.append(
+            await simulation.apply_change(edit=edit_rollout(**fields))
+        )
 
     driver.table.before_write = operator
-    await simulation.run_steps(60, lambda: was_called(raced))
+    await simulation.run_steps(60, lambda: was_called(outcomes))
     rollout = await simulation.rollout()
     assert {name: getattr(rollout, name) for name in fields} == fields
 
@@ -166,14 +168,14 @@
 async def test_operators_change_unseen_by_the_driver_takes_precedence():
     """The change comes right before the step in which the driver widens."""
     reference_simulation = await start_simulation(share=0.2)
-    before = (
+    steps_before_widening = (
         await reference_simulation.run_steps(
             60, lambda: is_widened(reference_simulation)
         )
         - 1
     )
     simulation = await start_simulation(share=0.2)
-    await simulation.run_steps(before)
+    await simulation.run_steps(steps_before_widening)
     await simulation.apply_change(edit=edit_rollout(share=0.02))
     await simulation.step()
     assert (await simulation.rollout()).share == 0.02
--- a/tests/unit/test_rollout_judge.py
+++ b/tests/unit/test_rollout_judge.py
@@ -220,21 +220,21 @@
 
 
 @pytest.mark.parametrize("bad", [0, 100_000, 900_000])
-def test_a_batch_of_any_size_is_judged(bad):
+def test_a_batch_of_any_size_is_evaluated(bad):
     """Guards against overflow in large batches.
 
     They occur after a store outage or at thousands of requests per second.
     """
-    million = Counts(1_000_000, bad, 0, 1_000_000, bad)
+    million_counts = Counts(1_000_000, bad, 0, 1_000_000, bad)
     evaluator = PairedEvaluator()
-    evaluator.observe({"a": VersionCounts(million, million)})
+    evaluator.observe({"a": VersionCounts(million_counts, million_counts)})
     assert evaluator.first_halt is None
-    worse = Counts(2_000_000, bad + 950_000, 0, 2_000_000, bad + 950_000)
-    evaluator.observe({"a": VersionCounts(million, worse)})
+    worse_counts = Counts(2_000_000, bad + 950_000, 0, 2_000_000, bad + 950_000)
+    evaluator.observe({"a": VersionCounts(million_counts, worse_counts)})
     evaluation, traffic = run_full_roll_out()
     totals = traffic.totals
     totals["a"] = VersionCounts(
-        totals["a"].stable, totals["a"].candidate + million
+        totals["a"].stable, totals["a"].candidate + million_counts
     )
     evaluation.observe(totals)
     assert isinstance(evaluation.decide(1.0, 1.0), Hold if bad == 0 else Narrow)
