--- a/src/rattanpier/_internal/rollout/driver.py
+++ b/src/rattanpier/_internal/rollout/driver.py
@@ -1,9 +1,9 @@
-"""Drives roll-outs from a control process, by evidence.
+"""Driver that widens, narrows or halts roll-outs according to evidence.
 
-One control process drives a roll-out at a time: the first live one in the
-roll-out's rendezvous order. A halt is a brake first, which needs no store;
-then it is written. A larger share needs the store, the lease and the very
-revision that was judged.
+One control process at a time drives a roll-out: the first live one in the
+rendezvous order of the roll-out. A halt applies a brake first, which works
+without the store, and is written afterwards. A larger share requires the
+store, the lease and exactly the revision that was evaluated.
 """
 
 from __future__ import annotations
@@ -27,21 +27,26 @@
 from rattanpier._internal.models.configuration import Rollout, RolloutState
 from rattanpier._internal.models.member import Member
 from rattanpier._internal.peers.proto import peer_pb2
-from rattanpier._internal.rollout.changes import Change, Writer, halt, set_share
+from rattanpier._internal.rollout.changes import (
+    Change,
+    ChangeWriter,
+    write_halt,
+    write_share,
+)
 from rattanpier._internal.rollout.collect import find_driver, same_versions
-from rattanpier._internal.rollout.course import Course
-from rattanpier._internal.rollout.evidence import Pair
-from rattanpier._internal.rollout.judge import (
+from rattanpier._internal.rollout.evaluation import RolloutEvaluation
+from rattanpier._internal.rollout.evidence import VersionCounts
+from rattanpier._internal.rollout.lease import HeldLease, acquire_lease
+from rattanpier._internal.rollout.ledger import Ledger
+from rattanpier._internal.rollout.paired_evaluator import (
     Decision,
     Halt,
     Hold,
     Narrow,
     Widen,
 )
-from rattanpier._internal.rollout.lease import HeldLease, take_lease
-from rattanpier._internal.rollout.ledger import Ledger
 from rattanpier._internal.rollout.records import EvidenceRows, reference_key
-from rattanpier._internal.rollout.watch import Reference
+from rattanpier._internal.rollout.regression_monitor import Reference
 from rattanpier._internal.routing.brakes import Brakes
 from rattanpier._internal.store.table import Put, Table, Transaction
 from rattanpier._internal.utils.clock import Clock
@@ -50,41 +55,41 @@
 
 log = structlog.get_logger(part="rollout")
 
-STEP_S = 1.0
+STEP_INTERVAL_S = 1.0
 
 
 @attrs.define
-class Drive:
-    """One roll-out while this process drives it.
+class DrivenRollout:
+    """State of a roll-out that this process drives.
 
     Attributes:
-      rollout: As last seen.
-      ledger: What entries sent.
-      course: The judgement.
-      held: The lease, or None while it is not certain.
-      decision: The last one.
-      braked: Whether the candidate was found braked.
-      stored: Whether the reference is in the store.
+      rollout: The roll-out as last configured.
+      ledger: Counters received from entries.
+      evaluation: The evaluation of the counters.
+      held_lease: The lease, or None unless this process is known to hold it.
+      decision: The last decision.
+      braked: Whether a brake on the candidate was seen.
+      reference_stored: Whether the reference rates are in the store.
     """
 
     rollout: Rollout
     ledger: Ledger
-    course: Course = attrs.Factory(Course)
-    held: HeldLease | None = None
+    evaluation: RolloutEvaluation = attrs.Factory(RolloutEvaluation)
+    held_lease: HeldLease | None = None
     decision: Decision = attrs.Factory(lambda: Hold("no evidence yet"))
     braked: bool = False
-    stored: bool = False
+    reference_stored: bool = False
 
 
 @attrs.define
 class Driver:
-    """The roll-outs that this control process drives.
+    """Drives the roll-outs assigned to this control process.
 
     Attributes:
       accepted: Called with each revision that the store accepted.
-      ledgers: What entries sent, by roll-out.
-      drives: By roll-out.
-      make_course: Returns a new judgement.
+      make_evaluation: Returns a new evaluation.
+      ledgers: Counters received from entries, by roll-out.
+      driven_rollouts: State of the driven roll-outs, by name.
     """
 
     me: Member
@@ -95,41 +100,43 @@
     brakes: Brakes
     metrics: Metrics
     accepted: Callable[[Revision], None]
-    make_course: Callable[[], Course] = Course
+    make_evaluation: Callable[[], RolloutEvaluation] = RolloutEvaluation
     ledgers: dict[str, Ledger] = attrs.Factory(dict)
-    drives: dict[str, Drive] = attrs.Factory(dict)
+    driven_rollouts: dict[str, DrivenRollout] = attrs.Factory(dict)
 
     @property
-    def writer(self) -> Writer:
-        """How this process writes changes."""
-        return Writer(self.table, self.clock, self.accepted)
+    def writer(self) -> ChangeWriter:
+        """Writer of this process for configuration changes."""
+        return ChangeWriter(self.table, self.clock, self.accepted)
 
     def receive(self, notice: peer_pb2.Notice) -> None:
-        """Takes in an entry's evidence."""
+        """Applies an evidence notice of an entry."""
         evidence = notice.evidence
         ledger = self.ledgers.setdefault(evidence.rollout, Ledger())
         for row in decode(EvidenceRows, evidence.counts).rows:
-            ledger.take(evidence.origin, row)
+            ledger.apply_row(evidence.origin, row)
 
     async def run(self, kernel: Kernel) -> None:
-        """Steps once a second until the end."""
+        """Runs a step once a second until the process stops."""
         while not kernel.stopping.is_set():
             await self.step()
-            await self.clock.sleep(STEP_S)
+            await self.clock.sleep(STEP_INTERVAL_S)
 
     async def step(self) -> None:
-        """Looks at each roll-out once."""
+        """Evaluates each assigned roll-out once and acts on the result."""
         rollouts = self.follower.configuration.rollouts
         for name in self.ledgers.keys() - rollouts.keys():
             del self.ledgers[name]
-        for name in self.drives.keys() - self.mine(rollouts):
+        for name in self.driven_rollouts.keys() - self.assigned_rollouts(
+            rollouts
+        ):
             log.info("No longer driving.", rollout=name)
-            del self.drives[name]
-        for name in sorted(self.mine(rollouts)):
-            await self.drive(name, rollouts[name])
+            del self.driven_rollouts[name]
+        for name in sorted(self.assigned_rollouts(rollouts)):
+            await self.drive_rollout(name, rollouts[name])
 
-    def mine(self, rollouts: dict[str, Rollout]) -> set[str]:
-        """Returns the roll-outs that this process is to drive."""
+    def assigned_rollouts(self, rollouts: dict[str, Rollout]) -> set[str]:
+        """Returns the names of the roll-outs that this process has to drive."""
         return {
             name
             for name, rollout in rollouts.items()
@@ -137,133 +144,148 @@
         }
 
     def is_driver(self, name: str) -> bool:
-        """Says whether this process is first among the live ones."""
+        """Returns whether this process is the driver of a roll-out."""
         driver = find_driver(name, self.members)
         return driver is not None and driver.name == self.me.name
 
-    async def drive(self, name: str, rollout: Rollout) -> None:
-        """Judges one roll-out and acts on the decision."""
+    async def drive_rollout(self, name: str, rollout: Rollout) -> None:
+        """Evaluates one roll-out and acts on the decision."""
         revision = self.follower.configuration.revision
-        drive = self.follow(name, rollout)
-        if drive.held is None:
-            await self.take(name, drive)
-        totals = self.totals(drive)
-        drive.course.observe(totals)
-        drive.decision = self.decide(drive)
-        change = Change(name, rollout, revision, self.sign(drive.decision))
-        if isinstance(drive.decision, Halt):
-            # First what needs no store; then the store.
+        driven = self.find_or_start(name, rollout)
+        if driven.held_lease is None:
+            await self.take_over(name, driven)
+        totals = self.totals(driven)
+        driven.evaluation.observe(totals)
+        driven.decision = self.decide(driven)
+        change = Change(
+            name, rollout, revision, self.change_author(driven.decision)
+        )
+        if isinstance(driven.decision, Halt):
+            # The brake works without the store, so it comes before the write.
             self.brakes.apply(
-                rollout.candidate, drive.decision.reason, self.me.name, name
+                rollout.candidate, driven.decision.reason, self.me.name, name
             )
         if rollout.candidate in self.brakes:
-            drive.braked = True
-            await self.halt(drive, change)
+            driven.braked = True
+            await self.halt(driven, change)
             return
-        await self.act(drive, change)
-        await self.store_reference(name, drive)
+        await self.apply_decision(driven, change)
+        await self.store_reference(name, driven)
 
-    def follow(self, name: str, rollout: Rollout) -> Drive:
-        """Returns the drive of a roll-out, started afresh if it is new."""
-        drive = self.drives.get(name)
-        if drive is None or self.is_stale(drive, rollout):
+    def find_or_start(self, name: str, rollout: Rollout) -> DrivenRollout:
+        """Returns the state of a roll-out, reset if it was restarted."""
+        driven = self.driven_rollouts.get(name)
+        if driven is None or self.was_restarted(driven, rollout):
             ledger = self.ledgers.setdefault(name, Ledger())
-            drive = Drive(rollout, ledger, self.make_course())
-            drive.course.adopt(self.totals(drive))
-            self.drives[name] = drive
-        elif drive.rollout.share != rollout.share:
-            drive.course.share_changed()
-        drive.rollout = rollout
-        return drive
-
-    def is_stale(self, drive: Drive, rollout: Rollout) -> bool:
-        """Says whether an operator started the roll-out anew.
-
-        Only a revision lifts a brake, so one that is gone was an operator's
-        decision to go on: what was found before does not count any more.
+            driven = DrivenRollout(rollout, ledger, self.make_evaluation())
+            driven.evaluation.start_from(self.totals(driven))
+            self.driven_rollouts[name] = driven
+        elif driven.rollout.share != rollout.share:
+            driven.evaluation.start_share_step()
+        driven.rollout = rollout
+        return driven
+
+    def was_restarted(self, driven: DrivenRollout, rollout: Rollout) -> bool:
+        """Returns whether an operator restarted the roll-out.
+
+        Only a new revision lifts a brake, so a lifted brake means that an
+        operator chose to resume. Earlier evidence is then ignored.
         """
-        lifted = drive.braked and rollout.candidate not in self.brakes
-        return lifted or not same_versions(rollout, drive.rollout)
+        lifted = driven.braked and rollout.candidate not in self.brakes
+        return lifted or not same_versions(rollout, driven.rollout)
 
-    def totals(self, drive: Drive) -> dict[str, Pair]:
-        """Returns the sums of all entries, by workspace."""
+    def totals(self, driven: DrivenRollout) -> dict[str, VersionCounts]:
+        """Returns the counters of all entries, by workspace."""
         members = self.members.live.value.values()
         live = {incarnation_id(member) for member in members}
-        drive.ledger.retire(live)
-        return drive.ledger.totals(
-            drive.rollout.stable, drive.rollout.candidate
+        driven.ledger.drop_stopped_origins(live)
+        return driven.ledger.totals(
+            driven.rollout.stable, driven.rollout.candidate
         )
 
-    def decide(self, drive: Drive) -> Decision:
+    def decide(self, driven: DrivenRollout) -> Decision:
         """Returns the decision at the share in force."""
-        rollout = drive.rollout
-        return drive.course.decide(rollout.share, rollout.max_share)
+        rollout = driven.rollout
+        return driven.evaluation.decide(rollout.share, rollout.max_share)
 
-    def sign(self, decision: Decision) -> str:
-        """Returns the author of a change, with its reason."""
+    def change_author(self, decision: Decision) -> str:
+        """Returns the author of a change, including the reason."""
         match decision:
             case Halt() | Narrow():
                 return f"driver {self.me.name}: {decision.reason}"
             case _:
                 return f"driver {self.me.name}: by evidence"
 
-    async def halt(self, drive: Drive, change: Change) -> None:
-        """Writes a halt; tried again at each step until it is in force."""
-        record = self.brakes.active[change.rollout.candidate]
-        author = f"driver {self.me.name}: {record.reason}"
-        signed = attrs.evolve(change, author=author)
-        if drive.held is None:
+    async def halt(self, driven: DrivenRollout, change: Change) -> None:
+        """Writes a halt; repeated at each step until it is in force."""
+        brake = self.brakes.active[change.rollout.candidate]
+        author = f"driver {self.me.name}: {brake.reason}"
+        authored_change = attrs.evolve(change, author=author)
+        if driven.held_lease is None:
             return
-        # An operator's halt is completed as it was meant.
-        withdraw = record.origin in self.members.live.value
-        outcome = await halt(self.writer, drive.held, signed, withdraw)
+        # A brake of an operator only halts the roll-out: withdrawing the
+        # candidate is left to the operator.
+        withdraw = brake.origin in self.members.live.value
+        outcome = await write_halt(
+            self.writer, driven.held_lease, authored_change, withdraw
+        )
         if isinstance(outcome, Fenced):
-            drive.held = None
-        self.note("halt", signed, outcome)
+            driven.held_lease = None
+        self.record_outcome("halt", authored_change, outcome)
 
-    async def take(self, name: str, drive: Drive) -> None:
-        """Takes the lease, and the past that an earlier driver stored."""
-        held = await take_lease(
+    async def take_over(self, name: str, driven: DrivenRollout) -> None:
+        """Acquires the lease and restores the stored reference rates."""
+        held_lease = await acquire_lease(
             self.table, name, self.me.name, self.me.incarnation
         )
-        if held is None:
+        if held_lease is None:
             return
         try:
             row = await self.table.get(
-                reference_key(name, drive.rollout.candidate)
+                reference_key(name, driven.rollout.candidate)
             )
         except StoreUnavailableError:
             return
         if row is not None:
-            # An earlier driver's past is longer than what was seen here.
-            drive.course.use(decode(Reference, row.value))
-            drive.stored = True
-        drive.held = held
-        log.info("Driving.", rollout=name, epoch=held.lease.epoch)
-
-    async def act(self, drive: Drive, change: Change) -> None:
-        """Carries out a widening or narrowing."""
-        match drive.decision:
+            # The earlier driver's rates cover more of the roll-out than the
+            # counters of this process.
+            driven.evaluation.restore_reference(decode(Reference, row.value))
+            driven.reference_stored = True
+        driven.held_lease = held_lease
+        log.info("Driving.", rollout=name, epoch=held_lease.lease.epoch)
+
+    async def apply_decision(
+        self, driven: DrivenRollout, change: Change
+    ) -> None:
+        """Writes the share of a widening or narrowing."""
+        match driven.decision:
             case Widen(share) | Narrow(share):
                 pass
             case _:
                 return
         outcome: ChangeOutcome | None = None
-        if drive.held is not None:
-            outcome = await set_share(self.writer, drive.held, change, share)
-            self.note(f"share {share:.3g}", change, outcome)
+        if driven.held_lease is not None:
+            outcome = await write_share(
+                self.writer, driven.held_lease, change, share
+            )
+            self.record_outcome(f"share {share:.3g}", change, outcome)
         if isinstance(outcome, Fenced):
-            drive.held = None  # Another took over, or the head moved.
-        narrowing = isinstance(drive.decision, Narrow)
+            driven.held_lease = (
+                None  # Another driver took over, or the head moved.
+            )
+        narrowing = isinstance(driven.decision, Narrow)
         if narrowing and not self.follower.store_reachable:
-            # A doubt that can't be settled at a smaller share: stop.
-            reason = f"{drive.decision.reason}, store unreachable"
+            # The test cannot continue at a smaller share, so the candidate is
+            # braked.
+            reason = f"{driven.decision.reason}, store unreachable"
             self.brakes.apply(
                 change.rollout.candidate, reason, self.me.name, change.name
             )
 
-    def note(self, what: str, change: Change, outcome: ChangeOutcome) -> None:
-        """Logs and counts what became of a change."""
+    def record_outcome(
+        self, action: str, change: Change, outcome: ChangeOutcome
+    ) -> None:
+        """Logs and counts the outcome of a change."""
         kind = type(outcome).__name__.lower()
         self.metrics.count(f"rollout.change.{kind}")
         log.info(
@@ -271,19 +293,24 @@
             if isinstance(outcome, Accepted)
             else "Roll-out not changed.",
             rollout=change.name,
-            change=what,
+            change=action,
             reason=change.author,
             outcome=kind,
         )
 
-    async def store_reference(self, name: str, drive: Drive) -> None:
-        """Stores the past, for the next driver."""
-        reference = drive.course.reference
-        if drive.stored or reference is None or drive.held is None:
+    async def store_reference(self, name: str, driven: DrivenRollout) -> None:
+        """Stores the reference rates for the next driver."""
+        reference = driven.evaluation.reference
+        if (
+            driven.reference_stored
+            or reference is None
+            or driven.held_lease is None
+        ):
             return
         put = Put(
-            reference_key(name, drive.rollout.candidate), encode(reference)
+            reference_key(name, driven.rollout.candidate), encode(reference)
         )
-        await self.table.transact(Transaction([drive.held.check], [put]))
-        # Writing it again would be harmless; losing it costs a relearning.
-        drive.stored = True
+        await self.table.transact(Transaction([driven.held_lease.check], [put]))
+        # The outcome is not checked. Writing again would be harmless, and a
+        # lost row only makes the next driver collect the rates again.
+        driven.reference_stored = True
--- a/src/rattanpier/_internal/rollout/services.py
+++ b/src/rattanpier/_internal/rollout/services.py
@@ -1,4 +1,4 @@
-"""Adds the parts of roll-outs to the programs."""
+"""Kernel services for roll-outs."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def add_collector(kernel: Kernel, attempts: Attempts) -> Collector:
-    """Adds an entry's collection of evidence."""
+    """Adds and starts the evidence collector of an entry."""
     follower = kernel.find("follower")
     members = kernel.find("members")
     collector = Collector(
@@ -21,14 +21,14 @@
         clock=kernel.find("clock"),
         metrics=kernel.find("metrics"),
     )
-    follower.current.subscribe(collector.follow)
-    attempts.subscribe(collector.take_attempt)
+    follower.current.subscribe(collector.apply_configuration)
+    attempts.subscribe(collector.record_attempt)
     kernel.spawn(collector.run(kernel))
     return kernel.add("rollout_collector", collector)
 
 
 def add_driver(kernel: Kernel) -> Driver:
-    """Adds a control process's driver of roll-outs."""
+    """Adds and starts the roll-out driver of a control process."""
     members = kernel.find("members")
     driver = Driver(
         me=members.me,
--- a/tests/failure/test_rollout_processes.py
+++ b/tests/failure/test_rollout_processes.py
@@ -1,4 +1,4 @@
-"""A candidate that turns bad, on separate processes."""
+"""Tests of a candidate that turns bad, with separate processes."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 from tests.lib.rollouts import CANDIDATE, rollout_text
 
 ENTRIES = ("entry-1", "entry-2", "entry-3")
-QUIET_BATCHES = 4  # At a share of a half, 48 requests without the candidate.
+IDLE_BATCHES = 4  # At share 0.5: 48 requests, none on the candidate.
 
 
 @pytest.fixture
@@ -31,8 +31,8 @@
         yield cluster
 
 
-async def ask(cluster, entry, number):
-    """Sends one request; whatever its answer, the engines count runs."""
+async def send_request(cluster, entry, number):
+    """Sends one request; the engines count runs whatever the answer is."""
     body = {
         "model": "auto",
         "max_tokens": 2,
@@ -48,24 +48,24 @@
     """Sends four requests through each entry."""
     await asyncio.gather(
         *(
-            ask(cluster, entry, f"{batch}-{entry}-{number}")
+            send_request(cluster, entry, f"{batch}-{entry}-{number}")
             for entry in ENTRIES
             for number in range(4)
         )
     )
 
 
-async def send_until_quiet(cluster):
-    """Sends until all runs on the stable; returns the candidate's runs."""
-    quiet, runs = 0, len(await cluster.runs("candidate"))
+async def send_until_candidate_is_idle(cluster):
+    """Sends until only the stable version runs; returns candidate runs."""
+    idle_batches, runs = 0, len(await cluster.runs("candidate"))
     for batch in range(200):
         before = len(await cluster.runs("stable"))
         await send_batch(cluster, f"{runs}-{batch}")
         now = len(await cluster.runs("candidate"))
         served = len(await cluster.runs("stable")) - before
-        quiet = quiet + 1 if now == runs and served == 12 else 0
+        idle_batches = idle_batches + 1 if now == runs and served == 12 else 0
         runs = now
-        if quiet == QUIET_BATCHES:
+        if idle_batches == IDLE_BATCHES:
             return runs
     raise AssertionError("the candidate was never braked")
 
@@ -79,8 +79,8 @@
     if store_down:
         await cluster.set_faults("table", fault=TableFault.DOWN)
     await cluster.set_faults("candidate", fault="fail")
-    runs = await send_until_quiet(cluster)
-    for batch in range(QUIET_BATCHES):
+    runs = await send_until_candidate_is_idle(cluster)
+    for batch in range(IDLE_BATCHES):
         await send_batch(cluster, f"after-{batch}")
     assert len(await cluster.runs("candidate")) == runs
     await cluster.set_faults("table", fault=TableFault.NONE)
