--- a/src/rattanpier/_internal/claims/compaction.py
+++ b/src/rattanpier/_internal/claims/compaction.py
@@ -44,14 +44,14 @@
 log = structlog.get_logger(part="claims")
 
 COMPACT_BATCHES = 500  # Rows of a log before it is compacted.
-RECALLED = 64  # Earlier compactions that a new owner looks at.
-MARKS = 16  # Marks of time in one retention period.
+MAX_RECALLED_COMPACTIONS = 64  # Earlier compactions that a new owner looks at.
+MARKS_PER_RETENTION = 16  # Marks of time in one retention period.
 RETRY_BATCHES = 50  # Batches until a compaction that failed is tried again.
 TRIM_ROWS = 100  # Log rows deleted by one write.
 
 
 @attrs.define
-class Marks:
+class PositionHistory:
     """Which log position was reached when; for retention only.
 
     Attributes:
@@ -71,7 +71,7 @@
         self.times.append(time)
         self.sequences.append(sequence)
 
-    def before(self, time: float) -> int:
+    def position_before(self, time: float) -> int:
         """Returns a position that was reached before a time; 0 if none."""
         index = bisect.bisect_right(self.times, time)
         return self.sequences[index - 1] if index else 0
@@ -84,7 +84,7 @@
 
 
 @attrs.frozen
-class Image:
+class ShardImage:
     """A shard's claims as they stood after a batch.
 
     Attributes:
@@ -97,24 +97,24 @@
 
     last: int
     claims: Mapping[ClaimId, Claim]
-    forgotten: Mapping[ClaimId, Claim]
-    old: Mapping[ClaimId, Claim]
+    expired: Mapping[ClaimId, Claim]
+    stale_running: Mapping[ClaimId, Claim]
     time: float
 
 
 @attrs.frozen
-class Compacted:
+class PreparedCompaction:
     """A compaction whose objects are written, ready to take effect.
 
     Attributes:
       image: What was compacted.
-      before: The lease row that it follows.
+      previous_lease: The lease row that it follows.
       lease: The lease row that makes it take effect.
       puts: The rows to be written with it.
     """
 
-    image: Image
-    before: ShardLease
+    image: ShardImage
+    previous_lease: ShardLease
     lease: ShardLease
     puts: list[Put]
 
@@ -134,19 +134,22 @@
     objects: Objects
     metrics: Metrics
     retention_s: float
-    batches: int = COMPACT_BATCHES
-    marks: Marks = attrs.field(
+    compact_after_batches: int = COMPACT_BATCHES
+    history: PositionHistory = attrs.field(
         default=attrs.Factory(
-            lambda self: Marks(self.retention_s / MARKS), takes_self=True
+            lambda self: PositionHistory(
+                self.retention_s / MARKS_PER_RETENTION
+            ),
+            takes_self=True,
         )
     )
     busy: bool = False
-    not_before: int = 0
-    ready: Compacted | None = None
+    next_try_sequence: int = 0
+    prepared: PreparedCompaction | None = None
 
     def capture(
         self, batch: Batch, lease: ShardLease, claims: Mapping[ClaimId, Claim]
-    ) -> Image | None:
+    ) -> ShardImage | None:
         """Returns an image if it is time; has to run with the batch's making.
 
         Args:
@@ -154,42 +157,46 @@
           lease: The lease as it stands.
           claims: The book, with nothing in it behind this batch.
         """
-        self.marks.add(batch.time, batch.sequence)
-        if self.busy or batch.sequence < self.not_before:
+        self.history.add(batch.time, batch.sequence)
+        if self.busy or batch.sequence < self.next_try_sequence:
             return None
-        if batch.sequence - lease.first + 1 < self.batches:
+        if batch.sequence - lease.first + 1 < self.compact_after_batches:
             return None
         self.busy = True
-        limit = self.marks.before(batch.time - self.retention_s)
-        self.marks.forget(batch.time - 2 * self.retention_s)
-        past = {
+        limit = self.history.position_before(batch.time - self.retention_s)
+        self.history.forget(batch.time - 2 * self.retention_s)
+        unchanged = {
             claim_id: claim
             for claim_id, claim in claims.items()
             if claim.sequence <= limit
         }
-        over, old = split_running(past)
-        return Image(batch.sequence, dict(claims), over, old, batch.time)
+        ended, stale_running = split_running(unchanged)
+        return ShardImage(
+            batch.sequence, dict(claims), ended, stale_running, batch.time
+        )
 
-    async def prepare(self, image: Image, lease: ShardLease) -> None:
+    async def prepare(self, image: ShardImage, lease: ShardLease) -> None:
         """Writes an image's objects."""
         try:
-            self.ready = await self.write(image, lease)
+            self.prepared = await self.write(image, lease)
         except StoreUnavailableError:
             # The log stays as it is; a later batch tries again.
             self.metrics.count("claims.retry.compaction")
-            self.not_before = image.last + RETRY_BATCHES
+            self.next_try_sequence = image.last + RETRY_BATCHES
             self.busy = False
 
-    async def write(self, image: Image, lease: ShardLease) -> Compacted:
+    async def write(
+        self, image: ShardImage, lease: ShardLease
+    ) -> PreparedCompaction:
         """Writes the snapshot and the bills of an image."""
         suffix = f"{self.shard:04d}/{image.last:012d}-{lease.epoch}"
-        kept = {
+        retained = {
             claim_id: claim
             for claim_id, claim in image.claims.items()
-            if claim_id not in image.forgotten
+            if claim_id not in image.expired
         }
         snapshot = f"snapshots/{suffix}"
-        await write_claims(self.objects, snapshot, kept)
+        await write_claims(self.objects, snapshot, retained)
         billed = [
             BilledClaim(self.shard, claim.sequence, claim.bill)
             for claim in image.claims.values()
@@ -199,34 +206,41 @@
         if billed:
             await self.objects.put(name, await encode_lines(billed))
         file = BillFile(lease.first, image.last, name, len(billed), image.time)
-        following = attrs.evolve(lease, first=image.last + 1, snapshot=snapshot)
+        new_lease = attrs.evolve(lease, first=image.last + 1, snapshot=snapshot)
         key = bill_file_key(self.shard, image.last)
-        return Compacted(image, lease, following, [Put(key, encode(file))])
+        return PreparedCompaction(
+            image, lease, new_lease, [Put(key, encode(file))]
+        )
 
-    async def finish(self, done: Compacted) -> None:
+    async def finish(self, done: PreparedCompaction) -> None:
         """Deletes what a compaction that took effect made superfluous."""
-        self.ready = None
+        self.prepared = None
         try:
             await self.trim(done.lease.first)
-            if done.before.snapshot:
-                await self.objects.delete(done.before.snapshot)
+            if done.previous_lease.snapshot:
+                await self.objects.delete(done.previous_lease.snapshot)
         except StoreUnavailableError:
             self.metrics.count("claims.retry.trim")
         self.busy = False
         self.metrics.count("claims.compacted")
 
-    async def recall(self, lease: ShardLease) -> None:
+    async def load_history(self, lease: ShardLease) -> None:
         """Learns from earlier compactions which claims are how old.
 
         Raises:
           StoreUnavailableError: Their rows can't be read.
         """
-        start = max(0, lease.first - 1 - RECALLED * self.batches)
-        behind = bill_file_key(self.shard, start)
+        start = max(
+            0,
+            lease.first
+            - 1
+            - MAX_RECALLED_COMPACTIONS * self.compact_after_batches,
+        )
+        after_key = bill_file_key(self.shard, start)
         prefix = bill_file_prefix(self.shard)
-        for row in await scan_all(self.table, prefix, behind):
+        for row in await scan_all(self.table, prefix, after_key):
             file = decode(BillFile, row.value)
-            self.marks.add(file.time, file.last)
+            self.history.add(file.time, file.last)
 
     async def trim(self, first: int) -> None:
         """Deletes log rows in front of a position."""
@@ -244,9 +258,9 @@
     claims: Mapping[ClaimId, Claim],
 ) -> tuple[dict[ClaimId, Claim], dict[ClaimId, Claim]]:
     """Returns the claims that are over, and those that run."""
-    over: dict[ClaimId, Claim] = {}
+    ended: dict[ClaimId, Claim] = {}
     running: dict[ClaimId, Claim] = {}
     for claim_id, claim in claims.items():
         runs = claim.result is ClaimResult.RUNNING
-        (running if runs else over)[claim_id] = claim
-    return over, running
+        (running if runs else ended)[claim_id] = claim
+    return ended, running
--- a/src/rattanpier/_internal/claims/ownership.py
+++ b/src/rattanpier/_internal/claims/ownership.py
@@ -330,7 +330,7 @@
             self.metrics,
             self.fleet.retention_s,
         )
-        await compactor.recall(lease)
+        await compactor.load_history(lease)
         return compactor
 
     def owner_member(self, shard: int) -> Member | None:
--- a/src/rattanpier/_internal/claims/snapshot.py
+++ b/src/rattanpier/_internal/claims/snapshot.py
@@ -13,7 +13,7 @@
 from rattanpier._internal.store.objects import Objects
 from rattanpier._internal.utils.codec import decode, encode
 
-SLICE = 500  # Lines encoded before other work gets its turn.
+ITEMS_PER_YIELD = 500  # Lines encoded before other work gets its turn.
 
 
 @attrs.frozen
@@ -79,7 +79,7 @@
     lines = []
     for number, item in enumerate(items, 1):
         lines.append(encode(item))
-        if number % SLICE == 0:
+        if number % ITEMS_PER_YIELD == 0:
             await asyncio.sleep(0)
     return "\n".join(lines)
 
@@ -109,7 +109,7 @@
     for number, text in enumerate(await read_lines(objects, name), 1):
         line = decode(ClaimLine, text)
         book.claims[line.workspace, line.key] = line.claim
-        if number % SLICE == 0:
+        if number % ITEMS_PER_YIELD == 0:
             await asyncio.sleep(0)
     return book
 
--- a/src/rattanpier/_internal/claims/writer.py
+++ b/src/rattanpier/_internal/claims/writer.py
@@ -16,7 +16,7 @@
 import structlog
 
 from rattanpier._internal.claims.book import Claim, ClaimBook, ClaimId, Decision
-from rattanpier._internal.claims.compaction import Compacted, Compactor
+from rattanpier._internal.claims.compaction import Compactor, PreparedCompaction
 from rattanpier._internal.claims.outage import Outage
 from rattanpier._internal.claims.pending import (
     OpenBatch,
@@ -243,17 +243,17 @@
             return
         if image is not None:
             self.spawn(self.compactor.prepare(image, self.lease))
-            self.end_abandoned(image.old)
-        elif self.compactor.ready is not None:
-            await self.take_effect(self.compactor.ready)
+            self.end_abandoned(image.stale_running)
+        elif self.compactor.prepared is not None:
+            await self.commit_compaction(self.compactor.prepared)
 
-    async def take_effect(self, compacted: Compacted) -> None:
+    async def commit_compaction(self, compacted: PreparedCompaction) -> None:
         """Moves the lease row on to a snapshot; forgets what it left out."""
         await self.replace_lease(compacted.lease, compacted.puts)
         await self.confirm()
         if self.lease != compacted.lease:
             return  # Not known yet; it is written again after a later batch.
-        for claim_id, claim in compacted.image.forgotten.items():
+        for claim_id, claim in compacted.image.expired.items():
             if self.book.claims.get(claim_id) is claim:
                 del self.book.claims[claim_id]
         assert self.compactor is not None
--- a/tests/unit/test_claims_compaction.py
+++ b/tests/unit/test_claims_compaction.py
@@ -39,7 +39,7 @@
     book, sequence = await recover(table, 0, objects)
     metrics = Metrics()
     compactor = Compactor(0, table, objects, metrics, RETENTION_S, BATCHES)
-    await compactor.recall(lease)
+    await compactor.load_history(lease)
     return ShardOwner(
         shard=0,
         lease=lease,
@@ -252,11 +252,11 @@
         table, objects, clock = MemoryTable(), MemoryObjects(), ManualClock()
         old = await make_owner(table, objects, clock)
         await fill(old, clock, BATCHES)
-        compacted = old.compactor.ready
+        compacted = old.compactor.prepared
         new = await make_owner(table, objects, clock, "b")
         await fill(new, clock, 20, start=BATCHES)
         if compacted is not None:
-            await old.take_effect(compacted)
+            await old.commit_compaction(compacted)
         assert old.lost
         assert len(await exported(table, objects)) == BATCHES + 20
 
