--- a/src/rattanpier/_internal/claims/kept_bills.py
+++ b/src/rattanpier/_internal/claims/kept_bills.py
@@ -13,8 +13,8 @@
 from rattanpier._internal.utils.codec import decode, encode
 from rattanpier._internal.utils.metrics import Metrics
 
-KEPT_BYTES = 32 * 2**20  # Bills that one process keeps for others.
-FLUSH_AFTER_S = 2.0  # The owner, if alive, writes its bills itself first.
+MAX_KEPT_BYTES = 32 * 2**20  # Bills that one process keeps for others.
+FLUSH_DELAY_S = 2.0  # The owner, if alive, writes its bills itself first.
 
 BillId = tuple[str, str]  # Workspace and key.
 SendBill = Callable[[PendingBill], Awaitable[peer_pb2.Reply | None]]
@@ -33,7 +33,7 @@
       reachable: Says whether this process can reach the store.
       shard_of: Returns the shard of a workspace and key.
       kept: Records by their id, oldest first.
-      size: Bytes of them.
+      size_bytes: Bytes of them.
     """
 
     reachable: Callable[[], bool]
@@ -42,28 +42,28 @@
     kept: collections.OrderedDict[str, bytes] = attrs.Factory(
         collections.OrderedDict
     )
-    size: int = 0
+    size_bytes: int = 0
 
     async def serve(self, call: peer_pb2.Call) -> peer_pb2.Reply:
         """Keeps or releases records for a peer."""
         request = call.hold
         records: list[bytes] = []
         if request.collect:
-            records = self.of_shard(request.shard)
+            records = self.records_of_shard(request.shard)
             held = True
         elif request.release:
             for record_id in request.record_id.split("\n"):
-                self.drop(record_id)
+                self.remove(record_id)
             held = True
         else:
-            held = not self.reachable() and self.put(request)
+            held = not self.reachable() and self.add(request)
         return peer_pb2.Reply(
             hold=peer_pb2.HoldReply(
                 held=held, queued=len(self.kept), records=records
             )
         )
 
-    def of_shard(self, shard: int) -> list[bytes]:
+    def records_of_shard(self, shard: int) -> list[bytes]:
         """Returns the records that belong to a shard."""
         return [
             encode(bill).encode()
@@ -71,22 +71,22 @@
             if self.shard_of(*bill_id(bill.settle)) == shard
         ]
 
-    def put(self, request: peer_pb2.HoldRequest) -> bool:
+    def add(self, request: peer_pb2.HoldRequest) -> bool:
         """Keeps a record; False if there is no room."""
         if not request.record:
             return True  # A question about the store only.
-        if self.size + len(request.record) > KEPT_BYTES:
+        if self.size_bytes + len(request.record) > MAX_KEPT_BYTES:
             self.metrics.count("claims.refused.keeper_full")
             return False
-        self.drop(request.record_id)
+        self.remove(request.record_id)
         self.kept[request.record_id] = request.record
-        self.size += len(request.record)
+        self.size_bytes += len(request.record)
         self.metrics.count("claims.kept")
         return True
 
-    def drop(self, record_id: str) -> None:
+    def remove(self, record_id: str) -> None:
         """Forgets a record."""
-        self.size -= len(self.kept.pop(record_id, b""))
+        self.size_bytes -= len(self.kept.pop(record_id, b""))
 
     def records(self) -> list[tuple[str, PendingBill]]:
         """Returns what is kept, with its ids."""
@@ -107,5 +107,5 @@
             if reply is None or not reply.settle.durable:
                 continue
             if reply.settle.outcome == SettleOutcome.SETTLED:
-                self.drop(record_id)
+                self.remove(record_id)
                 self.metrics.count("claims.kept_flushed")
--- a/src/rattanpier/_internal/claims/outage.py
+++ b/src/rattanpier/_internal/claims/outage.py
@@ -32,9 +32,9 @@
 
 log = structlog.get_logger(part="claims")
 
-KEEP_TIMEOUT_S = 1.0
+PEER_TIMEOUT_S = 1.0
 MAX_PEERS = 3  # Peers asked about the store, and tried for one bill.
-MAX_ASKED = 12  # Asked for what they keep when a shard's owner died.
+MAX_PEERS_COLLECTED = 12  # Asked for what they keep when a shard's owner died.
 
 
 @attrs.define
@@ -42,18 +42,18 @@
     """Has pending bills kept by peers.
 
     Attributes:
-      own: Serves a call to this process's own `KeptBills`.
+      serve_locally: Serves a call to this process's own `KeptBills`.
       confirmed: True while peers can't reach the store either.
-      sent: Who keeps which record, by claim.
+      bill_locations: Who keeps which record, by claim.
     """
 
     members: Members | None = None
     links: Links | None = None
     spawn: Callable[..., asyncio.Task] | None = None
-    own: CallHandler | None = None
+    serve_locally: CallHandler | None = None
     confirmed: bool = False
-    sent: dict[BillId, tuple[Member, str]] = attrs.Factory(dict)
-    ids: itertools.count = attrs.Factory(itertools.count)
+    bill_locations: dict[BillId, tuple[Member, str]] = attrs.Factory(dict)
+    record_numbers: itertools.count = attrs.Factory(itertools.count)
 
     def peers(self) -> list[Member]:
         """Returns entries in other failure domains, the same ones first."""
@@ -73,8 +73,8 @@
         replies = await asyncio.gather(
             *(self.send(peer, request) for peer in self.peers())
         )
-        heard = [reply.held for reply in replies if reply is not None]
-        confirmed = bool(heard) and all(heard)
+        answers = [reply.held for reply in replies if reply is not None]
+        confirmed = bool(answers) and all(answers)
         if confirmed != self.confirmed:
             log.warning("Store outage.", confirmed=confirmed)
         self.confirmed = confirmed
@@ -86,10 +86,10 @@
         assert self.links is not None and self.members is not None
         call = peer_pb2.Call(hold=request)
         if peer.name == self.members.me.name:
-            assert self.own is not None
-            return (await self.own(call)).hold
+            assert self.serve_locally is not None
+            return (await self.serve_locally(call)).hold
         try:
-            reply = await self.links.to(peer).call(call, KEEP_TIMEOUT_S)
+            reply = await self.links.to(peer).call(call, PEER_TIMEOUT_S)
         except PeerUnavailableError:
             return None
         return reply.hold
@@ -110,7 +110,10 @@
         order = rendezvous(f"keep-{dead}", list(entries))
         request = peer_pb2.HoldRequest(collect=True, shard=shard)
         replies = await asyncio.gather(
-            *(self.send(entries[name], request) for name in order[:MAX_ASKED])
+            *(
+                self.send(entries[name], request)
+                for name in order[:MAX_PEERS_COLLECTED]
+            )
         )
         return [
             decode(PendingBill, record)
@@ -125,7 +128,7 @@
             return False
         assert self.members is not None
         me = self.members.me
-        record_id = f"{me.name}/{me.incarnation}/{next(self.ids)}"
+        record_id = f"{me.name}/{me.incarnation}/{next(self.record_numbers)}"
         request = peer_pb2.HoldRequest(
             owner=f"{me.name}/{me.incarnation}",
             record=encode(bill).encode(),
@@ -134,18 +137,18 @@
         for peer in self.peers():
             reply = await self.send(peer, request)
             if reply is not None and reply.held:
-                self.sent[bill_id(bill.settle)] = (peer, record_id)
+                self.bill_locations[bill_id(bill.settle)] = (peer, record_id)
                 return True
         return False
 
     def release(self, ops: Iterable[ClaimOp | SettleOp]) -> None:
         """Tells peers which bills are durable now; may be lost."""
-        done: dict[str, tuple[Member, list[str]]] = {}
+        released: dict[str, tuple[Member, list[str]]] = {}
         for op in ops:
-            if isinstance(op, SettleOp) and bill_id(op) in self.sent:
-                peer, record_id = self.sent.pop(bill_id(op))
-                done.setdefault(peer.name, (peer, []))[1].append(record_id)
-        for peer, ids in done.values():
+            if isinstance(op, SettleOp) and bill_id(op) in self.bill_locations:
+                peer, record_id = self.bill_locations.pop(bill_id(op))
+                released.setdefault(peer.name, (peer, []))[1].append(record_id)
+        for peer, ids in released.values():
             request = peer_pb2.HoldRequest(
                 release=True, record_id="\n".join(ids)
             )
--- a/src/rattanpier/_internal/claims/owner.py
+++ b/src/rattanpier/_internal/claims/owner.py
@@ -5,7 +5,7 @@
 import attrs
 
 from rattanpier._internal.claims.book import Ask, Claim, Decision
-from rattanpier._internal.claims.pending import OUTAGE_RETRY_S, refuse
+from rattanpier._internal.claims.pending import OUTAGE_RETRY_AFTER_S, refuse
 from rattanpier._internal.claims.records import (
     ClaimOp,
     ClaimResult,
@@ -61,7 +61,9 @@
             return attrs.evolve(decision, durable=False)
         certain = decision.not_run and self.outage.confirmed
         decision = attrs.evolve(decision, not_run=certain)
-        return refuse(decision, OUTAGE_RETRY_S, "store_down", self.metrics)
+        return refuse(
+            decision, OUTAGE_RETRY_AFTER_S, "store_down", self.metrics
+        )
 
     async def settle(self, op: SettleOp) -> Decision | None:
         """Ends a claim; None if the epoch was lost meanwhile."""
@@ -94,7 +96,8 @@
             if self.is_full() or not await self.keep(op, claim):
                 self.metrics.count("claims.refused.bill_not_kept")
                 return Decision(
-                    SettleOutcome.UNAVAILABLE, retry_after_s=OUTAGE_RETRY_S
+                    SettleOutcome.UNAVAILABLE,
+                    retry_after_s=OUTAGE_RETRY_AFTER_S,
                 )
         if self.gone:
             return None
@@ -150,7 +153,7 @@
 
     def is_full(self) -> bool:
         """Says whether nothing more may wait here."""
-        size = sum(batch.size for batch in self.open)
+        size = sum(batch.size_bytes for batch in self.open)
         waiting = sum(len(batch.waiters) for batch in self.open)
         return size >= PENDING_BYTES or waiting >= MAX_WAITERS
 
--- a/src/rattanpier/_internal/claims/pending.py
+++ b/src/rattanpier/_internal/claims/pending.py
@@ -12,7 +12,7 @@
 from rattanpier._internal.utils.metrics import Metrics
 
 OP_BYTES = 300  # An operation without its answer, roughly.
-OUTAGE_RETRY_S = 2.0  # Told to callers while the store is down.
+OUTAGE_RETRY_AFTER_S = 2.0  # Told to callers while the store is down.
 
 
 @attrs.define
@@ -20,7 +20,7 @@
     """Someone who waits for a decision to become durable."""
 
     decision: Decision
-    done: asyncio.Future[Decision | None]
+    future: asyncio.Future[Decision | None]
 
 
 @attrs.define
@@ -29,17 +29,17 @@
 
     ops: list[ClaimOp | SettleOp] = attrs.Factory(list)
     waiters: list[Waiter] = attrs.Factory(list)
-    size: int = 0
+    size_bytes: int = 0
 
 
-def op_size(op: ClaimOp | SettleOp) -> int:
+def op_size_bytes(op: ClaimOp | SettleOp) -> int:
     """Returns roughly the bytes of an operation in the log."""
     if isinstance(op, SettleOp) and op.answer is not None:
         return OP_BYTES + len(op.answer.body)
     return OP_BYTES
 
 
-def release_of(op: ClaimOp) -> SettleOp:
+def release_op(op: ClaimOp) -> SettleOp:
     """Returns the operation that takes a claim back."""
     return SettleOp(op.workspace, op.key, op.attempt, ClaimResult.RELEASED)
 
@@ -73,24 +73,24 @@
     match decision.op:
         case ClaimOp(idempotent=False):
             # Its operation may have become durable: the writer takes it back.
-            certain = decision.not_run and confirmed
+            surely_not_run = decision.not_run and confirmed
             return refuse(
-                attrs.evolve(decision, not_run=certain),
-                OUTAGE_RETRY_S,
+                attrs.evolve(decision, not_run=surely_not_run),
+                OUTAGE_RETRY_AFTER_S,
                 "store_down",
                 metrics,
             )
         case None if decision.outcome is SettleOutcome.SUPERSEDED:
             return Decision(SettleOutcome.UNAVAILABLE)
-        case None if is_sole_grant(decision):
-            return refuse(decision, OUTAGE_RETRY_S, "store_down", metrics)
+        case None if is_non_idempotent_grant(decision):
+            return refuse(decision, OUTAGE_RETRY_AFTER_S, "store_down", metrics)
         case _ if not confirmed:
             return None
         case _:
             return attrs.evolve(decision, durable=False)
 
 
-def is_sole_grant(decision: Decision) -> bool:
+def is_non_idempotent_grant(decision: Decision) -> bool:
     """Says whether a grant is of a request that may run only once."""
     granted = decision.outcome is ClaimOutcome.GRANTED
     claim = decision.claim
--- a/src/rattanpier/_internal/claims/service.py
+++ b/src/rattanpier/_internal/claims/service.py
@@ -8,7 +8,7 @@
 import structlog
 
 from rattanpier._internal.claims.book import Ask
-from rattanpier._internal.claims.kept_bills import FLUSH_AFTER_S, KeptBills
+from rattanpier._internal.claims.kept_bills import FLUSH_DELAY_S, KeptBills
 from rattanpier._internal.claims.messages import (
     ANY_ATTEMPT,
     encode_bill,
@@ -16,7 +16,7 @@
 from rattanpier._internal.claims.outage import Outage
 from rattanpier._internal.claims.owner_calls import TRY_S, OwnerCalls
 from rattanpier._internal.claims.ownership import Ownership
-from rattanpier._internal.claims.pending import OUTAGE_RETRY_S
+from rattanpier._internal.claims.pending import OUTAGE_RETRY_AFTER_S
 from rattanpier._internal.claims.records import (
     Answer,
     ClaimResult,
@@ -68,7 +68,9 @@
     retry_after_s: float = 0.0
 
 
-UNAVAILABLE = ClaimReply(ClaimOutcome.UNAVAILABLE, retry_after_s=OUTAGE_RETRY_S)
+UNAVAILABLE = ClaimReply(
+    ClaimOutcome.UNAVAILABLE, retry_after_s=OUTAGE_RETRY_AFTER_S
+)
 
 
 @attrs.define
@@ -142,7 +144,7 @@
         )
     )
     disowning: set[asyncio.Task] = attrs.Factory(set)
-    flush_after_s: float = FLUSH_AFTER_S
+    flush_after_s: float = FLUSH_DELAY_S
 
     def shard_of(self, workspace: str, key: str) -> int:
         """Returns the shard of a request."""
--- a/src/rattanpier/_internal/claims/writer.py
+++ b/src/rattanpier/_internal/claims/writer.py
@@ -21,9 +21,9 @@
 from rattanpier._internal.claims.pending import (
     OpenBatch,
     Waiter,
-    op_size,
+    op_size_bytes,
     outage_reply,
-    release_of,
+    release_op,
 )
 from rattanpier._internal.claims.records import (
     Batch,
@@ -98,14 +98,14 @@
 
     def add(self, op: ClaimOp | SettleOp | None) -> OpenBatch:
         """Queues an operation; returns the batch that it rests on."""
-        if not self.open or (op and self.open[-1].size >= BATCH_BYTES):
+        if not self.open or (op and self.open[-1].size_bytes >= BATCH_BYTES):
             self.open.append(OpenBatch())
         batch = self.open[-1]
         if op is not None:
             sequence = self.next_sequence + len(self.open) - 1
             self.book.apply(op, sequence)
             batch.ops.append(op)
-            batch.size += op_size(op)
+            batch.size_bytes += op_size_bytes(op)
         self.wake.set()
         return batch
 
@@ -119,7 +119,7 @@
         self.add(decision.op).waiters.append(waiter)
         if self.down:
             self.relieve(self.open[-1])
-        return await waiter.done
+        return await waiter.future
 
     def is_final(self, decision: Decision) -> bool:
         """Says whether a decision rests on nothing that may still change.
@@ -286,20 +286,20 @@
             )
             if reply is None:
                 batch.waiters.append(waiter)
-            elif not waiter.done.done():
-                waiter.done.set_result(reply)
+            elif not waiter.future.done():
+                waiter.future.set_result(reply)
             self.take_back(waiter.decision.op)
 
     def take_back(self, op: ClaimOp | SettleOp | None) -> None:
         """Ends an ask that was refused though it may become durable."""
         if isinstance(op, ClaimOp) and not op.idempotent:
-            self.add(release_of(op))
+            self.add(release_op(op))
 
     def answer(self, batch: OpenBatch) -> None:
         """Gives waiters their decisions, or None if the epoch was lost."""
         for waiter in batch.waiters:
-            if not waiter.done.done():
-                waiter.done.set_result(None if self.lost else waiter.decision)
+            if not waiter.future.done():
+                waiter.future.set_result(None if self.lost else waiter.decision)
 
     def lose(self) -> None:
         """Gives up the shard; nothing more is granted or settled here."""
--- a/tests/failure/test_claims_outage.py
+++ b/tests/failure/test_claims_outage.py
@@ -136,7 +136,7 @@
 
 
 def test_full_keeper_holds_the_last_byte_back(monkeypatch):
-    monkeypatch.setattr(kept_bills, "KEPT_BYTES", 1500)
+    monkeypatch.setattr(kept_bills, "MAX_KEPT_BYTES", 1500)
 
     async def run():
         fleet = await down_fleet()
@@ -149,7 +149,8 @@
         ]
         assert 0 < len(released) == len(kept) < len(KEYS)
         assert all(
-            node.claims.kept_bills.size <= 1500 for node in fleet.nodes.values()
+            node.claims.kept_bills.size_bytes <= 1500
+            for node in fleet.nodes.values()
         )
 
     run_virtual(run())
@@ -217,7 +218,7 @@
         await ask_each(fleet, True)
         for node in fleet.nodes.values():
             # Every release is lost, so each bill is flushed twice.
-            node.claims.outage.sent.clear()
+            node.claims.outage.bill_locations.clear()
         fleet.faults.silent = False
         await asyncio.sleep(15)
         flushed = sum(
@@ -238,10 +239,11 @@
         fleet = await down_fleet(domains=("a", "b"))
         await ask_each(fleet, True)
         for node in fleet.nodes.values():
-            for member, _ in node.claims.outage.sent.values():
+            for member, _ in node.claims.outage.bill_locations.values():
                 assert member.domain != node.member.domain
         return sum(
-            len(node.claims.outage.sent) for node in fleet.nodes.values()
+            len(node.claims.outage.bill_locations)
+            for node in fleet.nodes.values()
         )
 
     assert run_virtual(run()) == len(KEYS)
--- a/tests/failure/test_claims_switched_off.py
+++ b/tests/failure/test_claims_switched_off.py
@@ -92,10 +92,10 @@
 def no_taking_back(patch):
     """A refused ask's operation stays in the log."""
 
-    def release_of(op):
+    def release_op(op):
         return SettleOp(op.workspace, op.key, -1, ClaimResult.RELEASED)
 
-    patch.setattr(writer, "release_of", release_of)
+    patch.setattr(writer, "release_op", release_op)
 
 
 def no_confirming(patch):
