--- a/src/rattanpier/_internal/claims/owner.py
+++ b/src/rattanpier/_internal/claims/owner.py
@@ -15,10 +15,10 @@
 from rattanpier._internal.claims.writer import BatchWriter
 from rattanpier._internal.models.outcomes import ClaimOutcome, SettleOutcome
 
-PENDING_BYTES = 16 * 2**20  # Operations not yet written, of one shard.
+MAX_PENDING_BYTES = 16 * 2**20  # Operations not yet written, of one shard.
 MAX_WAITERS = 4096  # Calls that wait for a write, of one shard.
-DISOWNED_KEPT = 4096  # Disowned holders remembered, of one shard.
-MIN_DRAIN_S = 0.5  # Least wait told to a caller whom a full queue refuses.
+MAX_DISOWNED = 4096  # Disowned holders remembered, of one shard.
+MIN_RETRY_AFTER_S = 0.5  # Least wait told to callers of a full queue.
 
 
 @attrs.define
@@ -36,7 +36,7 @@
 
     async def ask(self, ask: Ask) -> Decision | None:
         """Decides on a claim; None if the epoch was lost meanwhile."""
-        if self.gone:
+        if self.not_serving:
             return None
         decision = self.book.ask(ask, self.alive)
         if ask.holder in self.disowned:
@@ -44,7 +44,7 @@
             return refuse(decision, 0.0, "disowned", self.metrics)
         if self.is_full():
             return refuse(decision, self.drain_s(), "full", self.metrics)
-        if self.down and decision.op is not None:
+        if self.store_unavailable and decision.op is not None:
             return self.ask_in_outage(ask, decision)
         return await self.submit(decision)
 
@@ -56,27 +56,27 @@
         """
         granted = decision.outcome is ClaimOutcome.GRANTED
         if granted and ask.idempotent and self.outage.confirmed:
-            self.add(decision.op)
+            self.enqueue(decision.op)
             self.metrics.count("claims.provisional")
             return attrs.evolve(decision, durable=False)
-        certain = decision.not_run and self.outage.confirmed
-        decision = attrs.evolve(decision, not_run=certain)
+        surely_not_run = decision.not_run and self.outage.confirmed
+        decision = attrs.evolve(decision, not_run=surely_not_run)
         return refuse(
             decision, OUTAGE_RETRY_AFTER_S, "store_down", self.metrics
         )
 
     async def settle(self, op: SettleOp) -> Decision | None:
         """Ends a claim; None if the epoch was lost meanwhile."""
-        if self.gone:
+        if self.not_serving:
             return None
         decision = self.book.settle(op)
-        if not (self.down and self.is_open(decision)):
+        if not (self.store_unavailable and self.is_unlogged(decision)):
             reply = await self.submit(decision)
             if reply is None or reply.durable:
                 return reply
         return await self.settle_in_outage(op)
 
-    def is_open(self, decision: Decision) -> bool:
+    def is_unlogged(self, decision: Decision) -> bool:
         """Says whether a settlement is not in the log yet."""
         if decision.op is not None:
             return True
@@ -93,20 +93,20 @@
             claim = self.find(op.workspace, op.key)
             if claim is None or claim.attempt != op.attempt:
                 return Decision(SettleOutcome.UNAVAILABLE)
-            if self.is_full() or not await self.keep(op, claim):
+            if self.is_full() or not await self.keep_bill(op, claim):
                 self.metrics.count("claims.refused.bill_not_kept")
                 return Decision(
                     SettleOutcome.UNAVAILABLE,
                     retry_after_s=OUTAGE_RETRY_AFTER_S,
                 )
-        if self.gone:
+        if self.not_serving:
             return None
         decision = self.book.settle(op)
         if decision.op is not None:
-            self.add(decision.op)
+            self.enqueue(decision.op)
         return attrs.evolve(decision, durable=False)
 
-    async def keep(self, op: SettleOp, claim: Claim) -> bool:
+    async def keep_bill(self, op: SettleOp, claim: Claim) -> bool:
         """Has a pending bill kept by a peer."""
         grant = ClaimOp(
             op.workspace,
@@ -120,32 +120,32 @@
 
     async def disown(self, op: SettleOp, holder: str) -> Decision | None:
         """Ends a holder's attempt, whichever it is."""
-        if self.gone:
+        if self.not_serving:
             return None
         self.disowned[holder] = None
-        if len(self.disowned) > DISOWNED_KEPT:
+        if len(self.disowned) > MAX_DISOWNED:
             del self.disowned[next(iter(self.disowned))]
         decision = self.book.disown(op, holder)
-        if not self.down:
+        if not self.store_unavailable:
             return await self.submit(decision)
         if decision.op is not None:
-            self.add(decision.op)
+            self.enqueue(decision.op)
         return attrs.evolve(decision, durable=False)
 
     async def restore(self, bill: PendingBill) -> Decision | None:
         """Takes in a bill that a peer kept; harmless when repeated."""
-        if self.gone:
+        if self.not_serving:
             return None
-        if self.down:
+        if self.store_unavailable:
             return Decision(SettleOutcome.UNAVAILABLE)
-        self.take_in(bill)
+        self.enqueue_pending_bill(bill)
         claim = self.find(bill.claim.workspace, bill.claim.key)
         return await self.submit(Decision(SettleOutcome.SETTLED, claim))
 
-    def take_in(self, bill: PendingBill) -> None:
+    def enqueue_pending_bill(self, bill: PendingBill) -> None:
         """Queues what a bill that a peer kept adds to the book."""
         for op in self.book.restore(bill.claim, bill.settle):
-            self.add(op)
+            self.enqueue(op)
 
     def find(self, workspace: str, key: str) -> Claim | None:
         """Returns a claim as it stands."""
@@ -153,10 +153,10 @@
 
     def is_full(self) -> bool:
         """Says whether nothing more may wait here."""
-        size = sum(batch.size_bytes for batch in self.open)
-        waiting = sum(len(batch.waiters) for batch in self.open)
-        return size >= PENDING_BYTES or waiting >= MAX_WAITERS
+        size = sum(batch.size_bytes for batch in self.open_batches)
+        waiting = sum(len(batch.waiters) for batch in self.open_batches)
+        return size >= MAX_PENDING_BYTES or waiting >= MAX_WAITERS
 
     def drain_s(self) -> float:
         """Returns the seconds until what is queued will be written."""
-        return max(MIN_DRAIN_S, len(self.open) * self.interval_s)
+        return max(MIN_RETRY_AFTER_S, len(self.open_batches) * self.interval_s)
--- a/src/rattanpier/_internal/claims/owner_calls.py
+++ b/src/rattanpier/_internal/claims/owner_calls.py
@@ -62,7 +62,7 @@
         """Carries a call to the present owner; None if that failed."""
         owner = self.ownership.owners.get(shard)
         # One whose epoch is lost stays listed until the next look at the rows.
-        if owner is not None and not owner.gone:
+        if owner is not None and not owner.not_serving:
             try:
                 return await asyncio.wait_for(
                     serve_call(owner, call), timeout_s
--- a/src/rattanpier/_internal/claims/ownership.py
+++ b/src/rattanpier/_internal/claims/ownership.py
@@ -176,7 +176,7 @@
         await self.outage.check()
         if self.outage.confirmed:
             for owner in self.owners.values():
-                owner.note(FlushResult.STORE_DOWN)
+                owner.record_flush(FlushResult.STORE_DOWN)
 
     def note_reachable(self) -> None:
         """Notes that the store answers."""
@@ -193,7 +193,7 @@
             self.see(int(row.key.removeprefix(LEASE_PREFIX)), row)
         present = {int(row.key.removeprefix(LEASE_PREFIX)) for row in rows}
         for shard in set(self.owners) - present:
-            self.owners[shard].lose()
+            self.owners[shard].mark_lost()
         for shard, owner in list(self.owners.items()):
             if owner.lost:
                 del self.owners[shard]
@@ -225,7 +225,7 @@
         self.free_since.pop(shard, None)
         owner = self.owners.get(shard)
         if owner is not None and lease.epoch > owner.lease.epoch:
-            owner.lose()
+            owner.mark_lost()
 
     # Taking over.
 
@@ -314,7 +314,7 @@
         )
         if seen is not None and seen.lease.owner:
             for bill in await self.outage.collect(seen.lease.owner, shard):
-                owner.take_in(bill)
+                owner.enqueue_pending_bill(bill)
         return owner
 
     async def make_compactor(self, shard: int, lease: ShardLease) -> Compactor:
@@ -373,7 +373,7 @@
         self.better_since.pop(shard, None)
         if not clean:
             log.warning("Shard given up with writes open.", shard=shard)
-        owner.lose()
+        owner.mark_lost()
         await self.free(shard, owner.lease, owner.lease_version)
 
     async def free(self, shard: int, lease: ShardLease, version: int) -> None:
--- a/src/rattanpier/_internal/claims/shard_log.py
+++ b/src/rattanpier/_internal/claims/shard_log.py
@@ -91,13 +91,13 @@
             return FlushResult.STORE_DOWN
         if row is not None and decode(Batch, row.value) == batch:
             return FlushResult.DURABLE
-        if not self.still_holds(lease):
+        if not self.holds_lease(lease):
             return FlushResult.EPOCH_LOST
         # Not there yet, but a delayed write may still arrive: the same batch
         # has to be written again at the same position.
         return FlushResult.STORE_DOWN
 
-    def still_holds(self, row: Row | None) -> bool:
+    def holds_lease(self, row: Row | None) -> bool:
         """Says whether a lease row is this owner's; follows its version.
 
         Only this owner writes a lease with its epoch and incarnation, so a
--- a/src/rattanpier/_internal/claims/writer.py
+++ b/src/rattanpier/_internal/claims/writer.py
@@ -38,10 +38,10 @@
 
 log = structlog.get_logger(part="claims")
 
-RETRY_PAUSE_S = 0.2  # Between tries of a batch while the store is down.
-BATCH_BYTES = 256 * 1024  # A row of the log is kept below about this size.
-CLOSE_PAUSE_S = 0.01
-CLOSE_LIMIT_S = 3.0  # Then the shard is given up as if the process died.
+RETRY_INTERVAL_S = 0.2  # Between tries of a batch while the store is down.
+MAX_BATCH_BYTES = 256 * 1024  # A row of the log is kept below about this size.
+CLOSE_POLL_INTERVAL_S = 0.01
+CLOSE_TIMEOUT_S = 3.0  # Then the shard is given up as if the process died.
 
 
 @attrs.define
@@ -58,10 +58,10 @@
       lost: True once another owner is known, or has to be assumed.
       closing: True once this owner takes nothing more, to hand over.
       store_down: True while the last write did not become known.
-      open: Batches not yet written; only the last takes operations.
+      open_batches: Batches not yet written; only the last takes operations.
       in_flight: The batch being written.
       compactor: Compacts the log, or None.
-      beside: Work of the compactor under way.
+      background_tasks: Work of the compactor under way.
       wake: Set when there is something to write.
     """
 
@@ -78,31 +78,35 @@
     lost: bool = False
     closing: bool = False
     store_down: bool = False
-    open: collections.deque[OpenBatch] = attrs.Factory(collections.deque)
+    open_batches: collections.deque[OpenBatch] = attrs.Factory(
+        collections.deque
+    )
     in_flight: OpenBatch | None = None
     compactor: Compactor | None = None
-    beside: set[asyncio.Task] = attrs.Factory(set)
+    background_tasks: set[asyncio.Task] = attrs.Factory(set)
     wake: asyncio.Event = attrs.Factory(asyncio.Event)
 
     @property
-    def gone(self) -> bool:
+    def not_serving(self) -> bool:
         """True if calls have to go to another owner."""
         return self.lost or self.closing
 
     @property
-    def down(self) -> bool:
+    def store_unavailable(self) -> bool:
         """True if nothing can be made durable now."""
         return self.store_down or self.outage.confirmed
 
     # Queue.
 
-    def add(self, op: ClaimOp | SettleOp | None) -> OpenBatch:
+    def enqueue(self, op: ClaimOp | SettleOp | None) -> OpenBatch:
         """Queues an operation; returns the batch that it rests on."""
-        if not self.open or (op and self.open[-1].size_bytes >= BATCH_BYTES):
-            self.open.append(OpenBatch())
-        batch = self.open[-1]
+        if not self.open_batches or (
+            op and self.open_batches[-1].size_bytes >= MAX_BATCH_BYTES
+        ):
+            self.open_batches.append(OpenBatch())
+        batch = self.open_batches[-1]
         if op is not None:
-            sequence = self.next_sequence + len(self.open) - 1
+            sequence = self.next_sequence + len(self.open_batches) - 1
             self.book.apply(op, sequence)
             batch.ops.append(op)
             batch.size_bytes += op_size_bytes(op)
@@ -111,14 +115,14 @@
 
     async def submit(self, decision: Decision) -> Decision | None:
         """Waits until a decision and all it rests on are durable."""
-        if self.gone:
+        if self.not_serving:
             return None
         if self.is_final(decision):
             return decision
         waiter = Waiter(decision, asyncio.get_running_loop().create_future())
-        self.add(decision.op).waiters.append(waiter)
-        if self.down:
-            self.relieve(self.open[-1])
+        self.enqueue(decision.op).waiters.append(waiter)
+        if self.store_unavailable:
+            self.reply_in_outage(self.open_batches[-1])
         return await waiter.future
 
     def is_final(self, decision: Decision) -> bool:
@@ -129,8 +133,8 @@
         """
         if decision.op is not None or not self.is_durable(decision.claim):
             return False
-        unsure = (ClaimOutcome.GRANTED, SettleOutcome.SUPERSEDED)
-        return decision.outcome not in unsure
+        provisional_outcomes = (ClaimOutcome.GRANTED, SettleOutcome.SUPERSEDED)
+        return decision.outcome not in provisional_outcomes
 
     def is_durable(self, claim: Claim | None) -> bool:
         """Says whether a claim's last change is known to be written."""
@@ -150,44 +154,44 @@
 
     async def flush(self) -> None:
         """Writes the first open batch and answers its waiters."""
-        if not self.open and not self.store_down:
+        if not self.open_batches and not self.store_down:
             return
-        if not self.open:
-            self.open.append(OpenBatch())
-        batch = self.in_flight = self.open.popleft()
-        if self.open:
+        if not self.open_batches:
+            self.open_batches.append(OpenBatch())
+        batch = self.in_flight = self.open_batches.popleft()
+        if self.open_batches:
             self.wake.set()
         if batch.ops:
             await self.write_and_compact(self.make_batch(batch.ops))
         else:
-            await self.confirm()
+            await self.confirm_epoch()
         self.in_flight = None
-        self.answer(batch)
+        self.resolve_waiters(batch)
 
     async def write(self, batch: Batch) -> None:
         """Writes a batch until it is durable or the epoch is lost."""
         while not self.lost:
             result = await self.write_once(batch)
-            self.note(result)
+            self.record_flush(result)
             if result is FlushResult.DURABLE:
                 self.durable_sequence = batch.sequence
                 self.outage.release(batch.ops)
                 return
             if result is FlushResult.EPOCH_LOST:
-                self.lose()
+                self.mark_lost()
                 return
             self.metrics.count("claims.retry.store_down")
-            await self.clock.sleep(RETRY_PAUSE_S)
+            await self.clock.sleep(RETRY_INTERVAL_S)
 
-    def note(self, result: FlushResult) -> None:
+    def record_flush(self, result: FlushResult) -> None:
         """Notes whether the store is down, and answers who need not wait."""
         self.store_down = result is FlushResult.STORE_DOWN
         if not self.store_down:
             return
         self.wake.set()  # So that the store is tried again.
-        for batch in [self.in_flight, *self.open]:
+        for batch in [self.in_flight, *self.open_batches]:
             if batch is not None:
-                self.relieve(batch)
+                self.reply_in_outage(batch)
 
     def make_batch(self, ops: list[ClaimOp | SettleOp]) -> Batch:
         """Returns the next batch of the log."""
@@ -201,7 +205,7 @@
         self.next_sequence += 1
         return batch
 
-    async def confirm(self) -> None:
+    async def confirm_epoch(self) -> None:
         """Makes sure of the epoch, for decisions that write nothing.
 
         An owner that was paused may decide from a book that is out of date.
@@ -209,11 +213,11 @@
         try:
             row = await self.table.get(lease_key(self.shard))
         except StoreUnavailableError:
-            self.note(FlushResult.STORE_DOWN)
+            self.record_flush(FlushResult.STORE_DOWN)
             return
-        self.note(FlushResult.DURABLE)
-        if not self.still_holds(row):
-            self.lose()
+        self.record_flush(FlushResult.DURABLE)
+        if not self.holds_lease(row):
+            self.mark_lost()
 
     async def close(self) -> bool:
         """Takes nothing more and writes what is queued.
@@ -222,12 +226,12 @@
           True if the log has everything that was decided here.
         """
         self.closing = True
-        end = self.clock.monotonic() + CLOSE_LIMIT_S
-        while self.open or self.in_flight is not None:
+        end = self.clock.monotonic() + CLOSE_TIMEOUT_S
+        while self.open_batches or self.in_flight is not None:
             if self.lost or self.clock.monotonic() > end:
                 return False
             self.wake.set()
-            await self.clock.sleep(CLOSE_PAUSE_S)
+            await self.clock.sleep(CLOSE_POLL_INTERVAL_S)
         return not self.lost
 
     # Compaction.
@@ -235,7 +239,7 @@
     async def write_and_compact(self, batch: Batch) -> None:
         """Writes a batch, and compacts the log when it is time."""
         image = None
-        if self.compactor is not None and not self.open:
+        if self.compactor is not None and not self.open_batches:
             # Nothing behind this batch is in the book yet.
             image = self.compactor.capture(batch, self.lease, self.book.claims)
         await self.write(batch)
@@ -243,14 +247,14 @@
             return
         if image is not None:
             self.spawn(self.compactor.prepare(image, self.lease))
-            self.end_abandoned(image.stale_running)
+            self.settle_abandoned(image.stale_running)
         elif self.compactor.prepared is not None:
             await self.commit_compaction(self.compactor.prepared)
 
     async def commit_compaction(self, compacted: PreparedCompaction) -> None:
         """Moves the lease row on to a snapshot; forgets what it left out."""
         await self.replace_lease(compacted.lease, compacted.puts)
-        await self.confirm()
+        await self.confirm_epoch()
         if self.lease != compacted.lease:
             return  # Not known yet; it is written again after a later batch.
         for claim_id, claim in compacted.image.expired.items():
@@ -259,25 +263,25 @@
         assert self.compactor is not None
         self.spawn(self.compactor.finish(compacted))
 
-    def end_abandoned(self, old: Mapping[ClaimId, Claim]) -> None:
+    def settle_abandoned(self, old: Mapping[ClaimId, Claim]) -> None:
         """Ends claims whose holder died and whose key nobody repeated."""
         for (workspace, key), claim in old.items():
             latest = self.book.claims.get((workspace, key))
             if latest is not claim or self.alive(claim.holder):
                 continue
             unknown = ClaimResult.UNKNOWN
-            self.add(SettleOp(workspace, key, claim.attempt, unknown))
+            self.enqueue(SettleOp(workspace, key, claim.attempt, unknown))
             self.metrics.count("claims.abandoned")
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
         """Runs work beside the writing of batches."""
         task = asyncio.get_running_loop().create_task(work)
-        self.beside.add(task)
-        task.add_done_callback(self.beside.discard)
+        self.background_tasks.add(task)
+        task.add_done_callback(self.background_tasks.discard)
 
     # Answers.
 
-    def relieve(self, batch: OpenBatch) -> None:
+    def reply_in_outage(self, batch: OpenBatch) -> None:
         """Answers, in an outage, those who need not or must not wait."""
         waiters, batch.waiters = batch.waiters, []
         for waiter in waiters:
@@ -288,28 +292,28 @@
                 batch.waiters.append(waiter)
             elif not waiter.future.done():
                 waiter.future.set_result(reply)
-            self.take_back(waiter.decision.op)
+            self.release_refused(waiter.decision.op)
 
-    def take_back(self, op: ClaimOp | SettleOp | None) -> None:
+    def release_refused(self, op: ClaimOp | SettleOp | None) -> None:
         """Ends an ask that was refused though it may become durable."""
         if isinstance(op, ClaimOp) and not op.idempotent:
-            self.add(release_op(op))
+            self.enqueue(release_op(op))
 
-    def answer(self, batch: OpenBatch) -> None:
+    def resolve_waiters(self, batch: OpenBatch) -> None:
         """Gives waiters their decisions, or None if the epoch was lost."""
         for waiter in batch.waiters:
             if not waiter.future.done():
                 waiter.future.set_result(None if self.lost else waiter.decision)
 
-    def lose(self) -> None:
+    def mark_lost(self) -> None:
         """Gives up the shard; nothing more is granted or settled here."""
         if self.lost:
             return
         self.lost = True
         self.metrics.count("claims.epoch_lost")
         log.warning("Epoch lost.", shard=self.shard, epoch=self.lease.epoch)
-        for batch in [self.in_flight, *self.open]:
+        for batch in [self.in_flight, *self.open_batches]:
             if batch is not None:
-                self.answer(batch)
-        self.open.clear()
+                self.resolve_waiters(batch)
+        self.open_batches.clear()
         self.wake.set()
--- a/tests/failure/test_claims_outage.py
+++ b/tests/failure/test_claims_outage.py
@@ -115,7 +115,7 @@
 
 
 def test_full_queue_refuses_at_once_and_recovers(monkeypatch):
-    monkeypatch.setattr(owner, "PENDING_BYTES", 5 * pending.OP_BYTES)
+    monkeypatch.setattr(owner, "MAX_PENDING_BYTES", 5 * pending.OP_BYTES)
 
     async def run():
         fleet = await down_fleet(shards=1)
--- a/tests/failure/test_claims_switched_off.py
+++ b/tests/failure/test_claims_switched_off.py
@@ -101,10 +101,10 @@
 def no_confirming(patch):
     """Decisions that write nothing are given without a look at the lease."""
 
-    async def confirm(self):
+    async def confirm_epoch(self):
         return None
 
-    patch.setattr(owner.ShardOwner, "confirm", confirm)
+    patch.setattr(owner.ShardOwner, "confirm_epoch", confirm_epoch)
 
 
 def no_asking_of_peers(patch):
--- a/tests/lib/claim_machine.py
+++ b/tests/lib/claim_machine.py
@@ -149,7 +149,9 @@
         return [
             number
             for number, owner in enumerate(self.owners)
-            if owner and not owner.lost and (owner.open or owner.in_flight)
+            if owner
+            and not owner.lost
+            and (owner.open_batches or owner.in_flight)
         ]
 
     def serving(self):
--- a/tests/lib/fleet.py
+++ b/tests/lib/fleet.py
@@ -380,7 +380,7 @@
         for node in self.nodes.values():
             shard = node.claims.shard_of("desk", key)
             owner = node.claims.ownership.owners.get(shard)
-            if owner is not None and not owner.gone:
+            if owner is not None and not owner.not_serving:
                 return node
         return None
 
@@ -392,7 +392,7 @@
                 shard
                 for node in self.working()
                 for shard, owner in node.claims.ownership.owners.items()
-                if not owner.gone
+                if not owner.not_serving
             )
             if len(owned) == self.sizes.claim_shards:
                 await asyncio.sleep(1.0)  # Until each node read the rows.
--- a/tests/unit/test_claims_compaction.py
+++ b/tests/unit/test_claims_compaction.py
@@ -62,7 +62,7 @@
     while not task.done():
         await owner.flush()
         await asyncio.sleep(0)
-    while owner.beside:
+    while owner.background_tasks:
         await asyncio.sleep(0)
     return task.result()
 
