--- a/src/rattanpier/_internal/claims/book.py
+++ b/src/rattanpier/_internal/claims/book.py
@@ -123,10 +123,10 @@
             return Decision(ClaimOutcome.RUNNING, claim)
         if claim.idempotent and ask.idempotent:
             return self.grant(ask, claim.attempt + 1)
-        lost = SettleOp(
+        unknown_op = SettleOp(
             ask.workspace, ask.key, claim.attempt, ClaimResult.UNKNOWN
         )
-        return Decision(ClaimOutcome.UNKNOWN, claim, lost)
+        return Decision(ClaimOutcome.UNKNOWN, claim, unknown_op)
 
     def grant(self, ask: Ask, attempt: int) -> Decision:
         """Returns the grant of a new attempt."""
@@ -138,9 +138,9 @@
             ask.idempotent,
             ask.digest,
         )
-        before = self.claims.get((ask.workspace, ask.key))
-        fresh = before is None or before.result is ClaimResult.RELEASED
-        return Decision(ClaimOutcome.GRANTED, None, op, not_run=fresh)
+        previous = self.claims.get((ask.workspace, ask.key))
+        not_run = previous is None or previous.result is ClaimResult.RELEASED
+        return Decision(ClaimOutcome.GRANTED, None, op, not_run=not_run)
 
     def settle(self, op: SettleOp) -> Decision:
         """Decides whether an attempt may end a claim.
@@ -178,16 +178,16 @@
           The operations to be logged; none if the claim is answered already,
           so that a bill restored twice is billed once.
         """
-        present = self.claims.get((claim.workspace, claim.key))
-        if present is not None and present.result is ClaimResult.ANSWERED:
+        current = self.claims.get((claim.workspace, claim.key))
+        if current is not None and current.result is ClaimResult.ANSWERED:
             return []
         if (
-            present is not None
-            and present.holder == claim.holder
-            and present.result is ClaimResult.RUNNING
+            current is not None
+            and current.holder == claim.holder
+            and current.result is ClaimResult.RUNNING
         ):
-            return [attrs.evolve(settle, attempt=present.attempt)]
-        attempt = present.attempt + 1 if present else claim.attempt
+            return [attrs.evolve(settle, attempt=current.attempt)]
+        attempt = current.attempt + 1 if current else claim.attempt
         return [
             attrs.evolve(claim, attempt=attempt),
             attrs.evolve(settle, attempt=attempt),
--- a/src/rattanpier/_internal/claims/messages.py
+++ b/src/rattanpier/_internal/claims/messages.py
@@ -43,10 +43,10 @@
     decision = await owner.ask(ask)
     if decision is None:
         return None
-    return peer_pb2.Reply(claim=describe_claim(decision))
+    return peer_pb2.Reply(claim=encode_claim_reply(decision))
 
 
-def describe_claim(decision: Decision) -> peer_pb2.ClaimReply:
+def encode_claim_reply(decision: Decision) -> peer_pb2.ClaimReply:
     """Returns the message for a decision on a claim."""
     reply = peer_pb2.ClaimReply(
         outcome=str(decision.outcome.value),
@@ -79,11 +79,11 @@
     )
     if op.attempt == ANY_ATTEMPT:
         decision = await owner.disown(op, body.holder)
-    elif is_anothers(owner, body):
+    elif is_held_by_another(owner, body):
         decision = Decision(SettleOutcome.SUPERSEDED)
     else:
         decision = await owner.settle(op)
-    return describe_settle(decision)
+    return encode_settle_reply(decision)
 
 
 def encode_bill(bill: Bill | None) -> peer_pb2.Bill | None:
@@ -112,7 +112,7 @@
     )
 
 
-def is_anothers(owner: ShardOwner, body: peer_pb2.SettleRequest) -> bool:
+def is_held_by_another(owner: ShardOwner, body: peer_pb2.SettleRequest) -> bool:
     """Says whether an attempt is another holder's.
 
     Attempts count from 1 again once a claim was forgotten.
@@ -128,10 +128,10 @@
 ) -> peer_pb2.Reply | None:
     """Takes in a bill that a peer kept."""
     decision = await owner.restore(decode(PendingBill, body.record))
-    return describe_settle(decision)
+    return encode_settle_reply(decision)
 
 
-def describe_settle(decision: Decision | None) -> peer_pb2.Reply | None:
+def encode_settle_reply(decision: Decision | None) -> peer_pb2.Reply | None:
     """Returns the message for a decision on a settlement."""
     if decision is None:
         return None
--- a/src/rattanpier/_internal/claims/owner_calls.py
+++ b/src/rattanpier/_internal/claims/owner_calls.py
@@ -14,9 +14,11 @@
 from rattanpier._internal.utils.clock import Clock
 from rattanpier._internal.utils.metrics import Metrics
 
-RETRY_S = 0.05  # Between tries to reach a shard's owner.
-TRY_S = 1.0  # For one try; the owner may be frozen and replaced meanwhile.
-OUTAGE_TRIES = 2  # With the store down, no new owner will come.
+RETRY_INTERVAL_S = 0.05  # Between tries to reach a shard's owner.
+CALL_TIMEOUT_S = (
+    1.0  # For one try; the owner may be frozen and replaced meanwhile.
+)
+MAX_OUTAGE_TRIES = 2  # With the store down, no new owner will come.
 NOT_OWNER = "not_owner"
 
 
@@ -34,7 +36,7 @@
     clock: Clock
     metrics: Metrics
 
-    async def reach(
+    async def call_owner(
         self, shard: int, call: peer_pb2.Call, timeout_s: float
     ) -> peer_pb2.Reply | None:
         """Carries a call to a shard's owner, following changes of owner.
@@ -43,16 +45,18 @@
         """
         end = self.clock.monotonic() + timeout_s
         tries = 0
-        while (left := end - self.clock.monotonic()) > 0:
-            reply = await self.try_owner(shard, call, min(left, TRY_S))
+        while (remaining_s := end - self.clock.monotonic()) > 0:
+            reply = await self.try_owner(
+                shard, call, min(remaining_s, CALL_TIMEOUT_S)
+            )
             if reply is not None:
                 return reply
             tries += 1
-            if not self.ownership.reachable and tries >= OUTAGE_TRIES:
+            if not self.ownership.reachable and tries >= MAX_OUTAGE_TRIES:
                 self.metrics.count("claims.refused.no_owner")
                 return None
             self.metrics.count("claims.retry.owner")
-            await self.clock.sleep(RETRY_S)
+            await self.clock.sleep(RETRY_INTERVAL_S)
             await self.ownership.refresh(shard)
         return None
 
--- a/src/rattanpier/_internal/claims/ownership.py
+++ b/src/rattanpier/_internal/claims/ownership.py
@@ -42,17 +42,19 @@
 
 log = structlog.get_logger(part="claims")
 
-ASK_PEERS_S = 0.2  # Between questions to peers until they agree.
-MAINTAIN_S = 0.5  # Between looks at the lease rows, at the least.
-LOOKS_PER_S = 200.0  # Looks at the lease rows by the whole fleet.
-REFRESH_S = 0.1  # Between reads of one lease row after a failed call.
-TAKE_ANY_S = 3.0  # A shard free for so long is taken by any entry.
-SETTLED_S = 3.0  # A better owner has to be known for so long.
+PEER_CHECK_INTERVAL_S = 0.2  # Between questions to peers until they agree.
+MIN_MAINTAIN_INTERVAL_S = 0.5  # Between looks at the lease rows, at the least.
+MAX_FLEET_READS_PER_S = 200.0  # Looks at the lease rows by the whole fleet.
+MIN_REFRESH_INTERVAL_S = (
+    0.1  # Between reads of one lease row after a failed call.
+)
+ANY_ENTRY_AFTER_S = 3.0  # A shard free for so long is taken by any entry.
+HAND_OVER_DELAY_S = 3.0  # A better owner has to be known for so long.
 LEASE_PREFIX = "shard/"
 
 
 @attrs.frozen
-class Seen:
+class KnownLease:
     """A lease row as last read."""
 
     lease: ShardLease
@@ -65,12 +67,12 @@
 
     Attributes:
       owners: Shards this process owns.
-      seen: Lease rows as last read, by shard.
+      known_leases: Lease rows as last read, by shard.
       free_since: When a shard was first seen without a live owner.
-      better_since: When an owned shard was first seen to belong elsewhere.
+      misplaced_since: When an owned shard was first seen to belong elsewhere.
       reachable: False while the lease rows can't be read.
       reachable_since: When they could be read again.
-      acquainted: Whether a live owner of each shard was known at some time.
+      owners_known: Whether a live owner of each shard was known at some time.
         Without one a request can't be claimed, and while the store is away
         nobody tells of owners: an entry takes callers only from then on.
       wake: Set to look at the rows at once.
@@ -86,13 +88,13 @@
     outage: Outage
     objects: Objects
     owners: dict[int, ShardOwner] = attrs.Factory(dict)
-    seen: dict[int, Seen] = attrs.Factory(dict)
+    known_leases: dict[int, KnownLease] = attrs.Factory(dict)
     free_since: dict[int, float] = attrs.Factory(dict)
-    better_since: dict[int, float] = attrs.Factory(dict)
+    misplaced_since: dict[int, float] = attrs.Factory(dict)
     read_at: dict[int, float] = attrs.Factory(dict)
     reachable: bool = True
     reachable_since: float = 0.0
-    acquainted: bool = False
+    owners_known: bool = False
     wake: asyncio.Event = attrs.Factory(asyncio.Event)
 
     @property
@@ -113,7 +115,9 @@
     @property
     def pause_s(self) -> float:
         """Seconds between looks; the fleet's reads stay within a budget."""
-        return max(MAINTAIN_S, self.fleet.size / LOOKS_PER_S)
+        return max(
+            MIN_MAINTAIN_INTERVAL_S, self.fleet.size / MAX_FLEET_READS_PER_S
+        )
 
     async def run(self) -> None:
         """Takes shards over and gives them up until the end."""
@@ -128,18 +132,22 @@
         try:
             await self.read_while_asking()
         except StoreUnavailableError:
-            await self.note_outage()
+            await self.record_outage()
             return
-        self.note_reachable()
+        self.record_reachable()
         shards = range(self.fleet.claim_shards)
         await asyncio.gather(
-            *(self.take(shard) for shard in shards if self.should_take(shard))
+            *(
+                self.acquire_shard(shard)
+                for shard in shards
+                if self.should_acquire(shard)
+            )
         )
         for shard in list(self.owners):
             if self.should_hand_over(shard):
                 await self.hand_over(shard)
-        await self.free_left_over()
-        self.acquainted = self.acquainted or self.knows_owners()
+        await self.free_leftover_leases()
+        self.owners_known = self.owners_known or self.knows_all_owners()
 
     # The store.
 
@@ -156,7 +164,9 @@
         reading = asyncio.ensure_future(self.read_rows())
         try:
             while not (self.reachable or self.outage.confirmed):
-                done, _ = await asyncio.wait({reading}, timeout=ASK_PEERS_S)
+                done, _ = await asyncio.wait(
+                    {reading}, timeout=PEER_CHECK_INTERVAL_S
+                )
                 if done:
                     break
                 await self.ask_peers()
@@ -164,7 +174,7 @@
         finally:
             reading.cancel()
 
-    async def note_outage(self) -> None:
+    async def record_outage(self) -> None:
         """Notes that the store is down, and asks peers whether it is."""
         if self.reachable:
             log.warning("Lease rows can't be read.")
@@ -178,7 +188,7 @@
             for owner in self.owners.values():
                 owner.record_flush(FlushResult.STORE_DOWN)
 
-    def note_reachable(self) -> None:
+    def record_reachable(self) -> None:
         """Notes that the store answers."""
         self.outage.confirmed = False
         if not self.reachable:
@@ -190,7 +200,7 @@
         """Reads all lease rows."""
         rows = await scan_all(self.table, LEASE_PREFIX)
         for row in rows:
-            self.see(int(row.key.removeprefix(LEASE_PREFIX)), row)
+            self.apply_lease_row(int(row.key.removeprefix(LEASE_PREFIX)), row)
         present = {int(row.key.removeprefix(LEASE_PREFIX)) for row in rows}
         for shard in set(self.owners) - present:
             self.owners[shard].mark_lost()
@@ -201,18 +211,21 @@
     async def refresh(self, shard: int) -> None:
         """Reads one lease row again after its owner could not be reached."""
         now = self.clock.monotonic()
-        if now - self.read_at.get(shard, -REFRESH_S) < REFRESH_S:
+        if (
+            now - self.read_at.get(shard, -MIN_REFRESH_INTERVAL_S)
+            < MIN_REFRESH_INTERVAL_S
+        ):
             return
         self.read_at[shard] = now
         with contextlib.suppress(StoreUnavailableError):
             row = await self.table.get(lease_key(shard))
-            self.note_reachable()
+            self.record_reachable()
             if row is not None:
-                self.see(shard, row)
+                self.apply_lease_row(shard, row)
 
-    def see(self, shard: int, row: Row) -> None:
+    def apply_lease_row(self, shard: int, row: Row) -> None:
         """Takes in a lease row; gives up a shard that has another owner."""
-        before = self.seen.get(shard)
+        before = self.known_leases.get(shard)
         if before is not None and before.version >= row.version:
             return
         try:
@@ -221,7 +234,7 @@
             self.metrics.count("claims.lease_unreadable")
             log.error("Lease row is not readable.", shard=shard)
             return
-        self.seen[shard] = Seen(lease, row.version)
+        self.known_leases[shard] = KnownLease(lease, row.version)
         self.free_since.pop(shard, None)
         owner = self.owners.get(shard)
         if owner is not None and lease.epoch > owner.lease.epoch:
@@ -229,19 +242,21 @@
 
     # Taking over.
 
-    def should_take(self, shard: int) -> bool:
+    def should_acquire(self, shard: int) -> bool:
         """Says whether this entry is to own a shard that has no owner."""
         if shard in self.owners or self.me.state is MemberState.LEAVING:
             return False
-        seen = self.seen.get(shard)
-        if seen is not None and self.has_owner(seen.lease):
+        known = self.known_leases.get(shard)
+        if known is not None and self.has_owner(known.lease):
             self.free_since.pop(shard, None)
             return False
-        if seen is not None and self.is_mine(seen.lease):
+        if known is not None and self.is_mine(known.lease):
             return True
         now = self.clock.monotonic()
         free_s = now - self.free_since.setdefault(shard, now)
-        return self.preferred(shard) == self.me.name or free_s >= TAKE_ANY_S
+        return (
+            self.preferred(shard) == self.me.name or free_s >= ANY_ENTRY_AFTER_S
+        )
 
     def has_owner(self, lease: ShardLease) -> bool:
         """Says whether a lease's owner is alive, and another process.
@@ -263,7 +278,7 @@
         names = [member.name for member in self.members.entries()]
         return next(iter(rendezvous(f"shard-{shard}", names)), "")
 
-    async def take(self, shard: int) -> None:
+    async def acquire_shard(self, shard: int) -> None:
         """Takes a shard over and starts to serve it."""
         try:
             owner = await self.make_owner(shard)
@@ -284,19 +299,19 @@
         Raises:
           StoreUnavailableError: The log can't be read.
         """
-        seen = self.seen.get(shard)
+        known = self.known_leases.get(shard)
         row = (
-            Row(lease_key(shard), seen.version, encode(seen.lease))
-            if seen
+            Row(lease_key(shard), known.version, encode(known.lease))
+            if known
             else None
         )
-        obtained = await acquire(
+        acquired = await acquire(
             self.table, shard, row, self.me.name, self.me.incarnation
         )
-        if obtained is None:
+        if acquired is None:
             return None
-        lease, version = obtained
-        self.seen[shard] = Seen(lease, version)
+        lease, version = acquired
+        self.known_leases[shard] = KnownLease(lease, version)
         book, sequence = await recover(self.table, shard, self.objects)
         owner = ShardOwner(
             shard=shard,
@@ -312,8 +327,8 @@
             next_sequence=sequence,
             compactor=await self.make_compactor(shard, lease),
         )
-        if seen is not None and seen.lease.owner:
-            for bill in await self.outage.collect(seen.lease.owner, shard):
+        if known is not None and known.lease.owner:
+            for bill in await self.outage.collect(known.lease.owner, shard):
                 owner.enqueue_pending_bill(bill)
         return owner
 
@@ -335,15 +350,15 @@
 
     def owner_member(self, shard: int) -> Member | None:
         """Returns the live owner of a shard, as far as is known."""
-        seen = self.seen.get(shard)
-        if seen is None:
+        known = self.known_leases.get(shard)
+        if known is None:
             return None
-        member = self.live.get(seen.lease.owner)
-        if member is None or member.incarnation != seen.lease.incarnation:
+        member = self.live.get(known.lease.owner)
+        if member is None or member.incarnation != known.lease.incarnation:
             return None
         return member
 
-    def knows_owners(self) -> bool:
+    def knows_all_owners(self) -> bool:
         """Says whether each shard has a live owner, as far as is known."""
         return all(
             shard in self.owners or self.owner_member(shard) is not None
@@ -354,14 +369,17 @@
 
     def should_hand_over(self, shard: int) -> bool:
         """Says whether another entry should own a shard by now."""
-        better = self.preferred(shard)
-        if better in ("", self.me.name):
-            self.better_since.pop(shard, None)
+        preferred = self.preferred(shard)
+        if preferred in ("", self.me.name):
+            self.misplaced_since.pop(shard, None)
             return False
         if self.me.state is MemberState.LEAVING:
             return True
         now = self.clock.monotonic()
-        return now - self.better_since.setdefault(shard, now) >= SETTLED_S
+        return (
+            now - self.misplaced_since.setdefault(shard, now)
+            >= HAND_OVER_DELAY_S
+        )
 
     async def hand_over(self, shard: int) -> None:
         """Gives a shard up once all that was decided is in its log."""
@@ -370,13 +388,15 @@
             return
         clean = await owner.close()
         self.owners.pop(shard, None)
-        self.better_since.pop(shard, None)
+        self.misplaced_since.pop(shard, None)
         if not clean:
             log.warning("Shard given up with writes open.", shard=shard)
         owner.mark_lost()
-        await self.free(shard, owner.lease, owner.lease_version)
+        await self.free_shard(shard, owner.lease, owner.lease_version)
 
-    async def free(self, shard: int, lease: ShardLease, version: int) -> None:
+    async def free_shard(
+        self, shard: int, lease: ShardLease, version: int
+    ) -> None:
         """Writes that a shard has no owner, and tells the next one."""
         key = lease_key(shard)
         lease = attrs.evolve(lease, owner="", incarnation="")
@@ -387,21 +407,21 @@
             return  # The next look finds it left over.
         self.metrics.count("claims.handed_over")
         log.info("Shard handed over.", shard=shard)
-        self.tell(shard)
+        self.notify_next_owner(shard)
 
-    async def free_left_over(self) -> None:
+    async def free_leftover_leases(self) -> None:
         """Frees, on leaving, shards that are still in this process's name."""
         if self.me.state is not MemberState.LEAVING:
             return
-        for shard, seen in list(self.seen.items()):
-            if self.is_mine(seen.lease) and shard not in self.owners:
-                await self.free(shard, seen.lease, seen.version)
+        for shard, known in list(self.known_leases.items()):
+            if self.is_mine(known.lease) and shard not in self.owners:
+                await self.free_shard(shard, known.lease, known.version)
 
     async def hand_over_all(self) -> None:
         """Gives up every shard, for a planned stop."""
         await asyncio.gather(*(self.hand_over(shard) for shard in self.owners))
 
-    def tell(self, shard: int) -> None:
+    def notify_next_owner(self, shard: int) -> None:
         """Tells the next owner of a shard that it is free."""
         member = self.live.get(self.preferred(shard))
         if member is None or member.name == self.me.name:
@@ -409,6 +429,6 @@
         notice = peer_pb2.Notice(shard_free=peer_pb2.ShardFree(shard=shard))
         self.links.to(member).notify(notice)
 
-    def take_free(self, _notice: peer_pb2.Notice) -> None:
+    def on_shard_free(self, _notice: peer_pb2.Notice) -> None:
         """Looks at the rows at once when a peer freed a shard."""
         self.wake.set()
--- a/src/rattanpier/_internal/claims/service.py
+++ b/src/rattanpier/_internal/claims/service.py
@@ -14,7 +14,7 @@
     encode_bill,
 )
 from rattanpier._internal.claims.outage import Outage
-from rattanpier._internal.claims.owner_calls import TRY_S, OwnerCalls
+from rattanpier._internal.claims.owner_calls import CALL_TIMEOUT_S, OwnerCalls
 from rattanpier._internal.claims.ownership import Ownership
 from rattanpier._internal.claims.pending import OUTAGE_RETRY_AFTER_S
 from rattanpier._internal.claims.records import (
@@ -39,9 +39,9 @@
 
 log = structlog.get_logger(part="claims")
 
-FLUSH_PAUSE_S = 0.5  # Between looks at the bills kept for peers.
-DISOWN_PAUSE_S = 1.0  # Between tries to end a claim in the background.
-DISOWN_LIMIT_S = 3600.0  # Then the claim is left to the owner's sweep.
+FLUSH_INTERVAL_S = 0.5  # Between looks at the bills kept for peers.
+DISOWN_RETRY_INTERVAL_S = 1.0  # Between tries to end a claim in the background.
+DISOWN_TIMEOUT_S = 3600.0  # Then the claim is left to the owner's sweep.
 MAX_DISOWNING = 10_000  # Claims ended in the background at once.
 
 
@@ -80,7 +80,7 @@
     Attributes:
       objects: Where snapshots and bills of compacted logs are kept.
       ownership: Which shards this process owns, and who the others.
-      owners: Carries calls to the owners of shards.
+      owner_calls: Carries calls to the owners of shards.
       outage: What this process does while the store is down.
       kept_bills: Bills that this process keeps for others meanwhile.
       disowning: Tasks that end claims in the background.
@@ -127,7 +127,7 @@
             takes_self=True,
         )
     )
-    owners: OwnerCalls = attrs.field(
+    owner_calls: OwnerCalls = attrs.field(
         default=attrs.Factory(
             lambda self: OwnerCalls(
                 self.ownership, self.links, self.clock, self.metrics
@@ -172,7 +172,7 @@
             digest=ask.digest,
         )
         shard = self.shard_of(ask.workspace, ask.key)
-        reply = await self.owners.reach(
+        reply = await self.owner_calls.call_owner(
             shard, peer_pb2.Call(claim=body), timeout_s
         )
         if reply is None:
@@ -211,7 +211,7 @@
             answer=encode(op.answer).encode() if op.answer else b"",
         )
         shard = self.shard_of(op.workspace, op.key)
-        reply = await self.owners.reach(
+        reply = await self.owner_calls.call_owner(
             shard, peer_pb2.Call(settle=body), timeout_s
         )
         return None if reply is None else reply.settle
@@ -238,14 +238,14 @@
     async def disown_until_known(self, ask: Ask, result: ClaimResult) -> None:
         """Ends a holder's claim; repeats until that is durable."""
         op = SettleOp(ask.workspace, ask.key, ANY_ATTEMPT, result)
-        end = self.clock.monotonic() + DISOWN_LIMIT_S
+        end = self.clock.monotonic() + DISOWN_TIMEOUT_S
         while self.clock.monotonic() < end:
-            reply = await self.send_settle(op, ask.holder, TRY_S)
+            reply = await self.send_settle(op, ask.holder, CALL_TIMEOUT_S)
             known = reply is not None and reply.durable
             if known and reply.outcome != SettleOutcome.UNAVAILABLE:
                 self.metrics.count("claims.disowned")
                 return
-            await self.clock.sleep(DISOWN_PAUSE_S)
+            await self.clock.sleep(DISOWN_RETRY_INTERVAL_S)
 
     async def lookup(
         self, workspace: str, key: str, timeout_s: float
@@ -253,7 +253,7 @@
         """Asks for a claim's state; None if its owner can't be reached."""
         body = peer_pb2.LookupRequest(workspace=workspace, key=key)
         shard = self.shard_of(workspace, key)
-        reply = await self.owners.reach(
+        reply = await self.owner_calls.call_owner(
             shard, peer_pb2.Call(lookup=body), timeout_s
         )
         return None if reply is None else reply.lookup
@@ -268,7 +268,7 @@
         """
         body = getattr(call, call.WhichOneof("body") or "")
         shard = self.shard_of(body.workspace, body.key)
-        return await self.owners.serve(shard, call)
+        return await self.owner_calls.serve(shard, call)
 
     async def serve_hold(self, call: peer_pb2.Call) -> peer_pb2.Reply:
         """Keeps a bill for a peer, or takes one in as a shard's owner.
@@ -280,7 +280,7 @@
             return await self.kept_bills.serve(call)
         bill = decode(PendingBill, call.hold.record)
         shard = self.shard_of(bill.claim.workspace, bill.claim.key)
-        return await self.owners.serve(shard, call)
+        return await self.owner_calls.serve(shard, call)
 
     # Bills kept for peers.
 
@@ -288,7 +288,7 @@
         """Flushes kept bills whenever the store is back."""
         while not self.kernel.stopping.is_set():
             await self.flush_kept()
-            await self.clock.sleep(FLUSH_PAUSE_S)
+            await self.clock.sleep(FLUSH_INTERVAL_S)
 
     async def flush_kept(self) -> None:
         """Hands what is still kept to the owners of its shards.
@@ -306,4 +306,6 @@
         """Sends a kept bill to its shard's owner; None if there is none."""
         body = peer_pb2.HoldRequest(flush=True, record=encode(bill).encode())
         shard = self.shard_of(bill.claim.workspace, bill.claim.key)
-        return await self.owners.reach(shard, peer_pb2.Call(hold=body), TRY_S)
+        return await self.owner_calls.call_owner(
+            shard, peer_pb2.Call(hold=body), CALL_TIMEOUT_S
+        )
--- a/src/rattanpier/_internal/claims/takeover.py
+++ b/src/rattanpier/_internal/claims/takeover.py
@@ -93,8 +93,8 @@
     if snapshot:
         book = await read_claims(objects or TableObjects(table), snapshot)
     sequence = first - 1
-    behind = log_key(shard, sequence)
-    for found in await scan_all(table, log_prefix(shard), behind):
+    after_key = log_key(shard, sequence)
+    for found in await scan_all(table, log_prefix(shard), after_key):
         batch = decode(Batch, found.value)
         if batch.sequence != sequence + 1:
             raise StoreUnavailableError(f"log of shard {shard} has a gap")
--- a/src/rattanpier/_internal/edge/app.py
+++ b/src/rattanpier/_internal/edge/app.py
@@ -117,7 +117,7 @@
         """`GET /readyz`: the entry takes new callers."""
         ready = (
             self.chat.runner.dispatcher.current()
-            and self.chat.runner.claims.ownership.acquainted
+            and self.chat.runner.claims.ownership.owners_known
             and self.members.me.state is MemberState.LIVE
         )
         return web.json_response(
--- a/src/rattanpier/_internal/programs/entry.py
+++ b/src/rattanpier/_internal/programs/entry.py
@@ -180,7 +180,7 @@
     for kind in CLAIM_CALLS:
         server.on_call(kind, claims.serve_call)
     server.on_call("hold", claims.serve_hold)
-    server.on_notice("shard_free", claims.ownership.take_free)
+    server.on_notice("shard_free", claims.ownership.on_shard_free)
     kernel.find("drain").add(
         DrainPhase.HAND_OVER, "claim shards", claims.hand_over
     )
--- a/tests/failure/test_claims_ownership.py
+++ b/tests/failure/test_claims_ownership.py
@@ -215,7 +215,7 @@
         node.freeze()
         await asyncio.sleep(8)
         node.thaw()
-        await node.claims.ownership.free(shard, lease, version)
+        await node.claims.ownership.free_shard(shard, lease, version)
         assert owned(fleet)[shard].owner not in ("", node.member.name)
 
     run_virtual(run())
@@ -285,13 +285,13 @@
         fleet.faults.down = True
         late = fleet.start("entry-late")
         await asyncio.sleep(4.0)
-        assert not late.claims.ownership.acquainted
+        assert not late.claims.ownership.owners_known
         fleet.faults.down = False
         await asyncio.sleep(4.0)
-        assert late.claims.ownership.acquainted
+        assert late.claims.ownership.owners_known
         fleet.faults.down = True
         await asyncio.sleep(4.0)
-        assert late.claims.ownership.acquainted
+        assert late.claims.ownership.owners_known
         assert isinstance(await late.answer("k"), str)
 
     run_virtual(run())
@@ -315,16 +315,18 @@
         while not fleet.runs["k"]:
             await asyncio.sleep(0.001)
         before.claims.ownership.reachable = False
-        await after.claims.ownership.take(after.claims.shard_of("desk", "k"))
+        await after.claims.ownership.acquire_shard(
+            after.claims.shard_of("desk", "k")
+        )
         assert isinstance(await answer, str)
         assert fleet.runs["k"] == 1
 
     run_virtual(run())
 
 
-@pytest.mark.parametrize("acquainted", [False, True])
-async def test_an_entry_is_ready_once_it_knows_the_owners(acquainted):
-    ownership = SimpleNamespace(acquainted=acquainted)
+@pytest.mark.parametrize("owners_known", [False, True])
+async def test_an_entry_is_ready_once_it_knows_the_owners(owners_known):
+    ownership = SimpleNamespace(owners_known=owners_known)
     runner = SimpleNamespace(
         claims=SimpleNamespace(ownership=ownership),
         dispatcher=SimpleNamespace(current=lambda: True),
@@ -339,4 +341,4 @@
         settings=EdgeSettings(),
     )
     answer = await edge.ready(None)
-    assert answer.status == (200 if acquainted else 503)
+    assert answer.status == (200 if owners_known else 503)
--- a/tests/lib/fleet.py
+++ b/tests/lib/fleet.py
@@ -261,7 +261,7 @@
         for kind in ("claim", "settle", "lookup"):
             self.server.on_call(kind, self.claims.serve_call)
         self.server.on_call("hold", self.claims.serve_hold)
-        self.server.on_notice("shard_free", self.claims.ownership.take_free)
+        self.server.on_notice("shard_free", self.claims.ownership.on_shard_free)
         self.kernel.spawn(self.claims.run())
         self.kernel.spawn(self.watch())
 
--- a/tests/unit/test_claims_messages.py
+++ b/tests/unit/test_claims_messages.py
@@ -3,9 +3,9 @@
 from rattanpier._internal.claims.book import Decision
 from rattanpier._internal.claims.messages import (
     decode_bill,
-    describe_claim,
-    describe_settle,
     encode_bill,
+    encode_claim_reply,
+    encode_settle_reply,
 )
 from rattanpier._internal.claims.records import Bill, ClaimOp
 from rattanpier._internal.models.outcomes import ClaimOutcome, SettleOutcome
@@ -55,7 +55,7 @@
     messages = [
         peer_pb2.Call(id=10**6, claim=ask),
         peer_pb2.Call(id=10**6, settle=settle_request()),
-        peer_pb2.Reply(id=10**6, claim=describe_claim(granted)),
-        describe_settle(settled),
+        peer_pb2.Reply(id=10**6, claim=encode_claim_reply(granted)),
+        encode_settle_reply(settled),
     ]
     assert sum(message.ByteSize() for message in messages) < MAX_BYTES
