--- a/src/rattanpier/_internal/claims/book.py
+++ b/src/rattanpier/_internal/claims/book.py
@@ -1,8 +1,8 @@
-"""The state of one shard's claims, and the decisions made from it.
+"""State machine for the claims of one shard.
 
-Pure: no clock, no network. The same operations in the same order give the
-same book, in the owner, in a new owner that reads the log, and in the
-exporter of bills.
+It uses neither clock nor network. Applying the same operations in the same
+order gives the same state in the owner, in a new owner that reads the log, and
+in the exporter of bills.
 """
 
 from __future__ import annotations
@@ -26,16 +26,16 @@
 
 @attrs.frozen
 class Claim:
-    """One claim as it stood at some moment; a change makes a new object.
+    """Immutable state of one claim; each change creates a new object.
 
     Attributes:
-      attempt: The latest attempt; only it may settle.
-      holder: Who runs that attempt.
-      idempotent: Whether a later attempt may run it again.
+      attempt: Number of the latest attempt; only this attempt may settle.
+      holder: Holder that runs the latest attempt, as in `ClaimOp.holder`.
+      idempotent: Whether a later attempt may run the request again.
       digest: Digest of the request.
-      result: How it ended, or running.
-      bill: Set once, when answered.
-      answer: The recorded answer.
+      result: Final result, or running.
+      bill: Bill; set once, when the claim is answered.
+      answer: Recorded answer.
       sequence: Log position of the last change.
     """
 
@@ -51,7 +51,7 @@
 
 @attrs.frozen
 class Ask:
-    """An entry asks to run a request."""
+    """Request of an entry for permission to run a request."""
 
     workspace: str
     key: str
@@ -62,15 +62,15 @@
 
 @attrs.frozen
 class Decision:
-    """What an ask or a settlement comes to.
+    """Outcome of an ask or a settlement.
 
     Attributes:
-      outcome: For the asker.
-      claim: The claim as it stands, or None.
-      op: The operation to be logged first, or None.
+      outcome: Outcome reported to the caller.
+      claim: Current state of the claim, or None.
+      op: Operation that has to be logged before the reply, or None.
       durable: False if the operation is not yet in the log.
       not_run: True if no attempt of this claim can have run.
-      retry_after_s: When to come back, if refused.
+      retry_after_s: Seconds to wait before a retry, if refused.
     """
 
     outcome: ClaimOutcome | SettleOutcome
@@ -83,19 +83,25 @@
 
 @attrs.define
 class ClaimBook:
-    """Claims of one shard, by workspace and key."""
+    """Claims of one shard, by workspace and key.
+
+    Attributes:
+      claims: Current state of each claim.
+    """
 
     claims: dict[ClaimId, Claim] = attrs.Factory(dict)
 
     def ask(self, ask: Ask, alive: Callable[[str], bool]) -> Decision:
-        """Decides who may run a request.
+        """Decides whether a holder may run a request.
 
         Args:
-          ask: The request's claim.
-          alive: Says whether a holder may still be running.
+          ask: The ask for the request.
+          alive: Returns whether a holder may still be running.
 
         Returns:
-          The decision; with an operation if a new attempt is granted.
+          The decision. It has an operation if a new attempt is granted, or if
+          the holder of the running attempt died and the request can't be
+          repeated.
         """
         claim = self.claims.get((ask.workspace, ask.key))
         if claim is None:
@@ -115,9 +121,9 @@
     def ask_running(
         self, ask: Ask, claim: Claim, alive: Callable[[str], bool]
     ) -> Decision:
-        """Decides on a claim that some attempt holds."""
+        """Decides on an ask while an attempt of the claim is running."""
         if claim.holder == ask.holder:
-            # The reply to the same ask was lost; asking again is idempotent.
+            # The reply was lost; repeating the same ask is idempotent.
             return Decision(ClaimOutcome.GRANTED, claim)
         if alive(claim.holder):
             return Decision(ClaimOutcome.RUNNING, claim)
@@ -129,7 +135,7 @@
         return Decision(ClaimOutcome.UNKNOWN, claim, unknown_op)
 
     def grant(self, ask: Ask, attempt: int) -> Decision:
-        """Returns the grant of a new attempt."""
+        """Returns the decision that grants a new attempt."""
         op = ClaimOp(
             ask.workspace,
             ask.key,
@@ -143,10 +149,10 @@
         return Decision(ClaimOutcome.GRANTED, None, op, not_run=not_run)
 
     def settle(self, op: SettleOp) -> Decision:
-        """Decides whether an attempt may end a claim.
+        """Decides whether an attempt may settle its claim.
 
-        A repeated settlement of the same attempt is settled again without
-        an operation, so a lost reply does no harm.
+        Repeating a settlement succeeds without a second operation, so the
+        caller can retry after a lost reply.
         """
         claim = self.claims.get((op.workspace, op.key))
         if claim is None or claim.attempt != op.attempt:
@@ -158,11 +164,17 @@
         return Decision(SettleOutcome.SETTLED, claim, op)
 
     def disown(self, op: SettleOp, holder: str) -> Decision:
-        """Ends whatever attempt a holder has; `op.attempt` is not known.
+        """Settles the attempt of a holder that does not know its number.
 
         A holder whose ask was not answered does not know whether it was
-        granted. Without an end such a claim would run for ever. Superseded
-        says that the holder has no claim.
+        granted. Without a settlement such a claim would stay running forever.
+
+        Args:
+          op: The settlement; its `attempt` is ignored.
+          holder: The holder that gives up.
+
+        Returns:
+          The decision; superseded if the holder has no claim.
         """
         claim = self.claims.get((op.workspace, op.key))
         if claim is None or claim.holder != holder:
@@ -172,11 +184,11 @@
     def restore(
         self, claim: ClaimOp, settle: SettleOp
     ) -> list[ClaimOp | SettleOp]:
-        """Takes in a claim whose answer was released in an outage.
+        """Restores a claim whose answer was released during an outage.
 
         Returns:
-          The operations to be logged; none if the claim is answered already,
-          so that a bill restored twice is billed once.
+          The operations to be logged. Empty if the claim is already answered,
+          so a bill that is restored twice is charged once.
         """
         current = self.claims.get((claim.workspace, claim.key))
         if current is not None and current.result is ClaimResult.ANSWERED:
@@ -194,14 +206,14 @@
         ]
 
     def apply(self, op: ClaimOp | SettleOp, sequence: int = 0) -> None:
-        """Applies an operation; one that no longer fits changes nothing."""
+        """Applies an operation; ignores it if it is obsolete."""
         if isinstance(op, ClaimOp):
             self.apply_claim(op, sequence)
         else:
             self.apply_settle(op, sequence)
 
     def apply_claim(self, op: ClaimOp, sequence: int) -> None:
-        """Applies a claim unless a later attempt or an end came first."""
+        """Applies a claim unless it is superseded or already answered."""
         claim = self.claims.get((op.workspace, op.key))
         if claim is not None and claim.attempt >= op.attempt:
             return
@@ -216,7 +228,7 @@
         )
 
     def apply_settle(self, op: SettleOp, sequence: int) -> None:
-        """Applies a settlement if its attempt still runs."""
+        """Applies a settlement if its attempt is still running."""
         claim = self.claims.get((op.workspace, op.key))
         if claim is None or claim.attempt != op.attempt:
             return
@@ -231,12 +243,12 @@
         )
 
     def apply_batch(self, batch: Batch) -> None:
-        """Applies a row of the log."""
+        """Applies the operations of one log row."""
         for op in batch.ops:
             self.apply(op, batch.sequence)
 
     def bills(self) -> Iterator[Bill]:
-        """Yields the bill of each answered claim."""
+        """Yields the bills of all answered claims."""
         for claim in self.claims.values():
             if claim.bill is not None:
                 yield claim.bill
