--- a/src/rattanpier/_internal/claims/compaction.py
+++ b/src/rattanpier/_internal/claims/compaction.py
@@ -1,9 +1,10 @@
-"""Compaction of a shard's log, so that memory and recovery stay bounded.
+"""Compaction of a shard's log, which bounds memory and recovery time.
 
-A snapshot is taken at the moment a batch is made, when the book holds exactly
-what the log will hold up to that batch. It is written beside the traffic. The
-lease row then moves its `first` and `snapshot` on, together with the row that
-names the bills of the span; only after that are log rows deleted.
+The claims are copied when a batch is created: at that moment the book holds
+exactly what the log will hold up to that batch. The snapshot is written in the
+background. One transaction then advances `first` and `snapshot` of the lease
+row and adds the row that names the bill object of the compacted range. Log rows
+are deleted only after that.
 """
 
 from __future__ import annotations
@@ -43,21 +44,21 @@
 
 log = structlog.get_logger(part="claims")
 
-COMPACT_BATCHES = 500  # Rows of a log before it is compacted.
-MAX_RECALLED_COMPACTIONS = 64  # Earlier compactions that a new owner looks at.
-MARKS_PER_RETENTION = 16  # Marks of time in one retention period.
-RETRY_BATCHES = 50  # Batches until a compaction that failed is tried again.
-TRIM_ROWS = 100  # Log rows deleted by one write.
+COMPACT_BATCHES = 500  # Log rows that start a compaction.
+MAX_RECALLED_COMPACTIONS = 64  # Compactions read by a new owner.
+MARKS_PER_RETENTION = 16  # Recorded positions per period.
+RETRY_BATCHES = 50  # Batches before a failed compaction is retried.
+TRIM_ROWS = 100  # Log rows deleted in one transaction.
 
 
 @attrs.define
 class PositionHistory:
-    """Which log position was reached when; for retention only.
+    """Log positions by time, sampled at an interval; for retention only.
 
     Attributes:
-      step_s: Seconds between marks.
-      times: Times of the marks, rising.
-      sequences: Log position at each.
+      step_s: Minimum interval between samples, in seconds.
+      times: Wall-clock times of the samples in ascending order, in seconds.
+      sequences: Log position at each time.
     """
 
     step_s: float
@@ -65,19 +66,19 @@
     sequences: list[int] = attrs.Factory(list)
 
     def add(self, time: float, sequence: int) -> None:
-        """Notes a position, if the last mark is old enough."""
+        """Adds a sample if the last one is at least `step_s` old."""
         if self.times and time < self.times[-1] + self.step_s:
             return
         self.times.append(time)
         self.sequences.append(sequence)
 
     def position_before(self, time: float) -> int:
-        """Returns a position that was reached before a time; 0 if none."""
+        """Returns the latest position known at a time; 0 if there is none."""
         index = bisect.bisect_right(self.times, time)
         return self.sequences[index - 1] if index else 0
 
     def forget(self, time: float) -> None:
-        """Forgets marks older than a time, but for the last of them."""
+        """Removes samples older than a time, except the latest of them."""
         index = max(0, bisect.bisect_right(self.times, time) - 1)
         del self.times[:index]
         del self.sequences[:index]
@@ -85,14 +86,14 @@
 
 @attrs.frozen
 class ShardImage:
-    """A shard's claims as they stood after a batch.
+    """Copy of a shard's claims after a batch.
 
     Attributes:
       last: Log position of that batch.
-      claims: The claims.
-      forgotten: Those that are over and older than retention.
-      old: Those that run since before that.
-      time: When the batch was made.
+      claims: All claims.
+      expired: Settled claims that are older than the retention period.
+      stale_running: Running claims that are older than the retention period.
+      time: Wall-clock time at which the batch was created, in seconds.
     """
 
     last: int
@@ -104,13 +105,13 @@
 
 @attrs.frozen
 class PreparedCompaction:
-    """A compaction whose objects are written, ready to take effect.
+    """Compaction whose objects are written but that is not yet committed.
 
     Attributes:
-      image: What was compacted.
-      previous_lease: The lease row that it follows.
-      lease: The lease row that makes it take effect.
-      puts: The rows to be written with it.
+      image: Claims that were compacted.
+      previous_lease: Lease that the compaction replaces.
+      lease: Lease whose write commits the compaction.
+      puts: Rows to be written in the same transaction.
     """
 
     image: ShardImage
@@ -124,9 +125,16 @@
     """Compacts one shard's log.
 
     Attributes:
-      busy: True from the taking of an image until it took effect.
-      not_before: Log position of the next try, after one that failed.
-      ready: What is to take effect with the next write.
+      shard: Shard number.
+      table: Table service with the log.
+      objects: Object store for snapshots and bills.
+      metrics: Counts compactions and retries.
+      retention_s: Seconds for which settled claims are kept.
+      compact_after_batches: Log rows that start a compaction.
+      history: Log positions by time.
+      busy: True from the copy of the claims until the commit or a failure.
+      next_try_sequence: First log position of a retry after a failure.
+      prepared: Compaction to be committed after the next batch, or None.
     """
 
     shard: int
@@ -150,12 +158,18 @@
     def capture(
         self, batch: Batch, lease: ShardLease, claims: Mapping[ClaimId, Claim]
     ) -> ShardImage | None:
-        """Returns an image if it is time; has to run with the batch's making.
+        """Copies the claims if a compaction is due.
+
+        It has to run when the batch is created, before later operations are
+        applied.
 
         Args:
-          batch: The batch being made.
-          lease: The lease as it stands.
-          claims: The book, with nothing in it behind this batch.
+          batch: The batch that was just created.
+          lease: Current lease.
+          claims: Claims with all operations up to this batch, and none after.
+
+        Returns:
+          The copy, or None if no compaction is due.
         """
         self.history.add(batch.time, batch.sequence)
         if self.busy or batch.sequence < self.next_try_sequence:
@@ -176,11 +190,11 @@
         )
 
     async def prepare(self, image: ShardImage, lease: ShardLease) -> None:
-        """Writes an image's objects."""
+        """Writes the objects of a compaction; schedules a retry on failure."""
         try:
             self.prepared = await self.write(image, lease)
         except StoreUnavailableError:
-            # The log stays as it is; a later batch tries again.
+            # The log is unchanged; a later batch starts another compaction.
             self.metrics.count("claims.retry.compaction")
             self.next_try_sequence = image.last + RETRY_BATCHES
             self.busy = False
@@ -188,7 +202,11 @@
     async def write(
         self, image: ShardImage, lease: ShardLease
     ) -> PreparedCompaction:
-        """Writes the snapshot and the bills of an image."""
+        """Writes the snapshot and the bills.
+
+        Raises:
+          StoreUnavailableError: It is not certain that they were written.
+        """
         suffix = f"{self.shard:04d}/{image.last:012d}-{lease.epoch}"
         retained = {
             claim_id: claim
@@ -213,7 +231,7 @@
         )
 
     async def finish(self, done: PreparedCompaction) -> None:
-        """Deletes what a compaction that took effect made superfluous."""
+        """Deletes the data that a committed compaction replaced."""
         self.prepared = None
         try:
             await self.trim(done.lease.first)
@@ -225,10 +243,12 @@
         self.metrics.count("claims.compacted")
 
     async def load_history(self, lease: ShardLease) -> None:
-        """Learns from earlier compactions which claims are how old.
+        """Loads the times of log positions from earlier compactions.
+
+        Without them a new owner would not know the age of claims.
 
         Raises:
-          StoreUnavailableError: Their rows can't be read.
+          StoreUnavailableError: The rows can't be read.
         """
         start = max(
             0,
@@ -243,7 +263,7 @@
             self.history.add(file.time, file.last)
 
     async def trim(self, first: int) -> None:
-        """Deletes log rows in front of a position."""
+        """Deletes the log rows before a position."""
         end = log_key(self.shard, first)
         while True:
             rows = await self.table.scan(log_prefix(self.shard), "", TRIM_ROWS)
@@ -257,7 +277,7 @@
 def split_running(
     claims: Mapping[ClaimId, Claim],
 ) -> tuple[dict[ClaimId, Claim], dict[ClaimId, Claim]]:
-    """Returns the claims that are over, and those that run."""
+    """Returns the settled claims and the running claims."""
     ended: dict[ClaimId, Claim] = {}
     running: dict[ClaimId, Claim] = {}
     for claim_id, claim in claims.items():
