--- a/src/rattanpier/_internal/claims/compaction.py
+++ b/src/rattanpier/_internal/claims/compaction.py
@@ -132,7 +132,8 @@
       retention_s: Seconds for which settled claims are kept.
       compact_after_batches: Log rows that start a compaction.
       history: Log positions by time.
-      busy: True from the copy of the claims until the commit or a failure.
+      busy: True from the copy of the claims until the replaced data is
+        deleted, or until a failure.
       next_try_sequence: First log position of a retry after a failure.
       prepared: Compaction to be committed after the next batch, or None.
     """
