--- a/src/rattanpier/_internal/claims/kept_bills.py
+++ b/src/rattanpier/_internal/claims/kept_bills.py
@@ -1,4 +1,8 @@
-"""Bills that this process keeps for peers while the store is down."""
+"""Bills that this process keeps in memory for peers during a store outage.
+
+They are a second copy of bills whose owner can't write them to the log. A new
+owner of the shard reads them, so that a bill survives the death of its owner.
+"""
 
 from __future__ import annotations
 
@@ -13,27 +17,28 @@
 from rattanpier._internal.utils.codec import decode, encode
 from rattanpier._internal.utils.metrics import Metrics
 
-MAX_KEPT_BYTES = 32 * 2**20  # Bills that one process keeps for others.
-FLUSH_DELAY_S = 2.0  # The owner, if alive, writes its bills itself first.
+MAX_KEPT_BYTES = 32 * 2**20  # Per process.
+FLUSH_DELAY_S = 2.0  # A live owner first writes its bills itself.
 
 BillId = tuple[str, str]  # Workspace and key.
 SendBill = Callable[[PendingBill], Awaitable[peer_pb2.Reply | None]]
 
 
 def bill_id(op: ClaimOp | SettleOp) -> BillId:
-    """Returns the claim that an operation belongs to."""
+    """Returns the workspace and key of an operation's claim."""
     return op.workspace, op.key
 
 
 @attrs.define
 class KeptBills:
-    """Keeps others' bills in memory until their shards' owners have them.
+    """Keeps bills of peers until the owners of their shards have logged them.
 
     Attributes:
-      reachable: Says whether this process can reach the store.
+      reachable: Returns whether this process can reach the store.
       shard_of: Returns the shard of a workspace and key.
-      kept: Records by their id, oldest first.
-      size_bytes: Bytes of them.
+      metrics: Counts kept, refused and flushed bills.
+      kept: Encoded bills by record id, oldest first.
+      size_bytes: Total size of the encoded bills.
     """
 
     reachable: Callable[[], bool]
@@ -45,7 +50,7 @@
     size_bytes: int = 0
 
     async def serve(self, call: peer_pb2.Call) -> peer_pb2.Reply:
-        """Keeps or releases records for a peer."""
+        """Serves a request of a peer to keep, release or collect bills."""
         request = call.hold
         records: list[bytes] = []
         if request.collect:
@@ -64,7 +69,7 @@
         )
 
     def records_of_shard(self, shard: int) -> list[bytes]:
-        """Returns the records that belong to a shard."""
+        """Returns the encoded bills of a shard."""
         return [
             encode(bill).encode()
             for _, bill in self.records()
@@ -72,9 +77,13 @@
         ]
 
     def add(self, request: peer_pb2.HoldRequest) -> bool:
-        """Keeps a record; False if there is no room."""
+        """Adds a bill.
+
+        Returns:
+          False if the bill does not fit into `MAX_KEPT_BYTES`.
+        """
         if not request.record:
-            return True  # A question about the store only.
+            return True  # The peer only asks whether the store is reachable.
         if self.size_bytes + len(request.record) > MAX_KEPT_BYTES:
             self.metrics.count("claims.refused.keeper_full")
             return False
@@ -85,22 +94,24 @@
         return True
 
     def remove(self, record_id: str) -> None:
-        """Forgets a record."""
+        """Removes a bill, if present."""
         self.size_bytes -= len(self.kept.pop(record_id, b""))
 
     def records(self) -> list[tuple[str, PendingBill]]:
-        """Returns what is kept, with its ids."""
+        """Returns the kept bills with their record ids."""
         return [
             (record_id, decode(PendingBill, record))
             for record_id, record in self.kept.items()
         ]
 
     async def flush(self, send: SendBill) -> None:
-        """Hands what is kept to the owners of its shards.
+        """Sends the kept bills to the owners of their shards.
+
+        A bill is removed once its owner has settled it durably.
 
         Args:
           send: Sends a bill to its shard's owner and returns the reply, or
-            None if there is no owner now.
+            None if the owner can't be reached.
         """
         for record_id, bill in self.records():
             reply = await send(bill)
