--- a/src/rattanpier/_internal/claims/outage.py
+++ b/src/rattanpier/_internal/claims/outage.py
@@ -1,9 +1,9 @@
-"""What an entry does while the store is down: its bills are kept by peers.
+"""Replication of bills to peers while the store is down.
 
-An answer may leave only once its bill is certain. While the table service is
-down, certain means: in the memory of the shard's owner and of a peer in
-another failure domain. The peer agrees only if it can't reach the store
-either, so an entry that alone is cut off does not go on.
+An answer may be released only once its bill is safe. During an outage of the
+table service, that means: in the memory of the shard's owner and of a peer in
+another failure domain. A peer agrees only if it can't reach the store either,
+so an entry that alone is partitioned from the store releases no answers.
 """
 
 from __future__ import annotations
@@ -33,18 +33,22 @@
 log = structlog.get_logger(part="claims")
 
 PEER_TIMEOUT_S = 1.0
-MAX_PEERS = 3  # Peers asked about the store, and tried for one bill.
-MAX_PEERS_COLLECTED = 12  # Asked for what they keep when a shard's owner died.
+MAX_PEERS = 3  # Peers asked about the store, or asked to keep one bill.
+MAX_PEERS_COLLECTED = 12  # Peers asked for the bills of a dead owner.
 
 
 @attrs.define
 class Outage:
-    """Has pending bills kept by peers.
+    """Replicates pending bills to peers during a store outage.
 
     Attributes:
+      members: Members of the fleet; None if there are no peers.
+      links: Connections to peers.
+      spawn: Starts a background task.
       serve_locally: Serves a call to this process's own `KeptBills`.
       confirmed: True while peers can't reach the store either.
-      bill_locations: Who keeps which record, by claim.
+      bill_locations: Peer and record id of each kept bill, by claim.
+      record_numbers: Numbers for new record ids.
     """
 
     members: Members | None = None
@@ -56,7 +60,10 @@
     record_numbers: itertools.count = attrs.Factory(itertools.count)
 
     def peers(self) -> list[Member]:
-        """Returns entries in other failure domains, the same ones first."""
+        """Returns up to `MAX_PEERS` entries in other failure domains.
+
+        The order is stable while the members stay the same.
+        """
         assert self.members is not None
         me = self.members.me
         others = {
@@ -68,7 +75,7 @@
         return [others[name] for name in itertools.islice(order, MAX_PEERS)]
 
     async def check(self) -> None:
-        """Asks peers whether they can reach the store."""
+        """Asks peers whether they can reach the store; updates `confirmed`."""
         request = peer_pb2.HoldRequest()
         replies = await asyncio.gather(
             *(self.send(peer, request) for peer in self.peers())
@@ -82,7 +89,7 @@
     async def send(
         self, peer: Member, request: peer_pb2.HoldRequest
     ) -> peer_pb2.HoldReply | None:
-        """Sends a request to a peer; None if it did not answer."""
+        """Sends a request to a peer; returns None if it did not answer."""
         assert self.links is not None and self.members is not None
         call = peer_pb2.Call(hold=request)
         if peer.name == self.members.me.name:
@@ -95,14 +102,14 @@
         return reply.hold
 
     async def collect(self, dead: str, shard: int) -> list[PendingBill]:
-        """Returns the bills of a shard that peers keep for a dead owner.
+        """Collects the bills of a shard that peers keep for its dead owner.
 
-        A new owner has to know of them before it grants anything: their
-        answers are with their callers already.
+        A new owner needs them before it grants anything, because their
+        answers have already been released to callers.
 
         Args:
-          dead: Member name of the owner before.
-          shard: The shard.
+          dead: Member name of the previous owner.
+          shard: Shard number.
         """
         if self.members is None:
             return []
@@ -123,7 +130,11 @@
         ]
 
     async def keep(self, bill: PendingBill) -> bool:
-        """Has a bill kept by a peer in another failure domain."""
+        """Sends a bill to a peer in another failure domain.
+
+        Returns:
+          Whether a peer keeps the bill.
+        """
         if not self.confirmed:
             return False
         assert self.members is not None
@@ -142,7 +153,7 @@
         return False
 
     def release(self, ops: Iterable[ClaimOp | SettleOp]) -> None:
-        """Tells peers which bills are durable now; may be lost."""
+        """Notifies peers of durable bills, without waiting for replies."""
         released: dict[str, tuple[Member, list[str]]] = {}
         for op in ops:
             if isinstance(op, SettleOp) and bill_id(op) in self.bill_locations:
