--- a/src/rattanpier/_internal/claims/pending.py
+++ b/src/rattanpier/_internal/claims/pending.py
@@ -1,4 +1,4 @@
-"""Decisions that wait to become durable, and what an outage makes of them."""
+"""Decisions that wait to become durable, and replies to them in an outage."""
 
 from __future__ import annotations
 
@@ -11,13 +11,18 @@
 from rattanpier._internal.models.outcomes import ClaimOutcome, SettleOutcome
 from rattanpier._internal.utils.metrics import Metrics
 
-OP_BYTES = 300  # An operation without its answer, roughly.
-OUTAGE_RETRY_AFTER_S = 2.0  # Told to callers while the store is down.
+OP_BYTES = 300  # Approximate size of an operation without its answer.
+OUTAGE_RETRY_AFTER_S = 2.0  # Sent to callers while the store is down.
 
 
 @attrs.define
 class Waiter:
-    """Someone who waits for a decision to become durable."""
+    """Caller that waits for a decision to become durable.
+
+    Attributes:
+      decision: Decision to be returned.
+      future: Resolves to the reply, or to None if the epoch was lost.
+    """
 
     decision: Decision
     future: asyncio.Future[Decision | None]
@@ -25,7 +30,13 @@
 
 @attrs.define
 class OpenBatch:
-    """Operations that will be one row of the log, and who waits for it."""
+    """Operations that will form one log row, and their waiters.
+
+    Attributes:
+      ops: Operations, in order.
+      waiters: Callers that wait for the row to be written.
+      size_bytes: Approximate size of the operations.
+    """
 
     ops: list[ClaimOp | SettleOp] = attrs.Factory(list)
     waiters: list[Waiter] = attrs.Factory(list)
@@ -33,21 +44,28 @@
 
 
 def op_size_bytes(op: ClaimOp | SettleOp) -> int:
-    """Returns roughly the bytes of an operation in the log."""
+    """Returns the approximate size of an operation in the log."""
     if isinstance(op, SettleOp) and op.answer is not None:
         return OP_BYTES + len(op.answer.body)
     return OP_BYTES
 
 
 def release_op(op: ClaimOp) -> SettleOp:
-    """Returns the operation that takes a claim back."""
+    """Returns the operation that releases a claim."""
     return SettleOp(op.workspace, op.key, op.attempt, ClaimResult.RELEASED)
 
 
 def refuse(
     decision: Decision, retry_after_s: float, reason: str, metrics: Metrics
 ) -> Decision:
-    """Returns the refusal of an ask and counts its reason."""
+    """Returns the refusal of an ask and counts its reason.
+
+    Args:
+      decision: Decision that would have been made.
+      retry_after_s: Seconds after which the caller may retry.
+      reason: Reason, for the name of the counter.
+      metrics: Counts refusals.
+    """
     metrics.count(f"claims.refused.{reason}")
     return Decision(
         ClaimOutcome.UNAVAILABLE,
@@ -60,19 +78,19 @@
 def outage_reply(
     decision: Decision, confirmed: bool, metrics: Metrics
 ) -> Decision | None:
-    """Returns what a waiter gets while the store is down.
+    """Returns the reply to a waiter while the store is down.
 
     Args:
-      decision: What it waits for.
-      confirmed: True if peers can't reach the store either.
+      decision: Decision for which it waits.
+      confirmed: Whether peers can't reach the store either.
       metrics: Counts refusals.
 
     Returns:
-      The reply, or None if it has to wait on.
+      The reply, or None if it has to keep waiting.
     """
     match decision.op:
         case ClaimOp(idempotent=False):
-            # Its operation may have become durable: the writer takes it back.
+            # Its operation may become durable; the writer then releases it.
             surely_not_run = decision.not_run and confirmed
             return refuse(
                 attrs.evolve(decision, not_run=surely_not_run),
@@ -91,7 +109,7 @@
 
 
 def is_non_idempotent_grant(decision: Decision) -> bool:
-    """Says whether a grant is of a request that may run only once."""
+    """Returns whether a decision grants a non-idempotent request."""
     granted = decision.outcome is ClaimOutcome.GRANTED
     claim = decision.claim
     return granted and claim is not None and not claim.idempotent
