--- a/src/rattanpier/_internal/claims/messages.py
+++ b/src/rattanpier/_internal/claims/messages.py
@@ -1,4 +1,4 @@
-"""The owner's decisions as messages between processes."""
+"""Conversion between messages of peers and decisions of a shard's owner."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from rattanpier._internal.peers.proto import peer_pb2
 from rattanpier._internal.utils.codec import decode, encode
 
-ANY_ATTEMPT = 0  # In a settlement: whichever attempt the holder has.
+ANY_ATTEMPT = 0  # In a settlement: the holder's attempt, whatever its number.
 
 
 async def serve(
     owner: ShardOwner, call: peer_pb2.Call
 ) -> peer_pb2.Reply | None:
-    """Serves a call on a shard; None if the shard has another owner."""
+    """Serves a call on a shard; returns None if it has another owner."""
     match call.WhichOneof("body"):
         case "claim":
             return await serve_claim(owner, call.claim)
@@ -36,7 +36,7 @@
 async def serve_claim(
     owner: ShardOwner, body: peer_pb2.ClaimRequest
 ) -> peer_pb2.Reply | None:
-    """Decides on a claim."""
+    """Serves a claim; returns None if the shard has another owner."""
     ask = Ask(
         body.workspace, body.key, body.holder, body.idempotent, body.digest
     )
@@ -47,7 +47,7 @@
 
 
 def encode_claim_reply(decision: Decision) -> peer_pb2.ClaimReply:
-    """Returns the message for a decision on a claim."""
+    """Converts a decision on a claim to a reply."""
     reply = peer_pb2.ClaimReply(
         outcome=str(decision.outcome.value),
         durable=decision.durable,
@@ -68,7 +68,7 @@
 async def serve_settle(
     owner: ShardOwner, body: peer_pb2.SettleRequest
 ) -> peer_pb2.Reply | None:
-    """Decides on a settlement."""
+    """Serves a settlement; returns None if the shard has another owner."""
     op = SettleOp(
         body.workspace,
         body.key,
@@ -87,7 +87,7 @@
 
 
 def encode_bill(bill: Bill | None) -> peer_pb2.Bill | None:
-    """Returns a bill for a message that names its claim already."""
+    """Converts a bill; the workspace and key are sent with the claim."""
     if bill is None:
         return None
     return peer_pb2.Bill(
@@ -99,7 +99,7 @@
 
 
 def decode_bill(body: peer_pb2.SettleRequest) -> Bill | None:
-    """Returns the bill of a settlement."""
+    """Returns the bill of a settlement, or None."""
     if not body.HasField("bill"):
         return None
     return Bill(
@@ -113,9 +113,10 @@
 
 
 def is_held_by_another(owner: ShardOwner, body: peer_pb2.SettleRequest) -> bool:
-    """Says whether an attempt is another holder's.
+    """Returns whether an attempt belongs to another holder.
 
-    Attempts count from 1 again once a claim was forgotten.
+    Numbers of attempts alone are ambiguous: they start from 1 again once a
+    claim was removed after its retention period.
     """
     claim = owner.find(body.workspace, body.key)
     if claim is None or claim.attempt != body.attempt:
@@ -126,13 +127,13 @@
 async def serve_restore(
     owner: ShardOwner, body: peer_pb2.HoldRequest
 ) -> peer_pb2.Reply | None:
-    """Takes in a bill that a peer kept."""
+    """Restores a bill that a peer kept during an outage."""
     decision = await owner.restore(decode(PendingBill, body.record))
     return encode_settle_reply(decision)
 
 
 def encode_settle_reply(decision: Decision | None) -> peer_pb2.Reply | None:
-    """Returns the message for a decision on a settlement."""
+    """Converts a decision on a settlement to a reply."""
     if decision is None:
         return None
     return peer_pb2.Reply(
@@ -145,7 +146,7 @@
 def serve_lookup(
     owner: ShardOwner, body: peer_pb2.LookupRequest
 ) -> peer_pb2.Reply:
-    """Tells how a claim stands."""
+    """Returns the current state of a claim."""
     claim: Claim | None = owner.find(body.workspace, body.key)
     if claim is None:
         return peer_pb2.Reply(lookup=peer_pb2.LookupReply(state="none"))
