--- a/src/rattanpier/_internal/claims/owner.py
+++ b/src/rattanpier/_internal/claims/owner.py
@@ -1,4 +1,4 @@
-"""The owner of one claim shard: it decides on claims and their ends."""
+"""Owner of one claim shard, which decides on claims and settlements."""
 
 from __future__ import annotations
 
@@ -15,32 +15,32 @@
 from rattanpier._internal.claims.writer import BatchWriter
 from rattanpier._internal.models.outcomes import ClaimOutcome, SettleOutcome
 
-MAX_PENDING_BYTES = 16 * 2**20  # Operations not yet written, of one shard.
-MAX_WAITERS = 4096  # Calls that wait for a write, of one shard.
-MAX_DISOWNED = 4096  # Disowned holders remembered, of one shard.
-MIN_RETRY_AFTER_S = 0.5  # Least wait told to callers of a full queue.
+MAX_PENDING_BYTES = 16 * 2**20  # Operations of one shard not yet written.
+MAX_WAITERS = 4096  # Calls of one shard that wait for a write.
+MAX_DISOWNED = 4096  # Disowned holders remembered per shard.
+MIN_RETRY_AFTER_S = 0.5  # Minimum sent to callers if the queue is full.
 
 
 @attrs.define
 class ShardOwner(BatchWriter):
     """One shard, while this process owns it.
 
-    Its calls return None where the epoch was lost meanwhile, or the shard is
-    being handed over: the caller has to go to another owner.
+    Calls return None if the epoch was lost meanwhile or the shard is being
+    handed over; the caller then has to find the new owner.
 
     Attributes:
-      disowned: Holders that gave up; a late ask of theirs is refused.
+      disowned: Holders that gave up, oldest first; their late asks are refused.
     """
 
     disowned: dict[str, None] = attrs.Factory(dict)
 
     async def ask(self, ask: Ask) -> Decision | None:
-        """Decides on a claim; None if the epoch was lost meanwhile."""
+        """Decides on an ask; returns None if the epoch was lost."""
         if self.not_serving:
             return None
         decision = self.book.ask(ask, self.alive)
         if ask.holder in self.disowned:
-            # Its own disowning overtook this ask.
+            # The holder gave up before its ask arrived.
             return refuse(decision, 0.0, "disowned", self.metrics)
         if self.is_full():
             return refuse(decision, self.drain_s(), "full", self.metrics)
@@ -51,8 +51,9 @@
     def ask_in_outage(self, ask: Ask, decision: Decision) -> Decision:
         """Decides on a new attempt while the store is down.
 
-        A non-idempotent request is refused before anything is queued, so that
-        nothing of it can become durable later. An idempotent one goes on.
+        A non-idempotent request is refused before an operation is queued, so
+        that it can't become durable later. An idempotent request is granted
+        provisionally if peers confirm the outage.
         """
         granted = decision.outcome is ClaimOutcome.GRANTED
         if granted and ask.idempotent and self.outage.confirmed:
@@ -66,7 +67,7 @@
         )
 
     async def settle(self, op: SettleOp) -> Decision | None:
-        """Ends a claim; None if the epoch was lost meanwhile."""
+        """Settles a claim; returns None if the epoch was lost."""
         if self.not_serving:
             return None
         decision = self.book.settle(op)
@@ -77,17 +78,17 @@
         return await self.settle_in_outage(op)
 
     def is_unlogged(self, decision: Decision) -> bool:
-        """Says whether a settlement is not in the log yet."""
+        """Returns whether a settlement is not yet in the log."""
         if decision.op is not None:
             return True
         settled = decision.outcome is SettleOutcome.SETTLED
         return settled and not self.is_durable(decision.claim)
 
     async def settle_in_outage(self, op: SettleOp) -> Decision | None:
-        """Ends a claim while the store is down.
+        """Settles a claim while the store is down.
 
-        An answer is given out only once a peer in another failure domain
-        keeps its bill; whatever gives nothing out needs no such care.
+        An answer is released only once a peer in another failure domain keeps
+        its bill. Other results release no answer and need no copy.
         """
         if op.result is ClaimResult.ANSWERED:
             claim = self.find(op.workspace, op.key)
@@ -107,7 +108,7 @@
         return attrs.evolve(decision, durable=False)
 
     async def keep_bill(self, op: SettleOp, claim: Claim) -> bool:
-        """Has a pending bill kept by a peer."""
+        """Sends a pending bill to a peer; returns whether it is kept."""
         grant = ClaimOp(
             op.workspace,
             op.key,
@@ -119,7 +120,15 @@
         return await self.outage.keep(PendingBill(grant, op))
 
     async def disown(self, op: SettleOp, holder: str) -> Decision | None:
-        """Ends a holder's attempt, whichever it is."""
+        """Settles a holder's attempt, whatever its number.
+
+        Args:
+          op: The settlement; its `attempt` is ignored.
+          holder: The holder that gives up.
+
+        Returns:
+          The decision, or None if the epoch was lost.
+        """
         if self.not_serving:
             return None
         self.disowned[holder] = None
@@ -133,7 +142,7 @@
         return attrs.evolve(decision, durable=False)
 
     async def restore(self, bill: PendingBill) -> Decision | None:
-        """Takes in a bill that a peer kept; harmless when repeated."""
+        """Restores a bill that a peer kept; idempotent."""
         if self.not_serving:
             return None
         if self.store_unavailable:
@@ -143,20 +152,20 @@
         return await self.submit(Decision(SettleOutcome.SETTLED, claim))
 
     def enqueue_pending_bill(self, bill: PendingBill) -> None:
-        """Queues what a bill that a peer kept adds to the book."""
+        """Queues the operations that a bill kept by a peer adds."""
         for op in self.book.restore(bill.claim, bill.settle):
             self.enqueue(op)
 
     def find(self, workspace: str, key: str) -> Claim | None:
-        """Returns a claim as it stands."""
+        """Returns the current state of a claim, or None."""
         return self.book.claims.get((workspace, key))
 
     def is_full(self) -> bool:
-        """Says whether nothing more may wait here."""
+        """Returns whether the queue of operations or waiters is full."""
         size = sum(batch.size_bytes for batch in self.open_batches)
         waiting = sum(len(batch.waiters) for batch in self.open_batches)
         return size >= MAX_PENDING_BYTES or waiting >= MAX_WAITERS
 
     def drain_s(self) -> float:
-        """Returns the seconds until what is queued will be written."""
+        """Returns the estimated seconds until the queue is written."""
         return max(MIN_RETRY_AFTER_S, len(self.open_batches) * self.interval_s)
