--- a/src/rattanpier/_internal/claims/owner_calls.py
+++ b/src/rattanpier/_internal/claims/owner_calls.py
@@ -1,4 +1,4 @@
-"""Calls on claims, carried to whichever entry owns their shard."""
+"""Client for the owners of claim shards, local or on another entry."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from rattanpier._internal.utils.clock import Clock
 from rattanpier._internal.utils.metrics import Metrics
 
-RETRY_INTERVAL_S = 0.05  # Between tries to reach a shard's owner.
-CALL_TIMEOUT_S = (
-    1.0  # For one try; the owner may be frozen and replaced meanwhile.
-)
-MAX_OUTAGE_TRIES = 2  # With the store down, no new owner will come.
+RETRY_INTERVAL_S = 0.05  # Between calls to a shard's owner.
+CALL_TIMEOUT_S = 1.0  # A frozen owner may be replaced meanwhile.
+MAX_OUTAGE_TRIES = 2  # No new owner can be chosen without the store.
 NOT_OWNER = "not_owner"
 
 
 @attrs.define
 class OwnerCalls:
-    """Finds the owners of shards and asks them.
+    """Sends calls to the owners of shards.
 
     Attributes:
-      ownership: Which shards this process owns, and who the others.
+      ownership: Shards owned by this process, and known owners of the rest.
       links: Connections to peers.
+      clock: Source of time.
+      metrics: Counts retries and refusals.
     """
 
     ownership: Ownership
@@ -39,9 +39,17 @@
     async def call_owner(
         self, shard: int, call: peer_pb2.Call, timeout_s: float
     ) -> peer_pb2.Reply | None:
-        """Carries a call to a shard's owner, following changes of owner.
+        """Sends a call to a shard's owner, with retries.
 
-        Every call is idempotent at the owner, so it is repeated freely.
+        Calls are idempotent, so they can be repeated, also at a new owner.
+
+        Args:
+          shard: Shard number.
+          call: The call.
+          timeout_s: Seconds for all tries together.
+
+        Returns:
+          The reply, or None if no owner replied in time.
         """
         end = self.clock.monotonic() + timeout_s
         tries = 0
@@ -63,9 +71,9 @@
     async def try_owner(
         self, shard: int, call: peer_pb2.Call, timeout_s: float
     ) -> peer_pb2.Reply | None:
-        """Carries a call to the present owner; None if that failed."""
+        """Sends a call once to the known owner; returns None on failure."""
         owner = self.ownership.owners.get(shard)
-        # One whose epoch is lost stays listed until the next look at the rows.
+        # After losing its epoch, an owner stays listed until the next read.
         if owner is not None and not owner.not_serving:
             try:
                 return await asyncio.wait_for(
@@ -82,10 +90,10 @@
             return None
 
     async def serve(self, shard: int, call: peer_pb2.Call) -> peer_pb2.Reply:
-        """Serves a call on an own shard.
+        """Serves a call of a peer on a shard of this process.
 
         Raises:
-          PeerUnavailableError: The shard has another owner.
+          PeerUnavailableError: This process does not own the shard.
         """
         owner = self.ownership.owners.get(shard)
         reply = None if owner is None else await serve_call(owner, call)
