--- a/src/rattanpier/_internal/claims/shard_log.py
+++ b/src/rattanpier/_internal/claims/shard_log.py
@@ -1,7 +1,8 @@
-"""The lease row and the log of one shard, as its owner writes them.
+"""Fenced writes to the log and the lease row of one shard.
 
-All claims of a batch become certain by one conditional write: "this epoch's
-lease row is unchanged, and this log position is still empty".
+All operations of a batch become durable in one conditional write, on condition
+that the lease row is unchanged and the log position is still empty. So an
+owner whose lease was taken over can't write to the log.
 """
 
 from __future__ import annotations
@@ -37,21 +38,24 @@
 
 
 class FlushResult(enum.Enum):
-    """What became of a batch."""
+    """Result of a write of a batch."""
 
     DURABLE = "durable"
     EPOCH_LOST = "epoch_lost"
-    STORE_DOWN = "store_down"  # Not written, or not known; tried again.
+    STORE_DOWN = "store_down"  # Not written or uncertain; to be retried.
 
 
 @attrs.define
 class ShardLog:
-    """Writes batches under one lease and finds out what became of them.
+    """Writes batches under one lease and determines their results.
 
     Attributes:
-      shard: Its number.
-      lease: The lease row's content, as this process wrote it.
-      lease_version: The lease row's version.
+      shard: Shard number.
+      lease: Content of the lease row, as written by this process.
+      lease_version: Version of the lease row.
+      table: Table service.
+      clock: Source of time.
+      metrics: Counts reads after uncertain writes.
     """
 
     shard: int
@@ -62,7 +66,7 @@
     metrics: Metrics
 
     async def write_once(self, batch: Batch) -> FlushResult:
-        """Tries to write a batch and finds out what became of it."""
+        """Tries once to write a batch and determines the result."""
         key = log_key(self.shard, batch.sequence)
         outcome = await self.table.transact(
             Transaction(
@@ -82,7 +86,7 @@
                 return await self.read_back(batch)
 
     async def read_back(self, batch: Batch) -> FlushResult:
-        """Reads the log position of a batch whose write is in doubt."""
+        """Determines the result of an uncertain write by reading the rows."""
         self.metrics.count("claims.retry.read_back")
         try:
             row = await self.table.get(log_key(self.shard, batch.sequence))
@@ -93,15 +97,16 @@
             return FlushResult.DURABLE
         if not self.holds_lease(lease):
             return FlushResult.EPOCH_LOST
-        # Not there yet, but a delayed write may still arrive: the same batch
-        # has to be written again at the same position.
+        # The batch is missing, but a delayed write may still arrive. The same
+        # batch has to be written again at the same position.
         return FlushResult.STORE_DOWN
 
     def holds_lease(self, row: Row | None) -> bool:
-        """Says whether a lease row is this owner's; follows its version.
+        """Returns whether a lease row is still this owner's.
 
-        Only this owner writes a lease with its epoch and incarnation, so a
-        version that rose under them is its own compaction.
+        Only this owner writes a lease with its epoch and incarnation. A newer
+        version with both unchanged therefore comes from its own compaction; the
+        known lease and version are updated from it.
         """
         if row is None:
             return False
@@ -115,13 +120,13 @@
         return True
 
     async def replace_lease(self, lease: ShardLease, puts: list[Put]) -> None:
-        """Tries to write the lease row anew, together with other rows.
+        """Tries to replace the lease row and to write other rows, atomically.
 
-        What became of it shows when the row is next read.
+        The result is not returned; it shows when the lease row is next read.
 
         Args:
-          lease: Its new content, of the same epoch and incarnation.
-          puts: Rows that have to be written with it or not at all.
+          lease: New content, with the same epoch and incarnation.
+          puts: Rows to be written in the same transaction.
         """
         key = lease_key(self.shard)
         await self.table.transact(
