--- a/src/rattanpier/_internal/claims/snapshot.py
+++ b/src/rattanpier/_internal/claims/snapshot.py
@@ -1,4 +1,4 @@
-"""What is kept of a shard's claims once their log rows are deleted."""
+"""Snapshots and bill files, which replace deleted log rows of a shard."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 from rattanpier._internal.store.objects import Objects
 from rattanpier._internal.utils.codec import decode, encode
 
-ITEMS_PER_YIELD = 500  # Lines encoded before other work gets its turn.
+ITEMS_PER_YIELD = 500  # Items handled between two yields to the event loop.
 
 
 @attrs.frozen
 class ClaimLine:
-    """A line of a snapshot."""
+    """Line of a snapshot: a claim with its workspace and key."""
 
     workspace: str
     key: str
@@ -27,12 +27,12 @@
 
 @attrs.frozen
 class BilledClaim:
-    """A bill with its place in the log, which makes it unique for ever.
+    """Bill with its position in the log, which identifies it permanently.
 
     Attributes:
       shard: Claim shard.
       sequence: Log position at which the claim was settled.
-      bill: What is to be paid.
+      bill: The bill.
     """
 
     shard: int
@@ -41,20 +41,21 @@
 
     @property
     def id(self) -> str:
-        """Identity of the bill: a key may be used again after retention."""
+        """Unique id; the key alone may be reused after the retention period."""
         return f"{self.shard}/{self.sequence}/{self.bill.key}"
 
 
 @attrs.frozen
 class BillFile:
-    """The row that names an object with bills.
+    """Row that names an object with bills.
 
     Attributes:
       first: First log position covered.
       last: Last log position covered.
       name: Name of the object; empty if there was no bill.
       count: Number of bills.
-      time: Wall clock at the last position, for retention only.
+      time: Wall-clock time of the last position, in seconds; for retention
+        only.
     """
 
     first: int
@@ -65,17 +66,17 @@
 
 
 def bill_file_prefix(shard: int) -> str:
-    """Returns the prefix of a shard's rows that name bill objects."""
+    """Returns the key prefix of a shard's bill file rows."""
     return f"bills/{shard:04d}/"
 
 
 def bill_file_key(shard: int, last: int) -> str:
-    """Returns the key of a row that names an object with bills."""
+    """Returns the key of the bill file row that ends at a position."""
     return f"{bill_file_prefix(shard)}{last:012d}"
 
 
 async def encode_lines(items: Iterable[object]) -> str:
-    """Returns a line for each item, without holding up the loop."""
+    """Encodes one item per line; yields to the event loop in between."""
     lines = []
     for number, item in enumerate(items, 1):
         lines.append(encode(item))
