--- a/src/rattanpier/_internal/claims/takeover.py
+++ b/src/rattanpier/_internal/claims/takeover.py
@@ -1,4 +1,7 @@
-"""How a process becomes the owner of a shard: its lease, then its log."""
+"""Takeover of a shard: acquires its lease, then reads its log.
+
+The order matters: with the lease acquired, no earlier owner can add to the log.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +32,7 @@
 
 
 def next_lease(row: Row | None, owner: str, incarnation: str) -> ShardLease:
-    """Returns the lease with which a new owner follows the present one."""
+    """Returns the lease of a new owner, with the next epoch."""
     if row is None:
         return ShardLease(owner, incarnation, epoch=1)
     present = decode(ShardLease, row.value)
@@ -44,10 +47,18 @@
 async def acquire(
     table: Table, shard: int, row: Row | None, owner: str, incarnation: str
 ) -> tuple[ShardLease, int] | None:
-    """Takes a shard over from the owner seen in its lease row.
+    """Acquires a shard from the owner named in its lease row.
+
+    Args:
+      table: The table service.
+      shard: Shard number.
+      row: Lease row as last read, or None if there is none.
+      owner: Member name of the new owner.
+      incarnation: Incarnation of the new owner.
 
     Returns:
-      The lease and its row's version, or None if it was not obtained.
+      The lease and the version of its row, or None if the lease was not
+      acquired.
     """
     lease = next_lease(row, owner, incarnation)
     version = row.version if row else ABSENT
@@ -57,7 +68,8 @@
     )
     if isinstance(outcome, NotRun):
         return None
-    # The row's new version is read, also after a lost answer.
+    # Reading the row returns its new version, and the result of the write
+    # even if its reply was lost.
     try:
         present = await table.get(key)
     except StoreUnavailableError:
@@ -74,12 +86,12 @@
 
     Args:
       table: The table service.
-      shard: The shard; its epoch must be the caller's already, so that no
+      shard: Shard number. The caller must already hold the lease, so that no
         earlier owner can add to the log.
-      objects: Where snapshots are; the table if None.
+      objects: Object store with the snapshots; the table if None.
 
     Returns:
-      The book and the next log position.
+      The claims and the next log position.
 
     Raises:
       StoreUnavailableError: The log or the snapshot can't be read.
