--- a/src/rattanpier/_internal/claims/records.py
+++ b/src/rattanpier/_internal/claims/records.py
@@ -1,4 +1,4 @@
-"""What a claim shard writes: operations, in batches, in order."""
+"""Records that claim shards store, and the keys of their rows."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 
 class ClaimResult(enum.StrEnum):
-    """How a claim ended."""
+    """State or result of a claim."""
 
     RUNNING = "running"
-    ANSWERED = "answered"  # A whole answer; it is billed.
-    RELEASED = "released"  # Certainly not run; the key may be used again.
-    UNKNOWN = "unknown"  # It may have run; a non-idempotent one never reruns.
+    ANSWERED = "answered"  # The answer was complete; it is billed.
+    RELEASED = "released"  # Certainly not run; the key may be reused.
+    UNKNOWN = "unknown"  # May have run; only idempotent requests are rerun.
 
 
 @attrs.frozen
 class Bill:
-    """What a workspace pays for one answer.
+    """Charge to a workspace for one answer.
 
     Attributes:
-      workspace: Who pays.
-      key: The request's key; with the workspace, the bill's identity.
-      version: What answered, or the plain service's name.
-      prompt_tokens: Tokens read, over all steps of a cascade.
-      output_tokens: Tokens generated, over all steps.
-      credits: The price.
+      workspace: Workspace that pays.
+      key: Key of the request; with the workspace, it identifies the bill.
+      version: Version that answered, or the name of a plain service.
+      prompt_tokens: Prompt tokens, over all steps of a cascade.
+      output_tokens: Generated tokens, over all steps.
+      credits: Price in credits.
     """
 
     workspace: str
@@ -39,15 +39,16 @@
 
 @attrs.frozen
 class Answer:
-    """A recorded answer, given to whoever repeats the key.
+    """Recorded answer, returned when a request is repeated with its key.
 
     Attributes:
       status: HTTP status.
-      content_type: Of the body.
-      body: Text; for a model the whole, non-streamed JSON answer.
+      content_type: Content type of the body.
+      body: Text of the body; for a model the complete JSON answer, not
+        streamed.
       version: Version that answered.
-      base64: True if the body is bytes in base 64.
-      kept: False if the body was too large to be recorded.
+      base64: True if the body is base64-encoded bytes.
+      kept: False if the body was too large to record.
     """
 
     status: int
@@ -60,15 +61,18 @@
 
 @attrs.frozen
 class ClaimOp:
-    """An attempt takes a claim.
+    """Operation by which an attempt acquires a claim.
 
     Attributes:
       workspace: Name of the workspace.
       key: The request's key.
-      attempt: Counts from 1; a later attempt fences off earlier ones.
-      holder: The entry's name, incarnation and request id.
-      idempotent: Whether a later attempt may run it again.
-      digest: Digest of the request, to tell a misused key.
+      attempt: Number of the attempt, from 1; a later one fences off earlier
+        ones.
+      holder: Name and incarnation of the entry, and request id, separated
+        by slashes.
+      idempotent: Whether a later attempt may run the request again.
+      digest: Digest of the request, to detect a key reused for another
+        request.
     """
 
     workspace: str
@@ -81,7 +85,16 @@
 
 @attrs.frozen
 class SettleOp:
-    """An attempt ends."""
+    """Operation by which an attempt settles its claim.
+
+    Attributes:
+      workspace: Name of the workspace.
+      key: The request's key.
+      attempt: Number of the attempt.
+      result: Result of the attempt.
+      bill: Bill, if answered.
+      answer: Answer to be recorded, if answered.
+    """
 
     workspace: str
     key: str
@@ -93,14 +106,15 @@
 
 @attrs.frozen
 class Batch:
-    """One row of a shard's log.
+    """Row of a shard's log.
 
     Attributes:
       epoch: Epoch of the owner that wrote it.
       sequence: Position in the log, from 1.
-      writer: Unique to the writing process; identifies a lost write.
+      writer: Incarnation of the writer, to recognize its own uncertain
+        writes.
       ops: Operations, in order.
-      time: Writer's wall clock, for retention only.
+      time: Wall-clock time of the writer, in seconds; for retention only.
     """
 
     epoch: int
@@ -112,14 +126,14 @@
 
 @attrs.frozen
 class ShardLease:
-    """The row that names a shard's owner.
+    """Row that names a shard's owner.
 
     Attributes:
-      owner: Member name, or empty.
-      incarnation: Of that member's process.
-      epoch: The fencing number; rises with every change of owner.
-      first: First log sequence still kept; earlier ones are in `snapshot`.
-      snapshot: Name of the object with the claims before `first`.
+      owner: Member name, or empty if the shard has no owner.
+      incarnation: Incarnation of the owner.
+      epoch: Fencing number; increases with each change of owner.
+      first: First log position still kept; earlier ones are in `snapshot`.
+      snapshot: Name of the object with the claims before `first`, or empty.
     """
 
     owner: str
@@ -131,7 +145,7 @@
 
 @attrs.frozen
 class PendingBill:
-    """What a peer keeps while the store is down: a claim and its end."""
+    """Claim and settlement that a peer keeps while the store is down."""
 
     claim: ClaimOp
     settle: SettleOp
