--- a/src/rattanpier/_internal/claims/writer.py
+++ b/src/rattanpier/_internal/claims/writer.py
@@ -1,8 +1,8 @@
-"""Group commit of one shard: what was decided becomes durable in batches.
+"""Group commit for one shard: operations become durable in batches.
 
-A write whose answer is lost is never abandoned: the same batch is written
-again at the same position until it is known to be there, or the epoch is known
-to be lost.
+A write with an uncertain result is never abandoned. The same batch is written
+again at the same position until it is known to be durable, or the epoch is
+known to be lost.
 """
 
 from __future__ import annotations
@@ -38,30 +38,30 @@
 
 log = structlog.get_logger(part="claims")
 
-RETRY_INTERVAL_S = 0.2  # Between tries of a batch while the store is down.
-MAX_BATCH_BYTES = 256 * 1024  # A row of the log is kept below about this size.
+RETRY_INTERVAL_S = 0.2  # Between writes of a batch while the store is down.
+MAX_BATCH_BYTES = 256 * 1024  # Approximate limit for one log row.
 CLOSE_POLL_INTERVAL_S = 0.01
-CLOSE_TIMEOUT_S = 3.0  # Then the shard is given up as if the process died.
+CLOSE_TIMEOUT_S = 3.0  # Afterwards the shard is given up with writes pending.
 
 
 @attrs.define
 class BatchWriter(ShardLog):
-    """Queues operations and writes them, while this process owns the shard.
+    """Queues operations and writes them while this process owns the shard.
 
     Attributes:
-      alive: Says whether a holder, "name/incarnation/…", may still run.
+      alive: Returns whether a holder, "name/incarnation/…", may still run.
       interval_s: Seconds between two batches.
-      outage: What this process does while the store is down.
-      book: Claims, including those not yet durable.
+      outage: Replicates bills to peers while the store is down.
+      book: Claims, including changes that are not yet durable.
       next_sequence: Log position of the next batch.
       durable_sequence: Log position of the last batch known to be written.
-      lost: True once another owner is known, or has to be assumed.
-      closing: True once this owner takes nothing more, to hand over.
-      store_down: True while the last write did not become known.
-      open_batches: Batches not yet written; only the last takes operations.
-      in_flight: The batch being written.
+      lost: True once another owner is known or has to be assumed.
+      closing: True once new calls are refused for a handover.
+      store_down: True while the result of the last write is not known.
+      open_batches: Batches not yet written; operations go to the last one.
+      in_flight: Batch being written, or None.
       compactor: Compacts the log, or None.
-      background_tasks: Work of the compactor under way.
+      background_tasks: Running tasks of the compactor.
       wake: Set when there is something to write.
     """
 
@@ -88,18 +88,25 @@
 
     @property
     def not_serving(self) -> bool:
-        """True if calls have to go to another owner."""
+        """Whether callers have to find another owner."""
         return self.lost or self.closing
 
     @property
     def store_unavailable(self) -> bool:
-        """True if nothing can be made durable now."""
+        """Whether no operation can become durable now."""
         return self.store_down or self.outage.confirmed
 
     # Queue.
 
     def enqueue(self, op: ClaimOp | SettleOp | None) -> OpenBatch:
-        """Queues an operation; returns the batch that it rests on."""
+        """Queues an operation.
+
+        Args:
+          op: The operation, or None to wait for those queued before.
+
+        Returns:
+          The last batch, which has to be written first.
+        """
         if not self.open_batches or (
             op and self.open_batches[-1].size_bytes >= MAX_BATCH_BYTES
         ):
@@ -114,7 +121,12 @@
         return batch
 
     async def submit(self, decision: Decision) -> Decision | None:
-        """Waits until a decision and all it rests on are durable."""
+        """Waits until a decision and all that it depends on are durable.
+
+        Returns:
+          The decision, or the reply for an outage, or None if the epoch was
+          lost.
+        """
         if self.not_serving:
             return None
         if self.is_final(decision):
@@ -126,10 +138,10 @@
         return await waiter.future
 
     def is_final(self, decision: Decision) -> bool:
-        """Says whether a decision rests on nothing that may still change.
+        """Returns whether a decision can be returned without a check or write.
 
-        A book that is out of date may lack a later attempt, so the owner has
-        to be sure of its epoch before it grants or denies one.
+        A stale book may lack a later attempt, so the owner has to confirm its
+        epoch before it grants an attempt or reports it as superseded.
         """
         if decision.op is not None or not self.is_durable(decision.claim):
             return False
@@ -137,7 +149,7 @@
         return decision.outcome not in provisional_outcomes
 
     def is_durable(self, claim: Claim | None) -> bool:
-        """Says whether a claim's last change is known to be written."""
+        """Returns whether the last change of a claim is known to be written."""
         return claim is not None and claim.sequence <= self.durable_sequence
 
     # Writing.
@@ -149,11 +161,11 @@
                 await self.wake.wait()
             self.wake.clear()
             await self.flush()
-            # The write budget sets the pace, not the number of requests.
+            # The write budget sets the interval, not the request rate.
             await self.clock.sleep(self.interval_s)
 
     async def flush(self) -> None:
-        """Writes the first open batch and answers its waiters."""
+        """Writes the first open batch and resolves its waiters."""
         if not self.open_batches and not self.store_down:
             return
         if not self.open_batches:
@@ -184,17 +196,17 @@
             await self.clock.sleep(RETRY_INTERVAL_S)
 
     def record_flush(self, result: FlushResult) -> None:
-        """Notes whether the store is down, and answers who need not wait."""
+        """Records whether the store is down; if so, replies to waiters."""
         self.store_down = result is FlushResult.STORE_DOWN
         if not self.store_down:
             return
-        self.wake.set()  # So that the store is tried again.
+        self.wake.set()  # Retries the write.
         for batch in [self.in_flight, *self.open_batches]:
             if batch is not None:
                 self.reply_in_outage(batch)
 
     def make_batch(self, ops: list[ClaimOp | SettleOp]) -> Batch:
-        """Returns the next batch of the log."""
+        """Creates the next batch of the log."""
         batch = Batch(
             self.lease.epoch,
             self.next_sequence,
@@ -206,9 +218,9 @@
         return batch
 
     async def confirm_epoch(self) -> None:
-        """Makes sure of the epoch, for decisions that write nothing.
+        """Checks that the epoch is still held, for decisions without a write.
 
-        An owner that was paused may decide from a book that is out of date.
+        An owner that was paused may have decided from a stale book.
         """
         try:
             row = await self.table.get(lease_key(self.shard))
@@ -220,10 +232,10 @@
             self.mark_lost()
 
     async def close(self) -> bool:
-        """Takes nothing more and writes what is queued.
+        """Refuses new calls and writes all queued operations.
 
         Returns:
-          True if the log has everything that was decided here.
+          Whether everything was written within `CLOSE_TIMEOUT_S`.
         """
         self.closing = True
         end = self.clock.monotonic() + CLOSE_TIMEOUT_S
@@ -237,10 +249,10 @@
     # Compaction.
 
     async def write_and_compact(self, batch: Batch) -> None:
-        """Writes a batch, and compacts the log when it is time."""
+        """Writes a batch and runs the steps of a compaction that are due."""
         image = None
         if self.compactor is not None and not self.open_batches:
-            # Nothing behind this batch is in the book yet.
+            # The book has no operations after this batch.
             image = self.compactor.capture(batch, self.lease, self.book.claims)
         await self.write(batch)
         if self.compactor is None or self.lost:
@@ -252,11 +264,11 @@
             await self.commit_compaction(self.compactor.prepared)
 
     async def commit_compaction(self, compacted: PreparedCompaction) -> None:
-        """Moves the lease row on to a snapshot; forgets what it left out."""
+        """Writes the lease of a compaction, then removes expired claims."""
         await self.replace_lease(compacted.lease, compacted.puts)
         await self.confirm_epoch()
         if self.lease != compacted.lease:
-            return  # Not known yet; it is written again after a later batch.
+            return  # Not confirmed; retried after a later batch.
         for claim_id, claim in compacted.image.expired.items():
             if self.book.claims.get(claim_id) is claim:
                 del self.book.claims[claim_id]
@@ -264,7 +276,7 @@
         self.spawn(self.compactor.finish(compacted))
 
     def settle_abandoned(self, old: Mapping[ClaimId, Claim]) -> None:
-        """Ends claims whose holder died and whose key nobody repeated."""
+        """Settles old claims whose holder died and that no caller repeated."""
         for (workspace, key), claim in old.items():
             latest = self.book.claims.get((workspace, key))
             if latest is not claim or self.alive(claim.holder):
@@ -274,15 +286,15 @@
             self.metrics.count("claims.abandoned")
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Runs work beside the writing of batches."""
+        """Runs a coroutine as a background task."""
         task = asyncio.get_running_loop().create_task(work)
         self.background_tasks.add(task)
         task.add_done_callback(self.background_tasks.discard)
 
-    # Answers.
+    # Replies.
 
     def reply_in_outage(self, batch: OpenBatch) -> None:
-        """Answers, in an outage, those who need not or must not wait."""
+        """Replies in an outage to all waiters that need not or must not wait."""
         waiters, batch.waiters = batch.waiters, []
         for waiter in waiters:
             reply = outage_reply(
@@ -295,18 +307,18 @@
             self.release_refused(waiter.decision.op)
 
     def release_refused(self, op: ClaimOp | SettleOp | None) -> None:
-        """Ends an ask that was refused though it may become durable."""
+        """Releases a refused claim whose operation may still become durable."""
         if isinstance(op, ClaimOp) and not op.idempotent:
             self.enqueue(release_op(op))
 
     def resolve_waiters(self, batch: OpenBatch) -> None:
-        """Gives waiters their decisions, or None if the epoch was lost."""
+        """Resolves waiters to their decisions; to None if the epoch was lost."""
         for waiter in batch.waiters:
             if not waiter.future.done():
                 waiter.future.set_result(None if self.lost else waiter.decision)
 
     def mark_lost(self) -> None:
-        """Gives up the shard; nothing more is granted or settled here."""
+        """Gives up the shard: no claim is granted or settled here any more."""
         if self.lost:
             return
         self.lost = True
