--- a/src/rattanpier/_internal/claims/service.py
+++ b/src/rattanpier/_internal/claims/service.py
@@ -1,4 +1,4 @@
-"""Claims as the rest of an entry uses them, wherever their shard lives."""
+"""Claim service of an entry, independent of where a shard is owned."""
 
 from __future__ import annotations
 
@@ -39,24 +39,24 @@
 
 log = structlog.get_logger(part="claims")
 
-FLUSH_INTERVAL_S = 0.5  # Between looks at the bills kept for peers.
-DISOWN_RETRY_INTERVAL_S = 1.0  # Between tries to end a claim in the background.
-DISOWN_TIMEOUT_S = 3600.0  # Then the claim is left to the owner's sweep.
-MAX_DISOWNING = 10_000  # Claims ended in the background at once.
+FLUSH_INTERVAL_S = 0.5  # Between flushes of the bills kept for peers.
+DISOWN_RETRY_INTERVAL_S = 1.0  # Between settlements tried in the background.
+DISOWN_TIMEOUT_S = 3600.0  # Afterwards the owner's compaction settles it.
+MAX_DISOWNING = 10_000  # Claims settled in the background at a time.
 
 
 @attrs.frozen
 class ClaimReply:
-    """What an entry learns of its claim.
+    """Reply to an ask.
 
     Attributes:
-      outcome: What it may do.
-      attempt: The attempt granted, or the latest.
-      holder: Who runs the latest attempt.
-      answer: The recorded answer, if answered.
-      durable: False if granted while the store is down.
+      outcome: Outcome of the ask.
+      attempt: Number of the granted or else of the latest attempt.
+      holder: Holder of the latest attempt, unless granted.
+      answer: Recorded answer, if answered.
+      durable: False if granted provisionally while the store is down.
       not_run: True if no attempt of this claim can have run.
-      retry_after_s: When to come back, or 0.
+      retry_after_s: Seconds to wait before a retry, or 0.
     """
 
     outcome: ClaimOutcome
@@ -75,15 +75,23 @@
 
 @attrs.define
 class Claims:
-    """Makes, ends and looks up claims.
+    """Makes, settles and looks up claims.
 
     Attributes:
-      objects: Where snapshots and bills of compacted logs are kept.
-      ownership: Which shards this process owns, and who the others.
-      owner_calls: Carries calls to the owners of shards.
-      outage: What this process does while the store is down.
-      kept_bills: Bills that this process keeps for others meanwhile.
-      disowning: Tasks that end claims in the background.
+      me: This process as a member.
+      fleet: Sizes and limits of the fleet.
+      table: Table service with the logs and lease rows.
+      clock: Source of time.
+      metrics: Counts claims, settlements and retries.
+      members: Members of the fleet.
+      links: Connections to peers.
+      kernel: Starts background tasks and announces the stop.
+      objects: Object store for snapshots and bills of compacted logs.
+      outage: Replicates bills to peers while the store is down.
+      ownership: Shards owned by this process, and known owners of the rest.
+      owner_calls: Sends calls to the owners of shards.
+      kept_bills: Bills that this process keeps for peers during an outage.
+      disowning: Tasks that settle claims in the background.
       flush_after_s: Seconds that owners have to write bills themselves.
     """
 
@@ -147,23 +155,28 @@
     flush_after_s: float = FLUSH_DELAY_S
 
     def shard_of(self, workspace: str, key: str) -> int:
-        """Returns the shard of a request."""
+        """Returns the shard number of a workspace and key."""
         text = f"{workspace}\x1f{key}"
         return stable_hash(text) % self.fleet.claim_shards
 
     async def run(self) -> None:
-        """Looks after shards and kept bills until the end."""
+        """Maintains shards and flushes kept bills until the process stops."""
         self.kernel.spawn(self.run_flush())
         await self.ownership.run()
 
     async def hand_over(self) -> None:
-        """Gives up every shard, for a planned stop."""
+        """Hands over all shards, for a planned stop."""
         await self.ownership.hand_over_all()
 
     # For the rest of the entry.
 
     async def claim(self, ask: Ask, timeout_s: float) -> ClaimReply:
-        """Claims a request; safe to repeat with the same holder."""
+        """Asks for permission to run a request; idempotent for a holder.
+
+        Args:
+          ask: The ask.
+          timeout_s: Seconds to wait for the owner.
+        """
         body = peer_pb2.ClaimRequest(
             workspace=ask.workspace,
             key=ask.key,
@@ -191,7 +204,13 @@
     async def settle(
         self, op: SettleOp, holder: str, timeout_s: float
     ) -> SettleOutcome:
-        """Ends a claim; safe to repeat."""
+        """Settles a claim; idempotent.
+
+        Args:
+          op: The settlement.
+          holder: Holder that settles.
+          timeout_s: Seconds to wait for the owner.
+        """
         reply = await self.send_settle(op, holder, timeout_s)
         if reply is None:
             return SettleOutcome.UNAVAILABLE
@@ -200,7 +219,7 @@
     async def send_settle(
         self, op: SettleOp, holder: str, timeout_s: float
     ) -> peer_pb2.SettleReply | None:
-        """Sends a settlement; None if the owner can't be reached."""
+        """Sends a settlement; returns None if the owner can't be reached."""
         body = peer_pb2.SettleRequest(
             workspace=op.workspace,
             key=op.key,
@@ -217,16 +236,16 @@
         return None if reply is None else reply.settle
 
     def disown(self, ask: Ask, result: ClaimResult) -> None:
-        """Ends, in the background, whatever claim an ask has obtained.
+        """Settles in the background any claim that an ask was granted.
 
-        For an asker that goes away without a settlement: its ask may have
-        been granted though no reply came. Harmless if it was not, or if the
-        claim has ended.
+        It is for a holder that gives up without a settlement: its ask may
+        have been granted although no reply arrived. It has no effect if the
+        ask was not granted or the claim is already settled.
 
         Args:
-          ask: The ask as it was made.
-          result: Released if nothing can have run or it may run again; else
-            unknown.
+          ask: The ask as it was sent.
+          result: Released if nothing can have run or the request may run
+            again, else unknown.
         """
         if len(self.disowning) >= MAX_DISOWNING:
             self.metrics.count("claims.disown_dropped")
@@ -236,7 +255,7 @@
         task.add_done_callback(self.disowning.discard)
 
     async def disown_until_known(self, ask: Ask, result: ClaimResult) -> None:
-        """Ends a holder's claim; repeats until that is durable."""
+        """Settles a holder's claim; retries until the result is durable."""
         op = SettleOp(ask.workspace, ask.key, ANY_ATTEMPT, result)
         end = self.clock.monotonic() + DISOWN_TIMEOUT_S
         while self.clock.monotonic() < end:
@@ -250,7 +269,7 @@
     async def lookup(
         self, workspace: str, key: str, timeout_s: float
     ) -> peer_pb2.LookupReply | None:
-        """Asks for a claim's state; None if its owner can't be reached."""
+        """Looks up a claim; returns None if its owner can't be reached."""
         body = peer_pb2.LookupRequest(workspace=workspace, key=key)
         shard = self.shard_of(workspace, key)
         reply = await self.owner_calls.call_owner(
@@ -261,20 +280,20 @@
     # For peers.
 
     async def serve_call(self, call: peer_pb2.Call) -> peer_pb2.Reply:
-        """Serves a peer's claim, settlement or look-up.
+        """Serves a claim, settlement or lookup of a peer.
 
         Raises:
-          PeerUnavailableError: The shard has another owner.
+          PeerUnavailableError: This process does not own the shard.
         """
         body = getattr(call, call.WhichOneof("body") or "")
         shard = self.shard_of(body.workspace, body.key)
         return await self.owner_calls.serve(shard, call)
 
     async def serve_hold(self, call: peer_pb2.Call) -> peer_pb2.Reply:
-        """Keeps a bill for a peer, or takes one in as a shard's owner.
+        """Keeps a bill for a peer, or restores one as the shard's owner.
 
         Raises:
-          PeerUnavailableError: The shard has another owner.
+          PeerUnavailableError: This process does not own the shard.
         """
         if not call.hold.flush:
             return await self.kept_bills.serve(call)
@@ -285,17 +304,17 @@
     # Bills kept for peers.
 
     async def run_flush(self) -> None:
-        """Flushes kept bills whenever the store is back."""
+        """Flushes kept bills at an interval until the process stops."""
         while not self.kernel.stopping.is_set():
             await self.flush_kept()
             await self.clock.sleep(FLUSH_INTERVAL_S)
 
     async def flush_kept(self) -> None:
-        """Hands what is still kept to the owners of its shards.
+        """Sends the remaining kept bills to the owners of their shards.
 
-        An owner that lives writes its bills itself and has them dropped
-        here; what is left after a while belongs to an owner that died. Both
-        may happen: a bill is keyed by its claim.
+        A live owner writes its bills itself and has them released here. Bills
+        that remain after `flush_after_s` belong to an owner that died. If both
+        happen, the bill is still charged once, as its claim identifies it.
         """
         since = self.clock.monotonic() - self.ownership.reachable_since
         if not self.ownership.reachable or since < self.flush_after_s:
@@ -303,7 +322,7 @@
         await self.kept_bills.flush(self.send_kept)
 
     async def send_kept(self, bill: PendingBill) -> peer_pb2.Reply | None:
-        """Sends a kept bill to its shard's owner; None if there is none."""
+        """Sends a kept bill to its shard's owner; returns None without one."""
         body = peer_pb2.HoldRequest(flush=True, record=encode(bill).encode())
         shard = self.shard_of(bill.claim.workspace, bill.claim.key)
         return await self.owner_calls.call_owner(
