--- a/src/rattanpier/_internal/claims/ownership.py
+++ b/src/rattanpier/_internal/claims/ownership.py
@@ -1,4 +1,4 @@
-"""Which shards this process owns, and who owns the others."""
+"""Distribution of claim shards over the entries, by lease rows."""
 
 from __future__ import annotations
 
@@ -42,20 +42,23 @@
 
 log = structlog.get_logger(part="claims")
 
-PEER_CHECK_INTERVAL_S = 0.2  # Between questions to peers until they agree.
-MIN_MAINTAIN_INTERVAL_S = 0.5  # Between looks at the lease rows, at the least.
-MAX_FLEET_READS_PER_S = 200.0  # Looks at the lease rows by the whole fleet.
-MIN_REFRESH_INTERVAL_S = (
-    0.1  # Between reads of one lease row after a failed call.
-)
-ANY_ENTRY_AFTER_S = 3.0  # A shard free for so long is taken by any entry.
-HAND_OVER_DELAY_S = 3.0  # A better owner has to be known for so long.
+PEER_CHECK_INTERVAL_S = 0.2  # Until peers confirm an outage.
+MIN_MAINTAIN_INTERVAL_S = 0.5  # Between reads of all lease rows.
+MAX_FLEET_READS_PER_S = 200.0  # Reads of all lease rows, by the fleet.
+MIN_REFRESH_INTERVAL_S = 0.1  # Between reads of one row after failed calls.
+ANY_ENTRY_AFTER_S = 3.0  # Then any entry may acquire a free shard.
+HAND_OVER_DELAY_S = 3.0  # Time for which another entry must be preferred.
 LEASE_PREFIX = "shard/"
 
 
 @attrs.frozen
 class KnownLease:
-    """A lease row as last read."""
+    """Lease row as last read.
+
+    Attributes:
+      lease: Content of the row.
+      version: Version of the row.
+    """
 
     lease: ShardLease
     version: int
@@ -63,19 +66,31 @@
 
 @attrs.define
 class Ownership:
-    """Takes shards over, gives them up, and knows their owners.
+    """Acquires shards, hands them over and tracks their owners.
 
     Attributes:
-      owners: Shards this process owns.
+      fleet: Sizes and limits of the fleet.
+      table: Table service with the logs and lease rows.
+      clock: Source of time.
+      metrics: Counts handovers, retries and unreadable rows.
+      members: Members of the fleet.
+      links: Connections to peers.
+      kernel: Starts background tasks and announces the stop.
+      outage: Replicates bills to peers while the store is down.
+      objects: Object store with snapshots.
+      owners: Shards owned by this process, by number.
       known_leases: Lease rows as last read, by shard.
-      free_since: When a shard was first seen without a live owner.
-      misplaced_since: When an owned shard was first seen to belong elsewhere.
+      free_since: Time since when a shard has had no live owner, by shard; all
+        times are on the monotonic clock, in seconds.
+      misplaced_since: Time since when another entry has been preferred for an
+        owned shard, by shard.
+      read_at: Time of the last refresh of a lease row, by shard.
       reachable: False while the lease rows can't be read.
-      reachable_since: When they could be read again.
-      owners_known: Whether a live owner of each shard was known at some time.
-        Without one a request can't be claimed, and while the store is away
-        nobody tells of owners: an entry takes callers only from then on.
-      wake: Set to look at the rows at once.
+      reachable_since: Time since when they can be read again.
+      owners_known: Whether live owners of all shards have been known at once.
+        An entry accepts requests only from then on: a request can't be claimed
+        without an owner, and owners can't be found while the store is down.
+      wake: Set to read the lease rows at once.
     """
 
     fleet: Fleet
@@ -104,23 +119,23 @@
 
     @property
     def live(self) -> Mapping[str, Member]:
-        """The live members by name."""
+        """Live members by name."""
         return self.members.live.value
 
     @property
     def interval_s(self) -> float:
-        """Seconds between two batches of one shard, from the budget."""
+        """Seconds between two batches of a shard, from the write budget."""
         return self.fleet.claim_shards / self.fleet.store_writes_per_s
 
     @property
     def pause_s(self) -> float:
-        """Seconds between looks; the fleet's reads stay within a budget."""
+        """Seconds between reads of all lease rows, by the fleet's budget."""
         return max(
             MIN_MAINTAIN_INTERVAL_S, self.fleet.size / MAX_FLEET_READS_PER_S
         )
 
     async def run(self) -> None:
-        """Takes shards over and gives them up until the end."""
+        """Acquires shards and hands them over until the process stops."""
         while not self.kernel.stopping.is_set():
             await self.maintain()
             with contextlib.suppress(TimeoutError):
@@ -128,7 +143,7 @@
             self.wake.clear()
 
     async def maintain(self) -> None:
-        """Looks at the lease rows once and does what follows from them."""
+        """Reads the lease rows once; acquires and hands over shards by them."""
         try:
             await self.read_while_asking()
         except StoreUnavailableError:
@@ -152,11 +167,11 @@
     # The store.
 
     async def read_while_asking(self) -> None:
-        """Reads all lease rows; asks peers meanwhile if that failed before.
+        """Reads all lease rows; if the last read failed, also asks peers.
 
-        A store that is silent lets each read run into its timeout. Peers
-        notice at other moments than this process, and no request goes on
-        before they agree, so they are asked more often than the rows are read.
+        With a silent store each read lasts until its timeout. Peers detect the
+        outage at different times, and no request continues before they confirm
+        it, so they are asked more often than the rows are read.
 
         Raises:
           StoreUnavailableError: The rows can't be read.
@@ -175,21 +190,21 @@
             reading.cancel()
 
     async def record_outage(self) -> None:
-        """Notes that the store is down, and asks peers whether it is."""
+        """Records a failed read of the rows and asks peers about the store."""
         if self.reachable:
             log.warning("Lease rows can't be read.")
         self.reachable = False
         await self.ask_peers()
 
     async def ask_peers(self) -> None:
-        """Asks peers whether the store is down for them too."""
+        """Asks peers about the store; records a confirmed outage in owners."""
         await self.outage.check()
         if self.outage.confirmed:
             for owner in self.owners.values():
                 owner.record_flush(FlushResult.STORE_DOWN)
 
     def record_reachable(self) -> None:
-        """Notes that the store answers."""
+        """Records that the store is reachable."""
         self.outage.confirmed = False
         if not self.reachable:
             self.reachable = True
@@ -197,7 +212,7 @@
             log.info("Lease rows can be read again.")
 
     async def read_rows(self) -> None:
-        """Reads all lease rows."""
+        """Reads all lease rows; drops shards that are no longer owned."""
         rows = await scan_all(self.table, LEASE_PREFIX)
         for row in rows:
             self.apply_lease_row(int(row.key.removeprefix(LEASE_PREFIX)), row)
@@ -209,7 +224,7 @@
                 del self.owners[shard]
 
     async def refresh(self, shard: int) -> None:
-        """Reads one lease row again after its owner could not be reached."""
+        """Reads the lease row of a shard whose owner could not be reached."""
         now = self.clock.monotonic()
         if (
             now - self.read_at.get(shard, -MIN_REFRESH_INTERVAL_S)
@@ -224,7 +239,7 @@
                 self.apply_lease_row(shard, row)
 
     def apply_lease_row(self, shard: int, row: Row) -> None:
-        """Takes in a lease row; gives up a shard that has another owner."""
+        """Applies a newer lease row; gives up a shard with another owner."""
         before = self.known_leases.get(shard)
         if before is not None and before.version >= row.version:
             return
@@ -232,7 +247,7 @@
             lease = decode(ShardLease, row.value)
         except UnreadableError:
             self.metrics.count("claims.lease_unreadable")
-            log.error("Lease row is not readable.", shard=shard)
+            log.error("Lease row can't be decoded.", shard=shard)
             return
         self.known_leases[shard] = KnownLease(lease, row.version)
         self.free_since.pop(shard, None)
@@ -240,10 +255,10 @@
         if owner is not None and lease.epoch > owner.lease.epoch:
             owner.mark_lost()
 
-    # Taking over.
+    # Acquisition.
 
     def should_acquire(self, shard: int) -> bool:
-        """Says whether this entry is to own a shard that has no owner."""
+        """Returns whether this entry should acquire a shard now."""
         if shard in self.owners or self.me.state is MemberState.LEAVING:
             return False
         known = self.known_leases.get(shard)
@@ -259,31 +274,31 @@
         )
 
     def has_owner(self, lease: ShardLease) -> bool:
-        """Says whether a lease's owner is alive, and another process.
+        """Returns whether a lease names another process that is alive.
 
-        A lease of this very process without an owner here is left over from
-        an acquisition whose answer, or whose log, could not be read.
+        A lease of this process for a shard that it does not serve is left over
+        from an acquisition whose result, or whose log, could not be read.
         """
         if not lease.owner or self.is_mine(lease):
             return False
         return self.members.alive(f"{lease.owner}/{lease.incarnation}")
 
     def is_mine(self, lease: ShardLease) -> bool:
-        """Says whether a lease names this very process."""
+        """Returns whether a lease names this process."""
         mine = (self.me.name, self.me.incarnation)
         return (lease.owner, lease.incarnation) == mine
 
     def preferred(self, shard: int) -> str:
-        """Returns the entry that should own a shard."""
+        """Returns the name of the entry preferred for a shard, or empty."""
         names = [member.name for member in self.members.entries()]
         return next(iter(rendezvous(f"shard-{shard}", names)), "")
 
     async def acquire_shard(self, shard: int) -> None:
-        """Takes a shard over and starts to serve it."""
+        """Acquires a shard and starts to serve it."""
         try:
             owner = await self.make_owner(shard)
         except StoreUnavailableError:
-            # The lease may be ours already: it is taken again, or freed.
+            # The lease may be acquired already: it is acquired again, or freed.
             log.warning("Shard's log can't be read.", shard=shard)
             self.metrics.count("claims.retry.recover")
             return
@@ -291,10 +306,10 @@
             return
         self.owners[shard] = owner
         self.kernel.spawn(owner.run())
-        log.info("Shard taken.", shard=shard, epoch=owner.lease.epoch)
+        log.info("Shard acquired.", shard=shard, epoch=owner.lease.epoch)
 
     async def make_owner(self, shard: int) -> ShardOwner | None:
-        """Acquires a shard and reads its log; None if not obtained.
+        """Acquires a lease and reads the log; returns None if not acquired.
 
         Raises:
           StoreUnavailableError: The log can't be read.
@@ -333,10 +348,10 @@
         return owner
 
     async def make_compactor(self, shard: int, lease: ShardLease) -> Compactor:
-        """Returns the compactor of a shard, where its lease row left off.
+        """Creates the compactor of a shard with its earlier compactions.
 
         Raises:
-          StoreUnavailableError: What the lease names can't be read.
+          StoreUnavailableError: The rows of earlier compactions can't be read.
         """
         compactor = Compactor(
             shard,
@@ -349,7 +364,7 @@
         return compactor
 
     def owner_member(self, shard: int) -> Member | None:
-        """Returns the live owner of a shard, as far as is known."""
+        """Returns the live owner of a shard, or None if none is known."""
         known = self.known_leases.get(shard)
         if known is None:
             return None
@@ -359,16 +374,16 @@
         return member
 
     def knows_all_owners(self) -> bool:
-        """Says whether each shard has a live owner, as far as is known."""
+        """Returns whether a live owner is known for each shard."""
         return all(
             shard in self.owners or self.owner_member(shard) is not None
             for shard in range(self.fleet.claim_shards)
         )
 
-    # Giving up.
+    # Handover.
 
     def should_hand_over(self, shard: int) -> bool:
-        """Says whether another entry should own a shard by now."""
+        """Returns whether an owned shard should be handed over now."""
         preferred = self.preferred(shard)
         if preferred in ("", self.me.name):
             self.misplaced_since.pop(shard, None)
@@ -382,7 +397,7 @@
         )
 
     async def hand_over(self, shard: int) -> None:
-        """Gives a shard up once all that was decided is in its log."""
+        """Hands over a shard once its queued operations are in the log."""
         owner = self.owners.get(shard)
         if owner is None:
             return
@@ -390,27 +405,27 @@
         self.owners.pop(shard, None)
         self.misplaced_since.pop(shard, None)
         if not clean:
-            log.warning("Shard given up with writes open.", shard=shard)
+            log.warning("Shard given up with unwritten batches.", shard=shard)
         owner.mark_lost()
         await self.free_shard(shard, owner.lease, owner.lease_version)
 
     async def free_shard(
         self, shard: int, lease: ShardLease, version: int
     ) -> None:
-        """Writes that a shard has no owner, and tells the next one."""
+        """Removes the owner from a lease row and notifies the next owner."""
         key = lease_key(shard)
         lease = attrs.evolve(lease, owner="", incarnation="")
         outcome = await self.table.transact(
             Transaction([Check(key, version)], [Put(key, encode(lease))])
         )
         if not isinstance(outcome, Committed):
-            return  # The next look finds it left over.
+            return  # The next read of the rows finds it left over.
         self.metrics.count("claims.handed_over")
         log.info("Shard handed over.", shard=shard)
         self.notify_next_owner(shard)
 
     async def free_leftover_leases(self) -> None:
-        """Frees, on leaving, shards that are still in this process's name."""
+        """Frees, on leaving, leases of this process without an owner here."""
         if self.me.state is not MemberState.LEAVING:
             return
         for shard, known in list(self.known_leases.items()):
@@ -418,11 +433,11 @@
                 await self.free_shard(shard, known.lease, known.version)
 
     async def hand_over_all(self) -> None:
-        """Gives up every shard, for a planned stop."""
+        """Hands over all shards, for a planned stop."""
         await asyncio.gather(*(self.hand_over(shard) for shard in self.owners))
 
     def notify_next_owner(self, shard: int) -> None:
-        """Tells the next owner of a shard that it is free."""
+        """Notifies the next owner of a shard that it is free."""
         member = self.live.get(self.preferred(shard))
         if member is None or member.name == self.me.name:
             return
@@ -430,5 +445,5 @@
         self.links.to(member).notify(notice)
 
     def on_shard_free(self, _notice: peer_pb2.Notice) -> None:
-        """Looks at the rows at once when a peer freed a shard."""
+        """Reads the lease rows at once after a peer freed a shard."""
         self.wake.set()
