--- a/src/rattanpier/_internal/claims/writer.py
+++ b/src/rattanpier/_internal/claims/writer.py
@@ -41,7 +41,7 @@
 RETRY_INTERVAL_S = 0.2  # Between writes of a batch while the store is down.
 MAX_BATCH_BYTES = 256 * 1024  # Approximate limit for one log row.
 CLOSE_POLL_INTERVAL_S = 0.01
-CLOSE_TIMEOUT_S = 3.0  # Afterwards the shard is given up with writes pending.
+CLOSE_TIMEOUT_S = 3.0  # Afterwards the shard is given up as on a crash.
 
 
 @attrs.define
@@ -294,7 +294,7 @@
     # Replies.
 
     def reply_in_outage(self, batch: OpenBatch) -> None:
-        """Replies in an outage to all waiters that need not or must not wait."""
+        """Replies in an outage to waiters that need not or must not wait."""
         waiters, batch.waiters = batch.waiters, []
         for waiter in waiters:
             reply = outage_reply(
@@ -312,7 +312,7 @@
             self.enqueue(release_op(op))
 
     def resolve_waiters(self, batch: OpenBatch) -> None:
-        """Resolves waiters to their decisions; to None if the epoch was lost."""
+        """Resolves waiters to their decisions, or None if the epoch is lost."""
         for waiter in batch.waiters:
             if not waiter.future.done():
                 waiter.future.set_result(None if self.lost else waiter.decision)
