--- a/tests/unit/test_claims_compaction.py
+++ b/tests/unit/test_claims_compaction.py
@@ -55,7 +55,7 @@
     )
 
 
-async def decide(owner, work):
+async def run_decision(owner, work):
     """Runs a decision to its end, writing what it needs."""
     task = asyncio.get_running_loop().create_task(work)
     await asyncio.sleep(0)
@@ -75,18 +75,18 @@
     return SettleOp("w", key, attempt, result, bill, answer)
 
 
-async def run_one(owner, key, holder, result):
+async def claim_and_settle(owner, key, holder, result):
     """Claims a key and ends it; returns the bill if it is to be billed."""
     ask = Ask("w", key, holder, True, "d")
-    decision = await decide(owner, owner.ask(ask))
+    decision = await run_decision(owner, owner.ask(ask))
     if decision.outcome is not ClaimOutcome.GRANTED or result is None:
         return []
     attempt = (decision.op or decision.claim).attempt
-    await decide(owner, owner.settle(settle_op(key, attempt, result)))
+    await run_decision(owner, owner.settle(settle_op(key, attempt, result)))
     return [key] if result is ClaimResult.ANSWERED else []
 
 
-async def exported(table, objects, after=None):
+async def export_all(table, objects, after=None):
     return [billed async for billed in export_bills(table, objects, after)]
 
 
@@ -109,42 +109,44 @@
 
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(steps)
-def test_recovered_book_equals_live_book(script):
+def test_recovered_book_equals_live_book(sequence_of_steps):
     async def run():
         table, objects, clock = MemoryTable(), MemoryObjects(), ManualClock()
         owner = await make_owner(table, objects, clock)
         expected = []
-        for number, (key, result, pause_s) in enumerate(script):
+        for number, (key, result, pause_s) in enumerate(sequence_of_steps):
             clock.now += pause_s
-            expected += await run_one(owner, key, f"h/i/{number}", result)
+            expected += await claim_and_settle(
+                owner, key, f"h/i/{number}", result
+            )
             book, sequence = await recover(table, 0, objects)
             assert book == owner.book
             assert sequence == owner.next_sequence
-        found = [billed.bill.key for billed in await exported(table, objects)]
+        found = [billed.bill.key for billed in await export_all(table, objects)]
         assert sorted(found) == sorted(expected)
 
     run_virtual(run())
 
 
-async def fill(owner, clock, count, start=0, step_s=1.0):
+async def add_answered_claims(owner, clock, count, start=0, step_s=1.0):
     for number in range(start, start + count):
         clock.now += step_s
-        await run_one(
+        await claim_and_settle(
             owner, f"k{number}", f"h/i/{number}", ClaimResult.ANSWERED
         )
 
 
-@pytest.mark.parametrize("kind", (MemoryObjects, None))
-def test_log_and_memory_stay_bounded_and_bills_survive(kind):
+@pytest.mark.parametrize("objects_class", (MemoryObjects, None))
+def test_log_and_memory_stay_bounded_and_bills_survive(objects_class):
     async def run():
         table, clock = MemoryTable(), ManualClock()
-        objects = kind() if kind else TableObjects(table)
+        objects = objects_class() if objects_class else TableObjects(table)
         owner = await make_owner(table, objects, clock)
-        await fill(owner, clock, 300)
+        await add_answered_claims(owner, clock, 300)
         rows = [key for key in table.rows if key.startswith(log_prefix(0))]
         assert len(rows) <= 3 * BATCHES
         assert len(owner.book.claims) <= 2 * RETENTION_S
-        found = await exported(table, objects)
+        found = await export_all(table, objects)
         assert [billed.bill.key for billed in found] == [
             f"k{number}" for number in range(300)
         ]
@@ -153,68 +155,68 @@
     run_virtual(run())
 
 
-def test_export_goes_on_where_it_stopped():
+def test_export_resumes_after_last_position():
     async def run():
         table, objects, clock = MemoryTable(), MemoryObjects(), ManualClock()
         owner = await make_owner(table, objects, clock)
-        await fill(owner, clock, 23)
-        first = await exported(table, objects)
-        await fill(owner, clock, 20, start=23)
-        second = await exported(table, objects, {0: first[-1].sequence})
+        await add_answered_claims(owner, clock, 23)
+        first = await export_all(table, objects)
+        await add_answered_claims(owner, clock, 20, start=23)
+        second = await export_all(table, objects, {0: first[-1].sequence})
         keys = [billed.bill.key for billed in first + second]
         assert keys == [f"k{number}" for number in range(43)]
 
     run_virtual(run())
 
 
-def test_new_owner_forgets_what_is_old():
+def test_new_owner_removes_expired_claims():
     async def run():
         table, objects, clock = MemoryTable(), MemoryObjects(), ManualClock()
         for turn in range(6):
             owner = await make_owner(table, objects, clock, f"n{turn}")
-            await fill(owner, clock, 40, start=40 * turn)
+            await add_answered_claims(owner, clock, 40, start=40 * turn)
         assert len(owner.book.claims) <= 2 * RETENTION_S
-        assert len(await exported(table, objects)) == 240
+        assert len(await export_all(table, objects)) == 240
 
     run_virtual(run())
 
 
-def test_claims_of_the_dead_end():
+def test_abandoned_claims_of_dead_holders_are_removed():
     async def run():
         table, objects, clock = MemoryTable(), MemoryObjects(), ManualClock()
         owner = await make_owner(
             table, objects, clock, alive=lambda holder: "dead" not in holder
         )
-        await run_one(owner, "left", "dead/i/0", None)
-        await run_one(owner, "runs", "h/i/0", None)
-        await fill(owner, clock, 200)
+        await claim_and_settle(owner, "left", "dead/i/0", None)
+        await claim_and_settle(owner, "runs", "h/i/0", None)
+        await add_answered_claims(owner, clock, 200)
         assert owner.find("w", "left") is None
         assert owner.find("w", "runs").result is ClaimResult.RUNNING
 
     run_virtual(run())
 
 
-def test_objects_down_delays_compaction_only():
+def test_object_store_outage_only_delays_compaction():
     async def run():
         table, objects, clock = MemoryTable(), MemoryObjects(), ManualClock()
         owner = await make_owner(table, objects, clock)
         objects.down = True
-        await fill(owner, clock, 40)
+        await add_answered_claims(owner, clock, 40)
         assert owner.lease.first == 1
         objects.down = False
-        await fill(owner, clock, 60, start=40)
+        await add_answered_claims(owner, clock, 60, start=40)
         assert owner.lease.first > 1
-        assert len(await exported(table, objects)) == 100
+        assert len(await export_all(table, objects)) == 100
 
     run_virtual(run())
 
 
-class LateTable(MemoryTable):
+class DelayedLeaseTable(MemoryTable):
     """Loses the answers to writes of lease rows; applies some late."""
 
     def __init__(self):
         super().__init__()
-        self.late = []
+        self.delayed = []
         self.turn = 0
 
     async def transact(self, transaction):
@@ -223,51 +225,55 @@
             return await super().transact(transaction)
         self.turn += 1
         if self.turn % 2:
-            self.late.append(transaction)
+            self.delayed.append(transaction)
         else:
             await super().transact(transaction)
         return Uncertain("no answer")
 
 
-def test_lost_and_late_lease_writes_lose_no_bill():
+def test_lost_and_delayed_lease_writes_lose_no_bill():
     async def run():
-        table, objects, clock = LateTable(), MemoryObjects(), ManualClock()
+        table, objects, clock = (
+            DelayedLeaseTable(),
+            MemoryObjects(),
+            ManualClock(),
+        )
         owner = await make_owner(table, objects, clock)
         table.turn = 1
         for number in range(60):
-            await fill(owner, clock, 1, start=number)
-            if number % 3 == 0 and table.late:
-                await MemoryTable.transact(table, table.late.pop(0))
+            await add_answered_claims(owner, clock, 1, start=number)
+            if number % 3 == 0 and table.delayed:
+                await MemoryTable.transact(table, table.delayed.pop(0))
         assert not owner.lost
         assert owner.lease.first > 1
         book, _ = await recover(table, 0, objects)
         assert book == owner.book
-        assert len(await exported(table, objects)) == 60
+        assert len(await export_all(table, objects)) == 60
 
     run_virtual(run())
 
 
-def test_paused_owner_does_not_compact():
+def test_superseded_owner_does_not_commit_a_compaction():
     async def run():
         table, objects, clock = MemoryTable(), MemoryObjects(), ManualClock()
         old = await make_owner(table, objects, clock)
-        await fill(old, clock, BATCHES)
+        await add_answered_claims(old, clock, BATCHES)
         compacted = old.compactor.prepared
         new = await make_owner(table, objects, clock, "b")
-        await fill(new, clock, 20, start=BATCHES)
+        await add_answered_claims(new, clock, 20, start=BATCHES)
         if compacted is not None:
             await old.commit_compaction(compacted)
         assert old.lost
-        assert len(await exported(table, objects)) == BATCHES + 20
+        assert len(await export_all(table, objects)) == BATCHES + 20
 
     run_virtual(run())
 
 
-def test_missing_snapshot_is_not_an_empty_one():
+def test_missing_snapshot_fails_recovery():
     async def run():
         table, objects, clock = MemoryTable(), MemoryObjects(), ManualClock()
         owner = await make_owner(table, objects, clock)
-        await fill(owner, clock, 20)
+        await add_answered_claims(owner, clock, 20)
         objects.texts.clear()
         with pytest.raises(StoreUnavailableError):
             await recover(table, 0, objects)
--- a/tests/unit/test_claims_messages.py
+++ b/tests/unit/test_claims_messages.py
@@ -33,7 +33,7 @@
     )
 
 
-def test_bill_arrives_whole():
+def test_bill_survives_encoding():
     assert decode_bill(settle_request()) == BILL
 
 
@@ -41,7 +41,7 @@
     assert decode_bill(peer_pb2.SettleRequest(bill=encode_bill(None))) is None
 
 
-def test_a_request_costs_few_bytes():
+def test_messages_of_a_request_fit_the_byte_budget():
     ask = peer_pb2.ClaimRequest(
         workspace=WORKSPACE,
         key=KEY,
