--- a/tests/failure/test_claims_faults.py
+++ b/tests/failure/test_claims_faults.py
@@ -63,7 +63,7 @@
     fleet.faults.silent = False
 
 
-async def unshared_outage(fleet):
+async def unconfirmed_outage(fleet):
     """An outage that no peer confirms, since all are in one domain."""
     for node in fleet.nodes.values():
         node.members.me = attrs.evolve(node.members.me, domain="a")
@@ -92,7 +92,7 @@
     killed_owners,
     restart_of_all,
     outage,
-    unshared_outage,
+    unconfirmed_outage,
     two_outages,
 )
 PAIRS = (
@@ -115,10 +115,10 @@
 async def run_load(faults, idempotent, seed):
     fleet = FleetOfNodes(count=4, seed=seed)
 
-    async def together(fleet):
+    async def run_all(fleet):
         await asyncio.gather(*(fault(fleet) for fault in faults))
 
-    return await load(fleet, REQUESTS, together, idempotent)
+    return await load(fleet, REQUESTS, run_all, idempotent)
 
 
 @pytest.mark.parametrize("idempotent", (True, False))
--- a/tests/failure/test_claims_outage.py
+++ b/tests/failure/test_claims_outage.py
@@ -13,7 +13,7 @@
 KEYS = [f"k{number}" for number in range(20)]
 
 
-async def down_fleet(**changes):
+async def fleet_in_outage(**changes):
     """A fleet whose store is down, and known to be."""
     fleet = FleetOfNodes(count=4, **changes)
     await fleet.settled()
@@ -30,7 +30,7 @@
     ]
 
 
-async def provisional_answers(fleet):
+async def repeat_after_owner_death(fleet):
     """Answers of an outage whose owners then die; with it, the repeats."""
     answers = dict(zip(KEYS, await ask_each(fleet, True), strict=True))
     assert all(isinstance(answer, str) for answer in answers.values())
@@ -47,21 +47,21 @@
     return answers, repeats, fleet.bills()
 
 
-def test_repeat_after_the_owner_died_gets_the_released_answer():
+def test_repeat_after_owner_death_gets_the_released_answer():
     async def run():
-        return await provisional_answers(await down_fleet())
+        return await repeat_after_owner_death(await fleet_in_outage())
 
     answers, repeats, bills = run_virtual(run())
     assert repeats == answers
     assert bills == dict.fromkeys(KEYS, 1)
 
 
-def test_non_idempotent_is_refused_at_once_and_truly_not_run():
+def test_non_idempotent_request_is_refused_without_running():
     async def run():
-        fleet = await down_fleet()
+        fleet = await fleet_in_outage()
         started = fleet.now()
         replies = await ask_each(fleet, False)
-        took = fleet.now() - started
+        elapsed_s = fleet.now() - started
         assert all(
             reply.outcome is ClaimOutcome.UNAVAILABLE for reply in replies
         )
@@ -69,7 +69,7 @@
         assert all(reply.retry_after_s > 0 for reply in replies)
         assert not fleet.runs
         # No waiting for the store, twenty requests one after the other.
-        assert took < 1.0
+        assert elapsed_s < 1.0
         fleet.faults.silent = False
         await asyncio.sleep(10)
         # Nothing of a refused request may become durable: its key is free.
@@ -82,7 +82,7 @@
     run_virtual(run())
 
 
-def test_asks_queued_as_the_store_goes_down_are_taken_back():
+def test_asks_queued_when_the_store_fails_are_released():
     async def run():
         fleet = FleetOfNodes(count=4)
         await fleet.settled()
@@ -118,7 +118,7 @@
     monkeypatch.setattr(owner, "MAX_PENDING_BYTES", 5 * pending.OP_BYTES)
 
     async def run():
-        fleet = await down_fleet(shards=1)
+        fleet = await fleet_in_outage(shards=1)
         started = fleet.now()
         replies = await ask_each(fleet, True)
         refused = [reply for reply in replies if not isinstance(reply, str)]
@@ -135,11 +135,11 @@
     run_virtual(run())
 
 
-def test_full_keeper_holds_the_last_byte_back(monkeypatch):
+def test_answer_is_withheld_when_peers_have_no_room_for_its_bill(monkeypatch):
     monkeypatch.setattr(kept_bills, "MAX_KEPT_BYTES", 1500)
 
     async def run():
-        fleet = await down_fleet()
+        fleet = await fleet_in_outage()
         answers = await ask_each(fleet, True)
         released = [one for one in answers if isinstance(one, str)]
         kept = [
@@ -156,7 +156,7 @@
     run_virtual(run())
 
 
-def test_silent_store_is_agreed_on_within_one_more_read():
+def test_peers_confirm_a_silent_store_within_one_more_read():
     async def run(offset):
         fleet = FleetOfNodes(count=6)
         await fleet.settled()
@@ -173,7 +173,7 @@
     assert max(waits) <= 3.8
 
 
-def test_entry_that_alone_is_cut_off_gives_nothing_out():
+def test_partitioned_entry_releases_no_answers():
     async def run():
         fleet = FleetOfNodes(count=4)
         await fleet.settled()
@@ -195,9 +195,9 @@
     run_virtual(run())
 
 
-def test_dead_owner_in_an_outage_is_told_at_once():
+def test_dead_owner_in_an_outage_fails_claims_fast():
     async def run():
-        fleet = await down_fleet()
+        fleet = await fleet_in_outage()
         fleet.owner_of(KEYS[0]).kill()
         await asyncio.sleep(1)
         node = fleet.working()[0]
@@ -214,7 +214,7 @@
 
 def test_flush_by_owner_and_peer_bills_once():
     async def run():
-        fleet = await down_fleet()
+        fleet = await fleet_in_outage()
         await ask_each(fleet, True)
         for node in fleet.nodes.values():
             # Every release is lost, so each bill is flushed twice.
@@ -234,9 +234,9 @@
     run_virtual(run())
 
 
-def test_bills_do_not_depend_on_which_peer_is_asked():
+def test_bills_are_kept_only_in_another_failure_domain():
     async def run():
-        fleet = await down_fleet(domains=("a", "b"))
+        fleet = await fleet_in_outage(domains=("a", "b"))
         await ask_each(fleet, True)
         for node in fleet.nodes.values():
             for member, _ in node.claims.outage.bill_locations.values():
@@ -249,9 +249,9 @@
     assert run_virtual(run()) == len(KEYS)
 
 
-def test_one_domain_alone_gives_nothing_out_in_an_outage():
+def test_single_failure_domain_releases_no_answers_in_an_outage():
     async def run():
-        fleet = await down_fleet(domains=("a",))
+        fleet = await fleet_in_outage(domains=("a",))
         replies = await ask_each(fleet, True)
         assert not fleet.released
         return [attrs.astuple(reply)[0] for reply in replies]
--- a/tests/failure/test_claims_ownership.py
+++ b/tests/failure/test_claims_ownership.py
@@ -29,7 +29,7 @@
 REQUESTS = 100
 
 
-def owned(fleet):
+def lease_by_shard(fleet):
     """Returns the owner of each shard by the table's own word."""
     return {
         shard: decode(ShardLease, fleet.table.rows[lease_key(shard)].value)
@@ -37,7 +37,7 @@
     }
 
 
-async def slowest(fleet, event):
+async def slowest_answer_s(fleet, event):
     """Sends requests through one entry around an event."""
     node = list(fleet.nodes.values())[-1]
     times = []
@@ -74,16 +74,16 @@
         other.members.look()
 
 
-def test_planned_stop_makes_nobody_wait():
+def test_planned_stop_delays_no_request():
     async def run():
         fleet = FleetOfNodes(count=4)
         await fleet.settled()
         leaving = first_owner(fleet)
-        worst = await slowest(fleet, leave)
+        slowest_s = await slowest_answer_s(fleet, leave)
         assert not leaving.claims.ownership.owners
-        names = {lease.owner for lease in owned(fleet).values()}
+        names = {lease.owner for lease in lease_by_shard(fleet).values()}
         assert leaving.member.name not in names
-        return worst
+        return slowest_s
 
     assert run_virtual(run()) < 0.5
 
@@ -91,35 +91,37 @@
 @pytest.mark.parametrize(
     "event", (lambda node: node.kill(), lambda node: node.freeze())
 )
-def test_shards_of_a_dead_or_frozen_owner_are_owned_within_seconds(event):
+def test_shards_of_dead_or_frozen_owners_are_taken_over_in_seconds(event):
     async def run():
         fleet = FleetOfNodes(count=4)
         await fleet.settled()
-        return await slowest(fleet, lambda fleet: event(first_owner(fleet)))
+        return await slowest_answer_s(
+            fleet, lambda fleet: event(first_owner(fleet))
+        )
 
     # The lease lapses after 3 s here; the rest is this code's.
     assert run_virtual(run()) < 5.5
 
 
-def test_joining_entry_gets_its_share():
+def test_joining_entries_get_their_share_of_shards():
     async def run():
         fleet = FleetOfNodes(count=2, shards=12)
         await fleet.settled()
         for number in range(4):
             fleet.start(f"joined-{number}")
-        worst = await slowest(fleet, lambda fleet: None)
+        slowest_s = await slowest_answer_s(fleet, lambda fleet: None)
         await asyncio.sleep(10)
         shares = {}
-        for lease in owned(fleet).values():
+        for lease in lease_by_shard(fleet).values():
             shares[lease.owner] = shares.get(lease.owner, 0) + 1
         assert len(shares) == 6
         assert max(shares.values()) <= 5
-        return worst
+        return slowest_s
 
     assert run_virtual(run()) < 0.5
 
 
-def test_two_that_take_a_shard_at_once():
+def test_concurrent_acquisitions_have_one_winner():
     async def run():
         table = MemoryTable()
         rows = [None]
@@ -139,7 +141,7 @@
     assert run_virtual(run()) == (50, 50)
 
 
-def test_shard_whose_log_can_not_be_read_is_taken_again():
+def test_shard_with_unreadable_log_is_acquired_again():
     async def run():
         fleet = FleetOfNodes(count=3)
         scan = fleet.table.scan
@@ -159,7 +161,7 @@
     run_virtual(run())
 
 
-def test_acquisition_whose_answer_is_lost_leaves_no_shard_behind():
+def test_acquisition_with_lost_reply_leaves_no_shard_unowned():
     async def run():
         fleet = FleetOfNodes(count=3)
         get = fleet.table.get
@@ -173,7 +175,7 @@
 
         fleet.table.get = no_lease
         fleet.faults.lost = 1.0
-        fleet.spawn(heal(fleet))
+        fleet.spawn(stop_losing_answers(fleet))
         await fleet.settled()
         assert len(lost) == 8
         assert isinstance(await fleet.working()[0].answer("k1"), str)
@@ -181,12 +183,12 @@
     run_virtual(run())
 
 
-async def heal(fleet):
+async def stop_losing_answers(fleet):
     await asyncio.sleep(2)
     fleet.faults.lost = 0.0
 
 
-def test_lease_row_that_makes_no_sense_stops_no_other_shard():
+def test_invalid_lease_row_affects_no_other_shard():
     async def run():
         fleet = FleetOfNodes(count=3)
         await fleet.settled()
@@ -204,7 +206,7 @@
     run_virtual(run())
 
 
-def test_late_release_of_a_shard_takes_it_from_nobody():
+def test_late_release_of_a_shard_keeps_its_new_owner():
     async def run():
         fleet = FleetOfNodes(count=3)
         await fleet.settled()
@@ -216,12 +218,12 @@
         await asyncio.sleep(8)
         node.thaw()
         await node.claims.ownership.free_shard(shard, lease, version)
-        assert owned(fleet)[shard].owner not in ("", node.member.name)
+        assert lease_by_shard(fleet)[shard].owner not in ("", node.member.name)
 
     run_virtual(run())
 
 
-def test_thawed_owner_does_not_confirm_its_own_old_grant():
+def test_resumed_owner_does_not_confirm_its_stale_grant():
     async def run():
         fleet = FleetOfNodes(count=3)
         await fleet.settled()
@@ -238,8 +240,8 @@
         node.freeze()
         await asyncio.sleep(8)
         other = fleet.working()[0]
-        told = await other.answer(key, False)
-        assert told.outcome is ClaimOutcome.UNKNOWN
+        reply = await other.answer(key, False)
+        assert reply.outcome is ClaimOutcome.UNKNOWN
         again = fleet.spawn(node.claims.claim(ask, 5.0))
         node.thaw()
         return (await again).outcome
@@ -247,7 +249,7 @@
     assert run_virtual(run()) is ClaimOutcome.UNKNOWN
 
 
-def test_shard_that_is_nobodys_choice_is_taken_all_the_same(monkeypatch):
+def test_shard_preferred_by_no_entry_is_acquired(monkeypatch):
     async def run():
         fleet = FleetOfNodes(count=3)
         await fleet.settled()
@@ -259,7 +261,7 @@
     run_virtual(run())
 
 
-def test_outcome_of_an_unknown_acquisition_is_read():
+def test_acquisition_with_uncertain_write_reads_its_outcome():
     class Silent(MemoryTable):
         async def transact(self, transaction):
             await super().transact(transaction)
@@ -272,7 +274,7 @@
     assert (lease.owner, lease.epoch, version) == ("n", 1, 1)
 
 
-def test_an_entry_that_never_read_who_owns_the_shards_takes_no_callers():
+def test_entry_without_known_owners_is_not_ready():
     """An entry started, and the store went away before its first look.
 
     It was ready, and refused all that came for as long as the store was away:
@@ -297,7 +299,7 @@
     run_virtual(run())
 
 
-def test_a_claim_is_settled_at_a_new_owner_just_after_an_outage():
+def test_claim_is_settled_at_new_owner_just_after_an_outage():
     """A stream ended with an error event where its shard had a new owner.
 
     An entry was declared gone while it was frozen, thawed, and answered just as
@@ -325,7 +327,7 @@
 
 
 @pytest.mark.parametrize("owners_known", [False, True])
-async def test_an_entry_is_ready_once_it_knows_the_owners(owners_known):
+async def test_entry_is_ready_once_it_knows_the_owners(owners_known):
     ownership = SimpleNamespace(owners_known=owners_known)
     runner = SimpleNamespace(
         claims=SimpleNamespace(ownership=ownership),
--- a/tests/failure/test_claims_processes.py
+++ b/tests/failure/test_claims_processes.py
@@ -13,7 +13,7 @@
 
 ENTRIES = ("entry-1", "entry-2", "entry-3")
 REQUESTS = 60
-PATIENCE_S = 60.0
+CALLER_TIMEOUT_S = 60.0
 
 
 @pytest.fixture
@@ -58,7 +58,7 @@
 async def call_until_answered(cluster, key, number, answers):
     """A caller that asks again, each time through the next entry."""
     loop = asyncio.get_running_loop()
-    end = loop.time() + PATIENCE_S
+    end = loop.time() + CALLER_TIMEOUT_S
     while loop.time() < end:
         answer = await call(cluster, ENTRIES[number % len(ENTRIES)], key)
         if answer is not None:
@@ -93,7 +93,7 @@
     return found
 
 
-async def check(cluster, answers):
+async def check_answers_and_bills(cluster, answers):
     lost = REQUESTS - len(answers)
     doubled = sum(len(texts) > 1 for texts in answers.values())
     assert (lost, doubled) == (0, 0)
@@ -165,4 +165,4 @@
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.__name__)
 async def test_each_key_is_answered_once_and_billed_once(cluster, fault):
     answers = await load(cluster, fault)
-    await check(cluster, answers)
+    await check_answers_and_bills(cluster, answers)
--- a/tests/failure/test_claims_switched_off.py
+++ b/tests/failure/test_claims_switched_off.py
@@ -18,8 +18,8 @@
 from rattanpier._internal.store.table import Put, Transaction
 from rattanpier._internal.utils.codec import encode
 from tests.failure import test_claims_faults as faults
-from tests.failure import test_claims_outage as during
-from tests.failure import test_claims_ownership as owning
+from tests.failure import test_claims_outage as outage_tests
+from tests.failure import test_claims_ownership as ownership_tests
 from tests.lib.virtual import run_virtual
 
 
@@ -36,7 +36,7 @@
     patch.setattr(owner.ShardOwner, "write_once", write_once)
 
 
-def read_back_believes(patch):
+def read_back_assumes_durable(patch):
     """A write that is not there on read-back counts as never written."""
     original = owner.ShardOwner.read_back
 
@@ -53,7 +53,7 @@
     patch.setattr(service.Claims, "disown", lambda *_: None)
 
 
-def no_keeper(patch):
+def no_bill_replication(patch):
     """Answers leave in an outage though no peer keeps their bills."""
 
     async def keep(self, bill):
@@ -71,7 +71,7 @@
     patch.setattr(outage.Outage, "collect", collect)
 
 
-def dead_holders_live(patch):
+def dead_owners_count_as_alive(patch):
     """Nobody is ever found dead."""
     patch.setattr(
         ownership.Ownership,
@@ -80,7 +80,7 @@
     )
 
 
-def no_left_over(patch):
+def no_leftover_leases(patch):
     """A lease in the own name counts as owned."""
     patch.setattr(ownership.Ownership, "is_mine", lambda *_: False)
 
@@ -89,7 +89,7 @@
     patch.setattr(ownership.Ownership, "should_hand_over", lambda *_: False)
 
 
-def no_taking_back(patch):
+def no_release_of_refused_asks(patch):
     """A refused ask's operation stays in the log."""
 
     def release_op(op):
@@ -98,7 +98,7 @@
     patch.setattr(writer, "release_op", release_op)
 
 
-def no_confirming(patch):
+def no_epoch_confirmation(patch):
     """Decisions that write nothing are given without a look at the lease."""
 
     async def confirm_epoch(self):
@@ -107,7 +107,7 @@
     patch.setattr(owner.ShardOwner, "confirm_epoch", confirm_epoch)
 
 
-def no_asking_of_peers(patch):
+def no_peer_check(patch):
     """An entry that can't reach the store takes it to be down."""
 
     async def check(self):
@@ -123,26 +123,32 @@
 TESTS = (
     (
         no_collect,
-        during.test_repeat_after_the_owner_died_gets_the_released_answer,
+        outage_tests.test_repeat_after_owner_death_gets_the_released_answer,
     ),
     (
-        no_taking_back,
-        during.test_asks_queued_as_the_store_goes_down_are_taken_back,
+        no_release_of_refused_asks,
+        outage_tests.test_asks_queued_when_the_store_fails_are_released,
     ),
     (
-        no_asking_of_peers,
-        during.test_entry_that_alone_is_cut_off_gives_nothing_out,
+        no_peer_check,
+        outage_tests.test_partitioned_entry_releases_no_answers,
     ),
-    (no_left_over, owning.test_shard_whose_log_can_not_be_read_is_taken_again),
     (
-        no_left_over,
-        owning.test_acquisition_whose_answer_is_lost_leaves_no_shard_behind,
+        no_leftover_leases,
+        ownership_tests.test_shard_with_unreadable_log_is_acquired_again,
     ),
-    (no_hand_over, owning.test_planned_stop_makes_nobody_wait),
-    (no_hand_over, owning.test_joining_entry_gets_its_share),
     (
-        no_confirming,
-        owning.test_thawed_owner_does_not_confirm_its_own_old_grant,
+        no_leftover_leases,
+        ownership_tests.test_acquisition_with_lost_reply_leaves_no_shard_unowned,
+    ),
+    (no_hand_over, ownership_tests.test_planned_stop_delays_no_request),
+    (
+        no_hand_over,
+        ownership_tests.test_joining_entries_get_their_share_of_shards,
+    ),
+    (
+        no_epoch_confirmation,
+        ownership_tests.test_resumed_owner_does_not_confirm_its_stale_grant,
     ),
 )
 
@@ -150,7 +156,7 @@
 @pytest.mark.parametrize(
     "switch_off, test", TESTS, ids=lambda value: value.__name__
 )
-def test_step_by_step_test_finds_it(monkeypatch, switch_off, test):
+def test_scenario_fails_without_the_mechanism(monkeypatch, switch_off, test):
     switch_off(monkeypatch)
     with pytest.raises(AssertionError):
         test()
@@ -159,21 +165,29 @@
 CASES = (
     (no_fence, (faults.frozen_owners,), True),
     (no_fence, (faults.delayed_writes, faults.frozen_owners), False),
-    (read_back_believes, (faults.dropped_writes,), True),
-    (read_back_believes, (faults.dropped_writes, faults.killed_owners), False),
-    (no_disown, (faults.unshared_outage,), True),
-    (no_keeper, (faults.outage, faults.killed_late), True),
-    (dead_holders_live, (faults.killed_owners,), True),
+    (read_back_assumes_durable, (faults.dropped_writes,), True),
+    (
+        read_back_assumes_durable,
+        (faults.dropped_writes, faults.killed_owners),
+        False,
+    ),
+    (no_disown, (faults.unconfirmed_outage,), True),
+    (no_bill_replication, (faults.outage, faults.killed_late), True),
+    (dead_owners_count_as_alive, (faults.killed_owners,), True),
 )
 
 
 @pytest.mark.parametrize(
-    "switch_off, together, idempotent",
+    "switch_off, combined_faults, idempotent",
     CASES,
     ids=lambda value: getattr(value, "__name__", None),
 )
-def test_load_finds_it(monkeypatch, switch_off, together, idempotent):
+def test_load_fails_without_the_mechanism(
+    monkeypatch, switch_off, combined_faults, idempotent
+):
     switch_off(monkeypatch)
-    count = run_virtual(faults.run_load(together, idempotent, seed=7))
-    print(switch_off.__name__, faults.name_of(together), idempotent, count)
+    count = run_virtual(faults.run_load(combined_faults, idempotent, seed=7))
+    print(
+        switch_off.__name__, faults.name_of(combined_faults), idempotent, count
+    )
     assert count != faults.Count(asked=faults.REQUESTS)
