--- a/tests/lib/claim_machine.py
+++ b/tests/lib/claim_machine.py
@@ -39,8 +39,9 @@
 
 WRITES = st.sampled_from(["land", "lose", "delay", "refuse"])
 ENTRIES = st.sampled_from(["a", "b"])
-FAULTY = ("granted", "settling")  # States in which entry a may be killed.
-PICK = st.integers(0, 3)
+# States in which entry a may be killed.
+KILLABLE_STATES = ("granted", "settling")
+INDEX = st.integers(0, 3)
 
 
 def pick(items, number):
@@ -101,7 +102,7 @@
         self.released = set()
         self.billed = set()
         self.unlogged = []
-        self.take(0)
+        self.acquire_shard(0)
         assert self.owners[0] is not None
 
     def teardown(self):
@@ -117,7 +118,7 @@
     def alive(self, holder):
         return holder.split("/")[0] not in self.seen_dead
 
-    def take(self, number):
+    def acquire_shard(self, number):
         """Acquires the shard as Ownership.make_owner does."""
         table = self.tables[number]
         row = self.run(table.get(lease_key(0)))
@@ -144,7 +145,7 @@
         book, _ = self.run(recover(self.rows, 0))
         return book.claims.get(("desk", "k"))
 
-    def writing(self):
+    def writing_owners(self):
         """Owners that have something to write."""
         return [
             number
@@ -154,7 +155,7 @@
             and (owner.open_batches or owner.in_flight)
         ]
 
-    def serving(self):
+    def serving_owners(self):
         return [owner for owner in self.owners if owner and not owner.lost]
 
     def idle(self, *states):
@@ -175,11 +176,11 @@
 
     # The owners.
 
-    @precondition(lambda self: self.writing())
-    @rule(number=PICK, mode=WRITES)
+    @precondition(lambda self: self.writing_owners())
+    @rule(number=INDEX, mode=WRITES)
     def write(self, number, mode):
         """write_lands, write_refused, write_delayed, found_durable, ..."""
-        number = pick(self.writing(), number)
+        number = pick(self.writing_owners(), number)
         owner = self.owners[number]
         self.tables[number].mode = mode
         flush = self.flushes[number]
@@ -189,10 +190,10 @@
         else:
             self.run(self.clock.advance(0.5))
         self.tables[number].mode = "land"
-        self.collect()
+        self.deliver_replies()
 
     @precondition(lambda self: any(table.late for table in self.tables))
-    @rule(number=PICK)
+    @rule(number=INDEX)
     def delayed_lands(self, number):
         late = [table.late for table in self.tables if table.late]
         self.run(self.rows.transact(pick(late, number).pop(0)))
@@ -201,7 +202,7 @@
     @rule(mode=WRITES)
     def acquire(self, mode):
         self.tables[1].mode = mode
-        self.take(1)
+        self.acquire_shard(1)
         self.tables[1].mode = "land"
 
     @precondition(lambda self: all(self.owners))
@@ -209,30 +210,32 @@
     def owner_killed(self):
         self.owners[0] = None
         for entry in self.entries.values():
-            self.drop_call(entry)
+            self.cancel_call(entry)
 
     # The entries.
 
-    @precondition(lambda self: self.serving() and self.idle("asking"))
-    @rule(name=PICK, number=PICK)
+    @precondition(lambda self: self.serving_owners() and self.idle("asking"))
+    @rule(name=INDEX, number=INDEX)
     def ask(self, name, number):
         entry = pick(self.idle("asking"), name)
-        owner = pick(self.serving(), number)
+        owner = pick(self.serving_owners(), number)
         ask = Ask("desk", "k", f"{entry.name}/i/r", self.idempotent, "d")
         entry.call = self.loop.create_task(owner.ask(ask))
         self.run(settle())
-        self.collect()
+        self.deliver_replies()
 
     @precondition(
-        lambda self: self.serving() and self.idle("settling", "giving_up")
+        lambda self: (
+            self.serving_owners() and self.idle("settling", "giving_up")
+        )
     )
-    @rule(name=PICK, number=PICK)
+    @rule(name=INDEX, number=INDEX)
     def settle(self, name, number):
         entry = pick(self.idle("settling", "giving_up"), name)
-        owner = pick(self.serving(), number)
+        owner = pick(self.serving_owners(), number)
         entry.call = self.loop.create_task(owner.settle(self.settlement(entry)))
         self.run(settle())
-        self.collect()
+        self.deliver_replies()
 
     def settlement(self, entry):
         if entry.state == "giving_up":
@@ -246,29 +249,29 @@
     @precondition(lambda self: any(e.call for e in self.entries.values()))
     @rule(name=ENTRIES)
     def reply_lost(self, name):
-        self.drop_call(self.entries[name])
+        self.cancel_call(self.entries[name])
 
     @precondition(lambda self: self.runnable())
-    @rule(name=PICK)
+    @rule(name=INDEX)
     def dispatch(self, name):
         pick(self.runnable(), name).ran = True
 
     @precondition(lambda self: any(e.ran for e in self.idle("granted")))
-    @rule(name=PICK)
+    @rule(name=INDEX)
     def answer_whole(self, name):
-        whole = [entry for entry in self.idle("granted") if entry.ran]
-        pick(whole, name).state = "settling"
+        complete = [entry for entry in self.idle("granted") if entry.ran]
+        pick(complete, name).state = "settling"
 
     @precondition(lambda self: any(not e.ran for e in self.idle("granted")))
-    @rule(name=PICK)
+    @rule(name=INDEX)
     def not_run(self, name):
         unrun = [entry for entry in self.idle("granted") if not entry.ran]
         pick(unrun, name).state = "giving_up"
 
-    @precondition(lambda self: self.entries["a"].state in FAULTY)
+    @precondition(lambda self: self.entries["a"].state in KILLABLE_STATES)
     @rule()
     def entry_killed(self):
-        self.drop_call(self.entries["a"])
+        self.cancel_call(self.entries["a"])
         self.entries["a"].state = "dead"
 
     @precondition(lambda self: "a" not in self.seen_dead)
@@ -283,21 +286,21 @@
         if claim is not None and claim.bill is not None:
             self.billed.add(claim.bill.version)
 
-    def drop_call(self, entry):
+    def cancel_call(self, entry):
         if entry.call is not None:
             entry.call.cancel()
             entry.call = None
             self.run(settle())
 
-    def collect(self):
+    def deliver_replies(self):
         """Gives entries the replies that have come."""
         for entry in self.entries.values():
             if entry.call is not None and entry.call.done():
                 decision, entry.call = entry.call.result(), None
                 if decision is not None:
-                    self.take_reply(entry, decision)
+                    self.apply_reply(entry, decision)
 
-    def take_reply(self, entry, decision):
+    def apply_reply(self, entry, decision):
         match decision.outcome:
             case ClaimOutcome.GRANTED:
                 claim = decision.claim
