--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -31,9 +31,9 @@
 from rattanpier._internal.utils.clock import SystemClock
 from rattanpier._internal.utils.metrics import Metrics
 
-RATES = (1, 50, 230)  # Claims a second of one shard.
+RATES_PER_S = (1, 50, 230)  # Claims a second of one shard.
 INTERVALS_S = (1 / 15, 0.02)  # 16 shards in 240 writes/s; 4 in 200.
-WRITE_S = 0.005
+WRITE_TIME_S = 0.005
 ANSWER = "x" * 900  # About 220 tokens.
 MICROSECONDS = 1_000_000
 
@@ -43,27 +43,29 @@
 
     async def transact(self, transaction: Transaction) -> WriteOutcome:
         """Carries out a transaction after a while."""
-        await asyncio.sleep(WRITE_S)
+        await asyncio.sleep(WRITE_TIME_S)
         return await super().transact(transaction)
 
 
 @attrs.define
-class Figures:
+class Measurements:
     """What one run gave."""
 
     claim: HdrHistogram
     settle: HdrHistogram
     batches: int = 0
     bytes_written: int = 0
-    busy_s: float = 0.0
+    cpu_s: float = 0.0
 
 
-async def one(owner: ShardOwner, number: int, figures: Figures) -> None:
+async def run_request(
+    owner: ShardOwner, number: int, measurements: Measurements
+) -> None:
     """Claims and settles one request."""
     key = f"k{number}"
     started = time.perf_counter()
     await owner.ask(Ask("desk", key, f"e/i/{number}", True, "d" * 64))
-    note(figures.claim, started)
+    record_duration(measurements.claim, started)
     await asyncio.sleep(0.2)
     started = time.perf_counter()
     await owner.settle(
@@ -76,15 +78,17 @@
             Answer(200, "application/json", ANSWER, "small@1"),
         )
     )
-    note(figures.settle, started)
+    record_duration(measurements.settle, started)
 
 
-def note(histogram: HdrHistogram, started: float) -> None:
+def record_duration(histogram: HdrHistogram, started: float) -> None:
     """Records a duration in microseconds."""
     histogram.record_value(int((time.perf_counter() - started) * MICROSECONDS))
 
 
-async def run(rate: int, interval_s: float, seconds: float) -> Figures:
+async def run_shard(
+    rate: int, interval_s: float, seconds: float
+) -> Measurements:
     """Runs one shard at a rate."""
     table = SlowTable()
     obtained = await acquire(table, 0, None, "e", "i")
@@ -102,42 +106,48 @@
     )
     writer = asyncio.create_task(owner.run())
     histogram = HdrHistogram(1, 60 * MICROSECONDS, 3)
-    figures = Figures(histogram, HdrHistogram(1, 60 * MICROSECONDS, 3))
-    busy = time.process_time()
+    measurements = Measurements(
+        histogram, HdrHistogram(1, 60 * MICROSECONDS, 3)
+    )
+    cpu_started_s = time.process_time()
     requests = []
     for number in range(int(rate * seconds)):
-        requests.append(asyncio.create_task(one(owner, number, figures)))
+        requests.append(
+            asyncio.create_task(run_request(owner, number, measurements))
+        )
         await asyncio.sleep(1 / rate)
     await asyncio.gather(*requests)
-    figures.busy_s = time.process_time() - busy
-    figures.batches = owner.next_sequence - 1
-    figures.bytes_written = sum(len(row.value) for row in table.rows.values())
+    measurements.cpu_s = time.process_time() - cpu_started_s
+    measurements.batches = owner.next_sequence - 1
+    measurements.bytes_written = sum(
+        len(row.value) for row in table.rows.values()
+    )
     writer.cancel()
-    return figures
+    return measurements
 
 
 def main() -> None:
     """Prints a table of figures."""
     seconds = float(sys.argv[1]) if len(sys.argv) > 1 else 10.0
-    print(f"write {WRITE_S * 1000:.0f} ms, {seconds:.0f} s a run")
+    print(f"write {WRITE_TIME_S * 1000:.0f} ms, {seconds:.0f} s a run")
     print(
         "rate/s interval claim p50 p99 ms settle p50 p99 writes/s B/req us/req"
     )
     for interval_s in INTERVALS_S:
-        for rate in RATES:
-            figures = asyncio.run(run(rate, interval_s, seconds))
+        for rate in RATES_PER_S:
+            measurements = asyncio.run(run_shard(rate, interval_s, seconds))
             count = int(rate * seconds)
             values = [
                 histogram.get_value_at_percentile(percentile) / 1000
-                for histogram in (figures.claim, figures.settle)
+                for histogram in (measurements.claim, measurements.settle)
                 for percentile in (50, 99)
             ]
             print(
                 f"{rate:6d} {interval_s * 1000:6.0f}ms",
                 *(f"{value:8.1f}" for value in values),
-                f"{figures.batches / seconds:8.1f}",
-                f"{figures.bytes_written / count:7.0f}",
-                f"{figures.busy_s / count * MICROSECONDS:7.0f}",
+                f"{measurements.batches / seconds:8.1f}",
+                f"{measurements.bytes_written / count:7.0f}",
+                f"{measurements.cpu_s / count * MICROSECONDS:7.0f}",
             )
 
 
