--- a/tests/unit/test_claims_compaction.py
+++ b/tests/unit/test_claims_compaction.py
@@ -1,4 +1,4 @@
-"""Compaction: nothing that counts is lost, nothing else is kept."""
+"""Compaction keeps bills and live claims, and bounds the log and memory."""
 
 import asyncio
 
@@ -56,7 +56,7 @@
 
 
 async def run_decision(owner, work):
-    """Runs a decision to its end, writing what it needs."""
+    """Waits for a decision while flushing the owner's queue."""
     task = asyncio.get_running_loop().create_task(work)
     await asyncio.sleep(0)
     while not task.done():
@@ -76,7 +76,7 @@
 
 
 async def claim_and_settle(owner, key, holder, result):
-    """Claims a key and ends it; returns the bill if it is to be billed."""
+    """Claims a key and settles it; returns the keys that are billed."""
     ask = Ask("w", key, holder, True, "d")
     decision = await run_decision(owner, owner.ask(ask))
     if decision.outcome is not ClaimOutcome.GRANTED or result is None:
@@ -212,7 +212,7 @@
 
 
 class DelayedLeaseTable(MemoryTable):
-    """Loses the answers to writes of lease rows; applies some late."""
+    """Loses replies to writes of lease rows; delays every other write."""
 
     def __init__(self):
         super().__init__()
