--- a/tests/unit/test_claims_messages.py
+++ b/tests/unit/test_claims_messages.py
@@ -1,4 +1,4 @@
-"""Messages of claims: a bill arrives whole, and they stay small."""
+"""Claim messages preserve bills and stay within the byte budget."""
 
 from rattanpier._internal.claims.book import Decision
 from rattanpier._internal.claims.messages import (
@@ -17,8 +17,8 @@
 KEY = new_key()
 HOLDER = f"entry-000/{'i' * 12}/{new_request_id()}"
 BILL = Bill(WORKSPACE, KEY, "phrase-small@3", 300, 220, 0.00123)
-# 8.8 requests/s a node at 3,700 requests/s over 420 nodes, within 4 KB/s for
-# all control: see docs/CAPACITY.md.
+# Each node may spend 4 KB/s on all control traffic, at 8.8 requests/s (3,700
+# requests/s over 420 nodes); see docs/CAPACITY.md.
 MAX_BYTES = 320
 
 
