--- a/tests/lib/claim_machine.py
+++ b/tests/lib/claim_machine.py
@@ -1,8 +1,8 @@
-"""Drives the real claim code through the steps of specs/claims.prism.
+"""Runs the claim code through the steps of specs/claims.prism.
 
-Rules bear the names of the specification's commands. The table service is
-the in-memory stand-in behind switches that lose, delay or refuse a write; what
-took effect is read from its rows.
+Rules are named after the commands of the specification. The table service is
+the in-memory stand-in, wrapped to lose, delay or refuse writes. The effects of
+writes are read from its rows.
 """
 
 import asyncio
@@ -45,12 +45,12 @@
 
 
 def pick(items, number):
-    """One of the items that a step is possible for."""
+    """Picks one of the items to which a step applies."""
     return items[number % len(items)]
 
 
 class FaultyTable:
-    """One owner's way to the table service."""
+    """Table service as seen by one owner, with faults of writes."""
 
     def __init__(self, rows):
         self.rows = rows
@@ -76,7 +76,7 @@
 
 @attrs.define
 class Entry:
-    """One caller's request on one entry."""
+    """A request of one caller on one entry."""
 
     name: str
     state: str = "asking"
@@ -86,7 +86,7 @@
 
 
 class ClaimMachine(RuleBasedStateMachine):
-    """Two entries with one key, two owners one after the other."""
+    """Two entries that claim one key, and two successive owners."""
 
     @initialize(idempotent=st.booleans())
     def start(self, idempotent):
@@ -141,12 +141,12 @@
         )
 
     def logged(self):
-        """The claim as the log has it, or None."""
+        """Returns the claim as recorded in the log, or None."""
         book, _ = self.run(recover(self.rows, 0))
         return book.claims.get(("desk", "k"))
 
     def writing_owners(self):
-        """Owners that have something to write."""
+        """Returns the numbers of owners with pending writes."""
         return [
             number
             for number, owner in enumerate(self.owners)
@@ -159,7 +159,7 @@
         return [owner for owner in self.owners if owner and not owner.lost]
 
     def idle(self, *states):
-        """Entries in some state that wait for no reply."""
+        """Returns the entries in given states that wait for no reply."""
         return [
             entry
             for entry in self.entries.values()
@@ -174,7 +174,7 @@
             if entry.state in states and not entry.ran
         ]
 
-    # The owners.
+    # Rules of the owners.
 
     @precondition(lambda self: self.writing_owners())
     @rule(number=INDEX, mode=WRITES)
@@ -212,7 +212,7 @@
         for entry in self.entries.values():
             self.cancel_call(entry)
 
-    # The entries.
+    # Rules of the entries.
 
     @precondition(lambda self: self.serving_owners() and self.idle("asking"))
     @rule(name=INDEX, number=INDEX)
@@ -293,7 +293,7 @@
             self.run(settle())
 
     def deliver_replies(self):
-        """Gives entries the replies that have come."""
+        """Delivers the replies that have arrived to their entries."""
         for entry in self.entries.values():
             if entry.call is not None and entry.call.done():
                 decision, entry.call = entry.call.result(), None
@@ -323,7 +323,7 @@
         if claim is None or claim.attempt < attempt:
             self.unlogged.append(attempt)
 
-    # The properties of the specification.
+    # Properties of the specification.
 
     @invariant()
     def never_two_answers(self):
