--- a/tests/failure/test_claims_faults.py
+++ b/tests/failure/test_claims_faults.py
@@ -1,4 +1,4 @@
-"""Claims under faults, alone and in pairs, in virtual time."""
+"""Claims under single and combined faults, in virtual time."""
 
 import asyncio
 
@@ -64,14 +64,14 @@
 
 
 async def unconfirmed_outage(fleet):
-    """An outage that no peer confirms, since all are in one domain."""
+    """Causes an outage that no peer confirms: all are in one failure domain."""
     for node in fleet.nodes.values():
         node.members.me = attrs.evolve(node.members.me, domain="a")
     await outage(fleet)
 
 
 async def killed_late(fleet):
-    """Kills an owner half way through an outage."""
+    """Kills an owner in the middle of an outage."""
     await asyncio.sleep(9)
     (fleet.owner_of("k1") or fleet.working()[0]).kill()
 
