--- a/tests/failure/test_claims_outage.py
+++ b/tests/failure/test_claims_outage.py
@@ -1,4 +1,4 @@
-"""What holds while the store is down, step by step in virtual time."""
+"""Guarantees of claims while the store is down, in virtual time."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 
 
 async def fleet_in_outage(**changes):
-    """A fleet whose store is down, and known to be."""
+    """Returns a fleet after its nodes have detected that the store is down."""
     fleet = FleetOfNodes(count=4, **changes)
     await fleet.settled()
     fleet.faults.silent = True
@@ -31,11 +31,15 @@
 
 
 async def repeat_after_owner_death(fleet):
-    """Answers of an outage whose owners then die; with it, the repeats."""
+    """Repeats requests of an outage after the owner of one shard died.
+
+    Returns:
+      Answers during the outage, answers to the repeats, and bills by key.
+    """
     answers = dict(zip(KEYS, await ask_each(fleet, True), strict=True))
     assert all(isinstance(answer, str) for answer in answers.values())
     for node in fleet.nodes.values():
-        node.claims.flush_after_s = 8.0  # The new owner is quicker.
+        node.claims.flush_after_s = 8.0  # A new owner collects the bills first.
     (fleet.owner_of(KEYS[0])).kill()
     fleet.faults.silent = False
     await fleet.settled()
@@ -68,11 +72,12 @@
         assert all(reply.not_run for reply in replies)
         assert all(reply.retry_after_s > 0 for reply in replies)
         assert not fleet.runs
-        # No waiting for the store, twenty requests one after the other.
+        # Twenty sequential requests: none may wait for the store.
         assert elapsed_s < 1.0
         fleet.faults.silent = False
         await asyncio.sleep(10)
-        # Nothing of a refused request may become durable: its key is free.
+        # No operation of a refused request may become durable; its key is
+        # free.
         assert all(
             isinstance(answer, str) for answer in await ask_each(fleet, False)
         )
@@ -86,7 +91,7 @@
     async def run():
         fleet = FleetOfNodes(count=4)
         await fleet.settled()
-        fleet.faults.lost = 1.0  # In the log, but nobody knows.
+        fleet.faults.lost = 1.0  # Logged, but the reply is lost.
         node = fleet.working()[0]
         asks = [
             Ask("desk", key, f"entry-0/i0/{key}", False, "d") for key in KEYS
@@ -107,7 +112,8 @@
             )
             for ask in asks
         ]
-        # Not in the way of a later ask, and in the log to be taken back.
+        # Later asks are granted, also those whose first claim had been
+        # logged and was released: these get attempt 2.
         assert {reply.outcome for reply in answers} == {ClaimOutcome.GRANTED}
         assert any(reply.attempt == 2 for reply in answers)
 
@@ -167,8 +173,8 @@
             await asyncio.sleep(0.02)
         return fleet.now() - started
 
-    # A node notices after a pause and a read that times out (2.5 s). The last
-    # one to notice may be as late; nobody waits for a second timeout.
+    # A node detects the outage after a pause and a read that times out (2.5 s).
+    # This holds for the last node too; none waits for a second timeout.
     waits = [run_virtual(run(0.07 * number)) for number in range(8)]
     assert max(waits) <= 3.8
 
@@ -208,7 +214,7 @@
         assert reply.retry_after_s > 0
         return fleet.now() - started
 
-    # Two tries of the dead owner's address, not the whole timeout.
+    # Two calls to the dead owner, not the timeout of 8 s.
     assert run_virtual(run()) <= 2.2
 
 
@@ -217,7 +223,7 @@
         fleet = await fleet_in_outage()
         await ask_each(fleet, True)
         for node in fleet.nodes.values():
-            # Every release is lost, so each bill is flushed twice.
+            # No release is sent, so each bill is flushed twice.
             node.claims.outage.bill_locations.clear()
         fleet.faults.silent = False
         await asyncio.sleep(15)
