--- a/tests/failure/test_claims_ownership.py
+++ b/tests/failure/test_claims_ownership.py
@@ -1,4 +1,4 @@
-"""Who owns a shard, when owners come, go and fail; in virtual time."""
+"""Ownership of shards as entries join, leave and fail, in virtual time."""
 
 import asyncio
 from types import SimpleNamespace
@@ -30,7 +30,7 @@
 
 
 def lease_by_shard(fleet):
-    """Returns the owner of each shard by the table's own word."""
+    """Returns the lease of each shard as stored in the table."""
     return {
         shard: decode(ShardLease, fleet.table.rows[lease_key(shard)].value)
         for shard in range(fleet.sizes.claim_shards)
@@ -38,7 +38,11 @@
 
 
 async def slowest_answer_s(fleet, event):
-    """Sends requests through one entry around an event."""
+    """Sends requests through one entry; triggers an event meanwhile.
+
+    Returns:
+      Seconds until the slowest answer.
+    """
     node = list(fleet.nodes.values())[-1]
     times = []
 
@@ -99,7 +103,7 @@
             fleet, lambda fleet: event(first_owner(fleet))
         )
 
-    # The lease lapses after 3 s here; the rest is this code's.
+    # Membership takes 3 s to expire here; the rest is the takeover.
     assert run_virtual(run()) < 5.5
 
 
@@ -254,7 +258,7 @@
         fleet = FleetOfNodes(count=3)
         await fleet.settled()
 
-    # Entries disagree on who should own a shard: each names another.
+    # Entries may disagree on the preferred owner of a shard.
     monkeypatch.setattr(
         ownership.Ownership, "preferred", lambda self, shard: "somebody"
     )
@@ -275,10 +279,10 @@
 
 
 def test_entry_without_known_owners_is_not_ready():
-    """An entry started, and the store went away before its first look.
+    """Guards against an entry that is ready without known owners of shards.
 
-    It was ready, and refused all that came for as long as the store was away:
-    its log had "Lease rows can't be read." 37 ms after "Started.".
+    An entry started 37 ms before its first read of the lease rows failed. It
+    reported ready and then refused all requests until the store was back.
     """
 
     async def run():
@@ -300,12 +304,12 @@
 
 
 def test_claim_is_settled_at_new_owner_just_after_an_outage():
-    """A stream ended with an error event where its shard had a new owner.
+    """Guards against a stream that ends with an error after a takeover.
 
-    An entry was declared gone while it was frozen, thawed, and answered just as
-    the store came back. Another took its shard. Its own look at the lease rows
-    was still to come, so that it took the store to be away, and asked only the
-    owner that it had been itself.
+    An entry was declared gone while frozen, and another entry acquired its
+    shard. It resumed and finished an answer just as the store was reachable
+    again, but before its own next read of the lease rows. So it assumed that
+    the store was still down, and tried only itself, the previous owner.
     """
 
     async def run():
