--- a/tests/failure/test_claims_switched_off.py
+++ b/tests/failure/test_claims_switched_off.py
@@ -1,6 +1,7 @@
-"""The loads of test_claims_faults.py, with one mechanism switched off.
+"""Fault tests of claims that have to fail with one mechanism disabled.
 
-They show that those tests are able to fail, and what each mechanism is for.
+They show that the tests can detect a missing mechanism, and which failure each
+mechanism prevents.
 """
 
 import pytest
@@ -24,7 +25,7 @@
 
 
 def no_fence(patch):
-    """The batch is written whoever holds the lease."""
+    """Writes batches without checking the lease."""
 
     async def write_once(self, batch):
         put = Put(log_key(self.shard, batch.sequence), encode(batch))
@@ -37,7 +38,7 @@
 
 
 def read_back_assumes_durable(patch):
-    """A write that is not there on read-back counts as never written."""
+    """Reports a batch that is missing on read-back as durable."""
     original = owner.ShardOwner.read_back
 
     async def read_back(self, batch):
@@ -54,7 +55,7 @@
 
 
 def no_bill_replication(patch):
-    """Answers leave in an outage though no peer keeps their bills."""
+    """Releases answers in an outage although no peer keeps their bills."""
 
     async def keep(self, bill):
         return True
@@ -63,7 +64,7 @@
 
 
 def no_collect(patch):
-    """A new owner grants before it knows what peers keep."""
+    """Lets a new owner grant without the bills that peers keep."""
 
     async def collect(self, dead, shard):
         return []
@@ -72,7 +73,7 @@
 
 
 def dead_owners_count_as_alive(patch):
-    """Nobody is ever found dead."""
+    """Treats all owners named in leases as alive."""
     patch.setattr(
         ownership.Ownership,
         "has_owner",
@@ -81,7 +82,7 @@
 
 
 def no_leftover_leases(patch):
-    """A lease in the own name counts as owned."""
+    """Recognizes no lease as left over from this process."""
     patch.setattr(ownership.Ownership, "is_mine", lambda *_: False)
 
 
@@ -90,7 +91,7 @@
 
 
 def no_release_of_refused_asks(patch):
-    """A refused ask's operation stays in the log."""
+    """Leaves the operation of a refused ask in the log."""
 
     def release_op(op):
         return SettleOp(op.workspace, op.key, -1, ClaimResult.RELEASED)
@@ -99,7 +100,7 @@
 
 
 def no_epoch_confirmation(patch):
-    """Decisions that write nothing are given without a look at the lease."""
+    """Returns decisions without a write before the lease is checked."""
 
     async def confirm_epoch(self):
         return None
@@ -108,7 +109,7 @@
 
 
 def no_peer_check(patch):
-    """An entry that can't reach the store takes it to be down."""
+    """Treats the store as down if only this entry can't reach it."""
 
     async def check(self):
         self.confirmed = True
