--- a/tests/failure/test_claims_processes.py
+++ b/tests/failure/test_claims_processes.py
@@ -1,4 +1,4 @@
-"""Claims and bills through real processes that are killed and frozen."""
+"""Claims and bills with entry processes that are killed and frozen."""
 
 import asyncio
 import collections
@@ -34,7 +34,7 @@
 
 
 async def call(cluster, entry, key, timeout_s=8.0):
-    """One request; returns its text, or None if it was not answered."""
+    """Sends a request; returns its id and text, or None on failure."""
     body = {
         "model": "auto",
         "messages": [{"role": "user", "content": f"question {key}"}],
@@ -56,7 +56,7 @@
 
 
 async def call_until_answered(cluster, key, number, answers):
-    """A caller that asks again, each time through the next entry."""
+    """Repeats a request, each time through the next entry, until answered."""
     loop = asyncio.get_running_loop()
     end = loop.time() + CALLER_TIMEOUT_S
     while loop.time() < end:
@@ -69,7 +69,7 @@
 
 
 async def load(cluster, fault):
-    """Sends each key through two entries at once while a fault happens."""
+    """Sends each key through two entries at once during a fault."""
     answers = collections.defaultdict(set)
     fault_task = asyncio.create_task(fault(cluster))
     callers = []
@@ -102,7 +102,7 @@
     async def all_billed():
         return await bills(cluster) == expected
 
-    # Bills kept by peers are flushed a little after the store is back.
+    # Peers flush kept bills with a delay after the store is back.
     await wait_for(all_billed)
 
 
