--- a/benchmarks/claims.py
+++ b/benchmarks/claims.py
@@ -1,8 +1,8 @@
-"""What a claim costs: latency, writes a second, processor time.
+"""Measures latency, table writes and CPU time of claims.
 
-In one process, against the table stand-in in memory with a set write time,
-so the figures show the pacing of batches and this code's own work, not a
-network.
+It runs in one process against the in-memory table stand-in with a fixed write
+time. The results therefore show the batch interval and the cost of the code,
+not of a network.
 
     python benchmarks/claims.py [seconds]
 """
@@ -31,7 +31,7 @@
 from rattanpier._internal.utils.clock import SystemClock
 from rattanpier._internal.utils.metrics import Metrics
 
-RATES_PER_S = (1, 50, 230)  # Claims a second of one shard.
+RATES_PER_S = (1, 50, 230)  # Claims of one shard.
 INTERVALS_S = (1 / 15, 0.02)  # 16 shards in 240 writes/s; 4 in 200.
 WRITE_TIME_S = 0.005
 ANSWER = "x" * 900  # About 220 tokens.
@@ -39,17 +39,25 @@
 
 
 class SlowTable(MemoryTable):
-    """The table stand-in with a write time."""
+    """In-memory table with a fixed write time."""
 
     async def transact(self, transaction: Transaction) -> WriteOutcome:
-        """Carries out a transaction after a while."""
+        """Runs a transaction after `WRITE_TIME_S`."""
         await asyncio.sleep(WRITE_TIME_S)
         return await super().transact(transaction)
 
 
 @attrs.define
 class Measurements:
-    """What one run gave."""
+    """Results of one run.
+
+    Attributes:
+      claim: Latency of claims in microseconds.
+      settle: Latency of settlements in microseconds.
+      batches: Number of batches written.
+      bytes_written: Total size of the rows.
+      cpu_s: CPU time in seconds.
+    """
 
     claim: HdrHistogram
     settle: HdrHistogram
@@ -82,14 +90,20 @@
 
 
 def record_duration(histogram: HdrHistogram, started: float) -> None:
-    """Records a duration in microseconds."""
+    """Records the time since `started` in microseconds."""
     histogram.record_value(int((time.perf_counter() - started) * MICROSECONDS))
 
 
 async def run_shard(
     rate: int, interval_s: float, seconds: float
 ) -> Measurements:
-    """Runs one shard at a rate."""
+    """Runs the load of one shard.
+
+    Args:
+      rate: Requests per second.
+      interval_s: Seconds between two batches.
+      seconds: Duration of the load in seconds.
+    """
     table = SlowTable()
     obtained = await acquire(table, 0, None, "e", "i")
     assert obtained is not None
@@ -127,7 +141,7 @@
 
 
 def main() -> None:
-    """Prints a table of figures."""
+    """Prints a table of results."""
     seconds = float(sys.argv[1]) if len(sys.argv) > 1 else 10.0
     print(f"write {WRITE_TIME_S * 1000:.0f} ms, {seconds:.0f} s a run")
     print(
