--- a/tests/failure/test_claims_ownership.py
+++ b/tests/failure/test_claims_ownership.py
@@ -165,7 +165,7 @@
     run_virtual(run())
 
 
-def test_acquisition_with_lost_reply_leaves_no_shard_unowned():
+def test_lost_acquisition_reply_leaves_no_shard_unowned():
     async def run():
         fleet = FleetOfNodes(count=3)
         get = fleet.table.get
--- a/tests/failure/test_claims_switched_off.py
+++ b/tests/failure/test_claims_switched_off.py
@@ -140,7 +140,7 @@
     ),
     (
         no_leftover_leases,
-        ownership_tests.test_acquisition_with_lost_reply_leaves_no_shard_unowned,
+        ownership_tests.test_lost_acquisition_reply_leaves_no_shard_unowned,
     ),
     (no_hand_over, ownership_tests.test_planned_stop_delays_no_request),
     (
