--- a/src/rattanpier/_internal/claims/ownership.py
+++ b/src/rattanpier/_internal/claims/ownership.py
@@ -42,7 +42,7 @@
 
 log = structlog.get_logger(part="claims")
 
-PEER_CHECK_INTERVAL_S = 0.2  # Until peers confirm an outage.
+PEER_CHECK_INTERVAL_S = 0.2  # Between checks, until peers confirm an outage.
 MIN_MAINTAIN_INTERVAL_S = 0.5  # Between reads of all lease rows.
 MAX_FLEET_READS_PER_S = 200.0  # Reads of all lease rows, by the fleet.
 MIN_REFRESH_INTERVAL_S = 0.1  # Between reads of one row after failed calls.
