--- a/tests/failure/test_claims_ownership.py
+++ b/tests/failure/test_claims_ownership.py
@@ -103,7 +103,7 @@
             fleet, lambda fleet: event(first_owner(fleet))
         )
 
-    # Membership takes 3 s to expire here; the rest is the takeover.
+    # A member lapses after 3 s here; the rest is the takeover.
     assert run_virtual(run()) < 5.5
 
 
