--- a/src/rattanpier/_internal/claims/outage.py
+++ b/src/rattanpier/_internal/claims/outage.py
@@ -1,9 +1,9 @@
-"""What an entry does while the store is down: its bills are kept by peers.
+"""Replication of bills to peers while the store is down.
 
-An answer may leave only once its bill is certain. While the table service is
-down, certain means: in the memory of the shard's owner and of a peer in
-another failure domain. The peer agrees only if it can't reach the store
-either, so an entry that alone is cut off does not go on.
+An answer may be released only once its bill is safe. During an outage of the
+table service, that means: in the memory of the shard's owner and of a peer in
+another failure domain. A peer agrees only if it can't reach the store either,
+so an entry that alone is partitioned from the store releases no answers.
 """
 
 from __future__ import annotations
@@ -32,31 +32,38 @@
 
 log = structlog.get_logger(part="claims")
 
-KEEP_TIMEOUT_S = 1.0
-MAX_PEERS = 3  # Peers asked about the store, and tried for one bill.
-MAX_ASKED = 12  # Asked for what they keep when a shard's owner died.
+PEER_TIMEOUT_S = 1.0
+MAX_PEERS = 3  # Peers asked about the store, or asked to keep one bill.
+MAX_PEERS_COLLECTED = 12  # Peers asked for the bills of a dead owner.
 
 
 @attrs.define
 class Outage:
-    """Has pending bills kept by peers.
+    """Replicates pending bills to peers during a store outage.
 
     Attributes:
-      own: Serves a call to this process's own `KeptBills`.
+      members: Members of the fleet; None if there are no peers.
+      links: Connections to peers.
+      spawn: Starts a background task.
+      serve_locally: Serves a call to this process's own `KeptBills`.
       confirmed: True while peers can't reach the store either.
-      sent: Who keeps which record, by claim.
+      bill_locations: Peer and record id of each kept bill, by claim.
+      record_numbers: Numbers for new record ids.
     """
 
     members: Members | None = None
     links: Links | None = None
     spawn: Callable[..., asyncio.Task] | None = None
-    own: CallHandler | None = None
+    serve_locally: CallHandler | None = None
     confirmed: bool = False
-    sent: dict[BillId, tuple[Member, str]] = attrs.Factory(dict)
-    ids: itertools.count = attrs.Factory(itertools.count)
+    bill_locations: dict[BillId, tuple[Member, str]] = attrs.Factory(dict)
+    record_numbers: itertools.count = attrs.Factory(itertools.count)
 
     def peers(self) -> list[Member]:
-        """Returns entries in other failure domains, the same ones first."""
+        """Returns up to `MAX_PEERS` entries in other failure domains.
+
+        The order is stable while the members stay the same.
+        """
         assert self.members is not None
         me = self.members.me
         others = {
@@ -68,13 +75,13 @@
         return [others[name] for name in itertools.islice(order, MAX_PEERS)]
 
     async def check(self) -> None:
-        """Asks peers whether they can reach the store."""
+        """Asks peers whether they can reach the store; updates `confirmed`."""
         request = peer_pb2.HoldRequest()
         replies = await asyncio.gather(
             *(self.send(peer, request) for peer in self.peers())
         )
-        heard = [reply.held for reply in replies if reply is not None]
-        confirmed = bool(heard) and all(heard)
+        answers = [reply.held for reply in replies if reply is not None]
+        confirmed = bool(answers) and all(answers)
         if confirmed != self.confirmed:
             log.warning("Store outage.", confirmed=confirmed)
         self.confirmed = confirmed
@@ -82,27 +89,27 @@
     async def send(
         self, peer: Member, request: peer_pb2.HoldRequest
     ) -> peer_pb2.HoldReply | None:
-        """Sends a request to a peer; None if it did not answer."""
+        """Sends a request to a peer; returns None if it did not answer."""
         assert self.links is not None and self.members is not None
         call = peer_pb2.Call(hold=request)
         if peer.name == self.members.me.name:
-            assert self.own is not None
-            return (await self.own(call)).hold
+            assert self.serve_locally is not None
+            return (await self.serve_locally(call)).hold
         try:
-            reply = await self.links.to(peer).call(call, KEEP_TIMEOUT_S)
+            reply = await self.links.to(peer).call(call, PEER_TIMEOUT_S)
         except PeerUnavailableError:
             return None
         return reply.hold
 
     async def collect(self, dead: str, shard: int) -> list[PendingBill]:
-        """Returns the bills of a shard that peers keep for a dead owner.
+        """Collects the bills of a shard that peers keep for its dead owner.
 
-        A new owner has to know of them before it grants anything: their
-        answers are with their callers already.
+        A new owner needs them before it grants anything, because their
+        answers have already been released to callers.
 
         Args:
-          dead: Member name of the owner before.
-          shard: The shard.
+          dead: Member name of the previous owner.
+          shard: Shard number.
         """
         if self.members is None:
             return []
@@ -110,7 +117,10 @@
         order = rendezvous(f"keep-{dead}", list(entries))
         request = peer_pb2.HoldRequest(collect=True, shard=shard)
         replies = await asyncio.gather(
-            *(self.send(entries[name], request) for name in order[:MAX_ASKED])
+            *(
+                self.send(entries[name], request)
+                for name in order[:MAX_PEERS_COLLECTED]
+            )
         )
         return [
             decode(PendingBill, record)
@@ -120,12 +130,16 @@
         ]
 
     async def keep(self, bill: PendingBill) -> bool:
-        """Has a bill kept by a peer in another failure domain."""
+        """Sends a bill to a peer in another failure domain.
+
+        Returns:
+          Whether a peer keeps the bill.
+        """
         if not self.confirmed:
             return False
         assert self.members is not None
         me = self.members.me
-        record_id = f"{me.name}/{me.incarnation}/{next(self.ids)}"
+        record_id = f"{me.name}/{me.incarnation}/{next(self.record_numbers)}"
         request = peer_pb2.HoldRequest(
             owner=f"{me.name}/{me.incarnation}",
             record=encode(bill).encode(),
@@ -134,18 +148,18 @@
         for peer in self.peers():
             reply = await self.send(peer, request)
             if reply is not None and reply.held:
-                self.sent[bill_id(bill.settle)] = (peer, record_id)
+                self.bill_locations[bill_id(bill.settle)] = (peer, record_id)
                 return True
         return False
 
     def release(self, ops: Iterable[ClaimOp | SettleOp]) -> None:
-        """Tells peers which bills are durable now; may be lost."""
-        done: dict[str, tuple[Member, list[str]]] = {}
+        """Notifies peers of durable bills, without waiting for replies."""
+        released: dict[str, tuple[Member, list[str]]] = {}
         for op in ops:
-            if isinstance(op, SettleOp) and bill_id(op) in self.sent:
-                peer, record_id = self.sent.pop(bill_id(op))
-                done.setdefault(peer.name, (peer, []))[1].append(record_id)
-        for peer, ids in done.values():
+            if isinstance(op, SettleOp) and bill_id(op) in self.bill_locations:
+                peer, record_id = self.bill_locations.pop(bill_id(op))
+                released.setdefault(peer.name, (peer, []))[1].append(record_id)
+        for peer, ids in released.values():
             request = peer_pb2.HoldRequest(
                 release=True, record_id="\n".join(ids)
             )
--- a/src/rattanpier/_internal/claims/writer.py
+++ b/src/rattanpier/_internal/claims/writer.py
@@ -1,8 +1,8 @@
-"""Group commit of one shard: what was decided becomes durable in batches.
+"""Group commit for one shard: operations become durable in batches.
 
-A write whose answer is lost is never abandoned: the same batch is written
-again at the same position until it is known to be there, or the epoch is known
-to be lost.
+A write with an uncertain result is never abandoned. The same batch is written
+again at the same position until it is known to be durable, or the epoch is
+known to be lost.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 import structlog
 
 from rattanpier._internal.claims.book import Claim, ClaimBook, ClaimId, Decision
-from rattanpier._internal.claims.compaction import Compacted, Compactor
+from rattanpier._internal.claims.compaction import Compactor, PreparedCompaction
 from rattanpier._internal.claims.outage import Outage
 from rattanpier._internal.claims.pending import (
     OpenBatch,
     Waiter,
-    op_size,
+    op_size_bytes,
     outage_reply,
-    release_of,
+    release_op,
 )
 from rattanpier._internal.claims.records import (
     Batch,
@@ -38,30 +38,30 @@
 
 log = structlog.get_logger(part="claims")
 
-RETRY_PAUSE_S = 0.2  # Between tries of a batch while the store is down.
-BATCH_BYTES = 256 * 1024  # A row of the log is kept below about this size.
-CLOSE_PAUSE_S = 0.01
-CLOSE_LIMIT_S = 3.0  # Then the shard is given up as if the process died.
+RETRY_INTERVAL_S = 0.2  # Between writes of a batch while the store is down.
+MAX_BATCH_BYTES = 256 * 1024  # Approximate limit for one log row.
+CLOSE_POLL_INTERVAL_S = 0.01
+CLOSE_TIMEOUT_S = 3.0  # Afterwards the shard is given up as on a crash.
 
 
 @attrs.define
 class BatchWriter(ShardLog):
-    """Queues operations and writes them, while this process owns the shard.
+    """Queues operations and writes them while this process owns the shard.
 
     Attributes:
-      alive: Says whether a holder, "name/incarnation/…", may still run.
+      alive: Returns whether a holder, "name/incarnation/…", may still run.
       interval_s: Seconds between two batches.
-      outage: What this process does while the store is down.
-      book: Claims, including those not yet durable.
+      outage: Replicates bills to peers while the store is down.
+      book: Claims, including changes that are not yet durable.
       next_sequence: Log position of the next batch.
       durable_sequence: Log position of the last batch known to be written.
-      lost: True once another owner is known, or has to be assumed.
-      closing: True once this owner takes nothing more, to hand over.
-      store_down: True while the last write did not become known.
-      open: Batches not yet written; only the last takes operations.
-      in_flight: The batch being written.
+      lost: True once another owner is known or has to be assumed.
+      closing: True once new calls are refused for a handover.
+      store_down: True while the result of the last write is not known.
+      open_batches: Batches not yet written; operations go to the last one.
+      in_flight: Batch being written, or None.
       compactor: Compacts the log, or None.
-      beside: Work of the compactor under way.
+      background_tasks: Running tasks of the compactor.
       wake: Set when there is something to write.
     """
 
@@ -78,62 +78,78 @@
     lost: bool = False
     closing: bool = False
     store_down: bool = False
-    open: collections.deque[OpenBatch] = attrs.Factory(collections.deque)
+    open_batches: collections.deque[OpenBatch] = attrs.Factory(
+        collections.deque
+    )
     in_flight: OpenBatch | None = None
     compactor: Compactor | None = None
-    beside: set[asyncio.Task] = attrs.Factory(set)
+    background_tasks: set[asyncio.Task] = attrs.Factory(set)
     wake: asyncio.Event = attrs.Factory(asyncio.Event)
 
     @property
-    def gone(self) -> bool:
-        """True if calls have to go to another owner."""
+    def not_serving(self) -> bool:
+        """Whether callers have to find another owner."""
         return self.lost or self.closing
 
     @property
-    def down(self) -> bool:
-        """True if nothing can be made durable now."""
+    def store_unavailable(self) -> bool:
+        """Whether no operation can become durable now."""
         return self.store_down or self.outage.confirmed
 
     # Queue.
 
-    def add(self, op: ClaimOp | SettleOp | None) -> OpenBatch:
-        """Queues an operation; returns the batch that it rests on."""
-        if not self.open or (op and self.open[-1].size >= BATCH_BYTES):
-            self.open.append(OpenBatch())
-        batch = self.open[-1]
+    def enqueue(self, op: ClaimOp | SettleOp | None) -> OpenBatch:
+        """Queues an operation.
+
+        Args:
+          op: The operation, or None to wait for those queued before.
+
+        Returns:
+          The last batch, which has to be written first.
+        """
+        if not self.open_batches or (
+            op and self.open_batches[-1].size_bytes >= MAX_BATCH_BYTES
+        ):
+            self.open_batches.append(OpenBatch())
+        batch = self.open_batches[-1]
         if op is not None:
-            sequence = self.next_sequence + len(self.open) - 1
+            sequence = self.next_sequence + len(self.open_batches) - 1
             self.book.apply(op, sequence)
             batch.ops.append(op)
-            batch.size += op_size(op)
+            batch.size_bytes += op_size_bytes(op)
         self.wake.set()
         return batch
 
     async def submit(self, decision: Decision) -> Decision | None:
-        """Waits until a decision and all it rests on are durable."""
-        if self.gone:
+        """Waits until a decision and all that it depends on are durable.
+
+        Returns:
+          The decision, or the reply for an outage, or None if the epoch was
+          lost.
+        """
+        if self.not_serving:
             return None
         if self.is_final(decision):
             return decision
         waiter = Waiter(decision, asyncio.get_running_loop().create_future())
-        self.add(decision.op).waiters.append(waiter)
-        if self.down:
-            self.relieve(self.open[-1])
-        return await waiter.done
+        self.enqueue(decision.op).waiters.append(waiter)
+        if self.store_unavailable:
+            self.reply_in_outage(self.open_batches[-1])
+        return await waiter.future
 
     def is_final(self, decision: Decision) -> bool:
-        """Says whether a decision rests on nothing that may still change.
+        """Returns whether a decision can be returned without a check or write.
 
-        A book that is out of date may lack a later attempt, so the owner has
-        to be sure of its epoch before it grants or denies one.
+        A stale book may lack a later attempt, so the owner has to confirm its
+        epoch before it grants an attempt or reports it as superseded.
         """
         if decision.op is not None or not self.is_durable(decision.claim):
             return False
-        unsure = (ClaimOutcome.GRANTED, SettleOutcome.SUPERSEDED)
-        return decision.outcome not in unsure
+        provisional_outcomes = (ClaimOutcome.GRANTED, SettleOutcome.SUPERSEDED)
+        return decision.outcome not in provisional_outcomes
 
     def is_durable(self, claim: Claim | None) -> bool:
-        """Says whether a claim's last change is known to be written."""
+        """Returns whether the last change of a claim is known to be written."""
         return claim is not None and claim.sequence <= self.durable_sequence
 
     # Writing.
@@ -145,52 +161,52 @@
                 await self.wake.wait()
             self.wake.clear()
             await self.flush()
-            # The write budget sets the pace, not the number of requests.
+            # The write budget sets the interval, not the request rate.
             await self.clock.sleep(self.interval_s)
 
     async def flush(self) -> None:
-        """Writes the first open batch and answers its waiters."""
-        if not self.open and not self.store_down:
+        """Writes the first open batch and resolves its waiters."""
+        if not self.open_batches and not self.store_down:
             return
-        if not self.open:
-            self.open.append(OpenBatch())
-        batch = self.in_flight = self.open.popleft()
-        if self.open:
+        if not self.open_batches:
+            self.open_batches.append(OpenBatch())
+        batch = self.in_flight = self.open_batches.popleft()
+        if self.open_batches:
             self.wake.set()
         if batch.ops:
             await self.write_and_compact(self.make_batch(batch.ops))
         else:
-            await self.confirm()
+            await self.confirm_epoch()
         self.in_flight = None
-        self.answer(batch)
+        self.resolve_waiters(batch)
 
     async def write(self, batch: Batch) -> None:
         """Writes a batch until it is durable or the epoch is lost."""
         while not self.lost:
             result = await self.write_once(batch)
-            self.note(result)
+            self.record_flush(result)
             if result is FlushResult.DURABLE:
                 self.durable_sequence = batch.sequence
                 self.outage.release(batch.ops)
                 return
             if result is FlushResult.EPOCH_LOST:
-                self.lose()
+                self.mark_lost()
                 return
             self.metrics.count("claims.retry.store_down")
-            await self.clock.sleep(RETRY_PAUSE_S)
+            await self.clock.sleep(RETRY_INTERVAL_S)
 
-    def note(self, result: FlushResult) -> None:
-        """Notes whether the store is down, and answers who need not wait."""
+    def record_flush(self, result: FlushResult) -> None:
+        """Records whether the store is down; if so, replies to waiters."""
         self.store_down = result is FlushResult.STORE_DOWN
         if not self.store_down:
             return
-        self.wake.set()  # So that the store is tried again.
-        for batch in [self.in_flight, *self.open]:
+        self.wake.set()  # Retries the write.
+        for batch in [self.in_flight, *self.open_batches]:
             if batch is not None:
-                self.relieve(batch)
+                self.reply_in_outage(batch)
 
     def make_batch(self, ops: list[ClaimOp | SettleOp]) -> Batch:
-        """Returns the next batch of the log."""
+        """Creates the next batch of the log."""
         batch = Batch(
             self.lease.epoch,
             self.next_sequence,
@@ -201,84 +217,84 @@
         self.next_sequence += 1
         return batch
 
-    async def confirm(self) -> None:
-        """Makes sure of the epoch, for decisions that write nothing.
+    async def confirm_epoch(self) -> None:
+        """Checks that the epoch is still held, for decisions without a write.
 
-        An owner that was paused may decide from a book that is out of date.
+        An owner that was paused may have decided from a stale book.
         """
         try:
             row = await self.table.get(lease_key(self.shard))
         except StoreUnavailableError:
-            self.note(FlushResult.STORE_DOWN)
+            self.record_flush(FlushResult.STORE_DOWN)
             return
-        self.note(FlushResult.DURABLE)
-        if not self.still_holds(row):
-            self.lose()
+        self.record_flush(FlushResult.DURABLE)
+        if not self.holds_lease(row):
+            self.mark_lost()
 
     async def close(self) -> bool:
-        """Takes nothing more and writes what is queued.
+        """Refuses new calls and writes all queued operations.
 
         Returns:
-          True if the log has everything that was decided here.
+          Whether everything was written within `CLOSE_TIMEOUT_S`.
         """
         self.closing = True
-        end = self.clock.monotonic() + CLOSE_LIMIT_S
-        while self.open or self.in_flight is not None:
+        end = self.clock.monotonic() + CLOSE_TIMEOUT_S
+        while self.open_batches or self.in_flight is not None:
             if self.lost or self.clock.monotonic() > end:
                 return False
             self.wake.set()
-            await self.clock.sleep(CLOSE_PAUSE_S)
+            await self.clock.sleep(CLOSE_POLL_INTERVAL_S)
         return not self.lost
 
     # Compaction.
 
     async def write_and_compact(self, batch: Batch) -> None:
-        """Writes a batch, and compacts the log when it is time."""
+        """Writes a batch and runs the steps of a compaction that are due."""
         image = None
-        if self.compactor is not None and not self.open:
-            # Nothing behind this batch is in the book yet.
+        if self.compactor is not None and not self.open_batches:
+            # The book has no operations after this batch.
             image = self.compactor.capture(batch, self.lease, self.book.claims)
         await self.write(batch)
         if self.compactor is None or self.lost:
             return
         if image is not None:
             self.spawn(self.compactor.prepare(image, self.lease))
-            self.end_abandoned(image.old)
-        elif self.compactor.ready is not None:
-            await self.take_effect(self.compactor.ready)
+            self.settle_abandoned(image.stale_running)
+        elif self.compactor.prepared is not None:
+            await self.commit_compaction(self.compactor.prepared)
 
-    async def take_effect(self, compacted: Compacted) -> None:
-        """Moves the lease row on to a snapshot; forgets what it left out."""
+    async def commit_compaction(self, compacted: PreparedCompaction) -> None:
+        """Writes the lease of a compaction, then removes expired claims."""
         await self.replace_lease(compacted.lease, compacted.puts)
-        await self.confirm()
+        await self.confirm_epoch()
         if self.lease != compacted.lease:
-            return  # Not known yet; it is written again after a later batch.
-        for claim_id, claim in compacted.image.forgotten.items():
+            return  # Not confirmed; retried after a later batch.
+        for claim_id, claim in compacted.image.expired.items():
             if self.book.claims.get(claim_id) is claim:
                 del self.book.claims[claim_id]
         assert self.compactor is not None
         self.spawn(self.compactor.finish(compacted))
 
-    def end_abandoned(self, old: Mapping[ClaimId, Claim]) -> None:
-        """Ends claims whose holder died and whose key nobody repeated."""
+    def settle_abandoned(self, old: Mapping[ClaimId, Claim]) -> None:
+        """Settles old claims whose holder died and that no caller repeated."""
         for (workspace, key), claim in old.items():
             latest = self.book.claims.get((workspace, key))
             if latest is not claim or self.alive(claim.holder):
                 continue
             unknown = ClaimResult.UNKNOWN
-            self.add(SettleOp(workspace, key, claim.attempt, unknown))
+            self.enqueue(SettleOp(workspace, key, claim.attempt, unknown))
             self.metrics.count("claims.abandoned")
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Runs work beside the writing of batches."""
+        """Runs a coroutine as a background task."""
         task = asyncio.get_running_loop().create_task(work)
-        self.beside.add(task)
-        task.add_done_callback(self.beside.discard)
+        self.background_tasks.add(task)
+        task.add_done_callback(self.background_tasks.discard)
 
-    # Answers.
+    # Replies.
 
-    def relieve(self, batch: OpenBatch) -> None:
-        """Answers, in an outage, those who need not or must not wait."""
+    def reply_in_outage(self, batch: OpenBatch) -> None:
+        """Replies in an outage to waiters that need not or must not wait."""
         waiters, batch.waiters = batch.waiters, []
         for waiter in waiters:
             reply = outage_reply(
@@ -286,30 +302,30 @@
             )
             if reply is None:
                 batch.waiters.append(waiter)
-            elif not waiter.done.done():
-                waiter.done.set_result(reply)
-            self.take_back(waiter.decision.op)
+            elif not waiter.future.done():
+                waiter.future.set_result(reply)
+            self.release_refused(waiter.decision.op)
 
-    def take_back(self, op: ClaimOp | SettleOp | None) -> None:
-        """Ends an ask that was refused though it may become durable."""
+    def release_refused(self, op: ClaimOp | SettleOp | None) -> None:
+        """Releases a refused claim whose operation may still become durable."""
         if isinstance(op, ClaimOp) and not op.idempotent:
-            self.add(release_of(op))
+            self.enqueue(release_op(op))
 
-    def answer(self, batch: OpenBatch) -> None:
-        """Gives waiters their decisions, or None if the epoch was lost."""
+    def resolve_waiters(self, batch: OpenBatch) -> None:
+        """Resolves waiters to their decisions, or None if the epoch is lost."""
         for waiter in batch.waiters:
-            if not waiter.done.done():
-                waiter.done.set_result(None if self.lost else waiter.decision)
+            if not waiter.future.done():
+                waiter.future.set_result(None if self.lost else waiter.decision)
 
-    def lose(self) -> None:
-        """Gives up the shard; nothing more is granted or settled here."""
+    def mark_lost(self) -> None:
+        """Gives up the shard: no claim is granted or settled here any more."""
         if self.lost:
             return
         self.lost = True
         self.metrics.count("claims.epoch_lost")
         log.warning("Epoch lost.", shard=self.shard, epoch=self.lease.epoch)
-        for batch in [self.in_flight, *self.open]:
+        for batch in [self.in_flight, *self.open_batches]:
             if batch is not None:
-                self.answer(batch)
-        self.open.clear()
+                self.resolve_waiters(batch)
+        self.open_batches.clear()
         self.wake.set()
--- a/tests/failure/test_claims_faults.py
+++ b/tests/failure/test_claims_faults.py
@@ -1,4 +1,4 @@
-"""Claims under faults, alone and in pairs, in virtual time."""
+"""Claims under single and combined faults, in virtual time."""
 
 import asyncio
 
@@ -63,15 +63,15 @@
     fleet.faults.silent = False
 
 
-async def unshared_outage(fleet):
-    """An outage that no peer confirms, since all are in one domain."""
+async def unconfirmed_outage(fleet):
+    """Causes an outage that no peer confirms: all are in one failure domain."""
     for node in fleet.nodes.values():
         node.members.me = attrs.evolve(node.members.me, domain="a")
     await outage(fleet)
 
 
 async def killed_late(fleet):
-    """Kills an owner half way through an outage."""
+    """Kills an owner in the middle of an outage."""
     await asyncio.sleep(9)
     (fleet.owner_of("k1") or fleet.working()[0]).kill()
 
@@ -92,7 +92,7 @@
     killed_owners,
     restart_of_all,
     outage,
-    unshared_outage,
+    unconfirmed_outage,
     two_outages,
 )
 PAIRS = (
@@ -115,10 +115,10 @@
 async def run_load(faults, idempotent, seed):
     fleet = FleetOfNodes(count=4, seed=seed)
 
-    async def together(fleet):
+    async def run_all(fleet):
         await asyncio.gather(*(fault(fleet) for fault in faults))
 
-    return await load(fleet, REQUESTS, together, idempotent)
+    return await load(fleet, REQUESTS, run_all, idempotent)
 
 
 @pytest.mark.parametrize("idempotent", (True, False))
--- a/tests/failure/test_claims_outage.py
+++ b/tests/failure/test_claims_outage.py
@@ -1,4 +1,4 @@
-"""What holds while the store is down, step by step in virtual time."""
+"""Guarantees of claims while the store is down, in virtual time."""
 
 import asyncio
 
@@ -13,8 +13,8 @@
 KEYS = [f"k{number}" for number in range(20)]
 
 
-async def down_fleet(**changes):
-    """A fleet whose store is down, and known to be."""
+async def fleet_in_outage(**changes):
+    """Returns a fleet after its nodes have detected that the store is down."""
     fleet = FleetOfNodes(count=4, **changes)
     await fleet.settled()
     fleet.faults.silent = True
@@ -30,12 +30,16 @@
     ]
 
 
-async def provisional_answers(fleet):
-    """Answers of an outage whose owners then die; with it, the repeats."""
+async def repeat_after_owner_death(fleet):
+    """Repeats requests of an outage after the owner of one shard died.
+
+    Returns:
+      Answers during the outage, answers to the repeats, and bills by key.
+    """
     answers = dict(zip(KEYS, await ask_each(fleet, True), strict=True))
     assert all(isinstance(answer, str) for answer in answers.values())
     for node in fleet.nodes.values():
-        node.claims.flush_after_s = 8.0  # The new owner is quicker.
+        node.claims.flush_after_s = 8.0  # A new owner collects the bills first.
     (fleet.owner_of(KEYS[0])).kill()
     fleet.faults.silent = False
     await fleet.settled()
@@ -47,32 +51,33 @@
     return answers, repeats, fleet.bills()
 
 
-def test_repeat_after_the_owner_died_gets_the_released_answer():
+def test_repeat_after_owner_death_gets_the_released_answer():
     async def run():
-        return await provisional_answers(await down_fleet())
+        return await repeat_after_owner_death(await fleet_in_outage())
 
     answers, repeats, bills = run_virtual(run())
     assert repeats == answers
     assert bills == dict.fromkeys(KEYS, 1)
 
 
-def test_non_idempotent_is_refused_at_once_and_truly_not_run():
+def test_non_idempotent_request_is_refused_without_running():
     async def run():
-        fleet = await down_fleet()
+        fleet = await fleet_in_outage()
         started = fleet.now()
         replies = await ask_each(fleet, False)
-        took = fleet.now() - started
+        elapsed_s = fleet.now() - started
         assert all(
             reply.outcome is ClaimOutcome.UNAVAILABLE for reply in replies
         )
         assert all(reply.not_run for reply in replies)
         assert all(reply.retry_after_s > 0 for reply in replies)
         assert not fleet.runs
-        # No waiting for the store, twenty requests one after the other.
-        assert took < 1.0
+        # Twenty sequential requests: none may wait for the store.
+        assert elapsed_s < 1.0
         fleet.faults.silent = False
         await asyncio.sleep(10)
-        # Nothing of a refused request may become durable: its key is free.
+        # No operation of a refused request may become durable; its key is
+        # free.
         assert all(
             isinstance(answer, str) for answer in await ask_each(fleet, False)
         )
@@ -82,11 +87,11 @@
     run_virtual(run())
 
 
-def test_asks_queued_as_the_store_goes_down_are_taken_back():
+def test_asks_queued_when_the_store_fails_are_released():
     async def run():
         fleet = FleetOfNodes(count=4)
         await fleet.settled()
-        fleet.faults.lost = 1.0  # In the log, but nobody knows.
+        fleet.faults.lost = 1.0  # Logged, but the reply is lost.
         node = fleet.working()[0]
         asks = [
             Ask("desk", key, f"entry-0/i0/{key}", False, "d") for key in KEYS
@@ -107,7 +112,8 @@
             )
             for ask in asks
         ]
-        # Not in the way of a later ask, and in the log to be taken back.
+        # Later asks are granted, also those whose first claim had been
+        # logged and was released: these get attempt 2.
         assert {reply.outcome for reply in answers} == {ClaimOutcome.GRANTED}
         assert any(reply.attempt == 2 for reply in answers)
 
@@ -115,10 +121,10 @@
 
 
 def test_full_queue_refuses_at_once_and_recovers(monkeypatch):
-    monkeypatch.setattr(owner, "PENDING_BYTES", 5 * pending.OP_BYTES)
+    monkeypatch.setattr(owner, "MAX_PENDING_BYTES", 5 * pending.OP_BYTES)
 
     async def run():
-        fleet = await down_fleet(shards=1)
+        fleet = await fleet_in_outage(shards=1)
         started = fleet.now()
         replies = await ask_each(fleet, True)
         refused = [reply for reply in replies if not isinstance(reply, str)]
@@ -135,11 +141,11 @@
     run_virtual(run())
 
 
-def test_full_keeper_holds_the_last_byte_back(monkeypatch):
-    monkeypatch.setattr(kept_bills, "KEPT_BYTES", 1500)
+def test_answer_is_withheld_when_peers_have_no_room_for_its_bill(monkeypatch):
+    monkeypatch.setattr(kept_bills, "MAX_KEPT_BYTES", 1500)
 
     async def run():
-        fleet = await down_fleet()
+        fleet = await fleet_in_outage()
         answers = await ask_each(fleet, True)
         released = [one for one in answers if isinstance(one, str)]
         kept = [
@@ -149,13 +155,14 @@
         ]
         assert 0 < len(released) == len(kept) < len(KEYS)
         assert all(
-            node.claims.kept_bills.size <= 1500 for node in fleet.nodes.values()
+            node.claims.kept_bills.size_bytes <= 1500
+            for node in fleet.nodes.values()
         )
 
     run_virtual(run())
 
 
-def test_silent_store_is_agreed_on_within_one_more_read():
+def test_peers_confirm_a_silent_store_within_one_more_read():
     async def run(offset):
         fleet = FleetOfNodes(count=6)
         await fleet.settled()
@@ -166,13 +173,13 @@
             await asyncio.sleep(0.02)
         return fleet.now() - started
 
-    # A node notices after a pause and a read that times out (2.5 s). The last
-    # one to notice may be as late; nobody waits for a second timeout.
+    # A node detects the outage after a pause and a read that times out (2.5 s).
+    # This holds for the last node too; none waits for a second timeout.
     waits = [run_virtual(run(0.07 * number)) for number in range(8)]
     assert max(waits) <= 3.8
 
 
-def test_entry_that_alone_is_cut_off_gives_nothing_out():
+def test_partitioned_entry_releases_no_answers():
     async def run():
         fleet = FleetOfNodes(count=4)
         await fleet.settled()
@@ -194,9 +201,9 @@
     run_virtual(run())
 
 
-def test_dead_owner_in_an_outage_is_told_at_once():
+def test_dead_owner_in_an_outage_fails_claims_fast():
     async def run():
-        fleet = await down_fleet()
+        fleet = await fleet_in_outage()
         fleet.owner_of(KEYS[0]).kill()
         await asyncio.sleep(1)
         node = fleet.working()[0]
@@ -207,17 +214,17 @@
         assert reply.retry_after_s > 0
         return fleet.now() - started
 
-    # Two tries of the dead owner's address, not the whole timeout.
+    # Two calls to the dead owner, not the timeout of 8 s.
     assert run_virtual(run()) <= 2.2
 
 
 def test_flush_by_owner_and_peer_bills_once():
     async def run():
-        fleet = await down_fleet()
+        fleet = await fleet_in_outage()
         await ask_each(fleet, True)
         for node in fleet.nodes.values():
-            # Every release is lost, so each bill is flushed twice.
-            node.claims.outage.sent.clear()
+            # No release is sent, so each bill is flushed twice.
+            node.claims.outage.bill_locations.clear()
         fleet.faults.silent = False
         await asyncio.sleep(15)
         flushed = sum(
@@ -233,23 +240,24 @@
     run_virtual(run())
 
 
-def test_bills_do_not_depend_on_which_peer_is_asked():
+def test_bills_are_kept_only_in_another_failure_domain():
     async def run():
-        fleet = await down_fleet(domains=("a", "b"))
+        fleet = await fleet_in_outage(domains=("a", "b"))
         await ask_each(fleet, True)
         for node in fleet.nodes.values():
-            for member, _ in node.claims.outage.sent.values():
+            for member, _ in node.claims.outage.bill_locations.values():
                 assert member.domain != node.member.domain
         return sum(
-            len(node.claims.outage.sent) for node in fleet.nodes.values()
+            len(node.claims.outage.bill_locations)
+            for node in fleet.nodes.values()
         )
 
     assert run_virtual(run()) == len(KEYS)
 
 
-def test_one_domain_alone_gives_nothing_out_in_an_outage():
+def test_single_failure_domain_releases_no_answers_in_an_outage():
     async def run():
-        fleet = await down_fleet(domains=("a",))
+        fleet = await fleet_in_outage(domains=("a",))
         replies = await ask_each(fleet, True)
         assert not fleet.released
         return [attrs.astuple(reply)[0] for reply in replies]
--- a/tests/failure/test_claims_ownership.py
+++ b/tests/failure/test_claims_ownership.py
@@ -1,4 +1,4 @@
-"""Who owns a shard, when owners come, go and fail; in virtual time."""
+"""Ownership of shards as entries join, leave and fail, in virtual time."""
 
 import asyncio
 from types import SimpleNamespace
@@ -29,16 +29,20 @@
 REQUESTS = 100
 
 
-def owned(fleet):
-    """Returns the owner of each shard by the table's own word."""
+def lease_by_shard(fleet):
+    """Returns the lease of each shard as stored in the table."""
     return {
         shard: decode(ShardLease, fleet.table.rows[lease_key(shard)].value)
         for shard in range(fleet.sizes.claim_shards)
     }
 
 
-async def slowest(fleet, event):
-    """Sends requests through one entry around an event."""
+async def slowest_answer_s(fleet, event):
+    """Sends requests through one entry; triggers an event meanwhile.
+
+    Returns:
+      Seconds until the slowest answer.
+    """
     node = list(fleet.nodes.values())[-1]
     times = []
 
@@ -74,16 +78,16 @@
         other.members.look()
 
 
-def test_planned_stop_makes_nobody_wait():
+def test_planned_stop_delays_no_request():
     async def run():
         fleet = FleetOfNodes(count=4)
         await fleet.settled()
         leaving = first_owner(fleet)
-        worst = await slowest(fleet, leave)
+        slowest_s = await slowest_answer_s(fleet, leave)
         assert not leaving.claims.ownership.owners
-        names = {lease.owner for lease in owned(fleet).values()}
+        names = {lease.owner for lease in lease_by_shard(fleet).values()}
         assert leaving.member.name not in names
-        return worst
+        return slowest_s
 
     assert run_virtual(run()) < 0.5
 
@@ -91,35 +95,37 @@
 @pytest.mark.parametrize(
     "event", (lambda node: node.kill(), lambda node: node.freeze())
 )
-def test_shards_of_a_dead_or_frozen_owner_are_owned_within_seconds(event):
+def test_shards_of_dead_or_frozen_owners_are_taken_over_in_seconds(event):
     async def run():
         fleet = FleetOfNodes(count=4)
         await fleet.settled()
-        return await slowest(fleet, lambda fleet: event(first_owner(fleet)))
+        return await slowest_answer_s(
+            fleet, lambda fleet: event(first_owner(fleet))
+        )
 
-    # The lease lapses after 3 s here; the rest is this code's.
+    # A member lapses after 3 s here; the rest is the takeover.
     assert run_virtual(run()) < 5.5
 
 
-def test_joining_entry_gets_its_share():
+def test_joining_entries_get_their_share_of_shards():
     async def run():
         fleet = FleetOfNodes(count=2, shards=12)
         await fleet.settled()
         for number in range(4):
             fleet.start(f"joined-{number}")
-        worst = await slowest(fleet, lambda fleet: None)
+        slowest_s = await slowest_answer_s(fleet, lambda fleet: None)
         await asyncio.sleep(10)
         shares = {}
-        for lease in owned(fleet).values():
+        for lease in lease_by_shard(fleet).values():
             shares[lease.owner] = shares.get(lease.owner, 0) + 1
         assert len(shares) == 6
         assert max(shares.values()) <= 5
-        return worst
+        return slowest_s
 
     assert run_virtual(run()) < 0.5
 
 
-def test_two_that_take_a_shard_at_once():
+def test_concurrent_acquisitions_have_one_winner():
     async def run():
         table = MemoryTable()
         rows = [None]
@@ -139,7 +145,7 @@
     assert run_virtual(run()) == (50, 50)
 
 
-def test_shard_whose_log_can_not_be_read_is_taken_again():
+def test_shard_with_unreadable_log_is_acquired_again():
     async def run():
         fleet = FleetOfNodes(count=3)
         scan = fleet.table.scan
@@ -159,7 +165,7 @@
     run_virtual(run())
 
 
-def test_acquisition_whose_answer_is_lost_leaves_no_shard_behind():
+def test_lost_acquisition_reply_leaves_no_shard_unowned():
     async def run():
         fleet = FleetOfNodes(count=3)
         get = fleet.table.get
@@ -173,7 +179,7 @@
 
         fleet.table.get = no_lease
         fleet.faults.lost = 1.0
-        fleet.spawn(heal(fleet))
+        fleet.spawn(stop_losing_answers(fleet))
         await fleet.settled()
         assert len(lost) == 8
         assert isinstance(await fleet.working()[0].answer("k1"), str)
@@ -181,12 +187,12 @@
     run_virtual(run())
 
 
-async def heal(fleet):
+async def stop_losing_answers(fleet):
     await asyncio.sleep(2)
     fleet.faults.lost = 0.0
 
 
-def test_lease_row_that_makes_no_sense_stops_no_other_shard():
+def test_invalid_lease_row_affects_no_other_shard():
     async def run():
         fleet = FleetOfNodes(count=3)
         await fleet.settled()
@@ -204,7 +210,7 @@
     run_virtual(run())
 
 
-def test_late_release_of_a_shard_takes_it_from_nobody():
+def test_late_release_of_a_shard_keeps_its_new_owner():
     async def run():
         fleet = FleetOfNodes(count=3)
         await fleet.settled()
@@ -215,13 +221,13 @@
         node.freeze()
         await asyncio.sleep(8)
         node.thaw()
-        await node.claims.ownership.free(shard, lease, version)
-        assert owned(fleet)[shard].owner not in ("", node.member.name)
+        await node.claims.ownership.free_shard(shard, lease, version)
+        assert lease_by_shard(fleet)[shard].owner not in ("", node.member.name)
 
     run_virtual(run())
 
 
-def test_thawed_owner_does_not_confirm_its_own_old_grant():
+def test_resumed_owner_does_not_confirm_its_stale_grant():
     async def run():
         fleet = FleetOfNodes(count=3)
         await fleet.settled()
@@ -238,8 +244,8 @@
         node.freeze()
         await asyncio.sleep(8)
         other = fleet.working()[0]
-        told = await other.answer(key, False)
-        assert told.outcome is ClaimOutcome.UNKNOWN
+        reply = await other.answer(key, False)
+        assert reply.outcome is ClaimOutcome.UNKNOWN
         again = fleet.spawn(node.claims.claim(ask, 5.0))
         node.thaw()
         return (await again).outcome
@@ -247,19 +253,19 @@
     assert run_virtual(run()) is ClaimOutcome.UNKNOWN
 
 
-def test_shard_that_is_nobodys_choice_is_taken_all_the_same(monkeypatch):
+def test_shard_preferred_by_no_entry_is_acquired(monkeypatch):
     async def run():
         fleet = FleetOfNodes(count=3)
         await fleet.settled()
 
-    # Entries disagree on who should own a shard: each names another.
+    # Entries may disagree on the preferred owner of a shard.
     monkeypatch.setattr(
         ownership.Ownership, "preferred", lambda self, shard: "somebody"
     )
     run_virtual(run())
 
 
-def test_outcome_of_an_unknown_acquisition_is_read():
+def test_acquisition_with_uncertain_write_reads_its_outcome():
     class Silent(MemoryTable):
         async def transact(self, transaction):
             await super().transact(transaction)
@@ -272,11 +278,11 @@
     assert (lease.owner, lease.epoch, version) == ("n", 1, 1)
 
 
-def test_an_entry_that_never_read_who_owns_the_shards_takes_no_callers():
-    """An entry started, and the store went away before its first look.
+def test_entry_without_known_owners_is_not_ready():
+    """Guards against an entry that is ready without known owners of shards.
 
-    It was ready, and refused all that came for as long as the store was away:
-    its log had "Lease rows can't be read." 37 ms after "Started.".
+    An entry started 37 ms before its first read of the lease rows failed. It
+    reported ready and then refused all requests until the store was back.
     """
 
     async def run():
@@ -285,25 +291,25 @@
         fleet.faults.down = True
         late = fleet.start("entry-late")
         await asyncio.sleep(4.0)
-        assert not late.claims.ownership.acquainted
+        assert not late.claims.ownership.owners_known
         fleet.faults.down = False
         await asyncio.sleep(4.0)
-        assert late.claims.ownership.acquainted
+        assert late.claims.ownership.owners_known
         fleet.faults.down = True
         await asyncio.sleep(4.0)
-        assert late.claims.ownership.acquainted
+        assert late.claims.ownership.owners_known
         assert isinstance(await late.answer("k"), str)
 
     run_virtual(run())
 
 
-def test_a_claim_is_settled_at_a_new_owner_just_after_an_outage():
-    """A stream ended with an error event where its shard had a new owner.
+def test_claim_is_settled_at_new_owner_just_after_an_outage():
+    """Guards against a stream that ends with an error after a takeover.
 
-    An entry was declared gone while it was frozen, thawed, and answered just as
-    the store came back. Another took its shard. Its own look at the lease rows
-    was still to come, so that it took the store to be away, and asked only the
-    owner that it had been itself.
+    An entry was declared gone while frozen, and another entry acquired its
+    shard. It resumed and finished an answer just as the store was reachable
+    again, but before its own next read of the lease rows. So it assumed that
+    the store was still down, and tried only itself, the previous owner.
     """
 
     async def run():
@@ -315,16 +321,18 @@
         while not fleet.runs["k"]:
             await asyncio.sleep(0.001)
         before.claims.ownership.reachable = False
-        await after.claims.ownership.take(after.claims.shard_of("desk", "k"))
+        await after.claims.ownership.acquire_shard(
+            after.claims.shard_of("desk", "k")
+        )
         assert isinstance(await answer, str)
         assert fleet.runs["k"] == 1
 
     run_virtual(run())
 
 
-@pytest.mark.parametrize("acquainted", [False, True])
-async def test_an_entry_is_ready_once_it_knows_the_owners(acquainted):
-    ownership = SimpleNamespace(acquainted=acquainted)
+@pytest.mark.parametrize("owners_known", [False, True])
+async def test_entry_is_ready_once_it_knows_the_owners(owners_known):
+    ownership = SimpleNamespace(owners_known=owners_known)
     runner = SimpleNamespace(
         claims=SimpleNamespace(ownership=ownership),
         dispatcher=SimpleNamespace(current=lambda: True),
@@ -339,4 +347,4 @@
         settings=EdgeSettings(),
     )
     answer = await edge.ready(None)
-    assert answer.status == (200 if acquainted else 503)
+    assert answer.status == (200 if owners_known else 503)
--- a/tests/failure/test_claims_processes.py
+++ b/tests/failure/test_claims_processes.py
@@ -1,4 +1,4 @@
-"""Claims and bills through real processes that are killed and frozen."""
+"""Claims and bills with entry processes that are killed and frozen."""
 
 import asyncio
 import collections
@@ -13,7 +13,7 @@
 
 ENTRIES = ("entry-1", "entry-2", "entry-3")
 REQUESTS = 60
-PATIENCE_S = 60.0
+CALLER_TIMEOUT_S = 60.0
 
 
 @pytest.fixture
@@ -34,7 +34,7 @@
 
 
 async def call(cluster, entry, key, timeout_s=8.0):
-    """One request; returns its text, or None if it was not answered."""
+    """Sends a request; returns its id and text, or None on failure."""
     body = {
         "model": "auto",
         "messages": [{"role": "user", "content": f"question {key}"}],
@@ -56,9 +56,9 @@
 
 
 async def call_until_answered(cluster, key, number, answers):
-    """A caller that asks again, each time through the next entry."""
+    """Repeats a request, each time through the next entry, until answered."""
     loop = asyncio.get_running_loop()
-    end = loop.time() + PATIENCE_S
+    end = loop.time() + CALLER_TIMEOUT_S
     while loop.time() < end:
         answer = await call(cluster, ENTRIES[number % len(ENTRIES)], key)
         if answer is not None:
@@ -69,7 +69,7 @@
 
 
 async def load(cluster, fault):
-    """Sends each key through two entries at once while a fault happens."""
+    """Sends each key through two entries at once during a fault."""
     answers = collections.defaultdict(set)
     fault_task = asyncio.create_task(fault(cluster))
     callers = []
@@ -93,7 +93,7 @@
     return found
 
 
-async def check(cluster, answers):
+async def check_answers_and_bills(cluster, answers):
     lost = REQUESTS - len(answers)
     doubled = sum(len(texts) > 1 for texts in answers.values())
     assert (lost, doubled) == (0, 0)
@@ -102,7 +102,7 @@
     async def all_billed():
         return await bills(cluster) == expected
 
-    # Bills kept by peers are flushed a little after the store is back.
+    # Peers flush kept bills with a delay after the store is back.
     await wait_for(all_billed)
 
 
@@ -165,4 +165,4 @@
 @pytest.mark.parametrize("fault", FAULTS, ids=lambda fault: fault.__name__)
 async def test_each_key_is_answered_once_and_billed_once(cluster, fault):
     answers = await load(cluster, fault)
-    await check(cluster, answers)
+    await check_answers_and_bills(cluster, answers)
--- a/tests/failure/test_claims_switched_off.py
+++ b/tests/failure/test_claims_switched_off.py
@@ -1,6 +1,7 @@
-"""The loads of test_claims_faults.py, with one mechanism switched off.
+"""Fault tests of claims that have to fail with one mechanism disabled.
 
-They show that those tests are able to fail, and what each mechanism is for.
+They show that the tests can detect a missing mechanism, and which failure each
+mechanism prevents.
 """
 
 import pytest
@@ -18,13 +19,13 @@
 from rattanpier._internal.store.table import Put, Transaction
 from rattanpier._internal.utils.codec import encode
 from tests.failure import test_claims_faults as faults
-from tests.failure import test_claims_outage as during
-from tests.failure import test_claims_ownership as owning
+from tests.failure import test_claims_outage as outage_tests
+from tests.failure import test_claims_ownership as ownership_tests
 from tests.lib.virtual import run_virtual
 
 
 def no_fence(patch):
-    """The batch is written whoever holds the lease."""
+    """Writes batches without checking the lease."""
 
     async def write_once(self, batch):
         put = Put(log_key(self.shard, batch.sequence), encode(batch))
@@ -36,8 +37,8 @@
     patch.setattr(owner.ShardOwner, "write_once", write_once)
 
 
-def read_back_believes(patch):
-    """A write that is not there on read-back counts as never written."""
+def read_back_assumes_durable(patch):
+    """Reports a batch that is missing on read-back as durable."""
     original = owner.ShardOwner.read_back
 
     async def read_back(self, batch):
@@ -53,8 +54,8 @@
     patch.setattr(service.Claims, "disown", lambda *_: None)
 
 
-def no_keeper(patch):
-    """Answers leave in an outage though no peer keeps their bills."""
+def no_bill_replication(patch):
+    """Releases answers in an outage although no peer keeps their bills."""
 
     async def keep(self, bill):
         return True
@@ -63,7 +64,7 @@
 
 
 def no_collect(patch):
-    """A new owner grants before it knows what peers keep."""
+    """Lets a new owner grant without the bills that peers keep."""
 
     async def collect(self, dead, shard):
         return []
@@ -71,8 +72,8 @@
     patch.setattr(outage.Outage, "collect", collect)
 
 
-def dead_holders_live(patch):
-    """Nobody is ever found dead."""
+def dead_owners_count_as_alive(patch):
+    """Treats all owners named in leases as alive."""
     patch.setattr(
         ownership.Ownership,
         "has_owner",
@@ -80,8 +81,8 @@
     )
 
 
-def no_left_over(patch):
-    """A lease in the own name counts as owned."""
+def no_leftover_leases(patch):
+    """Recognizes no lease as left over from this process."""
     patch.setattr(ownership.Ownership, "is_mine", lambda *_: False)
 
 
@@ -89,26 +90,26 @@
     patch.setattr(ownership.Ownership, "should_hand_over", lambda *_: False)
 
 
-def no_taking_back(patch):
-    """A refused ask's operation stays in the log."""
+def no_release_of_refused_asks(patch):
+    """Leaves the operation of a refused ask in the log."""
 
-    def release_of(op):
+    def release_op(op):
         return SettleOp(op.workspace, op.key, -1, ClaimResult.RELEASED)
 
-    patch.setattr(writer, "release_of", release_of)
+    patch.setattr(writer, "release_op", release_op)
 
 
-def no_confirming(patch):
-    """Decisions that write nothing are given without a look at the lease."""
+def no_epoch_confirmation(patch):
+    """Returns decisions without a write before the lease is checked."""
 
-    async def confirm(self):
+    async def confirm_epoch(self):
         return None
 
-    patch.setattr(owner.ShardOwner, "confirm", confirm)
+    patch.setattr(owner.ShardOwner, "confirm_epoch", confirm_epoch)
 
 
-def no_asking_of_peers(patch):
-    """An entry that can't reach the store takes it to be down."""
+def no_peer_check(patch):
+    """Treats the store as down if only this entry can't reach it."""
 
     async def check(self):
         self.confirmed = True
@@ -123,26 +124,32 @@
 TESTS = (
     (
         no_collect,
-        during.test_repeat_after_the_owner_died_gets_the_released_answer,
+        outage_tests.test_repeat_after_owner_death_gets_the_released_answer,
     ),
     (
-        no_taking_back,
-        during.test_asks_queued_as_the_store_goes_down_are_taken_back,
+        no_release_of_refused_asks,
+        outage_tests.test_asks_queued_when_the_store_fails_are_released,
     ),
     (
-        no_asking_of_peers,
-        during.test_entry_that_alone_is_cut_off_gives_nothing_out,
+        no_peer_check,
+        outage_tests.test_partitioned_entry_releases_no_answers,
     ),
-    (no_left_over, owning.test_shard_whose_log_can_not_be_read_is_taken_again),
     (
-        no_left_over,
-        owning.test_acquisition_whose_answer_is_lost_leaves_no_shard_behind,
+        no_leftover_leases,
+        ownership_tests.test_shard_with_unreadable_log_is_acquired_again,
     ),
-    (no_hand_over, owning.test_planned_stop_makes_nobody_wait),
-    (no_hand_over, owning.test_joining_entry_gets_its_share),
     (
-        no_confirming,
-        owning.test_thawed_owner_does_not_confirm_its_own_old_grant,
+        no_leftover_leases,
+        ownership_tests.test_lost_acquisition_reply_leaves_no_shard_unowned,
+    ),
+    (no_hand_over, ownership_tests.test_planned_stop_delays_no_request),
+    (
+        no_hand_over,
+        ownership_tests.test_joining_entries_get_their_share_of_shards,
+    ),
+    (
+        no_epoch_confirmation,
+        ownership_tests.test_resumed_owner_does_not_confirm_its_stale_grant,
     ),
 )
 
@@ -150,7 +157,7 @@
 @pytest.mark.parametrize(
     "switch_off, test", TESTS, ids=lambda value: value.__name__
 )
-def test_step_by_step_test_finds_it(monkeypatch, switch_off, test):
+def test_scenario_fails_without_the_mechanism(monkeypatch, switch_off, test):
     switch_off(monkeypatch)
     with pytest.raises(AssertionError):
         test()
@@ -159,21 +166,29 @@
 CASES = (
     (no_fence, (faults.frozen_owners,), True),
     (no_fence, (faults.delayed_writes, faults.frozen_owners), False),
-    (read_back_believes, (faults.dropped_writes,), True),
-    (read_back_believes, (faults.dropped_writes, faults.killed_owners), False),
-    (no_disown, (faults.unshared_outage,), True),
-    (no_keeper, (faults.outage, faults.killed_late), True),
-    (dead_holders_live, (faults.killed_owners,), True),
+    (read_back_assumes_durable, (faults.dropped_writes,), True),
+    (
+        read_back_assumes_durable,
+        (faults.dropped_writes, faults.killed_owners),
+        False,
+    ),
+    (no_disown, (faults.unconfirmed_outage,), True),
+    (no_bill_replication, (faults.outage, faults.killed_late), True),
+    (dead_owners_count_as_alive, (faults.killed_owners,), True),
 )
 
 
 @pytest.mark.parametrize(
-    "switch_off, together, idempotent",
+    "switch_off, combined_faults, idempotent",
     CASES,
     ids=lambda value: getattr(value, "__name__", None),
 )
-def test_load_finds_it(monkeypatch, switch_off, together, idempotent):
+def test_load_fails_without_the_mechanism(
+    monkeypatch, switch_off, combined_faults, idempotent
+):
     switch_off(monkeypatch)
-    count = run_virtual(faults.run_load(together, idempotent, seed=7))
-    print(switch_off.__name__, faults.name_of(together), idempotent, count)
+    count = run_virtual(faults.run_load(combined_faults, idempotent, seed=7))
+    print(
+        switch_off.__name__, faults.name_of(combined_faults), idempotent, count
+    )
     assert count != faults.Count(asked=faults.REQUESTS)
--- a/tests/lib/claim_machine.py
+++ b/tests/lib/claim_machine.py
@@ -1,8 +1,8 @@
-"""Drives the real claim code through the steps of specs/claims.prism.
+"""Runs the claim code through the steps of specs/claims.prism.
 
-Rules bear the names of the specification's commands. The table service is
-the in-memory stand-in behind switches that lose, delay or refuse a write; what
-took effect is read from its rows.
+Rules are named after the commands of the specification. The table service is
+the in-memory stand-in, wrapped to lose, delay or refuse writes. The effects of
+writes are read from its rows.
 """
 
 import asyncio
@@ -39,17 +39,18 @@
 
 WRITES = st.sampled_from(["land", "lose", "delay", "refuse"])
 ENTRIES = st.sampled_from(["a", "b"])
-FAULTY = ("granted", "settling")  # States in which entry a may be killed.
-PICK = st.integers(0, 3)
+# States in which entry a may be killed.
+KILLABLE_STATES = ("granted", "settling")
+INDEX = st.integers(0, 3)
 
 
 def pick(items, number):
-    """One of the items that a step is possible for."""
+    """Picks one of the items to which a step applies."""
     return items[number % len(items)]
 
 
 class FaultyTable:
-    """One owner's way to the table service."""
+    """Table service as seen by one owner, with faults of writes."""
 
     def __init__(self, rows):
         self.rows = rows
@@ -75,7 +76,7 @@
 
 @attrs.define
 class Entry:
-    """One caller's request on one entry."""
+    """A request of one caller on one entry."""
 
     name: str
     state: str = "asking"
@@ -85,7 +86,7 @@
 
 
 class ClaimMachine(RuleBasedStateMachine):
-    """Two entries with one key, two owners one after the other."""
+    """Two entries that claim one key, and two successive owners."""
 
     @initialize(idempotent=st.booleans())
     def start(self, idempotent):
@@ -101,7 +102,7 @@
         self.released = set()
         self.billed = set()
         self.unlogged = []
-        self.take(0)
+        self.acquire_shard(0)
         assert self.owners[0] is not None
 
     def teardown(self):
@@ -117,7 +118,7 @@
     def alive(self, holder):
         return holder.split("/")[0] not in self.seen_dead
 
-    def take(self, number):
+    def acquire_shard(self, number):
         """Acquires the shard as Ownership.make_owner does."""
         table = self.tables[number]
         row = self.run(table.get(lease_key(0)))
@@ -140,23 +141,25 @@
         )
 
     def logged(self):
-        """The claim as the log has it, or None."""
+        """Returns the claim as recorded in the log, or None."""
         book, _ = self.run(recover(self.rows, 0))
         return book.claims.get(("desk", "k"))
 
-    def writing(self):
-        """Owners that have something to write."""
+    def writing_owners(self):
+        """Returns the numbers of owners with pending writes."""
         return [
             number
             for number, owner in enumerate(self.owners)
-            if owner and not owner.lost and (owner.open or owner.in_flight)
+            if owner
+            and not owner.lost
+            and (owner.open_batches or owner.in_flight)
         ]
 
-    def serving(self):
+    def serving_owners(self):
         return [owner for owner in self.owners if owner and not owner.lost]
 
     def idle(self, *states):
-        """Entries in some state that wait for no reply."""
+        """Returns the entries in given states that wait for no reply."""
         return [
             entry
             for entry in self.entries.values()
@@ -171,13 +174,13 @@
             if entry.state in states and not entry.ran
         ]
 
-    # The owners.
+    # Rules of the owners.
 
-    @precondition(lambda self: self.writing())
-    @rule(number=PICK, mode=WRITES)
+    @precondition(lambda self: self.writing_owners())
+    @rule(number=INDEX, mode=WRITES)
     def write(self, number, mode):
         """write_lands, write_refused, write_delayed, found_durable, ..."""
-        number = pick(self.writing(), number)
+        number = pick(self.writing_owners(), number)
         owner = self.owners[number]
         self.tables[number].mode = mode
         flush = self.flushes[number]
@@ -187,10 +190,10 @@
         else:
             self.run(self.clock.advance(0.5))
         self.tables[number].mode = "land"
-        self.collect()
+        self.deliver_replies()
 
     @precondition(lambda self: any(table.late for table in self.tables))
-    @rule(number=PICK)
+    @rule(number=INDEX)
     def delayed_lands(self, number):
         late = [table.late for table in self.tables if table.late]
         self.run(self.rows.transact(pick(late, number).pop(0)))
@@ -199,7 +202,7 @@
     @rule(mode=WRITES)
     def acquire(self, mode):
         self.tables[1].mode = mode
-        self.take(1)
+        self.acquire_shard(1)
         self.tables[1].mode = "land"
 
     @precondition(lambda self: all(self.owners))
@@ -207,30 +210,32 @@
     def owner_killed(self):
         self.owners[0] = None
         for entry in self.entries.values():
-            self.drop_call(entry)
+            self.cancel_call(entry)
 
-    # The entries.
+    # Rules of the entries.
 
-    @precondition(lambda self: self.serving() and self.idle("asking"))
-    @rule(name=PICK, number=PICK)
+    @precondition(lambda self: self.serving_owners() and self.idle("asking"))
+    @rule(name=INDEX, number=INDEX)
     def ask(self, name, number):
         entry = pick(self.idle("asking"), name)
-        owner = pick(self.serving(), number)
+        owner = pick(self.serving_owners(), number)
         ask = Ask("desk", "k", f"{entry.name}/i/r", self.idempotent, "d")
         entry.call = self.loop.create_task(owner.ask(ask))
         self.run(settle())
-        self.collect()
+        self.deliver_replies()
 
     @precondition(
-        lambda self: self.serving() and self.idle("settling", "giving_up")
+        lambda self: (
+            self.serving_owners() and self.idle("settling", "giving_up")
+        )
     )
-    @rule(name=PICK, number=PICK)
+    @rule(name=INDEX, number=INDEX)
     def settle(self, name, number):
         entry = pick(self.idle("settling", "giving_up"), name)
-        owner = pick(self.serving(), number)
+        owner = pick(self.serving_owners(), number)
         entry.call = self.loop.create_task(owner.settle(self.settlement(entry)))
         self.run(settle())
-        self.collect()
+        self.deliver_replies()
 
     def settlement(self, entry):
         if entry.state == "giving_up":
@@ -244,29 +249,29 @@
     @precondition(lambda self: any(e.call for e in self.entries.values()))
     @rule(name=ENTRIES)
     def reply_lost(self, name):
-        self.drop_call(self.entries[name])
+        self.cancel_call(self.entries[name])
 
     @precondition(lambda self: self.runnable())
-    @rule(name=PICK)
+    @rule(name=INDEX)
     def dispatch(self, name):
         pick(self.runnable(), name).ran = True
 
     @precondition(lambda self: any(e.ran for e in self.idle("granted")))
-    @rule(name=PICK)
+    @rule(name=INDEX)
     def answer_whole(self, name):
-        whole = [entry for entry in self.idle("granted") if entry.ran]
-        pick(whole, name).state = "settling"
+        complete = [entry for entry in self.idle("granted") if entry.ran]
+        pick(complete, name).state = "settling"
 
     @precondition(lambda self: any(not e.ran for e in self.idle("granted")))
-    @rule(name=PICK)
+    @rule(name=INDEX)
     def not_run(self, name):
         unrun = [entry for entry in self.idle("granted") if not entry.ran]
         pick(unrun, name).state = "giving_up"
 
-    @precondition(lambda self: self.entries["a"].state in FAULTY)
+    @precondition(lambda self: self.entries["a"].state in KILLABLE_STATES)
     @rule()
     def entry_killed(self):
-        self.drop_call(self.entries["a"])
+        self.cancel_call(self.entries["a"])
         self.entries["a"].state = "dead"
 
     @precondition(lambda self: "a" not in self.seen_dead)
@@ -281,21 +286,21 @@
         if claim is not None and claim.bill is not None:
             self.billed.add(claim.bill.version)
 
-    def drop_call(self, entry):
+    def cancel_call(self, entry):
         if entry.call is not None:
             entry.call.cancel()
             entry.call = None
             self.run(settle())
 
-    def collect(self):
-        """Gives entries the replies that have come."""
+    def deliver_replies(self):
+        """Delivers the replies that have arrived to their entries."""
         for entry in self.entries.values():
             if entry.call is not None and entry.call.done():
                 decision, entry.call = entry.call.result(), None
                 if decision is not None:
-                    self.take_reply(entry, decision)
+                    self.apply_reply(entry, decision)
 
-    def take_reply(self, entry, decision):
+    def apply_reply(self, entry, decision):
         match decision.outcome:
             case ClaimOutcome.GRANTED:
                 claim = decision.claim
@@ -318,7 +323,7 @@
         if claim is None or claim.attempt < attempt:
             self.unlogged.append(attempt)
 
-    # The properties of the specification.
+    # Properties of the specification.
 
     @invariant()
     def never_two_answers(self):
--- a/tests/unit/test_claims_messages.py
+++ b/tests/unit/test_claims_messages.py
@@ -1,11 +1,11 @@
-"""Messages of claims: a bill arrives whole, and they stay small."""
+"""Claim messages preserve bills and stay within the byte budget."""
 
 from rattanpier._internal.claims.book import Decision
 from rattanpier._internal.claims.messages import (
     decode_bill,
-    describe_claim,
-    describe_settle,
     encode_bill,
+    encode_claim_reply,
+    encode_settle_reply,
 )
 from rattanpier._internal.claims.records import Bill, ClaimOp
 from rattanpier._internal.models.outcomes import ClaimOutcome, SettleOutcome
@@ -17,8 +17,8 @@
 KEY = new_key()
 HOLDER = f"entry-000/{'i' * 12}/{new_request_id()}"
 BILL = Bill(WORKSPACE, KEY, "phrase-small@3", 300, 220, 0.00123)
-# 8.8 requests/s a node at 3,700 requests/s over 420 nodes, within 4 KB/s for
-# all control: see docs/CAPACITY.md.
+# Each node may spend 4 KB/s on all control traffic, at 8.8 requests/s (3,700
+# requests/s over 420 nodes); see docs/CAPACITY.md.
 MAX_BYTES = 320
 
 
@@ -33,7 +33,7 @@
     )
 
 
-def test_bill_arrives_whole():
+def test_bill_survives_encoding():
     assert decode_bill(settle_request()) == BILL
 
 
@@ -41,7 +41,7 @@
     assert decode_bill(peer_pb2.SettleRequest(bill=encode_bill(None))) is None
 
 
-def test_a_request_costs_few_bytes():
+def test_messages_of_a_request_fit_the_byte_budget():
     ask = peer_pb2.ClaimRequest(
         workspace=WORKSPACE,
         key=KEY,
@@ -55,7 +55,7 @@
     messages = [
         peer_pb2.Call(id=10**6, claim=ask),
         peer_pb2.Call(id=10**6, settle=settle_request()),
-        peer_pb2.Reply(id=10**6, claim=describe_claim(granted)),
-        describe_settle(settled),
+        peer_pb2.Reply(id=10**6, claim=encode_claim_reply(granted)),
+        encode_settle_reply(settled),
     ]
     assert sum(message.ByteSize() for message in messages) < MAX_BYTES
