--- a/src/rattanpier/_internal/commands/config.py
+++ b/src/rattanpier/_internal/commands/config.py
@@ -20,7 +20,7 @@
 from rattanpier._internal.commands.result import ExitCode, Result, make_table
 from rattanpier._internal.configuration.check import (
     check_configuration,
-    parse_checked,
+    parse_and_check,
 )
 from rattanpier._internal.configuration.parse import (
     parse_configuration,
@@ -69,7 +69,7 @@
       url: Operators' address of a control process.
     """
     text = read_text(file, ConfigurationError)
-    parse_checked(text, file)
+    parse_and_check(text, file)
     revision = base if base is not None else base_of(text, file)
     change = Change(
         connect(url),
--- a/src/rattanpier/_internal/commands/explain.py
+++ b/src/rattanpier/_internal/commands/explain.py
@@ -11,7 +11,7 @@
 
 from rattanpier._internal.commands.api import connect
 from rattanpier._internal.commands.result import ExitCode, Result, make_table
-from rattanpier._internal.configuration.check import parse_checked
+from rattanpier._internal.configuration.check import parse_and_check
 from rattanpier._internal.configuration.parse import (
     parse_configuration,
     read_text,
@@ -134,7 +134,7 @@
     """Returns the configuration to use, and the versions braked."""
     if config:
         text = read_text(config, ConfigurationError)
-        return parse_checked(text, config), []
+        return parse_and_check(text, config), []
     api = connect(url)
     found = api.get("config")
     parsed = parse_configuration(found["text"], f"r{found['revision']}")
--- a/src/rattanpier/_internal/configuration/check.py
+++ b/src/rattanpier/_internal/configuration/check.py
@@ -13,13 +13,13 @@
     Finding,
     Problem,
     check_digest,
-    check_filled,
+    check_fraction,
     check_known,
+    check_not_empty,
     check_not_negative,
     check_positive,
-    check_share,
     check_url,
-    locate,
+    locate_findings,
 )
 from rattanpier._internal.exceptions import ConfigurationError
 from rattanpier._internal.models.configuration import (
@@ -33,8 +33,8 @@
     Workspace,
 )
 
-METHODS = ("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS", "*")
-FLEET_NUMBERS = (
+HTTP_METHODS = ("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS", "*")
+POSITIVE_FLEET_FIELDS = (
     "size",
     "claim_shards",
     "store_writes_per_s",
@@ -55,7 +55,7 @@
       file: Name of the file, for the reports.
     """
     findings = (finding for check in CHECKS for finding in check(configuration))
-    return list(locate(findings, text, file))
+    return list(locate_findings(findings, text, file))
 
 
 def require_valid(
@@ -72,7 +72,7 @@
 
 def check_fleet(configuration: Configuration) -> Iterator[Finding]:
     """Finds sizes and rates that can't be."""
-    for name in FLEET_NUMBERS:
+    for name in POSITIVE_FLEET_FIELDS:
         value = getattr(configuration.fleet, name)
         yield from check_positive(("fleet", name), value)
 
@@ -87,8 +87,8 @@
     }
     for name, version in configuration.versions.items():
         steps = ("versions", name)
-        yield from check_filled((*steps, "model"), version.model)
-        yield from check_share((*steps, "quality"), version.quality)
+        yield from check_not_empty((*steps, "model"), version.model)
+        yield from check_fraction((*steps, "quality"), version.quality)
         for price in ("input_price", "output_price"):
             value = getattr(version, price)
             yield from check_not_negative((*steps, price), value)
@@ -132,7 +132,7 @@
     """Finds calls that are not written as method and path."""
     for call in upstream.non_repeatable:
         method, _, path = call.partition(" ")
-        if method not in METHODS or not path.startswith("/"):
+        if method not in HTTP_METHODS or not path.startswith("/"):
             yield Finding(
                 (*steps, "non_repeatable"),
                 f"{call!r} is not a method and a path",
@@ -148,7 +148,7 @@
 ) -> Iterator[Finding]:
     """Finds what is wrong with one worker."""
     yield from check_url((*steps, "url"), worker.url)
-    yield from check_filled((*steps, "domain"), worker.domain)
+    yield from check_not_empty((*steps, "domain"), worker.domain)
     yield from check_positive((*steps, "slots"), worker.slots)
     if worker.versions and upstream.kind is UpstreamKind.PLAIN:
         yield Finding(
@@ -197,7 +197,9 @@
             plain_services(configuration),
         )
     yield from check_positive((*steps, "share"), workspace.share)
-    yield from check_share((*steps, "quality_target"), workspace.quality_target)
+    yield from check_fraction(
+        (*steps, "quality_target"), workspace.quality_target
+    )
     yield from check_positive((*steps, "max_queued"), workspace.max_queued)
     yield from check_not_negative(
         (*steps, "rating_budget"), workspace.rating_budget
@@ -259,8 +261,8 @@
             f"stable and candidate are both {rollout.stable!r}",
             "name two versions",
         )
-    yield from check_share((*steps, "share"), rollout.share)
-    yield from check_share((*steps, "max_share"), rollout.max_share)
+    yield from check_fraction((*steps, "share"), rollout.share)
+    yield from check_fraction((*steps, "max_share"), rollout.max_share)
 
 
 Check = Callable[[Configuration], Iterator[Finding]]
@@ -275,7 +277,7 @@
 )
 
 
-def parse_checked(text: str, file: str = "configuration") -> Configuration:
+def parse_and_check(text: str, file: str = "configuration") -> Configuration:
     """Returns a configuration from its TOML text, parsed and checked.
 
     Raises:
--- a/src/rattanpier/_internal/configuration/check_rules.py
+++ b/src/rattanpier/_internal/configuration/check_rules.py
@@ -8,8 +8,8 @@
 
 from rattanpier._internal.configuration.problem import (
     Finding,
-    check_filled,
     check_known,
+    check_not_empty,
     check_not_negative,
 )
 from rattanpier._internal.models.configuration import (
@@ -40,7 +40,7 @@
     seen: dict[str, int] = {}
     for number, rule in enumerate(configuration.rules):
         steps = ("rules", str(number))
-        yield from check_filled((*steps, "name"), rule.name)
+        yield from check_not_empty((*steps, "name"), rule.name)
         if rule.name in seen:
             yield Finding(
                 (*steps, "name"),
@@ -52,7 +52,7 @@
         yield from check_when(configuration, steps, rule.when)
         yield from check_then(configuration, steps, rule.then)
         yield from check_allowed(configuration, number)
-    yield from check_reach(configuration)
+    yield from check_reachable(configuration)
 
 
 def check_when(
@@ -140,21 +140,23 @@
     """
     rule = configuration.rules[number]
     steps = ("rules", str(number), "then")
-    for name in reaching(configuration, number):
+    for name in reaching_workspaces(configuration, number):
         workspace = configuration.workspaces[name]
         for version in cascade_steps(configuration, rule.then):
             if version not in workspace.versions:
-                yield not_allowed(
+                yield not_allowed_finding(
                     (*steps, "cascade"),
                     f"cascade {rule.then.cascade!r} goes through version",
                     version,
                     name,
                 )
         if name in (rule.when.workspaces or []):
-            yield from check_named(configuration, steps, rule.then, name)
+            yield from check_named_workspace(
+                configuration, steps, rule.then, name
+            )
 
 
-def check_named(
+def check_named_workspace(
     configuration: Configuration,
     steps: Sequence[str],
     then: Then,
@@ -170,12 +172,12 @@
     for kind, allowed in lists.items():
         wanted = getattr(then, kind)
         if wanted in known[kind] and wanted not in allowed:
-            yield not_allowed(
+            yield not_allowed_finding(
                 (*steps, kind), f"the rule gives {kind}", wanted, name
             )
 
 
-def not_allowed(
+def not_allowed_finding(
     steps: Sequence[str], how: str, what: str, workspace: str
 ) -> Finding:
     """Returns the finding for something that a workspace may not use."""
@@ -193,7 +195,9 @@
     return [step for step in steps if step in configuration.versions]
 
 
-def reaching(configuration: Configuration, number: int) -> Iterator[str]:
+def reaching_workspaces(
+    configuration: Configuration, number: int
+) -> Iterator[str]:
     """Yields the workspaces that can reach a rule."""
     rule = configuration.rules[number]
     for name in configuration.workspaces:
@@ -207,21 +211,23 @@
             yield name
 
 
-def check_reach(configuration: Configuration) -> Iterator[Finding]:
+def check_reachable(configuration: Configuration) -> Iterator[Finding]:
     """Finds rules behind one that matches all that they match."""
     workspaces = list(configuration.workspaces)
     for number, rule in enumerate(configuration.rules):
-        cover = find_cover(configuration.rules[:number], rule, workspaces)
-        if cover is not None:
+        covering = find_covering_rule(
+            configuration.rules[:number], rule, workspaces
+        )
+        if covering is not None:
             yield Finding(
                 ("rules", str(number)),
-                f"rule {rule.name!r} is never reached: rule {cover.name!r} "
+                f"rule {rule.name!r} is never reached: rule {covering.name!r} "
                 "before it matches all that it matches",
-                f"move it before {cover.name!r}, or take it out",
+                f"move it before {covering.name!r}, or take it out",
             )
 
 
-def find_cover(
+def find_covering_rule(
     earlier: Sequence[Rule], rule: Rule, workspaces: list[str]
 ) -> Rule | None:
     """Returns the first rule that matches all that a later one matches."""
--- a/src/rattanpier/_internal/configuration/check_settings.py
+++ b/src/rattanpier/_internal/configuration/check_settings.py
@@ -11,13 +11,13 @@
     Finding,
     Problem,
     check_digest,
-    check_filled,
     check_ip,
+    check_not_empty,
     check_port,
     check_positive,
     check_url,
-    is_ip_number,
-    locate,
+    is_ip_address,
+    locate_findings,
     suggest,
 )
 from rattanpier._internal.models.settings import (
@@ -31,16 +31,16 @@
     Settings,
 )
 
-LEAST_KEY_LENGTH = 16  # Characters of a key that signs.
+MIN_SESSION_KEY_LENGTH = 16  # Characters of a key that signs.
 LOG_LEVELS = ("debug", "info", "warning", "error", "critical")
-UNSPECIFIED = ("0.0.0.0", "::")  # noqa: S104 - binds every address.
+UNSPECIFIED_ADDRESSES = ("0.0.0.0", "::")  # noqa: S104 - binds every address.
 
 
 def check_settings(
     settings: Settings, text: str, file: str = "settings"
 ) -> list[Problem]:
     """Returns all that is wrong with settings; none: the process may start."""
-    return list(locate(find_problems(settings), text, file))
+    return list(locate_findings(find_problems(settings), text, file))
 
 
 def find_problems(settings: Settings) -> Iterator[Finding]:
@@ -68,7 +68,7 @@
 def check_node(steps: Sequence[str], node: NodeSettings) -> Iterator[Finding]:
     """Finds a process without a name or a failure domain."""
     for name in ("name", "domain", "region"):
-        yield from check_filled((*steps, name), getattr(node, name))
+        yield from check_not_empty((*steps, name), getattr(node, name))
 
 
 def check_listen(
@@ -79,7 +79,7 @@
     yield from check_port((*steps, "port"), listen.port)
     if listen.advertise:
         yield from check_ip((*steps, "advertise"), listen.advertise)
-    if (listen.advertise or listen.host) in UNSPECIFIED:
+    if (listen.advertise or listen.host) in UNSPECIFIED_ADDRESSES:
         yield Finding(
             (*steps, "advertise"),
             f"{listen.advertise or listen.host} can't be told to others",
@@ -121,9 +121,9 @@
     steps: Sequence[str], metrics: MetricsSettings
 ) -> Iterator[Finding]:
     """Finds a statsd address that would be resolved on the hot path."""
-    if metrics.host and not is_ip_number(metrics.host):
+    if metrics.host and not is_ip_address(metrics.host):
         yield from check_ip((*steps, "host"), metrics.host)
-    yield from check_port((*steps, "port"), metrics.port, least=1)
+    yield from check_port((*steps, "port"), metrics.port, min_port=1)
 
 
 def check_logs(steps: Sequence[str], logs: LogSettings) -> Iterator[Finding]:
@@ -141,11 +141,12 @@
 ) -> Iterator[Finding]:
     """Finds keys that are too short to sign with, and bad digests."""
     key = secrets.session_key
-    if key and len(key) < LEAST_KEY_LENGTH:
+    if key and len(key) < MIN_SESSION_KEY_LENGTH:
         yield Finding(
             (*steps, "session_key"),
             f"session_key has {len(key)} characters",
-            f"give at least {LEAST_KEY_LENGTH}, the same on all entry VMs",
+            f"give at least {MIN_SESSION_KEY_LENGTH}, "
+            "the same on all entry VMs",
         )
     for digest in secrets.operator_key_sha256:
         yield from check_digest((*steps, "operator_key_sha256"), digest)
--- a/src/rattanpier/_internal/configuration/parse.py
+++ b/src/rattanpier/_internal/configuration/parse.py
@@ -27,7 +27,7 @@
 
 T = TypeVar("T")
 
-REPAIR = "correct the named lines"
+FIX_HINT = "correct the named lines"
 
 converter = exact_converter(forbid_extra_keys=True)
 
@@ -55,7 +55,7 @@
     problems = check_settings(settings, text, path)
     if problems:
         lines = "\n".join(str(problem) for problem in problems)
-        raise SettingsError(lines, REPAIR)
+        raise SettingsError(lines, FIX_HINT)
     return settings
 
 
@@ -81,9 +81,9 @@
             f"{file}:{line}: {error}", "correct the TOML"
         ) from error
     except cattrs.BaseValidationError as error:
-        reports = cattrs.transform_error(error, format_exception=explain)
-        lines = [place(report, text, file) for report in reports]
-        raise error_class("\n".join(lines), REPAIR) from error
+        reports = cattrs.transform_error(error, format_exception=describe_error)
+        lines = [add_location(report, text, file) for report in reports]
+        raise error_class("\n".join(lines), FIX_HINT) from error
 
 
 def toml_error_line(message: str, text: str) -> int:
@@ -96,12 +96,12 @@
     return int(found.group(1)) if found else max(1, len(text.splitlines()))
 
 
-def explain(error: BaseException, cls: type[Any] | None) -> str:
+def describe_error(error: BaseException, cls: type[Any] | None) -> str:
     """Says what is wrong with a value, and what would be right."""
     match error:
         case cattrs.ForbiddenExtraKeysError():
             known = [field.name for field in attrs.fields(error.cl)]
-            return "; ".join(explain_keys(error.extra_fields, known))
+            return "; ".join(describe_unknown_keys(error.extra_fields, known))
         case KeyError():
             return f"{error.args[0]!r} is missing; add it"
         case ValueError() if isinstance(cls, type) and issubclass(
@@ -115,13 +115,13 @@
     return format_exception(error, cls)
 
 
-def explain_keys(extra: set[str], known: list[str]) -> Iterator[str]:
+def describe_unknown_keys(extra: set[str], known: list[str]) -> Iterator[str]:
     """Yields a sentence for each unknown key."""
     for key in sorted(extra):
         yield f"unknown key {key!r}; {suggest(key, known)}"
 
 
-def place(report: str, text: str, file: str) -> str:
+def add_location(report: str, text: str, file: str) -> str:
     """Puts file and line before a report, whose path is behind it."""
     problem, _, path = report.rpartition(" @ ")
     steps = split_path(path)
--- a/src/rattanpier/_internal/configuration/problem.py
+++ b/src/rattanpier/_internal/configuration/problem.py
@@ -13,8 +13,8 @@
 
 from rattanpier._internal.configuration.lines import find_line
 
-SHOWN_NAMES = 6  # A longer list of known names is cut.
-HIGHEST_PORT = 65535
+MAX_SHOWN_NAMES = 6  # A longer list of known names is cut.
+MAX_PORT = 65535
 SHA256_HEX = re.compile(r"[0-9a-f]{64}")
 
 
@@ -54,7 +54,7 @@
     right: str
 
 
-def locate(
+def locate_findings(
     findings: Iterable[Finding], text: str, file: str
 ) -> Iterator[Problem]:
     """Yields findings with their lines."""
@@ -79,8 +79,8 @@
     if not known:
         return "none is defined"
     shown = [repr(item) for item in sorted(known)]
-    more = ", …" if len(shown) > SHOWN_NAMES else ""
-    return f"known are {', '.join(shown[:SHOWN_NAMES])}{more}"
+    more = ", …" if len(shown) > MAX_SHOWN_NAMES else ""
+    return f"known are {', '.join(shown[:MAX_SHOWN_NAMES])}{more}"
 
 
 def check_known(
@@ -91,7 +91,7 @@
         yield Finding(steps, f"unknown {kind} {name!r}", suggest(name, known))
 
 
-def check_share(steps: Sequence[str], value: float) -> Iterator[Finding]:
+def check_fraction(steps: Sequence[str], value: float) -> Iterator[Finding]:
     """Finds a share that is not between 0 and 1."""
     if not 0 <= value <= 1:
         yield Finding(steps, f"{steps[-1]} is {value}", "give 0 to 1")
@@ -113,7 +113,7 @@
         )
 
 
-def check_filled(steps: Sequence[str], value: str) -> Iterator[Finding]:
+def check_not_empty(steps: Sequence[str], value: str) -> Iterator[Finding]:
     """Finds an empty text."""
     if not value.strip():
         yield Finding(steps, f"{steps[-1]} is empty", "give a name")
@@ -129,10 +129,10 @@
         )
 
 
-def is_ip_number(host: str) -> bool:
+def is_ip_address(host: str) -> bool:
     """Says whether a host is an IP number.
 
-    >>> is_ip_number("10.0.0.1"), is_ip_number("localhost")
+    >>> is_ip_address("10.0.0.1"), is_ip_address("localhost")
     (True, False)
     """
     try:
@@ -144,7 +144,7 @@
 
 def check_ip(steps: Sequence[str], host: str) -> Iterator[Finding]:
     """Finds a host that is no IP number."""
-    if not is_ip_number(host):
+    if not is_ip_address(host):
         yield Finding(
             steps,
             f"{steps[-1]} {host!r} is not an IP number",
@@ -153,12 +153,12 @@
 
 
 def check_port(
-    steps: Sequence[str], port: int, least: int = 0
+    steps: Sequence[str], port: int, min_port: int = 0
 ) -> Iterator[Finding]:
     """Finds a port that does not exist."""
-    if not least <= port <= HIGHEST_PORT:
+    if not min_port <= port <= MAX_PORT:
         yield Finding(
-            steps, f"port {port} does not exist", f"give {least} to 65535"
+            steps, f"port {port} does not exist", f"give {min_port} to 65535"
         )
 
 
@@ -173,7 +173,7 @@
         return
     if parts.scheme not in ("http", "https") or not host:
         yield Finding(steps, f"{url!r} is not an HTTP address", right)
-    elif not is_ip_number(host):
+    elif not is_ip_address(host):
         yield Finding(
             steps, f"{url!r} has the name {host!r}, not an IP number", right
         )
--- a/src/rattanpier/_internal/programs/control.py
+++ b/src/rattanpier/_internal/programs/control.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from rattanpier._internal.configuration.check import parse_checked
+from rattanpier._internal.configuration.check import parse_and_check
 from rattanpier._internal.configuration.inforce import InForce
 from rattanpier._internal.edge.server import HttpServer
 from rattanpier._internal.kernel import Kernel
@@ -63,7 +63,7 @@
             inforce=inforce,
             brakes=kernel.find("brakes"),
             metrics=kernel.find("metrics"),
-            check=parse_checked,
+            check=parse_and_check,
         ),
     )
     app = OperatorApp(
