--- a/src/rattanpier/_internal/configuration/change.py
+++ b/src/rattanpier/_internal/configuration/change.py
@@ -25,14 +25,14 @@
 from rattanpier._internal.store.table import Check, Table
 from rattanpier._internal.utils.clock import Clock
 
-RETRY_S = 0.2  # Between looks at a store that does not answer.
+RETRY_INTERVAL_S = 0.2  # Between looks at a store that does not answer.
 MAX_REBASES = 8
 
 Edit = Callable[[str], str]
 
 
 @attrs.frozen
-class Rebased:
+class EditOutcome:
     """The outcome of an edit, and the changes it was put on top of.
 
     Attributes:
@@ -44,7 +44,7 @@
     over: list[Revision]
 
 
-async def change_surely(
+async def propose_with_retry(
     table: Table,
     clock: Clock,
     revision: Revision,
@@ -55,7 +55,7 @@
 
     A write with a lost answer is submitted again as the same attempt, which
     can't take effect twice. `Undecided` is returned only if the store stayed
-    silent until the timeout; then `decide` tells the truth later.
+    silent until the timeout; then `resolve_change` tells the truth later.
 
     Args:
       table: The store.
@@ -64,7 +64,7 @@
       timeout_s: Seconds until a silent store is given up.
       checks: Further conditions; one that fails for good gives `Fenced`.
     """
-    give_up = clock.monotonic() + timeout_s
+    deadline = clock.monotonic() + timeout_s
     try:
         prepared = await prepare(table, revision)
     except StoreUnavailableError as error:
@@ -72,15 +72,15 @@
     if not isinstance(prepared, Attempt):
         return prepared
     prepared = attrs.evolve(prepared, checks=checks)
-    may_land = False
+    write_in_doubt = False
     while True:
         outcome = await submit(table, prepared)
-        may_land = may_land or isinstance(outcome, Undecided)
-        if not may_land or is_final(outcome):
+        write_in_doubt = write_in_doubt or isinstance(outcome, Undecided)
+        if not write_in_doubt or is_final(outcome):
             return outcome
-        if clock.monotonic() >= give_up:
+        if clock.monotonic() >= deadline:
             return Undecided(revision.change)
-        await clock.sleep(RETRY_S)
+        await clock.sleep(RETRY_INTERVAL_S)
 
 
 def is_final(outcome: ChangeOutcome) -> bool:
@@ -91,7 +91,7 @@
     return isinstance(outcome, Accepted | Raced | Fenced)
 
 
-async def decide(
+async def resolve_change(
     table: Table,
     clock: Clock,
     revision: int,
@@ -107,24 +107,24 @@
       change: Its id.
       timeout_s: Seconds until a silent store is given up.
     """
-    give_up = clock.monotonic() + timeout_s
+    deadline = clock.monotonic() + timeout_s
     while True:
         try:
             outcome = await fence(table, revision, change)
         except StoreUnavailableError:
             outcome = Undecided(change)
-        if not isinstance(outcome, Undecided) or clock.monotonic() >= give_up:
+        if not isinstance(outcome, Undecided) or clock.monotonic() >= deadline:
             return outcome
-        await clock.sleep(RETRY_S)
+        await clock.sleep(RETRY_INTERVAL_S)
 
 
-async def edit_surely(
+async def propose_edit(
     table: Table,
     clock: Clock,
     edit: Edit,
     draft: Revision,
     timeout_s: float,
-) -> Rebased:
+) -> EditOutcome:
     """Applies a narrowing edit to the newest text, again if it raced.
 
     Only for edits that mean the same on any base, as a withdrawal does. Each
@@ -145,27 +145,27 @@
     outcome: ChangeOutcome = NotAccepted("not tried")
     for number in range(MAX_REBASES):
         try:
-            base = await newest(table)
+            base = await read_newest(table)
         except StoreUnavailableError as error:
-            return Rebased(NotAccepted(error.message), over)
+            return EditOutcome(NotAccepted(error.message), over)
         revision = attrs.evolve(
             draft,
             revision=base.revision + 1,
             text=edit(base.text),
             change=f"{draft.change}.{number}" if number else draft.change,
         )
-        outcome = await change_surely(table, clock, revision, timeout_s)
+        outcome = await propose_with_retry(table, clock, revision, timeout_s)
         match outcome:
             case Raced(other):
                 over.append(other)
             case Fenced():
                 continue
             case _:
-                return Rebased(outcome, over)
-    return Rebased(outcome, over)
+                return EditOutcome(outcome, over)
+    return EditOutcome(outcome, over)
 
 
-async def newest(table: Table) -> Revision:
+async def read_newest(table: Table) -> Revision:
     """Returns the accepted revision; an empty one if there is none.
 
     Raises:
--- a/src/rattanpier/_internal/configuration/edit.py
+++ b/src/rattanpier/_internal/configuration/edit.py
@@ -20,7 +20,7 @@
 HEADER = re.compile(r"\s*\[([^\[\]]+)\]\s*(#.*)?$")
 ANY_HEADER = re.compile(r"\s*\[")
 BARE_KEY = re.compile(r"^[A-Za-z0-9_-]+$")
-HINT = "write the table as [table.name] with one key on a line"
+EDIT_HINT = "write the table as [table.name] with one key on a line"
 
 
 def set_fields(text: str, table: list[str], fields: dict[str, Value]) -> str:
@@ -36,7 +36,7 @@
     lines = text.splitlines()
     start = find_table(lines, table)
     if start is None:
-        lines.extend(["", header(table)])
+        lines.extend(["", format_header(table)])
         start = len(lines) - 1
     for name, value in reversed(list(fields.items())):
         set_line(lines, start, name, value)
@@ -56,7 +56,7 @@
 
 def set_line(lines: list[str], start: int, name: str, value: Value) -> None:
     """Sets one key of the table that opens at a line."""
-    wanted = f"{name} = {literal(value)}"
+    wanted = f"{name} = {format_value(value)}"
     for number in range(start + 1, len(lines)):
         if ANY_HEADER.match(lines[number]):
             break
@@ -66,10 +66,10 @@
     lines.insert(start + 1, wanted)
 
 
-def header(table: list[str]) -> str:
+def format_header(table: list[str]) -> str:
     """Returns the line that opens a table.
 
-    >>> header(["rollouts", "small 2"])
+    >>> format_header(["rollouts", "small 2"])
     '[rollouts."small 2"]'
     """
     steps = [
@@ -78,10 +78,10 @@
     return f"[{'.'.join(steps)}]"
 
 
-def literal(value: Value) -> str:
+def format_value(value: Value) -> str:
     """Returns a value as TOML.
 
-    >>> [literal(value) for value in (True, 0.25, "a")]
+    >>> [format_value(value) for value in (True, 0.25, "a")]
     ['true', '0.25', '"a"']
     """
     return json.dumps(value)
@@ -100,13 +100,13 @@
         edited = tomllib.loads(after)
     except tomllib.TOMLDecodeError as error:
         raise ConfigurationError(
-            f"the text can't be edited: {error}", HINT
+            f"the text can't be edited: {error}", EDIT_HINT
         ) from error
-    place: dict[str, Any] = wanted
+    target: dict[str, Any] = wanted
     for step in table:
-        place = place.setdefault(step, {})
-    place.update(fields)
+        target = target.setdefault(step, {})
+    target.update(fields)
     if wanted != edited:
         raise ConfigurationError(
-            f"{header(table)} can't be edited in this text", HINT
+            f"{format_header(table)} can't be edited in this text", EDIT_HINT
         )
--- a/src/rattanpier/_internal/configuration/store.py
+++ b/src/rattanpier/_internal/configuration/store.py
@@ -151,7 +151,7 @@
     row = await table.get(HEAD_KEY)
     present = decode(Head, row.value).revision if row else 0
     if present >= revision.revision:
-        return await compare(table, revision)
+        return await resolve_outcome(table, revision)
     if present < revision.revision - 1:
         return NotAccepted(f"the store is at revision {present}")
     return Attempt(revision, row.version if row else ABSENT)
@@ -180,15 +180,15 @@
         case NotRun(reason):
             return NotAccepted(reason)
         case Conflict():
-            return await compare_written(table, revision)
+            return await resolve_conflict(table, revision)
         case Uncertain():
             return Undecided(revision.change)
 
 
-async def compare_written(table: Table, revision: Revision) -> ChangeOutcome:
+async def resolve_conflict(table: Table, revision: Revision) -> ChangeOutcome:
     """Tells why a write conflicted; the cause may be its own lost copy."""
     try:
-        return await compare(table, revision)
+        return await resolve_outcome(table, revision)
     except StoreUnavailableError:
         return Undecided(revision.change)
 
@@ -213,7 +213,9 @@
     row = await table.get(HEAD_KEY)
     head = decode(Head, row.value) if row else Head()
     if head.revision >= revision:
-        return await compare(table, Revision(revision, "", "", change, 0.0))
+        return await resolve_outcome(
+            table, Revision(revision, "", "", change, 0.0)
+        )
     outcome = await table.transact(
         Transaction(
             [Check(HEAD_KEY, row.version if row else ABSENT)],
@@ -225,7 +227,7 @@
     return Undecided(change)
 
 
-async def compare(table: Table, revision: Revision) -> ChangeOutcome:
+async def resolve_outcome(table: Table, revision: Revision) -> ChangeOutcome:
     """Tells an own change from another's at the same revision.
 
     Raises:
--- a/src/rattanpier/_internal/operators/changes.py
+++ b/src/rattanpier/_internal/operators/changes.py
@@ -8,10 +8,10 @@
 
 from rattanpier._internal.configuration.change import (
     Edit,
-    change_surely,
-    decide,
-    edit_surely,
-    newest,
+    propose_edit,
+    propose_with_retry,
+    read_newest,
+    resolve_change,
 )
 from rattanpier._internal.configuration.edit import Value, set_fields
 from rattanpier._internal.configuration.inforce import InForce
@@ -88,7 +88,7 @@
         self.check(text)
         draft = self.draft(order)
         revision = attrs.evolve(draft, revision=base + 1, text=text)
-        outcome = await change_surely(
+        outcome = await propose_with_retry(
             self.table, self.clock, revision, CHANGE_TIMEOUT_S
         )
         return await self.report(outcome, revision, order)
@@ -96,7 +96,7 @@
     async def decide(self, revision: int, order: Order) -> ChangeReport:
         """Finds out what became of a change; fences off one not there."""
         draft = attrs.evolve(self.draft(order), revision=revision)
-        outcome = await decide(
+        outcome = await resolve_change(
             self.table, self.clock, revision, order.change, CHANGE_TIMEOUT_S
         )
         return await self.report(outcome, draft, order)
@@ -154,7 +154,7 @@
           ConfigurationError: The result can't be used.
           StoreUnavailableError: The store did not answer; nothing changed.
         """
-        base = await newest(self.table)
+        base = await read_newest(self.table)
         text = set_fields(base.text, ["rollouts", rollout], fields)
         return await self.replace(text, base.revision, order)
 
@@ -163,7 +163,7 @@
     ) -> ChangeReport:
         """Proposes an edit that narrows, on top of whatever came first."""
         edit = self.checked(lambda text: set_fields(text, path, fields))
-        done = await edit_surely(
+        done = await propose_edit(
             self.table, self.clock, edit, self.draft(order), CHANGE_TIMEOUT_S
         )
         revision = self.draft(order)
--- a/src/rattanpier/_internal/rollout/changes.py
+++ b/src/rattanpier/_internal/rollout/changes.py
@@ -9,8 +9,8 @@
 
 from rattanpier._internal.configuration.change import (
     Edit,
-    change_surely,
-    newest,
+    propose_with_retry,
+    read_newest,
 )
 from rattanpier._internal.configuration.edit import set_fields
 from rattanpier._internal.configuration.store import (
@@ -126,7 +126,7 @@
     An operator's change in between wins; the driver judges again on it.
     """
     try:
-        base = await newest(writer.table)
+        base = await read_newest(writer.table)
     except StoreUnavailableError as error:
         return NotAccepted(error.message)
     if base.revision != change.revision:
@@ -138,7 +138,7 @@
         uuid.uuid4().hex,
         writer.clock.time(),
     )
-    outcome = await change_surely(
+    outcome = await propose_with_retry(
         writer.table, writer.clock, revision, TIMEOUT_S, (held.check,)
     )
     if isinstance(outcome, Accepted):
--- a/tests/unit/test_configuration_change.py
+++ b/tests/unit/test_configuration_change.py
@@ -5,9 +5,9 @@
 import pytest
 
 from rattanpier._internal.configuration.change import (
-    change_surely,
-    decide,
-    edit_surely,
+    propose_edit,
+    propose_with_retry,
+    resolve_change,
 )
 from rattanpier._internal.configuration.store import (
     Accepted,
@@ -59,7 +59,7 @@
 
 
 async def surely(table, revision):
-    return await change_surely(table, SkippingClock(), revision, 5.0)
+    return await propose_with_retry(table, SkippingClock(), revision, 5.0)
 
 
 @pytest.mark.parametrize(
@@ -98,7 +98,7 @@
             await propose(table, other)
             await super().sleep(seconds)
 
-    outcome = await change_surely(
+    outcome = await propose_with_retry(
         table, RacingClock(), build_revision(1, "a"), 5.0
     )
     assert outcome == Raced(other)
@@ -108,7 +108,7 @@
     table = LossyTable(*["late"] * 100)
     assert await surely(table, build_revision(1, "a")) == Undecided("a")
     table.script.clear()
-    assert await decide(table, SkippingClock(), 1, "a", 5.0) == Fenced()
+    assert await resolve_change(table, SkippingClock(), 1, "a", 5.0) == Fenced()
     await table.deliver()
     assert await read_head(table) == 0
 
@@ -118,7 +118,9 @@
     await surely(table, build_revision(1, "a"))
     table.script.clear()
     await table.deliver()
-    assert await decide(table, SkippingClock(), 1, "a", 5.0) == Accepted(1)
+    assert await resolve_change(
+        table, SkippingClock(), 1, "a", 5.0
+    ) == Accepted(1)
 
 
 async def test_fenced_writer_does_not_land_later():
@@ -126,10 +128,10 @@
 
     class FencingClock(SkippingClock):
         async def sleep(self, seconds):
-            await decide(table, SkippingClock(), 1, "a", 5.0)
+            await resolve_change(table, SkippingClock(), 1, "a", 5.0)
             await super().sleep(seconds)
 
-    outcome = await change_surely(
+    outcome = await propose_with_retry(
         table, FencingClock(), build_revision(1, "a"), 5.0
     )
     assert outcome == Fenced()
@@ -152,7 +154,7 @@
 
     done = await asyncio.gather(
         *(
-            edit_surely(
+            propose_edit(
                 table, SkippingClock(), edit(name), build_revision(0, name), 5.0
             )
             for name in ("left", "right")
