--- a/src/rattanpier/_internal/configuration/spread.py
+++ b/src/rattanpier/_internal/configuration/broadcast.py
@@ -26,20 +26,20 @@
 LEVEL_TIMEOUT_S = 0.5
 
 
-def branches(names: Sequence[str]) -> list[list[str]]:
+def split_into_branches(names: Sequence[str]) -> list[list[str]]:
     """Deals names out to at most `FAN_OUT` branches.
 
-    >>> branches(["a", "b", "c", "d", "e"])
+    >>> split_into_branches(["a", "b", "c", "d", "e"])
     [['a', 'e'], ['b'], ['c'], ['d']]
     """
     dealt = [list(names[start::FAN_OUT]) for start in range(FAN_OUT)]
     return [branch for branch in dealt if branch]
 
 
-def levels(size: int) -> int:
-    """Returns the depth of the tree under a branch's first member.
+def tree_depth(size: int) -> int:
+    """Returns the depth of the tree under a branch's head member.
 
-    >>> [levels(size) for size in (1, 2, 5, 6, 105)]
+    >>> [tree_depth(size) for size in (1, 2, 5, 6, 105)]
     [1, 2, 2, 3, 5]
     """
     depth = 1
@@ -50,7 +50,7 @@
 
 
 @attrs.define
-class Spreader:
+class RevisionBroadcaster:
     """Sends and relays pushes."""
 
     follower: Follower
@@ -58,7 +58,7 @@
     links: Links
     metrics: Metrics
 
-    async def spread(
+    async def broadcast(
         self, revision: int, packed: bytes, targets: Sequence[Member]
     ) -> set[str]:
         """Pushes a revision to members.
@@ -75,21 +75,21 @@
         replies = await asyncio.gather(
             *(
                 self.send(revision, packed, by_name[branch[0]], branch[1:])
-                for branch in branches(list(by_name))
+                for branch in split_into_branches(list(by_name))
             )
         )
         return {name for reply in replies for name in reply}
 
     async def send(
-        self, revision: int, packed: bytes, first: Member, relay: list[str]
+        self, revision: int, packed: bytes, head: Member, relay: list[str]
     ) -> list[str]:
         """Pushes to the head of a branch; returns who acknowledged."""
         push = peer_pb2.ConfigPush(revision=revision, text=packed, relay=relay)
         self.metrics.count("config.pushes")
         self.metrics.count("config.push_bytes", push.ByteSize())
-        timeout_s = LEVEL_TIMEOUT_S * levels(len(relay) + 1)
+        timeout_s = LEVEL_TIMEOUT_S * tree_depth(len(relay) + 1)
         try:
-            reply = await self.links.to(first).call(
+            reply = await self.links.to(head).call(
                 peer_pb2.Call(config_push=push), timeout_s
             )
         except PeerUnavailableError:
@@ -100,10 +100,10 @@
         """Takes a push in, passes it on and acknowledges."""
         push = call.config_push
         text = zlib.decompress(push.text).decode()
-        self.follower.enforce(push.revision, text)
+        self.follower.apply_revision(push.revision, text)
         live = self.members.live.value
         targets = [live[name] for name in push.relay if name in live]
-        acked = await self.spread(push.revision, push.text, targets)
+        acked = await self.broadcast(push.revision, push.text, targets)
         if self.follower.revision >= push.revision:
             acked.add(incarnation_id(self.members.me))
         ack = peer_pb2.ConfigAck(
--- a/src/rattanpier/_internal/configuration/currency.py
+++ b/src/rattanpier/_internal/configuration/currency.py
@@ -29,13 +29,13 @@
 
 log = structlog.get_logger(part="config")
 
-ROUND_S = 0.25
-ASK_TIMEOUT_S = 0.5
-FEW = 3  # Peers asked before all of them are.
-ROUNDS_PER_VOTE = 4
+ROUND_INTERVAL_S = 0.25
+QUERY_TIMEOUT_S = 0.5
+FIRST_PEERS_QUERIED = 3  # Peers asked before all of them are.
+ROUNDS_PER_VOTE_VALIDITY = 4
 
 
-def vote_s(fleet: Fleet) -> float:
+def vote_validity_s(fleet: Fleet) -> float:
     """Returns for how long a peer's report of an outage counts."""
     return fleet.validity_s / 2
 
@@ -57,7 +57,7 @@
       votes: When each entry was asked that reported, at this revision, that
         it can't reach the store.
       votes_revision: The revision of the votes.
-      outage_until: Until when the votes let this node go on.
+      votes_valid_until: Until when the votes let this node go on.
     """
 
     follower: Follower
@@ -68,7 +68,7 @@
     rng: random.Random
     votes: dict[str, float] = attrs.Factory(dict)
     votes_revision: int = 0
-    outage_until: float = NEVER
+    votes_valid_until: float = NEVER
     was_current: bool = False
 
     def is_current(self) -> bool:
@@ -83,28 +83,30 @@
             # Before a restart it may have been on a newer revision than the
             # one that a peer lends.
             return False
-        if now - self.follower.confirmed < configuration.fleet.validity_s:
+        if now - self.follower.confirmed_at < configuration.fleet.validity_s:
             return True
         return (
-            now < self.outage_until
+            now < self.votes_valid_until
             and self.votes_revision == configuration.revision
         )
 
     async def run(self, kernel: Kernel) -> None:
         """Asks peers whenever the store leaves this node alone."""
         while not kernel.stopping.is_set():
-            await self.step()
-            self.report()
-            await self.clock.sleep(self.pause_s())
+            await self.query_peers()
+            self.record_transition()
+            await self.clock.sleep(self.round_interval_s())
 
-    def pause_s(self) -> float:
+    def round_interval_s(self) -> float:
         """Returns the pause before the next round."""
         if not self.is_current():
-            return ROUND_S
+            return ROUND_INTERVAL_S
         fleet = self.follower.configuration.fleet
-        return max(ROUND_S, vote_s(fleet) / ROUNDS_PER_VOTE)
+        return max(
+            ROUND_INTERVAL_S, vote_validity_s(fleet) / ROUNDS_PER_VOTE_VALIDITY
+        )
 
-    def report(self) -> None:
+    def record_transition(self) -> None:
         """Logs when the node becomes current or stops to be."""
         current = self.is_current()
         if current != self.was_current:
@@ -116,11 +118,11 @@
                 store_reachable=self.follower.store_reachable,
             )
 
-    async def step(self) -> None:
+    async def query_peers(self) -> None:
         """Asks peers once, unless the store confirmed lately."""
         now = self.clock.monotonic()
         fleet = self.follower.configuration.fleet
-        if now - self.follower.confirmed < fleet.validity_s / 2:
+        if now - self.follower.confirmed_at < fleet.validity_s / 2:
             return
         peers = [
             member
@@ -128,15 +130,20 @@
             if member.name != self.members.me.name
         ]
         self.rng.shuffle(peers)
-        few, rest = peers[:FEW], peers[FEW:]
-        await asyncio.gather(*(self.ask(member) for member in few))
-        if self.clock.monotonic() - self.follower.confirmed >= vote_s(fleet):
-            await asyncio.gather(*(self.ask(member) for member in rest))
+        first, others = peers[:FIRST_PEERS_QUERIED], peers[FIRST_PEERS_QUERIED:]
+        await asyncio.gather(*(self.query_peer(member) for member in first))
+        if (
+            self.clock.monotonic() - self.follower.confirmed_at
+            >= vote_validity_s(fleet)
+        ):
+            await asyncio.gather(
+                *(self.query_peer(member) for member in others)
+            )
         self.count_votes()
 
-    async def ask(self, member: Member) -> None:
+    async def query_peer(self, member: Member) -> None:
         """Asks one peer what it knows."""
-        asked = self.clock.monotonic()
+        asked_at = self.clock.monotonic()
         me = self.members.me
         request = peer_pb2.CurrencyRequest(
             revision=self.follower.revision,
@@ -146,37 +153,39 @@
         self.metrics.count("config.peers_asked")
         try:
             reply = await self.links.to(member).call(
-                peer_pb2.Call(currency=request), ASK_TIMEOUT_S
+                peer_pb2.Call(currency=request), QUERY_TIMEOUT_S
             )
         except PeerUnavailableError:
             return
-        self.take(member, reply.currency, asked)
+        self.apply_reply(member, reply.currency, asked_at)
 
-    def take(
-        self, member: Member, reply: peer_pb2.CurrencyReply, asked: float
+    def apply_reply(
+        self, member: Member, reply: peer_pb2.CurrencyReply, asked_at: float
     ) -> None:
         """Takes in what a peer knows; `asked` is when it was asked."""
         if reply.revision > self.follower.revision and reply.text:
-            self.follower.enforce(reply.revision, reply.text.decode())
+            self.follower.apply_revision(reply.revision, reply.text.decode())
         if reply.revision != self.follower.revision:
             self.votes.pop(member.name, None)
             return
         if reply.lends:
             # The age was taken after `asked`, so this errs on the old side.
-            confirmed = asked - reply.confirmed_age_s
-            self.follower.confirmed = max(self.follower.confirmed, confirmed)
+            confirmed = asked_at - reply.confirmed_age_s
+            self.follower.confirmed_at = max(
+                self.follower.confirmed_at, confirmed
+            )
         if reply.votes and member.role is Role.ENTRY:
-            self.add_vote(member.name, asked)
+            self.add_vote(member.name, asked_at)
         else:
             self.votes.pop(member.name, None)
 
-    def add_vote(self, name: str, asked: float) -> None:
+    def add_vote(self, name: str, asked_at: float) -> None:
         """Notes that an entry can't reach the store at this revision."""
         if self.votes_revision != self.follower.revision:
             self.votes.clear()
-            self.outage_until = NEVER
+            self.votes_valid_until = NEVER
             self.votes_revision = self.follower.revision
-        self.votes[name] = asked
+        self.votes[name] = asked_at
 
     def count_votes(self) -> None:
         """Works out until when the votes let this node go on."""
@@ -189,9 +198,11 @@
         newest_first = sorted(self.votes.values(), reverse=True)
         needed = majority(fleet)
         if me.name not in self.votes or len(newest_first) < needed:
-            self.outage_until = NEVER
+            self.votes_valid_until = NEVER
             return
-        self.outage_until = newest_first[needed - 1] + vote_s(fleet)
+        self.votes_valid_until = newest_first[needed - 1] + vote_validity_s(
+            fleet
+        )
 
     def may_vote(self) -> bool:
         """Says whether this node counts towards an outage of the store.
@@ -207,7 +218,7 @@
         """Answers a peer that asks."""
         request = call.currency
         follower = self.follower
-        age = self.clock.monotonic() - follower.confirmed
+        age = self.clock.monotonic() - follower.confirmed_at
         known = self.members.live.value.get(request.member)
         lends = (
             known is not None
--- a/src/rattanpier/_internal/configuration/follow.py
+++ b/src/rattanpier/_internal/configuration/follow.py
@@ -23,9 +23,9 @@
 
 log = structlog.get_logger(part="config")
 
-FASTEST_POLL_S = 0.5
+MIN_POLL_INTERVAL_S = 0.5
 POLL_TIMEOUT_S = 1.0
-READ_BUDGET_PER_S = 200.0  # Reads a second for all nodes' polls together.
+MAX_POLL_READS_PER_S = 200.0  # Reads a second for all nodes' polls together.
 PROCESSES_PER_VM = 2  # An entry and a control process.
 POLLS_PER_VALIDITY = 4  # So that a lost poll or two does no harm.
 NEVER = float("-inf")
@@ -39,9 +39,9 @@
     >>> poll_interval_s(Fleet(size=420, validity_s=18.0))
     4.2
     """
-    wanted = fleet.size * PROCESSES_PER_VM / READ_BUDGET_PER_S
-    most = fleet.validity_s / POLLS_PER_VALIDITY
-    return min(max(FASTEST_POLL_S, wanted), most)
+    interval_s = fleet.size * PROCESSES_PER_VM / MAX_POLL_READS_PER_S
+    max_interval_s = fleet.validity_s / POLLS_PER_VALIDITY
+    return min(max(MIN_POLL_INTERVAL_S, interval_s), max_interval_s)
 
 
 @attrs.define
@@ -52,8 +52,8 @@
       current: Emits each configuration that comes into force.
       text: The TOML text of the configuration in force.
       me: Own member row; without it nothing is confirmed.
-      confirmed: Monotonic time at which this node surely was current.
-      registered: Monotonic time at which the own member row surely was there.
+      confirmed_at: Monotonic time at which this node surely was current.
+      registered_at: Monotonic time at which the own row surely was there.
       store_confirmed: Whether the store itself confirmed since the start.
       store_reachable: Whether the last poll was answered.
     """
@@ -65,8 +65,8 @@
     )
     text: str = ""
     me: Member | None = None
-    confirmed: float = NEVER
-    registered: float = NEVER
+    confirmed_at: float = NEVER
+    registered_at: float = NEVER
     store_confirmed: bool = False
     store_reachable: bool = False
 
@@ -88,11 +88,11 @@
 
     async def poll(self) -> None:
         """Asks the store once whether there is a newer revision."""
-        asked = self.clock.monotonic()
+        asked_at = self.clock.monotonic()
         before = self.revision
         try:
             async with asyncio.timeout(POLL_TIMEOUT_S):
-                await self.check_registration(asked)
+                await self.check_registration(asked_at)
                 head = await read_head(self.table)
                 await self.fetch(head)
         except (StoreUnavailableError, TimeoutError):
@@ -103,9 +103,11 @@
             # Going on could run what was withdrawn since; see the design.
             log.error("Store is behind this node.", head=head, node=before)
             return
-        fresh = asked - self.registered < self.configuration.fleet.validity_s
-        if head <= self.revision and fresh:
-            self.confirmed = max(self.confirmed, asked)
+        registration_valid = (
+            asked_at - self.registered_at < self.configuration.fleet.validity_s
+        )
+        if head <= self.revision and registration_valid:
+            self.confirmed_at = max(self.confirmed_at, asked_at)
             self.store_confirmed = True
 
     async def fetch(self, head: int) -> None:
@@ -114,9 +116,9 @@
             return
         revision = await read_revision(self.table, head)
         if revision is not None:
-            self.enforce(revision.revision, revision.text)
+            self.apply_revision(revision.revision, revision.text)
 
-    async def check_registration(self, asked: float) -> None:
+    async def check_registration(self, asked_at: float) -> None:
         """Looks whether those who count nodes can see this one.
 
         A node whose row was removed is waited for by nobody, so it must not
@@ -125,15 +127,15 @@
         if self.me is None:
             return
         due = self.configuration.fleet.validity_s / 2
-        if asked - self.registered < due:
+        if asked_at - self.registered_at < due:
             return
         row = await self.table.get(member_key(self.me.name))
         if row is None:
             return
         if decode(Member, row.value).incarnation == self.me.incarnation:
-            self.registered = asked
+            self.registered_at = asked_at
 
-    def enforce(self, revision: int, text: str) -> bool:
+    def apply_revision(self, revision: int, text: str) -> bool:
         """Puts a revision in force unless it is not newer."""
         if revision <= self.revision:
             return False
--- a/src/rattanpier/_internal/configuration/inforce.py
+++ b/src/rattanpier/_internal/configuration/inforce.py
@@ -14,18 +14,18 @@
 import structlog
 from reactivex.subject import BehaviorSubject
 
+from rattanpier._internal.configuration.broadcast import RevisionBroadcaster
 from rattanpier._internal.configuration.follow import Follower
 from rattanpier._internal.configuration.limits import (
     read_in_force,
-    read_limits,
+    read_staleness_bounds,
     write_in_force,
 )
-from rattanpier._internal.configuration.progress import Progress, Watch
-from rattanpier._internal.configuration.sightings import (
+from rattanpier._internal.configuration.progress import Progress, Propagation
+from rattanpier._internal.configuration.recent_members import (
     CLOCK_MARGIN_S,
-    Sightings,
+    RecentMembers,
 )
-from rattanpier._internal.configuration.spread import Spreader
 from rattanpier._internal.configuration.store import (
     Revision,
     read_revision,
@@ -42,19 +42,19 @@
 
 log = structlog.get_logger(part="config")
 
-ROUND_S = 0.25  # Between two pushes, and between looks at the members.
-WAIT_POLL_S = ROUND_S / 5  # Between looks at the progress.
+ROUND_INTERVAL_S = 0.25  # Between two pushes, and between looks at the members.
+PROGRESS_POLL_S = ROUND_INTERVAL_S / 5  # Between looks at the progress.
 
 
 @attrs.define
-class InForce:
+class InForceTracker:
     """Spreads accepted revisions and tells when they are in force.
 
     Attributes:
       progress: Emits how far the newest revision has come.
-      born: Monotonic seconds at the start of this process.
-      sightings: Members seen live lately.
-      watch: The revision on its way, or None.
+      started_at: Monotonic seconds at the start of this process.
+      recent_members: Members seen live lately.
+      propagation: The revision on its way, or None.
       wake: Set when there is a revision to spread.
     """
 
@@ -62,23 +62,28 @@
     clock: Clock
     follower: Follower
     members: Members
-    spreader: Spreader
+    broadcaster: RevisionBroadcaster
     metrics: Metrics
-    born: float
+    started_at: float
     progress: BehaviorSubject[Progress] = attrs.field(
         factory=lambda: BehaviorSubject(Progress())
     )
-    sightings: Sightings = attrs.Factory(Sightings)
-    watch: Watch | None = None
+    recent_members: RecentMembers = attrs.Factory(RecentMembers)
+    propagation: Propagation | None = None
     wake: asyncio.Event = attrs.Factory(asyncio.Event)
 
     def begin(self, revision: Revision) -> None:
         """Starts to spread an accepted revision."""
-        if self.watch is not None and self.watch.revision >= revision.revision:
+        if (
+            self.propagation is not None
+            and self.propagation.revision >= revision.revision
+        ):
             return
-        self.follower.enforce(revision.revision, revision.text)
+        self.follower.apply_revision(revision.revision, revision.text)
         packed = zlib.compress(revision.text.encode())
-        self.watch = Watch(revision.revision, packed, self.clock.monotonic())
+        self.propagation = Propagation(
+            revision.revision, packed, self.clock.monotonic()
+        )
         self.progress.on_next(Progress(revision.revision))
         self.wake.set()
 
@@ -87,107 +92,125 @@
         while not kernel.stopping.is_set():
             await self.wake.wait()
             self.wake.clear()
-            while self.watch is not None and not self.progress.value.in_force:
-                await self.step(self.watch)
+            while (
+                self.propagation is not None
+                and not self.progress.value.in_force
+            ):
+                await self.step(self.propagation)
                 if not self.progress.value.in_force:
-                    await self.clock.sleep(ROUND_S)
+                    await self.clock.sleep(ROUND_INTERVAL_S)
 
     async def watch_members(self, kernel: Kernel) -> None:
         """Remembers who was live lately, until the end."""
         while not kernel.stopping.is_set():
-            self.note_sightings()
-            await self.clock.sleep(ROUND_S)
+            self.record_live_members()
+            await self.clock.sleep(ROUND_INTERVAL_S)
 
-    def note_sightings(self) -> None:
+    def record_live_members(self) -> None:
         """Notes who is live, and forgets who was not for long enough."""
         fleet = self.follower.configuration.fleet
-        self.sightings.note_validity(fleet.validity_s)
+        self.recent_members.record_validity(fleet.validity_s)
         live = list(self.members.live.value.values())
-        self.sightings.note(live, self.clock.monotonic())
+        self.recent_members.record_live(live, self.clock.monotonic())
 
-    async def step(self, watch: Watch) -> None:
+    async def step(self, propagation: Propagation) -> None:
         """Spreads a revision once and judges how far it has come."""
         try:
-            await self.prepare(watch)
+            await self.prepare(propagation)
         except StoreUnavailableError:
-            log.info("Nodes can't be counted now.", revision=watch.revision)
-        await self.push(watch)
-        how = self.judge(watch)
-        if self.watch is not watch:
+            log.info(
+                "Nodes can't be counted now.", revision=propagation.revision
+            )
+        await self.push(propagation)
+        reason = self.in_force_reason(propagation)
+        if self.propagation is not propagation:
             return
-        if how:
-            self.metrics.count(f"config.in_force.{how}")
-            log.info("Revision in force everywhere.", revision=watch.revision)
-            await write_in_force(self.table, watch.revision)
-        self.progress.on_next(watch.progress(bool(how)))
+        if reason:
+            self.metrics.count(f"config.in_force.{reason}")
+            log.info(
+                "Revision in force everywhere.", revision=propagation.revision
+            )
+            await write_in_force(self.table, propagation.revision)
+        self.progress.on_next(propagation.progress(bool(reason)))
 
-    async def prepare(self, watch: Watch) -> None:
+    async def prepare(self, propagation: Propagation) -> None:
         """Reads, once the revision is accepted, who has to have it.
 
         Raises:
           StoreUnavailableError: The store did not answer.
         """
-        if watch.limits is not None:
+        if propagation.staleness_bounds is not None:
             return
         rows = await scan_all(self.table, MEMBER_PREFIX)
         found = [decode(Member, row.value) for row in rows]
-        lately = self.sightings.members()
-        limits = await read_limits(self.table, watch.revision)
-        watch.expected = {
-            incarnation_id(member): member for member in [*found, *lately]
+        recent = self.recent_members.members()
+        bounds = await read_staleness_bounds(self.table, propagation.revision)
+        propagation.expected = {
+            incarnation_id(member): member for member in [*found, *recent]
         }
-        watch.limits = limits
+        propagation.staleness_bounds = bounds
 
-    async def push(self, watch: Watch) -> None:
+    async def push(self, propagation: Propagation) -> None:
         """Pushes the revision, and waits for answers no longer than a round.
 
         Members that are frozen or dead must not hold up the judgement.
         """
-        if self.follower.revision >= watch.revision:
-            watch.acked.add(incarnation_id(self.members.me))
-        if watch.pushing is None or watch.pushing.done():
-            watch.pushing = asyncio.get_running_loop().create_task(
-                self.push_all(watch)
+        if self.follower.revision >= propagation.revision:
+            propagation.acked.add(incarnation_id(self.members.me))
+        if propagation.pushing is None or propagation.pushing.done():
+            propagation.pushing = asyncio.get_running_loop().create_task(
+                self.push_all(propagation)
             )
-        await asyncio.wait({watch.pushing}, timeout=ROUND_S)
+        await asyncio.wait({propagation.pushing}, timeout=ROUND_INTERVAL_S)
 
-    async def push_all(self, watch: Watch) -> None:
+    async def push_all(self, propagation: Propagation) -> None:
         """Pushes the revision once to those that may not have it."""
         live = self.members.live.value
-        wanted = watch.waiting() if watch.expected else list(live.values())
+        wanted = (
+            propagation.waiting()
+            if propagation.expected
+            else list(live.values())
+        )
         # A new process under an old name has another address.
         targets = [live.get(member.name, member) for member in wanted]
         # Those most likely to relay come first, and another one each round.
         targets.sort(key=lambda member: member.name not in live)
-        turn = watch.rounds % max(1, len(targets))
-        watch.rounds += 1
-        watch.acked |= await self.spreader.spread(
-            watch.revision, watch.packed, targets[turn:] + targets[:turn]
+        turn = propagation.rounds % max(1, len(targets))
+        propagation.rounds += 1
+        propagation.acked |= await self.broadcaster.broadcast(
+            propagation.revision,
+            propagation.packed,
+            targets[turn:] + targets[:turn],
         )
 
-    def judge(self, watch: Watch) -> str:
+    def in_force_reason(self, propagation: Propagation) -> str:
         """Says by what the revision is in force, or an empty string."""
-        if watch.limits is None:
+        if propagation.staleness_bounds is None:
             return ""
-        validity = watch.limits.validity_s
-        self.sightings.note_validity(validity)
-        waiting = watch.waiting()
-        if not waiting and self.knows_all(watch):
+        validity = propagation.staleness_bounds.validity_s
+        self.recent_members.record_validity(validity)
+        waiting = propagation.waiting()
+        if not waiting and self.knows_all_members(propagation):
             return "acked"
         now = self.clock.monotonic()
         entries = [member for member in waiting if member.role is Role.ENTRY]
-        if len(entries) > watch.limits.minority:
-            watch.minority_since = None
+        if len(entries) > propagation.staleness_bounds.max_minority:
+            propagation.minority_since = None
             return ""
-        if watch.minority_since is None:
-            watch.minority_since = now
-        votes_gone = now - watch.minority_since >= validity / 2 + CLOCK_MARGIN_S
-        expired = now - watch.started >= validity + CLOCK_MARGIN_S
+        if propagation.minority_since is None:
+            propagation.minority_since = now
+        votes_gone = (
+            now - propagation.minority_since >= validity / 2 + CLOCK_MARGIN_S
+        )
+        expired = now - propagation.started >= validity + CLOCK_MARGIN_S
         return "expired" if votes_gone and expired else ""
 
-    def knows_all(self, watch: Watch) -> bool:
+    def knows_all_members(self, propagation: Propagation) -> bool:
         """Says whether no node's row was removed unseen by this process."""
-        return watch.started - self.born >= self.sightings.memory_s()
+        return (
+            propagation.started - self.started_at
+            >= self.recent_members.retention_s()
+        )
 
     async def status(self) -> Progress:
         """Returns how far the accepted revision has come.
@@ -211,10 +234,10 @@
 
     async def wait(self, revision: int, timeout_s: float) -> Progress:
         """Waits until a revision, or a newer one, is in force."""
-        give_up = self.clock.monotonic() + timeout_s
-        while self.clock.monotonic() < give_up:
+        deadline = self.clock.monotonic() + timeout_s
+        while self.clock.monotonic() < deadline:
             progress = self.progress.value
             if progress.in_force and progress.revision >= revision:
                 break
-            await self.clock.sleep(WAIT_POLL_S)
+            await self.clock.sleep(PROGRESS_POLL_S)
         return self.progress.value
--- a/src/rattanpier/_internal/configuration/limits.py
+++ b/src/rattanpier/_internal/configuration/limits.py
@@ -13,7 +13,7 @@
 from rattanpier._internal.utils.codec import decode, encode
 
 IN_FORCE_KEY = "config/in_force"
-MAX_LOOKBACK = 100  # Revisions; older ones are no longer run by any node.
+MAX_LOOKBACK_REVISIONS = 100  # Older ones are no longer run by any node.
 
 
 @attrs.frozen
@@ -24,16 +24,16 @@
 
 
 @attrs.frozen
-class Limits:
+class StalenessBounds:
     """What a node on an older revision may go by.
 
     Attributes:
       validity_s: The longest validity of the older revisions.
-      minority: So many entries are never a majority under any of them.
+      max_minority: So many entries are never a majority under any of them.
     """
 
     validity_s: float
-    minority: int
+    max_minority: int
 
 
 async def read_in_force(table: Table) -> int:
@@ -52,26 +52,28 @@
     await table.transact(Transaction(puts=[put]))
 
 
-async def read_limits(table: Table, revision: int) -> Limits:
+async def read_staleness_bounds(table: Table, revision: int) -> StalenessBounds:
     """Returns what nodes on revisions before may go by.
 
     Raises:
       StoreUnavailableError: The store did not answer.
     """
-    first = max(await read_in_force(table), revision - MAX_LOOKBACK, 1)
+    first = max(
+        await read_in_force(table), revision - MAX_LOOKBACK_REVISIONS, 1
+    )
     fleets = []
     for number in range(first, revision):
         found = await read_revision(table, number)
         if found is not None:
-            fleets.append(fleet_of(found.text))
+            fleets.append(parse_fleet(found.text))
     fleets = fleets or [Fleet()]
-    return Limits(
+    return StalenessBounds(
         max(fleet.validity_s for fleet in fleets),
         min(majority(fleet) for fleet in fleets) - 1,
     )
 
 
-def fleet_of(text: str) -> Fleet:
+def parse_fleet(text: str) -> Fleet:
     """Returns the fleet section of a revision; no node runs a broken one."""
     try:
         return parse_configuration(text).fleet
--- a/src/rattanpier/_internal/configuration/progress.py
+++ b/src/rattanpier/_internal/configuration/progress.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from rattanpier._internal.configuration.limits import Limits
+from rattanpier._internal.configuration.limits import StalenessBounds
 from rattanpier._internal.membership.records import incarnation_id
 from rattanpier._internal.models.member import Member
 
@@ -29,14 +29,14 @@
 
 
 @attrs.define
-class Watch:
+class Propagation:
     """One revision on its way.
 
     Attributes:
       revision: Its number.
       packed: Its compressed text.
       started: Monotonic seconds, after it was accepted.
-      limits: What nodes without it may go by; None until it was read.
+      staleness_bounds: What nodes without it may go by; None until it was read.
       expected: The members counted on, by id.
       acked: Ids of the members that have it.
       minority_since: Monotonic seconds since which too few entries
@@ -48,7 +48,7 @@
     revision: int
     packed: bytes
     started: float
-    limits: Limits | None = None
+    staleness_bounds: StalenessBounds | None = None
     expected: dict[str, Member] = attrs.Factory(dict)
     acked: set[str] = attrs.Factory(set)
     minority_since: float | None = None
--- a/src/rattanpier/_internal/configuration/sightings.py
+++ b/src/rattanpier/_internal/configuration/recent_members.py
@@ -11,19 +11,19 @@
 
 
 @attrs.frozen
-class Sighting:
+class RecentMember:
     """A member that was seen live.
 
     Attributes:
-      seen: When it last was, in monotonic seconds.
+      last_seen: When it last was, in monotonic seconds.
     """
 
-    seen: float
+    last_seen: float
     member: Member
 
 
 @attrs.define
-class Sightings:
+class RecentMembers:
     """The members seen live for as long as they may matter.
 
     Attributes:
@@ -31,14 +31,14 @@
       longest_validity_s: The longest validity that this process has seen.
     """
 
-    by_id: dict[str, Sighting] = attrs.Factory(dict)
+    by_id: dict[str, RecentMember] = attrs.Factory(dict)
     longest_validity_s: float = 0.0
 
-    def note_validity(self, validity_s: float) -> None:
+    def record_validity(self, validity_s: float) -> None:
         """Takes in the validity of a revision."""
         self.longest_validity_s = max(self.longest_validity_s, validity_s)
 
-    def note(self, live: list[Member], now: float) -> None:
+    def record_live(self, live: list[Member], now: float) -> None:
         """Notes who is live, and forgets who was not for long enough.
 
         Args:
@@ -46,19 +46,19 @@
           now: Monotonic seconds.
         """
         for member in live:
-            self.by_id[incarnation_id(member)] = Sighting(now, member)
-        kept_s = self.memory_s()
+            self.by_id[incarnation_id(member)] = RecentMember(now, member)
+        retention_s = self.retention_s()
         self.by_id = {
-            name: sighting
-            for name, sighting in self.by_id.items()
-            if now - sighting.seen < kept_s
+            name: recent
+            for name, recent in self.by_id.items()
+            if now - recent.last_seen < retention_s
         }
 
     def members(self) -> list[Member]:
         """Returns the members seen lately."""
-        return [sighting.member for sighting in self.by_id.values()]
+        return [recent.member for recent in self.by_id.values()]
 
-    def memory_s(self) -> float:
+    def retention_s(self) -> float:
         """Returns how long a node without a row may take itself for current.
 
         It looks for its row once per half validity, and a confirmation lasts
--- a/src/rattanpier/_internal/operators/app.py
+++ b/src/rattanpier/_internal/operators/app.py
@@ -7,7 +7,7 @@
 import attrs
 from aiohttp import web
 
-from rattanpier._internal.configuration.inforce import InForce
+from rattanpier._internal.configuration.inforce import InForceTracker
 from rattanpier._internal.configuration.store import (
     Revision,
     read_head,
@@ -47,7 +47,7 @@
     """
 
     changes: Changes
-    inforce: InForce
+    inforce: InForceTracker
     table: Table
     key_digests: list[str]
 
--- a/src/rattanpier/_internal/operators/changes.py
+++ b/src/rattanpier/_internal/operators/changes.py
@@ -14,7 +14,7 @@
     resolve_change,
 )
 from rattanpier._internal.configuration.edit import Value, set_fields
-from rattanpier._internal.configuration.inforce import InForce
+from rattanpier._internal.configuration.inforce import InForceTracker
 from rattanpier._internal.configuration.parse import parse_configuration
 from rattanpier._internal.configuration.store import (
     Accepted,
@@ -74,7 +74,7 @@
 
     table: Table
     clock: Clock
-    inforce: InForce
+    inforce: InForceTracker
     brakes: Brakes
     metrics: Metrics
     check: Check = parse_configuration
--- a/src/rattanpier/_internal/programs/common.py
+++ b/src/rattanpier/_internal/programs/common.py
@@ -10,9 +10,9 @@
 import aiohttp
 import structlog
 
+from rattanpier._internal.configuration.broadcast import RevisionBroadcaster
 from rattanpier._internal.configuration.currency import Currency
 from rattanpier._internal.configuration.follow import Follower
-from rattanpier._internal.configuration.spread import Spreader
 from rattanpier._internal.kernel import Kernel
 from rattanpier._internal.membership.draining import Drain, add_leaving
 from rattanpier._internal.membership.members import Members
@@ -125,11 +125,11 @@
         metrics=metrics,
         rng=random.Random(members.me.name),
     )
-    spreader = Spreader(follower, members, links, metrics)
+    broadcaster = RevisionBroadcaster(follower, members, links, metrics)
     server.on_call("currency", currency.serve)
-    server.on_call("config_push", spreader.serve)
+    server.on_call("config_push", broadcaster.serve)
     kernel.add("currency", currency)
-    kernel.add("spreader", spreader)
+    kernel.add("spreader", broadcaster)
     follower.me = members.me
     members.rejoined.subscribe(lambda me: setattr(follower, "me", me))
     await follower.poll()
--- a/src/rattanpier/_internal/programs/control.py
+++ b/src/rattanpier/_internal/programs/control.py
@@ -5,7 +5,7 @@
 import attrs
 
 from rattanpier._internal.configuration.check import parse_and_check
-from rattanpier._internal.configuration.inforce import InForce
+from rattanpier._internal.configuration.inforce import InForceTracker
 from rattanpier._internal.edge.server import HttpServer
 from rattanpier._internal.kernel import Kernel
 from rattanpier._internal.models.member import Role
@@ -36,23 +36,23 @@
     return kernel
 
 
-def add_inforce(kernel: Kernel) -> InForce:
+def add_inforce(kernel: Kernel) -> InForceTracker:
     """Adds what spreads accepted revisions."""
     clock = kernel.find("clock")
-    inforce = InForce(
+    inforce = InForceTracker(
         table=kernel.find("table"),
         clock=clock,
         follower=kernel.find("follower"),
         members=kernel.find("members"),
-        spreader=kernel.find("spreader"),
+        broadcaster=kernel.find("spreader"),
         metrics=kernel.find("metrics"),
-        born=clock.monotonic(),
+        started_at=clock.monotonic(),
     )
     return kernel.add("inforce", inforce)
 
 
 def add_operators(
-    kernel: Kernel, settings: Settings, inforce: InForce
+    kernel: Kernel, settings: Settings, inforce: InForceTracker
 ) -> HttpServer:
     """Adds the operators' interface."""
     changes = kernel.add(
--- a/tests/failure/test_configuration_currency.py
+++ b/tests/failure/test_configuration_currency.py
@@ -119,7 +119,7 @@
     await fleet.run(1.0)
     # An old peer pushes what it still has; nobody takes it for current.
     for node in fleet.entries:
-        node.follower.enforce(1, fleet.text)
+        node.follower.apply_revision(1, fleet.text)
     await fleet.run(10.0)
     assert not outdated(fleet)
     for node in fleet.entries:
@@ -147,7 +147,7 @@
     assert await fleet.control.propose(fleet.text)
     await fleet.run(2.0)
     node = fleet.entries[0]
-    assert not node.follower.enforce(1, fleet.text)
+    assert not node.follower.apply_revision(1, fleet.text)
     assert node.works_by() == 2
 
 
--- a/tests/lib/config_fleet.py
+++ b/tests/lib/config_fleet.py
@@ -11,13 +11,13 @@
 
 from reactivex.subject import BehaviorSubject
 
+from rattanpier._internal.configuration.broadcast import RevisionBroadcaster
 from rattanpier._internal.configuration.currency import Currency
 from rattanpier._internal.configuration.follow import (
     Follower,
     poll_interval_s,
 )
-from rattanpier._internal.configuration.inforce import InForce
-from rattanpier._internal.configuration.spread import Spreader
+from rattanpier._internal.configuration.inforce import InForceTracker
 from rattanpier._internal.configuration.store import (
     Accepted,
     Revision,
@@ -103,13 +103,15 @@
             metrics,
             random.Random(self.name),
         )
-        self.spreader = Spreader(self.follower, self.members, links, metrics)
-        self.inforce = InForce(
+        self.broadcaster = RevisionBroadcaster(
+            self.follower, self.members, links, metrics
+        )
+        self.inforce = InForceTracker(
             self.table,
             clock,
             self.follower,
             self.members,
-            self.spreader,
+            self.broadcaster,
             metrics,
             clock.monotonic(),
         )
@@ -133,11 +135,11 @@
             await self.follower.poll()
             fleet = self.follower.configuration.fleet
             self.next_poll = now + poll_interval_s(fleet)
-        await self.currency.step()
-        self.inforce.note_sightings()
-        watch = self.inforce.watch
-        if watch and not self.inforce.progress.value.in_force:
-            await self.inforce.step(watch)
+        await self.currency.query_peers()
+        self.inforce.record_live_members()
+        propagation = self.inforce.propagation
+        if propagation and not self.inforce.progress.value.in_force:
+            await self.inforce.step(propagation)
 
     async def propose(self, text):
         """Proposes a text to follow the head; True if it was accepted."""
@@ -172,7 +174,7 @@
             raise PeerUnavailableError("cut off")
         handlers = {
             "currency": receiver.currency.serve,
-            "config_push": receiver.spreader.serve,
+            "config_push": receiver.broadcaster.serve,
         }
         return await handlers[call.WhichOneof("body")](call)
 
--- a/tests/lib/configuration_machine.py
+++ b/tests/lib/configuration_machine.py
@@ -106,7 +106,7 @@
     @rule(number=ENTRIES)
     def old_push(self, number):
         node = self.fleet.entries[number]
-        node.follower.enforce(1, self.fleet.text)
+        node.follower.apply_revision(1, self.fleet.text)
 
     @invariant()
     def withdrawn_never_served_and_never_back(self):
--- a/tests/lib/rollouts.py
+++ b/tests/lib/rollouts.py
@@ -205,7 +205,7 @@
             members=self,
             brakes=self.brakes,
             metrics=self.metrics,
-            accepted=lambda revision: self.follower.enforce(
+            accepted=lambda revision: self.follower.apply_revision(
                 revision.revision, revision.text
             ),
         )
