--- a/src/rattanpier/_internal/configuration/change.py
+++ b/src/rattanpier/_internal/configuration/change.py
@@ -1,4 +1,8 @@
-"""Carries a change to an outcome that an operator can rely on."""
+"""Proposes configuration changes and determines their outcome.
+
+A write whose answer was lost is repeated until its effect is known, so that an
+operator gets a definite outcome unless the store stays unreachable.
+"""
 
 from __future__ import annotations
 
@@ -25,19 +29,19 @@
 from rattanpier._internal.store.table import Check, Table
 from rattanpier._internal.utils.clock import Clock
 
-RETRY_INTERVAL_S = 0.2  # Between looks at a store that does not answer.
-MAX_REBASES = 8
+RETRY_INTERVAL_S = 0.2  # Between attempts at a store that does not answer.
+MAX_REBASES = 8  # Attempts of one edit.
 
 Edit = Callable[[str], str]
 
 
 @attrs.frozen
 class EditOutcome:
-    """The outcome of an edit, and the changes it was put on top of.
+    """The outcome of an edit and the concurrent changes it was rebased on.
 
     Attributes:
-      outcome: What became of the edit.
-      over: Changes of others that came while it was being made.
+      outcome: The outcome of the edit.
+      over: Changes by others that were accepted in the meantime.
     """
 
     outcome: ChangeOutcome
@@ -51,18 +55,22 @@
     timeout_s: float,
     checks: tuple[Check, ...] = (),
 ) -> ChangeOutcome:
-    """Proposes a change and finds out what became of it.
+    """Proposes a change and determines its outcome.
 
     A write with a lost answer is submitted again as the same attempt, which
-    can't take effect twice. `Undecided` is returned only if the store stayed
-    silent until the timeout; then `resolve_change` tells the truth later.
+    can't take effect twice. `Undecided` is returned only if the store did not
+    answer until the timeout; `resolve_change` determines the outcome later.
 
     Args:
       table: The store.
       clock: For the timeout.
       revision: The change, with the number after its base.
-      timeout_s: Seconds until a silent store is given up.
-      checks: Further conditions; one that fails for good gives `Fenced`.
+      timeout_s: Seconds after which a store that does not answer is given
+        up.
+      checks: Further conditions. One that fails permanently gives `Fenced`.
+
+    Returns:
+      The outcome of the change.
     """
     deadline = clock.monotonic() + timeout_s
     try:
@@ -84,9 +92,9 @@
 
 
 def is_final(outcome: ChangeOutcome) -> bool:
-    """Says whether an outcome holds though an earlier write may land.
+    """Returns whether an outcome is final while an earlier write is in doubt.
 
-    A refusal says nothing of the copy sent before it.
+    A refusal is not: it says nothing about a copy that was sent before.
     """
     return isinstance(outcome, Accepted | Raced | Fenced)
 
@@ -98,14 +106,21 @@
     change: str,
     timeout_s: float,
 ) -> ChangeOutcome:
-    """Tells what became of a change, and sees to it that this stays true.
+    """Determines the outcome of a change and makes it final.
+
+    A change that was not accepted yet is fenced, so that a delayed write can't
+    take effect later.
 
     Args:
       table: The store.
       clock: For the timeout.
-      revision: Number that the change was to have.
-      change: Its id.
-      timeout_s: Seconds until a silent store is given up.
+      revision: Revision number that the change was proposed with.
+      change: Id of the change.
+      timeout_s: Seconds after which a store that does not answer is given
+        up.
+
+    Returns:
+      `Accepted`, `Raced` or `Fenced`; `Undecided` after the timeout.
     """
     deadline = clock.monotonic() + timeout_s
     while True:
@@ -125,21 +140,26 @@
     draft: Revision,
     timeout_s: float,
 ) -> EditOutcome:
-    """Applies a narrowing edit to the newest text, again if it raced.
+    """Applies an edit to the newest text and rebases it after a conflict.
 
-    Only for edits that mean the same on any base, as a withdrawal does. Each
-    repeat follows an outcome that says for certain that the one before had
-    no effect, and carries an id of its own.
+    Only for edits that mean the same on any base, such as a withdrawal. An
+    edit is repeated only after an outcome which proves that the previous
+    attempt had no effect. Each repeat has its own change id.
 
     Args:
       table: The store.
       clock: For the timeout.
       edit: Changes the text.
-      draft: Author, change id and time; its number and text are replaced.
-      timeout_s: Seconds until a silent store is given up.
+      draft: Author, change id and time. Revision number and text are
+        replaced.
+      timeout_s: Seconds after which a store that does not answer is given
+        up, for each attempt.
+
+    Returns:
+      The outcome of the last attempt and the changes it was rebased on.
 
     Raises:
-      ConfigurationError: The edit does not fit the newest text.
+      ConfigurationError: The edit can't be applied to the newest text.
     """
     over: list[Revision] = []
     outcome: ChangeOutcome = NotAccepted("not tried")
@@ -166,7 +186,7 @@
 
 
 async def read_newest(table: Table) -> Revision:
-    """Returns the accepted revision; an empty one if there is none.
+    """Returns the newest accepted revision, or an empty one if there is none.
 
     Raises:
       StoreUnavailableError: The store did not answer.
