--- a/src/rattanpier/_internal/configuration/store.py
+++ b/src/rattanpier/_internal/configuration/store.py
@@ -1,4 +1,4 @@
-"""The configuration in the table service: compare-and-set by revision."""
+"""Stores configuration revisions in the table service by compare-and-set."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @attrs.frozen
 class Head:
-    """The row that names the accepted revision."""
+    """The head row, which names the newest accepted revision."""
 
     revision: int = 0
 
@@ -35,10 +35,10 @@
     """The row of one accepted revision.
 
     Attributes:
-      revision: Its number.
+      revision: Revision number.
       text: TOML text.
-      author: Who changed it.
-      change: Unique to the change, to recognise a write with a lost answer.
+      author: Who made the change.
+      change: Id of the change. It identifies a write whose answer was lost.
       time: Seconds since the epoch.
     """
 
@@ -51,33 +51,33 @@
 
 @attrs.frozen
 class Accepted:
-    """The change is in the store."""
+    """The change was accepted by the store."""
 
     revision: int
 
 
 @attrs.frozen
 class Raced:
-    """Another change came first; nothing was changed."""
+    """Another change took the revision number; this one had no effect."""
 
     other: Revision
 
 
 @attrs.frozen
 class NotAccepted:
-    """The write was refused; a copy sent before it is another matter."""
+    """The write was refused. A copy that was sent before may take effect."""
 
     reason: str
 
 
 @attrs.frozen
 class Fenced:
-    """The head row was written since; no copy of the change can land."""
+    """The head row was rewritten, so no copy of the change can take effect."""
 
 
 @attrs.frozen
 class Undecided:
-    """The store must be asked again whether the change was accepted."""
+    """It is unknown whether the change was accepted; ask the store again."""
 
     change: str
 
@@ -91,7 +91,7 @@
 
 
 async def read_head(table: Table) -> int:
-    """Returns the accepted revision; 0 if there is none.
+    """Returns the number of the newest accepted revision, 0 if there is none.
 
     Raises:
       StoreUnavailableError: The store did not answer.
@@ -101,7 +101,7 @@
 
 
 async def read_revision(table: Table, revision: int) -> Revision | None:
-    """Returns one revision.
+    """Returns the revision with a number, or None if it is not stored.
 
     Raises:
       StoreUnavailableError: The store did not answer.
@@ -114,9 +114,9 @@
 class Attempt:
     """A change and the version of the head row that it replaces.
 
-    Every repeat checks the same row version. So whatever becomes of a write
-    with a lost answer, at most one of its copies takes effect, and none does
-    once the head row was written by somebody else.
+    Every repeat checks the same row version. At most one copy of a write with
+    a lost answer can therefore take effect, and none can after another writer
+    has changed the head row.
 
     Attributes:
       revision: The change.
@@ -130,11 +130,11 @@
 
 
 async def propose(table: Table, revision: Revision) -> ChangeOutcome:
-    """Makes a change follow the revision before it, by one write.
+    """Proposes a change as the successor of its base, in one write.
 
     Raises:
-      StoreUnavailableError: The store did not answer a read before the
-        write; nothing was written.
+      StoreUnavailableError: The store did not answer the read before the
+        write. Nothing was written.
     """
     prepared = await prepare(table, revision)
     if not isinstance(prepared, Attempt):
@@ -143,10 +143,13 @@
 
 
 async def prepare(table: Table, revision: Revision) -> Attempt | ChangeOutcome:
-    """Reads the head row that a change is to replace.
+    """Reads the head row that a change will replace.
+
+    Returns:
+      An attempt to submit, or the outcome if the base is not the head.
 
     Raises:
-      StoreUnavailableError: The store did not answer; nothing was written.
+      StoreUnavailableError: The store did not answer. Nothing was written.
     """
     row = await table.get(HEAD_KEY)
     present = decode(Head, row.value).revision if row else 0
@@ -158,7 +161,7 @@
 
 
 async def submit(table: Table, attempt: Attempt) -> ChangeOutcome:
-    """Writes a change; may be repeated with the same attempt."""
+    """Writes a change. May be repeated safely with the same attempt."""
     revision = attempt.revision
     key = revision_key(revision.revision)
     outcome = await table.transact(
@@ -186,7 +189,7 @@
 
 
 async def resolve_conflict(table: Table, revision: Revision) -> ChangeOutcome:
-    """Tells why a write conflicted; the cause may be its own lost copy."""
+    """Returns the outcome after a conflict, possibly with its own lost copy."""
     try:
         return await resolve_outcome(table, revision)
     except StoreUnavailableError:
@@ -194,18 +197,18 @@
 
 
 async def fence(table: Table, revision: int, change: str) -> ChangeOutcome:
-    """Finds out for certain whether a change was accepted.
+    """Determines whether a change was accepted and blocks it if not.
 
-    If the revision is not there yet, the head row is written again with its
-    value, so that its version rises and a write still under way fails.
+    If the revision is not stored yet, the head row is rewritten with the same
+    value. This raises its row version, so that a write still in flight fails.
 
     Args:
       table: The store.
-      revision: Number that the change was to have.
-      change: Its id.
+      revision: Revision number that the change was proposed with.
+      change: Id of the change.
 
     Returns:
-      Accepted, Raced or Fenced, which are final; or Undecided.
+      `Accepted`, `Raced` or `Fenced`, which are final, or `Undecided`.
 
     Raises:
       StoreUnavailableError: The store did not answer a read.
@@ -228,7 +231,7 @@
 
 
 async def resolve_outcome(table: Table, revision: Revision) -> ChangeOutcome:
-    """Tells an own change from another's at the same revision.
+    """Returns the outcome of a change by the change id stored at its revision.
 
     Raises:
       StoreUnavailableError: The store did not answer.
