--- a/src/rattanpier/_internal/configuration/edit.py
+++ b/src/rattanpier/_internal/configuration/edit.py
@@ -1,7 +1,7 @@
-"""Changes of single fields in the TOML text of a configuration.
+"""Sets single fields in the TOML text of a configuration.
 
-The text is the operators' own, with comments and order, so it is edited line
-by line; the result is compared with the wanted tables before it is used.
+The text is edited line by line, because operators' comments and order have to
+be kept. The parsed result is compared with the expected tables before use.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 
 
 def set_fields(text: str, table: list[str], fields: dict[str, Value]) -> str:
-    r"""Returns the text with fields of one table set; adds what is missing.
+    r"""Returns the text with fields of a table set, adding missing ones.
 
     >>> set_fields('[versions."a@1"]\nmodel = "a"\n',
     ...     ["versions", "a@1"], {"state": "withdrawn"})
     '[versions."a@1"]\nstate = "withdrawn"\nmodel = "a"\n'
 
     Raises:
-      ConfigurationError: The text is written in a way that can't be edited.
+      ConfigurationError: The text uses a form that can't be edited by line.
     """
     lines = text.splitlines()
     start = find_table(lines, table)
@@ -46,7 +46,7 @@
 
 
 def find_table(lines: list[str], table: list[str]) -> int | None:
-    """Returns the number of the line that opens a table, from 0."""
+    """Returns the 0-based line number of a table's header, None if absent."""
     for number, line in enumerate(lines):
         match = HEADER.match(line)
         if match and split_key(match.group(1)) == table:
@@ -55,7 +55,7 @@
 
 
 def set_line(lines: list[str], start: int, name: str, value: Value) -> None:
-    """Sets one key of the table that opens at a line."""
+    """Sets one key of the table whose header is at line `start`."""
     wanted = f"{name} = {format_value(value)}"
     for number in range(start + 1, len(lines)):
         if ANY_HEADER.match(lines[number]):
@@ -67,7 +67,7 @@
 
 
 def format_header(table: list[str]) -> str:
-    """Returns the line that opens a table.
+    """Returns the header line of a table.
 
     >>> format_header(["rollouts", "small 2"])
     '[rollouts."small 2"]'
@@ -79,7 +79,7 @@
 
 
 def format_value(value: Value) -> str:
-    """Returns a value as TOML.
+    """Returns a value as a TOML literal.
 
     >>> [format_value(value) for value in (True, 0.25, "a")]
     ['true', '0.25', '"a"']
@@ -90,10 +90,10 @@
 def check_edit(
     before: str, after: str, table: list[str], fields: dict[str, Value]
 ) -> None:
-    """Checks that an edit did what it was to do, and nothing else.
+    """Checks that an edit set the given fields and changed nothing else.
 
     Raises:
-      ConfigurationError: It did not.
+      ConfigurationError: The edited text differs from the expected tables.
     """
     try:
         wanted = copy.deepcopy(tomllib.loads(before))
