--- a/src/rattanpier/_internal/configuration/follow.py
+++ b/src/rattanpier/_internal/configuration/follow.py
@@ -1,4 +1,8 @@
-"""Keeps a node on the newest configuration; a node only moves forward."""
+"""Keeps the configuration of a node up to date with the store.
+
+A node never goes back to an older revision, since that could use a version
+that was withdrawn since.
+"""
 
 from __future__ import annotations
 
@@ -25,14 +29,17 @@
 
 MIN_POLL_INTERVAL_S = 0.5
 POLL_TIMEOUT_S = 1.0
-MAX_POLL_READS_PER_S = 200.0  # Reads a second for all nodes' polls together.
-PROCESSES_PER_VM = 2  # An entry and a control process.
-POLLS_PER_VALIDITY = 4  # So that a lost poll or two does no harm.
+MAX_POLL_READS_PER_S = 200.0  # Reads per second over the polls of all nodes.
+PROCESSES_PER_VM = 2  # One entry and one control process.
+POLLS_PER_VALIDITY = 4  # Tolerates one or two lost polls.
 NEVER = float("-inf")
 
 
 def poll_interval_s(fleet: Fleet) -> float:
-    """Returns the pause between two polls of one node.
+    """Returns the seconds between two polls of one node.
+
+    The pause grows with the fleet, to bound the reads of the store, but not
+    beyond a fraction of the validity.
 
     >>> poll_interval_s(Fleet(size=8)), poll_interval_s(Fleet(size=420))
     (0.5, 1.0)
@@ -51,11 +58,14 @@
     Attributes:
       current: Emits each configuration that comes into force.
       text: The TOML text of the configuration in force.
-      me: Own member row; without it nothing is confirmed.
-      confirmed_at: Monotonic time at which this node surely was current.
-      registered_at: Monotonic time at which the own row surely was there.
-      store_confirmed: Whether the store itself confirmed since the start.
-      store_reachable: Whether the last poll was answered.
+      me: The node's member row. Without it, nothing is confirmed.
+      confirmed_at: Latest monotonic time, in seconds, at which this node is
+        known to have been current.
+      registered_at: Latest monotonic time, in seconds, at which the member
+        row is known to have been in the store.
+      store_confirmed: Whether the store has confirmed the revision since the
+        process started.
+      store_reachable: Whether the store answered the last poll.
     """
 
     table: Table
@@ -77,17 +87,17 @@
 
     @property
     def revision(self) -> int:
-        """The revision in force."""
+        """The number of the revision in force."""
         return self.current.value.revision
 
     async def run(self, kernel: Kernel) -> None:
-        """Polls the head until the end."""
+        """Polls the head row until the process stops."""
         while not kernel.stopping.is_set():
             await self.poll()
             await self.clock.sleep(poll_interval_s(self.configuration.fleet))
 
     async def poll(self) -> None:
-        """Asks the store once whether there is a newer revision."""
+        """Reads the head row once and applies a newer revision."""
         asked_at = self.clock.monotonic()
         before = self.revision
         try:
@@ -100,8 +110,11 @@
             return
         self.store_reachable = True
         if head < before:
-            # Going on could run what was withdrawn since; see the design.
-            log.error("Store is behind this node.", head=head, node=before)
+            # The store was restored from a backup. Confirming this node could
+            # keep versions in use that were withdrawn since.
+            log.error(
+                "Store revision is behind this node.", head=head, node=before
+            )
             return
         registration_valid = (
             asked_at - self.registered_at < self.configuration.fleet.validity_s
@@ -111,7 +124,7 @@
             self.store_confirmed = True
 
     async def fetch(self, head: int) -> None:
-        """Takes over the head revision if it is newer."""
+        """Reads the head revision and applies it if it is newer."""
         if head <= self.revision:
             return
         revision = await read_revision(self.table, head)
@@ -119,10 +132,11 @@
             self.apply_revision(revision.revision, revision.text)
 
     async def check_registration(self, asked_at: float) -> None:
-        """Looks whether those who count nodes can see this one.
+        """Checks that the member row of this node is in the store.
 
-        A node whose row was removed is waited for by nobody, so it must not
-        take itself for current. One look serves for half the validity.
+        Nobody waits for a node whose row was removed before reporting a
+        revision in force, so that such a node must not consider itself
+        current. A check is valid for half the validity.
         """
         if self.me is None:
             return
@@ -136,13 +150,21 @@
             self.registered_at = asked_at
 
     def apply_revision(self, revision: int, text: str) -> bool:
-        """Puts a revision in force unless it is not newer."""
+        """Puts a newer revision in force on this node.
+
+        Args:
+          revision: Its number.
+          text: Its TOML text.
+
+        Returns:
+          Whether it was put in force. False if it is not newer or invalid.
+        """
         if revision <= self.revision:
             return False
         try:
             parsed = parse_configuration(text, f"revision {revision}")
         except ConfigurationError as error:
-            log.error("Revision can't be used.", error=error.message)
+            log.error("Revision is invalid.", error=error.message)
             return False
         self.text = text
         self.current.on_next(attrs.evolve(parsed, revision=revision))
