--- a/src/rattanpier/_internal/configuration/follow.py
+++ b/src/rattanpier/_internal/configuration/follow.py
@@ -110,8 +110,8 @@
             return
         self.store_reachable = True
         if head < before:
-            # The store was restored from a backup. Confirming this node could
-            # keep versions in use that were withdrawn since.
+            # The store may have been restored from a backup. Confirming this
+            # node could keep versions in use that were withdrawn since.
             log.error(
                 "Store revision is behind this node.", head=head, node=before
             )
