--- a/src/rattanpier/_internal/configuration/currency.py
+++ b/src/rattanpier/_internal/configuration/currency.py
@@ -1,11 +1,12 @@
-"""Whether this node may take itself for current.
+"""Decides whether the configuration of this node is current.
 
-Three grounds, in this order (docs/design/configuration.md has the proof):
+A node may start work only while it is current. One of these is sufficient, in
+this order (docs/design/configuration.md has the proof):
 
-* the store confirmed within the validity that no newer revision exists;
-* a peer on the same revision was confirmed within the validity;
-* more than half of the entries, this one among them, are on this revision
-  and can't reach the store: then no change can be reported as in force.
+* The store confirmed within the validity that no newer revision exists.
+* A peer on the same revision was confirmed within the validity.
+* A majority of the entries, including this one, is on this revision and can't
+  reach the store. No change can then be reported as in force.
 """
 
 from __future__ import annotations
@@ -31,17 +32,17 @@
 
 ROUND_INTERVAL_S = 0.25
 QUERY_TIMEOUT_S = 0.5
-FIRST_PEERS_QUERIED = 3  # Peers asked before all of them are.
+FIRST_PEERS_QUERIED = 3  # Peers asked before all others are.
 ROUNDS_PER_VOTE_VALIDITY = 4
 
 
 def vote_validity_s(fleet: Fleet) -> float:
-    """Returns for how long a peer's report of an outage counts."""
+    """Returns for how many seconds a vote of a peer counts."""
     return fleet.validity_s / 2
 
 
 def majority(fleet: Fleet) -> int:
-    """Returns how many entries are more than half.
+    """Returns the smallest number of entries that is a majority.
 
     >>> [majority(Fleet(size=size)) for size in (8, 3, 1)]
     [5, 2, 1]
@@ -51,13 +52,23 @@
 
 @attrs.define
 class Currency:
-    """Judges whether the node is current, and answers peers that ask.
+    """Decides whether the node is current and answers queries of peers.
+
+    A vote is the report of an entry that it is on this node's revision and
+    can't reach the store. All times are monotonic, in seconds.
 
     Attributes:
-      votes: When each entry was asked that reported, at this revision, that
-        it can't reach the store.
-      votes_revision: The revision of the votes.
-      votes_valid_until: Until when the votes let this node go on.
+      follower: The configuration in force on this node.
+      members: The members of the fleet.
+      links: Links to peers.
+      clock: Clock for ages and rounds.
+      metrics: Counts queries and changes between current and out of date.
+      rng: Chooses the order in which peers are asked.
+      votes: Time of the query that got each entry's vote, by name.
+      votes_revision: The revision that the votes apply to.
+      votes_valid_until: End of the time for which the votes of a majority
+        keep this node current.
+      was_current: Whether the node was current when last checked.
     """
 
     follower: Follower
@@ -72,16 +83,16 @@
     was_current: bool = False
 
     def is_current(self) -> bool:
-        """Says whether the node may start work now.
+        """Returns whether the node may start work now.
 
-        Compares the monotonic clock at the moment of the call, so that a
-        process that was frozen finds itself out of date.
+        The monotonic clock is read at each call, so that a process that was
+        frozen is out of date when it resumes.
         """
         now = self.clock.monotonic()
         configuration = self.follower.configuration
         if not self.follower.store_confirmed:
-            # Before a restart it may have been on a newer revision than the
-            # one that a peer lends.
+            # Before a restart, this node may have been on a newer revision
+            # than the one that a peer confirms.
             return False
         if now - self.follower.confirmed_at < configuration.fleet.validity_s:
             return True
@@ -91,14 +102,14 @@
         )
 
     async def run(self, kernel: Kernel) -> None:
-        """Asks peers whenever the store leaves this node alone."""
+        """Asks peers while the store does not confirm, until the stop."""
         while not kernel.stopping.is_set():
             await self.query_peers()
             self.record_transition()
             await self.clock.sleep(self.round_interval_s())
 
     def round_interval_s(self) -> float:
-        """Returns the pause before the next round."""
+        """Returns the seconds until the next round."""
         if not self.is_current():
             return ROUND_INTERVAL_S
         fleet = self.follower.configuration.fleet
@@ -107,19 +118,21 @@
         )
 
     def record_transition(self) -> None:
-        """Logs when the node becomes current or stops to be."""
+        """Logs and counts when the node becomes current or out of date."""
         current = self.is_current()
         if current != self.was_current:
             self.was_current = current
             self.metrics.count("config.current" if current else "config.stale")
             log.info(
-                "Node is current." if current else "Node is not current.",
+                "Configuration is current."
+                if current
+                else "Configuration is out of date.",
                 revision=self.follower.revision,
                 store_reachable=self.follower.store_reachable,
             )
 
     async def query_peers(self) -> None:
-        """Asks peers once, unless the store confirmed lately."""
+        """Asks peers once, unless a confirmation is recent."""
         now = self.clock.monotonic()
         fleet = self.follower.configuration.fleet
         if now - self.follower.confirmed_at < fleet.validity_s / 2:
@@ -142,7 +155,7 @@
         self.count_votes()
 
     async def query_peer(self, member: Member) -> None:
-        """Asks one peer what it knows."""
+        """Asks one peer for its revision and the age of its confirmation."""
         asked_at = self.clock.monotonic()
         me = self.members.me
         request = peer_pb2.CurrencyRequest(
@@ -162,14 +175,21 @@
     def apply_reply(
         self, member: Member, reply: peer_pb2.CurrencyReply, asked_at: float
     ) -> None:
-        """Takes in what a peer knows; `asked` is when it was asked."""
+        """Applies the reply of a peer to a query.
+
+        Args:
+          member: The peer.
+          reply: Its reply.
+          asked_at: Monotonic seconds at which the query was sent.
+        """
         if reply.revision > self.follower.revision and reply.text:
             self.follower.apply_revision(reply.revision, reply.text.decode())
         if reply.revision != self.follower.revision:
             self.votes.pop(member.name, None)
             return
         if reply.lends:
-            # The age was taken after `asked`, so this errs on the old side.
+            # The peer took the age after `asked_at`, so the time computed
+            # here is never too recent.
             confirmed = asked_at - reply.confirmed_age_s
             self.follower.confirmed_at = max(
                 self.follower.confirmed_at, confirmed
@@ -180,7 +200,7 @@
             self.votes.pop(member.name, None)
 
     def add_vote(self, name: str, asked_at: float) -> None:
-        """Notes that an entry can't reach the store at this revision."""
+        """Records the vote of an entry at the current revision."""
         if self.votes_revision != self.follower.revision:
             self.votes.clear()
             self.votes_valid_until = NEVER
@@ -188,7 +208,7 @@
         self.votes[name] = asked_at
 
     def count_votes(self) -> None:
-        """Works out until when the votes let this node go on."""
+        """Updates the own vote and the time until which the votes count."""
         me = self.members.me
         if me.role is Role.ENTRY and self.may_vote():
             self.add_vote(me.name, self.clock.monotonic())
@@ -205,17 +225,17 @@
         )
 
     def may_vote(self) -> bool:
-        """Says whether this node counts towards an outage of the store.
+        """Returns whether this node votes that the store is unreachable.
 
-        A process that was not confirmed by the store since its start may
-        have been on a newer revision before; its word counts for nothing.
+        A process that the store has not confirmed since its start may have
+        been on a newer revision before, so that it has no vote.
         """
         return (
             self.follower.store_confirmed and not self.follower.store_reachable
         )
 
     async def serve(self, call: peer_pb2.Call) -> peer_pb2.Reply:
-        """Answers a peer that asks."""
+        """Answers the query of a peer."""
         request = call.currency
         follower = self.follower
         age = self.clock.monotonic() - follower.confirmed_at
