--- a/src/rattanpier/_internal/configuration/inforce.py
+++ b/src/rattanpier/_internal/configuration/inforce.py
@@ -1,8 +1,9 @@
-"""Finds out when an accepted revision is in force everywhere.
+"""Determines when an accepted revision is in force everywhere.
 
-It is when every member acknowledged it, or when no member without it may
-still take itself for current: their validity has run out, and too few of them
-are left to take the silence of the store for an outage.
+A revision is in force when every member has acknowledged it, or when no member
+without it can still be current. The latter holds after their validity has run
+out, if too few entries are left to be a majority that votes for an outage of
+the store.
 """
 
 from __future__ import annotations
@@ -42,20 +43,26 @@
 
 log = structlog.get_logger(part="config")
 
-ROUND_INTERVAL_S = 0.25  # Between two pushes, and between looks at the members.
-PROGRESS_POLL_S = ROUND_INTERVAL_S / 5  # Between looks at the progress.
+ROUND_INTERVAL_S = 0.25  # Between pushes and member checks.
+PROGRESS_POLL_S = ROUND_INTERVAL_S / 5  # Between checks of the progress.
 
 
 @attrs.define
 class InForceTracker:
-    """Spreads accepted revisions and tells when they are in force.
+    """Propagates accepted revisions and reports when they are in force.
 
     Attributes:
-      progress: Emits how far the newest revision has come.
+      table: The store.
+      clock: Clock for rounds and validities.
+      follower: The configuration in force on this node.
+      members: The members of the fleet.
+      broadcaster: Pushes revisions to members.
+      metrics: Counts the revisions in force.
       started_at: Monotonic seconds at the start of this process.
-      recent_members: Members seen live lately.
-      propagation: The revision on its way, or None.
-      wake: Set when there is a revision to spread.
+      progress: Emits the progress of the newest revision.
+      recent_members: Members that were live recently.
+      propagation: State of the newest revision, or None.
+      wake: Set when there is a revision to propagate.
     """
 
     table: Table
@@ -73,7 +80,7 @@
     wake: asyncio.Event = attrs.Factory(asyncio.Event)
 
     def begin(self, revision: Revision) -> None:
-        """Starts to spread an accepted revision."""
+        """Starts to propagate an accepted revision."""
         if (
             self.propagation is not None
             and self.propagation.revision >= revision.revision
@@ -88,7 +95,7 @@
         self.wake.set()
 
     async def run(self, kernel: Kernel) -> None:
-        """Carries the newest revision through until the end."""
+        """Propagates the newest revision until the process stops."""
         while not kernel.stopping.is_set():
             await self.wake.wait()
             self.wake.clear()
@@ -101,25 +108,26 @@
                     await self.clock.sleep(ROUND_INTERVAL_S)
 
     async def watch_members(self, kernel: Kernel) -> None:
-        """Remembers who was live lately, until the end."""
+        """Records the live members until the process stops."""
         while not kernel.stopping.is_set():
             self.record_live_members()
             await self.clock.sleep(ROUND_INTERVAL_S)
 
     def record_live_members(self) -> None:
-        """Notes who is live, and forgets who was not for long enough."""
+        """Records the live members and drops those not live for too long."""
         fleet = self.follower.configuration.fleet
         self.recent_members.record_validity(fleet.validity_s)
         live = list(self.members.live.value.values())
         self.recent_members.record_live(live, self.clock.monotonic())
 
     async def step(self, propagation: Propagation) -> None:
-        """Spreads a revision once and judges how far it has come."""
+        """Pushes a revision once and updates its progress."""
         try:
             await self.prepare(propagation)
         except StoreUnavailableError:
             log.info(
-                "Nodes can't be counted now.", revision=propagation.revision
+                "Members can't be read from the store.",
+                revision=propagation.revision,
             )
         await self.push(propagation)
         reason = self.in_force_reason(propagation)
@@ -134,7 +142,7 @@
         self.progress.on_next(propagation.progress(bool(reason)))
 
     async def prepare(self, propagation: Propagation) -> None:
-        """Reads, once the revision is accepted, who has to have it.
+        """Reads the members that need the revision, once for each revision.
 
         Raises:
           StoreUnavailableError: The store did not answer.
@@ -151,9 +159,10 @@
         propagation.staleness_bounds = bounds
 
     async def push(self, propagation: Propagation) -> None:
-        """Pushes the revision, and waits for answers no longer than a round.
+        """Pushes the revision and waits for at most one round.
 
-        Members that are frozen or dead must not hold up the judgement.
+        Frozen or dead members must not delay the decision whether the revision
+        is in force.
         """
         if self.follower.revision >= propagation.revision:
             propagation.acked.add(incarnation_id(self.members.me))
@@ -164,16 +173,17 @@
         await asyncio.wait({propagation.pushing}, timeout=ROUND_INTERVAL_S)
 
     async def push_all(self, propagation: Propagation) -> None:
-        """Pushes the revision once to those that may not have it."""
+        """Pushes the revision once to members that may not have it."""
         live = self.members.live.value
         wanted = (
             propagation.waiting()
             if propagation.expected
             else list(live.values())
         )
-        # A new process under an old name has another address.
+        # A new incarnation of a member has another address.
         targets = [live.get(member.name, member) for member in wanted]
-        # Those most likely to relay come first, and another one each round.
+        # Live members come first, since they are most likely to relay. The
+        # order is rotated, so that each round starts with another member.
         targets.sort(key=lambda member: member.name not in live)
         turn = propagation.rounds % max(1, len(targets))
         propagation.rounds += 1
@@ -184,7 +194,12 @@
         )
 
     def in_force_reason(self, propagation: Propagation) -> str:
-        """Says by what the revision is in force, or an empty string."""
+        """Returns why the revision is in force, "" if it is not known to be.
+
+        Returns:
+          "acked" if all members have acknowledged it, "expired" if those
+          without it can't be current any more.
+        """
         if propagation.staleness_bounds is None:
             return ""
         validity = propagation.staleness_bounds.validity_s
@@ -206,17 +221,21 @@
         return "expired" if votes_gone and expired else ""
 
     def knows_all_members(self, propagation: Propagation) -> bool:
-        """Says whether no node's row was removed unseen by this process."""
+        """Returns whether every node that may matter is known.
+
+        A node without a member row may stay current for the retention time.
+        A process that has run for longer has seen it live.
+        """
         return (
             propagation.started - self.started_at
             >= self.recent_members.retention_s()
         )
 
     async def status(self) -> Progress:
-        """Returns how far the accepted revision has come.
+        """Returns the progress of the newest accepted revision.
 
-        Any control process can tell: one that did not accept the revision
-        itself starts to spread it too.
+        Any control process can answer. One that did not accept the revision
+        itself starts to propagate it too.
 
         Raises:
           StoreUnavailableError: The store did not answer.
@@ -233,7 +252,15 @@
         return self.progress.value
 
     async def wait(self, revision: int, timeout_s: float) -> Progress:
-        """Waits until a revision, or a newer one, is in force."""
+        """Waits until a revision, or a newer one, is in force.
+
+        Args:
+          revision: Its number.
+          timeout_s: Seconds to wait at most.
+
+        Returns:
+          The progress of the newest revision at the end.
+        """
         deadline = self.clock.monotonic() + timeout_s
         while self.clock.monotonic() < deadline:
             progress = self.progress.value
