--- a/src/rattanpier/_internal/configuration/limits.py
+++ b/src/rattanpier/_internal/configuration/limits.py
@@ -1,4 +1,8 @@
-"""What nodes on older revisions may go by, and which revision is in force."""
+"""Bounds for nodes on older revisions, and the record of what is in force.
+
+A node that lacks the newest revision goes by the validity and the fleet size of
+the older revision that it has.
+"""
 
 from __future__ import annotations
 
@@ -13,23 +17,24 @@
 from rattanpier._internal.utils.codec import decode, encode
 
 IN_FORCE_KEY = "config/in_force"
-MAX_LOOKBACK_REVISIONS = 100  # Older ones are no longer run by any node.
+MAX_LOOKBACK_REVISIONS = 100  # No node runs older revisions.
 
 
 @attrs.frozen
 class InForceRow:
-    """The newest revision known to be in force everywhere."""
+    """The row with the newest revision known to be in force everywhere."""
 
     revision: int = 0
 
 
 @attrs.frozen
 class StalenessBounds:
-    """What a node on an older revision may go by.
+    """Bounds on how long nodes on older revisions stay current.
 
     Attributes:
-      validity_s: The longest validity of the older revisions.
-      max_minority: So many entries are never a majority under any of them.
+      validity_s: The longest validity of the older revisions, in seconds.
+      max_minority: The largest number of entries that is not a majority under
+        any of the older revisions.
     """
 
     validity_s: float
@@ -37,7 +42,7 @@
 
 
 async def read_in_force(table: Table) -> int:
-    """Returns the newest revision known to be in force; 0 if none is.
+    """Returns the newest revision known to be in force, 0 if none is.
 
     Raises:
       StoreUnavailableError: The store did not answer.
@@ -47,13 +52,18 @@
 
 
 async def write_in_force(table: Table, revision: int) -> None:
-    """Writes down that a revision is in force; may fail harmlessly."""
+    """Records that a revision is in force.
+
+    A lost write does no harm, since the record only spares work.
+    """
     put = Put(IN_FORCE_KEY, encode(InForceRow(revision)))
     await table.transact(Transaction(puts=[put]))
 
 
 async def read_staleness_bounds(table: Table, revision: int) -> StalenessBounds:
-    """Returns what nodes on revisions before may go by.
+    """Returns the bounds for nodes on revisions before a given one.
+
+    Only revisions since the newest one in force are read.
 
     Raises:
       StoreUnavailableError: The store did not answer.
@@ -74,7 +84,10 @@
 
 
 def parse_fleet(text: str) -> Fleet:
-    """Returns the fleet section of a revision; no node runs a broken one."""
+    """Returns the fleet section of a revision.
+
+    An invalid revision gives the defaults, since no node puts it in force.
+    """
     try:
         return parse_configuration(text).fleet
     except ConfigurationError:
