--- a/src/rattanpier/_internal/configuration/progress.py
+++ b/src/rattanpier/_internal/configuration/progress.py
@@ -1,4 +1,4 @@
-"""How far a revision has come on its way to all members."""
+"""Progress of a revision towards being in force on all members."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 @attrs.frozen
 class Progress:
-    """How far a revision has come.
+    """Progress of one revision, as reported to operators.
 
     Attributes:
-      revision: The newest accepted revision that is being spread.
+      revision: The newest accepted revision that is being propagated.
       in_force: Whether it is in force everywhere.
-      acked: Ids of the members that have it.
-      waiting: Ids of the members that may not have it.
+      acked: Incarnation ids of the members that have it.
+      waiting: Incarnation ids of the members that may not have it.
     """
 
     revision: int = 0
@@ -30,19 +30,19 @@
 
 @attrs.define
 class Propagation:
-    """One revision on its way.
+    """State of the propagation of one revision.
 
     Attributes:
       revision: Its number.
-      packed: Its compressed text.
-      started: Monotonic seconds, after it was accepted.
-      staleness_bounds: What nodes without it may go by; None until it was read.
-      expected: The members counted on, by id.
-      acked: Ids of the members that have it.
-      minority_since: Monotonic seconds since which too few entries
-        are without it.
-      pushing: The push under way, or None.
-      rounds: Pushes begun.
+      packed: Its text, compressed by zlib.
+      started: Monotonic seconds of the start, after it was accepted.
+      staleness_bounds: Bounds for nodes without it. None until they are read.
+      expected: Members that have to acknowledge it, by incarnation id.
+      acked: Incarnation ids of the members that have it.
+      minority_since: Monotonic seconds since which the entries without it
+        are too few to be a majority. None while they may be one.
+      pushing: The push in progress, or None.
+      rounds: Number of pushes started.
     """
 
     revision: int
@@ -56,7 +56,7 @@
     rounds: int = 0
 
     def waiting(self) -> list[Member]:
-        """Returns the members that may not have it."""
+        """Returns the members that may not have the revision."""
         return [
             member
             for name, member in self.expected.items()
@@ -64,7 +64,7 @@
         ]
 
     def progress(self, in_force: bool) -> Progress:
-        """Returns how far it has come."""
+        """Returns the progress to report."""
         return Progress(
             self.revision,
             in_force,
