--- a/src/rattanpier/_internal/configuration/recent_members.py
+++ b/src/rattanpier/_internal/configuration/recent_members.py
@@ -1,4 +1,8 @@
-"""Who was live lately, though the member's row may be gone by now."""
+"""Remembers members that were live recently.
+
+A member whose row was removed from the store may still be current for a while,
+so that it has to be counted.
+"""
 
 from __future__ import annotations
 
@@ -7,15 +11,16 @@
 from rattanpier._internal.membership.records import incarnation_id
 from rattanpier._internal.models.member import Member
 
-CLOCK_MARGIN_S = 0.3  # For clocks that run at slightly unlike rates.
+CLOCK_MARGIN_S = 0.3  # Tolerates clocks that run at slightly different rates.
 
 
 @attrs.frozen
 class RecentMember:
-    """A member that was seen live.
+    """A member that was live recently.
 
     Attributes:
-      last_seen: When it last was, in monotonic seconds.
+      last_seen: When it was last seen live, in monotonic seconds.
+      member: The member.
     """
 
     last_seen: float
@@ -24,22 +29,23 @@
 
 @attrs.define
 class RecentMembers:
-    """The members seen live for as long as they may matter.
+    """Members that were live within the retention time.
 
     Attributes:
-      by_id: The last sighting of each member, by its id.
-      longest_validity_s: The longest validity that this process has seen.
+      by_id: Members by incarnation id.
+      longest_validity_s: The longest validity that this process has seen, in
+        seconds.
     """
 
     by_id: dict[str, RecentMember] = attrs.Factory(dict)
     longest_validity_s: float = 0.0
 
     def record_validity(self, validity_s: float) -> None:
-        """Takes in the validity of a revision."""
+        """Records the validity of a revision, in seconds."""
         self.longest_validity_s = max(self.longest_validity_s, validity_s)
 
     def record_live(self, live: list[Member], now: float) -> None:
-        """Notes who is live, and forgets who was not for long enough.
+        """Records live members and drops those past the retention time.
 
         Args:
           live: The members that are live.
@@ -55,13 +61,13 @@
         }
 
     def members(self) -> list[Member]:
-        """Returns the members seen lately."""
+        """Returns the members that were live recently."""
         return [recent.member for recent in self.by_id.values()]
 
     def retention_s(self) -> float:
-        """Returns how long a node without a row may take itself for current.
+        """Returns for how many seconds a node without a row may be current.
 
-        It looks for its row once per half validity, and a confirmation lasts
-        for one more; see `Follower.check_registration`.
+        It checks for its row once per half validity, and a confirmation lasts
+        for one more validity. See `Follower.check_registration`.
         """
         return 2 * self.longest_validity_s + CLOCK_MARGIN_S
