--- a/src/rattanpier/_internal/configuration/broadcast.py
+++ b/src/rattanpier/_internal/configuration/broadcast.py
@@ -1,8 +1,8 @@
-"""Pushes a revision along a tree of members.
+"""Broadcasts a revision along a tree of members.
 
-Each member passes the revision on to a fixed number of others, whatever the
-size of the fleet, and acknowledges for all below it. What a broken branch
-misses, the next round of the origin or the members' own polls bring.
+Each member relays the revision to a fixed number of children, whatever the size
+of the fleet, and acknowledges for its whole subtree. Members of a broken branch
+get the revision in the next round of the sender or by their own polls.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 def split_into_branches(names: Sequence[str]) -> list[list[str]]:
-    """Deals names out to at most `FAN_OUT` branches.
+    """Splits names into at most `FAN_OUT` branches, round-robin.
 
     >>> split_into_branches(["a", "b", "c", "d", "e"])
     [['a', 'e'], ['b'], ['c'], ['d']]
@@ -37,7 +37,7 @@
 
 
 def tree_depth(size: int) -> int:
-    """Returns the depth of the tree under a branch's head member.
+    """Returns the number of levels of a branch with `size` members.
 
     >>> [tree_depth(size) for size in (1, 2, 5, 6, 105)]
     [1, 2, 2, 3, 5]
@@ -51,7 +51,14 @@
 
 @attrs.define
 class RevisionBroadcaster:
-    """Sends and relays pushes."""
+    """Sends revisions to members and relays those of others.
+
+    Attributes:
+      follower: The configuration in force on this node.
+      members: The members of the fleet.
+      links: Links to peers.
+      metrics: Counts pushes and their bytes.
+    """
 
     follower: Follower
     members: Members
@@ -61,15 +68,15 @@
     async def broadcast(
         self, revision: int, packed: bytes, targets: Sequence[Member]
     ) -> set[str]:
-        """Pushes a revision to members.
+        """Sends a revision to members along a tree.
 
         Args:
           revision: Its number.
-          packed: Its text, compressed.
+          packed: Its text, compressed by zlib.
           targets: Members to reach.
 
         Returns:
-          Ids of the members that are known to have it, or a newer one.
+          Incarnation ids of the members known to have it or a newer one.
         """
         by_name = {member.name: member for member in targets}
         replies = await asyncio.gather(
@@ -83,7 +90,18 @@
     async def send(
         self, revision: int, packed: bytes, head: Member, relay: list[str]
     ) -> list[str]:
-        """Pushes to the head of a branch; returns who acknowledged."""
+        """Sends a revision to the head of a branch.
+
+        Args:
+          revision: Its number.
+          packed: Its text, compressed by zlib.
+          head: First member of the branch.
+          relay: Names of the other members of the branch.
+
+        Returns:
+          Incarnation ids of the members that acknowledged; none if the head
+          did not answer in time.
+        """
         push = peer_pb2.ConfigPush(revision=revision, text=packed, relay=relay)
         self.metrics.count("config.pushes")
         self.metrics.count("config.push_bytes", push.ByteSize())
@@ -97,7 +115,7 @@
         return list(reply.config_ack.members)
 
     async def serve(self, call: peer_pb2.Call) -> peer_pb2.Reply:
-        """Takes a push in, passes it on and acknowledges."""
+        """Applies a pushed revision, relays it and acknowledges."""
         push = call.config_push
         text = zlib.decompress(push.text).decode()
         self.follower.apply_revision(push.revision, text)
