--- a/src/rattanpier/_internal/configuration/inforce.py
+++ b/src/rattanpier/_internal/configuration/inforce.py
@@ -221,10 +221,11 @@
         return "expired" if votes_gone and expired else ""
 
     def knows_all_members(self, propagation: Propagation) -> bool:
-        """Returns whether every node that may matter is known.
+        """Returns whether this process knows every node that may be current.
 
-        A node without a member row may stay current for the retention time.
-        A process that has run for longer has seen it live.
+        A node may stay current for the retention time after its member row was
+        removed. This process knows it if it started at least that long before
+        the propagation.
         """
         return (
             propagation.started - self.started_at
--- a/src/rattanpier/_internal/configuration/limits.py
+++ b/src/rattanpier/_internal/configuration/limits.py
@@ -63,7 +63,8 @@
 async def read_staleness_bounds(table: Table, revision: int) -> StalenessBounds:
     """Returns the bounds for nodes on revisions before a given one.
 
-    Only revisions since the newest one in force are read.
+    Reads the revisions since the newest one in force, but no more than
+    `MAX_LOOKBACK_REVISIONS`.
 
     Raises:
       StoreUnavailableError: The store did not answer.
