--- a/src/rattanpier/_internal/configuration/lines.py
+++ b/src/rattanpier/_internal/configuration/lines.py
@@ -1,4 +1,7 @@
-"""Finds the line of a TOML text that a path means."""
+"""Finds the line of a TOML text that a path refers to.
+
+`tomllib` does not report the positions of values.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 
 def split_path(path: str) -> list[str]:
-    """Splits a path of cattrs into its steps.
+    """Splits a path as cattrs reports it into its steps.
 
     >>> split_path("$.versions['a@1'].model")
     ['versions', 'a@1', 'model']
@@ -27,7 +30,9 @@
 
 
 def find_line(text: str, steps: Sequence[str]) -> int:
-    r"""Returns the line, from 1, that best fits a path.
+    r"""Returns the 1-based number of the line that best matches a path.
+
+    That is the first line of the longest common prefix; 1 if none matches.
 
     >>> find_line('[a.b]\nc = 1\n[a.d]\nc = 2', ["a", "d", "c"])
     4
@@ -52,12 +57,12 @@
 
 
 def header_path(opening: str, header: str, counts: dict[str, int]) -> list[str]:
-    """Returns the path of a table, with the index of each array in it.
+    """Returns the path of a table, including indices of arrays of tables.
 
     Args:
       opening: One bracket for a table, two for an item of an array.
       header: The dotted key between the brackets.
-      counts: Items seen of each array, by name; changed here.
+      counts: Number of items seen of each array, by name. Updated in place.
     """
     names = split_key(header)
     if opening == "[[":
@@ -82,7 +87,7 @@
 
 
 def common_depth(path: Sequence[str], steps: Sequence[str]) -> int:
-    """Returns how many leading steps two paths share."""
+    """Returns the length of the common prefix of two paths."""
     depth = 0
     for left, right in zip(path, steps, strict=False):
         if left != right:
