--- a/src/rattanpier/_internal/configuration/parse.py
+++ b/src/rattanpier/_internal/configuration/parse.py
@@ -1,4 +1,4 @@
-"""TOML text to attrs objects, with the line of each error."""
+"""Parses TOML text into attrs objects and locates errors by line."""
 
 from __future__ import annotations
 
@@ -35,20 +35,21 @@
 def parse_configuration(
     text: str, file: str = "configuration"
 ) -> Configuration:
-    """Returns a configuration from its TOML text; it is not checked yet.
+    """Parses the TOML text of a configuration without checking its values.
 
     Raises:
-      ConfigurationError: The text is not TOML, or not of the right shape.
+      ConfigurationError: The text is not valid TOML or doesn't match the
+        schema.
     """
     return parse(Configuration, text, file, ConfigurationError)
 
 
 def load_settings(path: str) -> Settings:
-    """Returns the settings in a file, checked.
+    """Reads, parses and checks a settings file.
 
     Raises:
-      SettingsError: The file can't be read, is not of the right shape, or
-        has settings that can't be used.
+      SettingsError: The file can't be read, doesn't match the schema, or has
+        invalid settings.
     """
     text = read_text(path, SettingsError)
     settings = parse(Settings, text, path, SettingsError)
@@ -60,7 +61,11 @@
 
 
 def read_text(path: str, error_class: type[RattanpierError]) -> str:
-    """Returns the text of a file."""
+    """Returns the text of a file.
+
+    Raises:
+      RattanpierError: The file can't be read; of type `error_class`.
+    """
     try:
         return pathlib.Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -72,7 +77,12 @@
 def parse(
     cls: type[T], text: str, file: str, error_class: type[RattanpierError]
 ) -> T:
-    """Structures TOML text into a class."""
+    """Parses TOML text into an attrs class.
+
+    Raises:
+      RattanpierError: The text is not valid TOML or doesn't match the class;
+        of type `error_class`, with one line for each error.
+    """
     try:
         return converter.structure(tomllib.loads(text), cls)
     except tomllib.TOMLDecodeError as error:
@@ -87,7 +97,7 @@
 
 
 def toml_error_line(message: str, text: str) -> int:
-    """Returns the line that an error of tomllib names, or the last one.
+    """Returns the line named by a tomllib error, or the last line.
 
     >>> toml_error_line("Invalid value (at line 3, column 1)", "")
     3
@@ -97,7 +107,7 @@
 
 
 def describe_error(error: BaseException, cls: type[Any] | None) -> str:
-    """Says what is wrong with a value, and what would be right."""
+    """Returns what is wrong with a value and how to correct it."""
     match error:
         case cattrs.ForbiddenExtraKeysError():
             known = [field.name for field in attrs.fields(error.cl)]
@@ -116,13 +126,13 @@
 
 
 def describe_unknown_keys(extra: set[str], known: list[str]) -> Iterator[str]:
-    """Yields a sentence for each unknown key."""
+    """Yields a message for each unknown key."""
     for key in sorted(extra):
         yield f"unknown key {key!r}; {suggest(key, known)}"
 
 
 def add_location(report: str, text: str, file: str) -> str:
-    """Puts file and line before a report, whose path is behind it."""
+    """Prefixes a cattrs report, which ends in a path, with file and line."""
     problem, _, path = report.rpartition(" @ ")
     steps = split_path(path)
     if problem.startswith("unknown key "):
