--- a/src/rattanpier/_internal/configuration/problem.py
+++ b/src/rattanpier/_internal/configuration/problem.py
@@ -1,4 +1,7 @@
-"""What a check finds: where, what is wrong, and what would be right."""
+"""Problems that checks find, and checks of single values.
+
+A problem has a location, a message and a correction.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 from rattanpier._internal.configuration.lines import find_line
 
-MAX_SHOWN_NAMES = 6  # A longer list of known names is cut.
+MAX_SHOWN_NAMES = 6  # Longer lists of known names are truncated.
 MAX_PORT = 65535
 SHA256_HEX = re.compile(r"[0-9a-f]{64}")
 
@@ -24,9 +27,9 @@
 
     Attributes:
       file: Name of the file.
-      line: Line, from 1.
-      what: What is wrong.
-      right: What would be right.
+      line: Line number, from 1.
+      what: Description of the error.
+      right: How to correct it.
     """
 
     file: str
@@ -35,18 +38,18 @@
     right: str
 
     def __str__(self) -> str:
-        """Returns the problem as compilers print theirs."""
+        """Returns the problem in the format of compiler messages."""
         return f"{self.file}:{self.line}: {self.what}; {self.right}"
 
 
 @attrs.frozen
 class Finding:
-    """A problem before its line is known.
+    """A problem whose line is not determined yet.
 
     Attributes:
       steps: Path to the value, from the root of the file.
-      what: What is wrong.
-      right: What would be right.
+      what: Description of the error.
+      right: How to correct it.
     """
 
     steps: Sequence[str]
@@ -57,14 +60,14 @@
 def locate_findings(
     findings: Iterable[Finding], text: str, file: str
 ) -> Iterator[Problem]:
-    """Yields findings with their lines."""
+    """Yields the problem for each finding, with its line."""
     for finding in findings:
         line = find_line(text, finding.steps)
         yield Problem(file, line, finding.what, finding.right)
 
 
 def suggest(name: str, known: Collection[str]) -> str:
-    """Returns what would be right in place of an unknown name.
+    """Returns a correction for an unknown name.
 
     >>> suggest("smal@1", ["small@1", "large@1"])
     "did you mean 'small@1'?"
@@ -86,19 +89,19 @@
 def check_known(
     steps: Sequence[str], kind: str, name: str, known: Collection[str]
 ) -> Iterator[Finding]:
-    """Finds a name that is not defined."""
+    """Yields a finding if a name is not defined."""
     if name not in known:
         yield Finding(steps, f"unknown {kind} {name!r}", suggest(name, known))
 
 
 def check_fraction(steps: Sequence[str], value: float) -> Iterator[Finding]:
-    """Finds a share that is not between 0 and 1."""
+    """Yields a finding if a number is not from 0 to 1."""
     if not 0 <= value <= 1:
         yield Finding(steps, f"{steps[-1]} is {value}", "give 0 to 1")
 
 
 def check_positive(steps: Sequence[str], value: float) -> Iterator[Finding]:
-    """Finds a number that is not above zero, or not finite."""
+    """Yields a finding if a number is not positive or not finite."""
     if not (value > 0 and math.isfinite(value)):
         yield Finding(
             steps, f"{steps[-1]} is {value}", "give a finite number above 0"
@@ -106,7 +109,7 @@
 
 
 def check_not_negative(steps: Sequence[str], value: float) -> Iterator[Finding]:
-    """Finds a number below zero, or not finite."""
+    """Yields a finding if a number is negative or not finite."""
     if not (value >= 0 and math.isfinite(value)):
         yield Finding(
             steps, f"{steps[-1]} is {value}", "give a finite number from 0 up"
@@ -114,23 +117,26 @@
 
 
 def check_not_empty(steps: Sequence[str], value: str) -> Iterator[Finding]:
-    """Finds an empty text."""
+    """Yields a finding if a string is empty or only whitespace."""
     if not value.strip():
         yield Finding(steps, f"{steps[-1]} is empty", "give a name")
 
 
 def check_digest(steps: Sequence[str], digest: str) -> Iterator[Finding]:
-    """Finds what is no SHA-256 digest, such as a key in the clear."""
+    """Yields a finding if a string is no SHA-256 digest.
+
+    This detects keys that were given in plain text.
+    """
     if not SHA256_HEX.fullmatch(digest):
         yield Finding(
             steps,
-            "a digest is not 64 small hexadecimal digits",
+            "a digest is not 64 lowercase hexadecimal digits",
             "give the output of `printf %s KEY | sha256sum`",
         )
 
 
 def is_ip_address(host: str) -> bool:
-    """Says whether a host is an IP number.
+    """Returns whether a host is an IP address rather than a name.
 
     >>> is_ip_address("10.0.0.1"), is_ip_address("localhost")
     (True, False)
@@ -143,11 +149,11 @@
 
 
 def check_ip(steps: Sequence[str], host: str) -> Iterator[Finding]:
-    """Finds a host that is no IP number."""
+    """Yields a finding if a host is not an IP address."""
     if not is_ip_address(host):
         yield Finding(
             steps,
-            f"{steps[-1]} {host!r} is not an IP number",
+            f"{steps[-1]} {host!r} is not an IP address",
             "give one, such as 10.0.0.1",
         )
 
@@ -155,7 +161,7 @@
 def check_port(
     steps: Sequence[str], port: int, min_port: int = 0
 ) -> Iterator[Finding]:
-    """Finds a port that does not exist."""
+    """Yields a finding if a port is out of range."""
     if not min_port <= port <= MAX_PORT:
         yield Finding(
             steps, f"port {port} does not exist", f"give {min_port} to 65535"
@@ -163,7 +169,7 @@
 
 
 def check_url(steps: Sequence[str], url: str) -> Iterator[Finding]:
-    """Finds an address that is not http or https at an IP number."""
+    """Yields a finding unless a URL is HTTP or HTTPS at an IP address."""
     right = "give one such as http://10.0.0.1:8000"
     try:
         parts = urlsplit(url)
@@ -175,7 +181,9 @@
         yield Finding(steps, f"{url!r} is not an HTTP address", right)
     elif not is_ip_address(host):
         yield Finding(
-            steps, f"{url!r} has the name {host!r}, not an IP number", right
+            steps,
+            f"{url!r} has the host name {host!r}, not an IP address",
+            right,
         )
     elif parts.query or parts.fragment:
         yield Finding(steps, f"{url!r} is not a base address", right)
--- a/tests/unit/test_check.py
+++ b/tests/unit/test_check.py
@@ -225,17 +225,17 @@
         "name each version once",
         '"small@1", "small@1"',
     ),
-    "host name in place of an IP number": (
+    "host name instead of an IP address": (
         "http://10.0.0.2:8000",
         "http://d2.example:8000",
-        "has the name 'd2.example', not an IP number",
+        "has the host name 'd2.example', not an IP address",
         "http://10.0.0.1:8000",
         "d2.example",
     ),
-    "bad IP number": (
+    "invalid IP address": (
         "http://10.0.0.2:8000",
         "http://10.0.0.256:8000",
-        "has the name '10.0.0.256', not an IP number",
+        "has the host name '10.0.0.256', not an IP address",
         "http://10.0.0.1:8000",
         "10.0.0.256",
     ),
@@ -284,7 +284,7 @@
     "key in the clear": (
         NOTARY_KEY,
         "notary",
-        "a digest is not 64 small hexadecimal digits",
+        "a digest is not 64 lowercase hexadecimal digits",
         "sha256sum",
         '["notary"]',
     ),
--- a/tests/unit/test_check_settings.py
+++ b/tests/unit/test_check_settings.py
@@ -29,7 +29,7 @@
     "advertised name": (
         "10.0.0.4",
         "entry-1",
-        "advertise 'entry-1' is not an IP number",
+        "advertise 'entry-1' is not an IP address",
         "advertise",
     ),
     "advertise nothing": (
@@ -41,7 +41,7 @@
     "table by name": (
         "10.0.0.9",
         "table",
-        "has the name 'table', not an IP number",
+        "has the host name 'table', not an IP address",
         "table_url",
     ),
     "short key": (
@@ -53,7 +53,7 @@
     "operator key in the clear": (
         "operator_key_sha256 = [",
         'operator_key_sha256 = ["operator", ',
-        "a digest is not 64 small hexadecimal digits",
+        "a digest is not 64 lowercase hexadecimal digits",
         "operator_key_sha256",
     ),
     "no domain": ('domain = "a"', 'domain = ""', "domain is empty", "domain"),
@@ -66,7 +66,7 @@
     "statsd by name": (
         "[edge]",
         '[metrics]\nhost = "statsd"\n[edge]',
-        "host 'statsd' is not an IP number",
+        "host 'statsd' is not an IP address",
         "statsd",
     ),
     "log level": (
