--- a/src/rattanpier/_internal/configuration/check_settings.py
+++ b/src/rattanpier/_internal/configuration/check_settings.py
@@ -31,20 +31,26 @@
     Settings,
 )
 
-MIN_SESSION_KEY_LENGTH = 16  # Characters of a key that signs.
+MIN_SESSION_KEY_LENGTH = 16  # Characters; the key signs sessions.
 LOG_LEVELS = ("debug", "info", "warning", "error", "critical")
-UNSPECIFIED_ADDRESSES = ("0.0.0.0", "::")  # noqa: S104 - binds every address.
+UNSPECIFIED_ADDRESSES = ("0.0.0.0", "::")  # noqa: S104 - bind all addresses.
 
 
 def check_settings(
     settings: Settings, text: str, file: str = "settings"
 ) -> list[Problem]:
-    """Returns all that is wrong with settings; none: the process may start."""
+    """Returns the problems of settings; the process may start if none.
+
+    Args:
+      settings: The settings as parsed.
+      text: Their TOML text, to find the lines.
+      file: Name of the file, for the messages.
+    """
     return list(locate_findings(find_problems(settings), text, file))
 
 
 def find_problems(settings: Settings) -> Iterator[Finding]:
-    """Yields what is wrong with each table of the settings."""
+    """Yields the findings for each table of the settings."""
     for field in attrs.fields(Settings):
         value = getattr(settings, field.name)
         steps = (field.name,)
@@ -66,7 +72,7 @@
 
 
 def check_node(steps: Sequence[str], node: NodeSettings) -> Iterator[Finding]:
-    """Finds a process without a name or a failure domain."""
+    """Yields a finding for each of name, domain and region that is empty."""
     for name in ("name", "domain", "region"):
         yield from check_not_empty((*steps, name), getattr(node, name))
 
@@ -74,7 +80,7 @@
 def check_listen(
     steps: Sequence[str], listen: ListenSettings
 ) -> Iterator[Finding]:
-    """Finds addresses that can't be used and files that are not there."""
+    """Yields findings for unusable addresses and missing TLS files."""
     yield from check_ip((*steps, "host"), listen.host)
     yield from check_port((*steps, "port"), listen.port)
     if listen.advertise:
@@ -82,13 +88,13 @@
     if (listen.advertise or listen.host) in UNSPECIFIED_ADDRESSES:
         yield Finding(
             (*steps, "advertise"),
-            f"{listen.advertise or listen.host} can't be told to others",
-            "give the IP number of the VM as 'advertise'",
+            f"{listen.advertise or listen.host} can't be advertised to other nodes",
+            "give the IP address of the VM as 'advertise'",
         )
     if bool(listen.certificate) != bool(listen.key):
         yield Finding(
             (*steps, "certificate"),
-            "'certificate' and 'key' come together",
+            "'certificate' and 'key' have to be given together",
             "give both, or none for plain text",
         )
     for name in ("certificate", "key", "authority"):
@@ -96,7 +102,7 @@
 
 
 def check_file(steps: Sequence[str], path: str) -> Iterator[Finding]:
-    """Finds a file that can't be read."""
+    """Yields a finding if a file can't be read."""
     if path and not (os.path.isfile(path) and os.access(path, os.R_OK)):
         yield Finding(
             steps,
@@ -108,7 +114,7 @@
 def check_platform(
     steps: Sequence[str], platform: PlatformSettings
 ) -> Iterator[Finding]:
-    """Finds services of the platform that can't be called."""
+    """Yields findings for invalid URLs and timeouts of platform services."""
     yield from check_url((*steps, "table_url"), platform.table_url)
     for field in attrs.fields(PlatformSettings):
         url = getattr(platform, field.name)
@@ -120,14 +126,17 @@
 def check_metrics(
     steps: Sequence[str], metrics: MetricsSettings
 ) -> Iterator[Finding]:
-    """Finds a statsd address that would be resolved on the hot path."""
+    """Yields findings for an invalid statsd address.
+
+    A host name is refused, since it would be resolved on the hot path.
+    """
     if metrics.host and not is_ip_address(metrics.host):
         yield from check_ip((*steps, "host"), metrics.host)
     yield from check_port((*steps, "port"), metrics.port, min_port=1)
 
 
 def check_logs(steps: Sequence[str], logs: LogSettings) -> Iterator[Finding]:
-    """Finds an unknown level."""
+    """Yields a finding if the log level is unknown."""
     if logs.level not in LOG_LEVELS:
         yield Finding(
             (*steps, "level"),
@@ -139,7 +148,7 @@
 def check_secrets(
     steps: Sequence[str], secrets: SecretSettings
 ) -> Iterator[Finding]:
-    """Finds keys that are too short to sign with, and bad digests."""
+    """Yields findings for short signing keys and invalid digests."""
     key = secrets.session_key
     if key and len(key) < MIN_SESSION_KEY_LENGTH:
         yield Finding(
@@ -153,7 +162,7 @@
 
 
 def check_edge(steps: Sequence[str], edge: EdgeSettings) -> Iterator[Finding]:
-    """Finds limits that can't be."""
+    """Yields findings for limits that are not positive or contradictory."""
     for field in attrs.fields(EdgeSettings):
         value = getattr(edge, field.name)
         if isinstance(value, int | float) and not isinstance(value, bool):
--- a/tests/unit/test_check_settings.py
+++ b/tests/unit/test_check_settings.py
@@ -1,4 +1,8 @@
-"""Settings are checked before a process starts."""
+"""Settings are checked before a process starts.
+
+Each case replaces a part of valid settings, and expects the message and the line
+of the error.
+"""
 
 import os
 import socket
@@ -22,7 +26,7 @@
     "certificate without key": (
         "port = 8080",
         'port = 8080\ncertificate = "/absent.pem"',
-        "'certificate' and 'key' come together; give both",
+        "'certificate' and 'key' have to be given together; give both",
         "certificate",
     ),
     "port": ("8080", "80800", "port 80800 does not exist; give 0", "port"),
@@ -35,7 +39,7 @@
     "advertise nothing": (
         'advertise = "10.0.0.4"\n',
         "",
-        "0.0.0.0 can't be told to others; give the IP number",
+        "0.0.0.0 can't be advertised to other nodes; give the IP address",
         "[callers]",
     ),
     "table by name": (
@@ -107,7 +111,7 @@
 
 
 def start(path):
-    """Starts an entry that is expected to end at once."""
+    """Runs an entry that is expected to exit during its start."""
     return subprocess.run(
         [
             sys.executable,
