--- a/src/rattanpier/_internal/configuration/check.py
+++ b/src/rattanpier/_internal/configuration/check.py
@@ -1,4 +1,4 @@
-"""Checks a configuration before it may come into force."""
+"""Checks a configuration before it is put in force."""
 
 from __future__ import annotations
 
@@ -47,12 +47,12 @@
 def check_configuration(
     configuration: Configuration, text: str, file: str = "configuration"
 ) -> list[Problem]:
-    """Returns all that is wrong with a configuration; none: it may be used.
+    """Returns the problems of a configuration; it may be used if none.
 
     Args:
       configuration: The configuration as parsed.
       text: Its TOML text, to find the lines.
-      file: Name of the file, for the reports.
+      file: Name of the file, for the messages.
     """
     findings = (finding for check in CHECKS for finding in check(configuration))
     return list(locate_findings(findings, text, file))
@@ -61,7 +61,11 @@
 def require_valid(
     configuration: Configuration, text: str, file: str = "configuration"
 ) -> None:
-    """Raises ConfigurationError with all that is wrong, a line each."""
+    """Raises an error if a configuration has problems.
+
+    Raises:
+      ConfigurationError: There are problems; the message has a line for each.
+    """
     problems = check_configuration(configuration, text, file)
     if problems:
         raise ConfigurationError(
@@ -71,14 +75,14 @@
 
 
 def check_fleet(configuration: Configuration) -> Iterator[Finding]:
-    """Finds sizes and rates that can't be."""
+    """Yields findings for sizes and rates that are not positive."""
     for name in POSITIVE_FLEET_FIELDS:
         value = getattr(configuration.fleet, name)
         yield from check_positive(("fleet", name), value)
 
 
 def check_versions(configuration: Configuration) -> Iterator[Finding]:
-    """Finds versions that no worker has, and numbers that can't be."""
+    """Yields findings for unserved versions and invalid prices or quality."""
     served = {
         version
         for upstream in configuration.upstreams.values()
@@ -102,7 +106,7 @@
 
 
 def check_upstreams(configuration: Configuration) -> Iterator[Finding]:
-    """Finds what is wrong with pools and their workers."""
+    """Yields findings for upstreams and their workers."""
     owners: dict[str, str] = {}
     for name, upstream in configuration.upstreams.items():
         steps = ("upstreams", name)
@@ -129,7 +133,7 @@
 def check_non_repeatable(
     steps: Sequence[str], upstream: Upstream
 ) -> Iterator[Finding]:
-    """Finds calls that are not written as method and path."""
+    """Yields a finding for each call that is not a method and a path."""
     for call in upstream.non_repeatable:
         method, _, path = call.partition(" ")
         if method not in HTTP_METHODS or not path.startswith("/"):
@@ -146,7 +150,7 @@
     upstream: Upstream,
     worker: Worker,
 ) -> Iterator[Finding]:
-    """Finds what is wrong with one worker."""
+    """Yields the findings for one worker."""
     yield from check_url((*steps, "url"), worker.url)
     yield from check_not_empty((*steps, "domain"), worker.domain)
     yield from check_positive((*steps, "slots"), worker.slots)
@@ -163,7 +167,7 @@
 
 
 def check_workspaces(configuration: Configuration) -> Iterator[Finding]:
-    """Finds unknown names, shared keys, and numbers that can't be."""
+    """Yields findings for workspaces, including keys that are shared."""
     owners: dict[str, str] = {}
     for name, workspace in configuration.workspaces.items():
         steps = ("workspaces", name)
@@ -184,7 +188,7 @@
 def check_workspace(
     configuration: Configuration, steps: Sequence[str], workspace: Workspace
 ) -> Iterator[Finding]:
-    """Finds what is wrong with one workspace, but for its keys."""
+    """Yields the findings for one workspace, except for its keys."""
     for version in workspace.versions:
         yield from check_known(
             (*steps, "versions"), "version", version, configuration.versions
@@ -207,7 +211,7 @@
 
 
 def check_cascades(configuration: Configuration) -> Iterator[Finding]:
-    """Finds cascades without steps, with unknown or repeated ones."""
+    """Yields findings for empty cascades and unknown or repeated steps."""
     for name, cascade in configuration.cascades.items():
         steps = ("cascades", name, "steps")
         if not cascade.steps:
@@ -227,7 +231,7 @@
 
 
 def check_rollouts(configuration: Configuration) -> Iterator[Finding]:
-    """Finds what is wrong with roll-outs."""
+    """Yields findings for roll-outs, including two from one version."""
     running: dict[str, str] = {}
     for name, rollout in configuration.rollouts.items():
         steps = ("rollouts", name)
@@ -247,7 +251,7 @@
 def check_rollout(
     configuration: Configuration, steps: Sequence[str], rollout: Rollout
 ) -> Iterator[Finding]:
-    """Finds what is wrong with one roll-out."""
+    """Yields the findings for one roll-out."""
     for field in ("stable", "candidate"):
         yield from check_known(
             (*steps, field),
@@ -278,10 +282,11 @@
 
 
 def parse_and_check(text: str, file: str = "configuration") -> Configuration:
-    """Returns a configuration from its TOML text, parsed and checked.
+    """Parses and checks the TOML text of a configuration.
 
     Raises:
-      ConfigurationError: The text can't be used; names every line at fault.
+      ConfigurationError: The text is invalid. The message has a line for each
+        error.
     """
     configuration = parse_configuration(text, file)
     require_valid(configuration, text, file)
