--- a/src/rattanpier/_internal/configuration/check_rules.py
+++ b/src/rattanpier/_internal/configuration/check_rules.py
@@ -1,4 +1,4 @@
-"""Checks of the when-then rules: names, actions, reach."""
+"""Checks routing rules: names, conditions, actions and reachability."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 def check_rules(configuration: Configuration) -> Iterator[Finding]:
-    """Finds what is wrong with each rule, and between rules."""
+    """Yields findings for single rules and for conflicts between rules."""
     seen: dict[str, int] = {}
     for number, rule in enumerate(configuration.rules):
         steps = ("rules", str(number))
@@ -58,7 +58,7 @@
 def check_when(
     configuration: Configuration, steps: Sequence[str], when: When
 ) -> Iterator[Finding]:
-    """Finds unknown names and conditions that never hold."""
+    """Yields findings for unknown names and conditions that never hold."""
     steps = (*steps, "when")
     for name in when.workspaces or []:
         yield from check_known(
@@ -95,7 +95,7 @@
 def check_then(
     configuration: Configuration, steps: Sequence[str], then: Then
 ) -> Iterator[Finding]:
-    """Finds none or several actions, and unknown names in them."""
+    """Yields findings unless there is exactly one, valid action."""
     steps = (*steps, "then")
     given = [
         name for name, value in attrs.asdict(then).items() if value is not None
@@ -132,11 +132,11 @@
 def check_allowed(
     configuration: Configuration, number: int
 ) -> Iterator[Finding]:
-    """Finds workspaces that reach what they may not use.
+    """Yields findings for workspaces that a rule routes to what they may not use.
 
-    A cascade must fit every workspace that reaches it. A version or a service
-    must fit the workspaces that the rule names; for others, a rule that
-    matches them is the ordinary way to refuse.
+    All versions of a cascade must be allowed for every workspace that can reach
+    the rule. A version or a service must be allowed only for the workspaces
+    that the rule names: requests of others are refused, which is intended.
     """
     rule = configuration.rules[number]
     steps = ("rules", str(number), "then")
@@ -162,7 +162,7 @@
     then: Then,
     name: str,
 ) -> Iterator[Finding]:
-    """Finds a version or service that a workspace named may not use."""
+    """Yields findings for a version or service not allowed for a workspace."""
     workspace = configuration.workspaces[name]
     lists = {"version": workspace.versions, "service": workspace.services}
     known = {
@@ -180,7 +180,7 @@
 def not_allowed_finding(
     steps: Sequence[str], how: str, what: str, workspace: str
 ) -> Finding:
-    """Returns the finding for something that a workspace may not use."""
+    """Returns the finding for a target that a workspace may not use."""
     return Finding(
         steps,
         f"{how} {what!r}, which workspace {workspace!r} may not use",
@@ -189,7 +189,7 @@
 
 
 def cascade_steps(configuration: Configuration, then: Then) -> list[str]:
-    """Returns the known versions of a rule's cascade."""
+    """Returns the versions of a rule's cascade that are defined."""
     cascade = configuration.cascades.get(then.cascade or "")
     steps = cascade.steps if cascade else []
     return [step for step in steps if step in configuration.versions]
@@ -198,7 +198,7 @@
 def reaching_workspaces(
     configuration: Configuration, number: int
 ) -> Iterator[str]:
-    """Yields the workspaces that can reach a rule."""
+    """Yields the names of the workspaces whose requests can reach a rule."""
     rule = configuration.rules[number]
     for name in configuration.workspaces:
         if name not in (rule.when.workspaces or configuration.workspaces):
@@ -212,7 +212,7 @@
 
 
 def check_reachable(configuration: Configuration) -> Iterator[Finding]:
-    """Finds rules behind one that matches all that they match."""
+    """Yields a finding for each rule that an earlier rule makes unreachable."""
     workspaces = list(configuration.workspaces)
     for number, rule in enumerate(configuration.rules):
         covering = find_covering_rule(
@@ -230,7 +230,7 @@
 def find_covering_rule(
     earlier: Sequence[Rule], rule: Rule, workspaces: list[str]
 ) -> Rule | None:
-    """Returns the first rule that matches all that a later one matches."""
+    """Returns the first earlier rule that covers a rule, or None."""
     when = rule.when
     if when.workspaces is None and workspaces:
         when = attrs.evolve(when, workspaces=workspaces)
@@ -238,7 +238,7 @@
 
 
 def covers(wide: When, narrow: When) -> bool:
-    """Says whether one set of conditions holds wherever another does.
+    """Returns whether one set of conditions holds wherever another does.
 
     >>> covers(When(stream=True), When(stream=True, models=["m"]))
     True
@@ -259,14 +259,14 @@
 
 
 def covers_list(wide: list[str] | None, narrow: list[str] | None) -> bool:
-    """Says whether one condition on a name takes in another."""
+    """Returns whether one condition on names covers another."""
     if wide is None:
         return True
     return narrow is not None and set(narrow) <= set(wide)
 
 
 def covers_tokens(wide: When, narrow: When) -> bool:
-    """Says whether one range of prompt tokens takes in another."""
+    """Returns whether one range of prompt tokens covers another."""
     least = narrow.min_prompt_tokens or 0
     most = narrow.max_prompt_tokens
     low = wide.min_prompt_tokens
