--- a/src/rattanpier/_internal/configuration/check_rules.py
+++ b/src/rattanpier/_internal/configuration/check_rules.py
@@ -132,11 +132,12 @@
 def check_allowed(
     configuration: Configuration, number: int
 ) -> Iterator[Finding]:
-    """Yields findings for workspaces that a rule routes to what they may not use.
+    """Yields findings for targets that workspaces at a rule may not use.
 
     All versions of a cascade must be allowed for every workspace that can reach
     the rule. A version or a service must be allowed only for the workspaces
-    that the rule names: requests of others are refused, which is intended.
+    that the rule names. For other workspaces, a rule that matches them is the
+    usual way to refuse their requests.
     """
     rule = configuration.rules[number]
     steps = ("rules", str(number), "then")
--- a/src/rattanpier/_internal/configuration/check_settings.py
+++ b/src/rattanpier/_internal/configuration/check_settings.py
@@ -88,7 +88,8 @@
     if (listen.advertise or listen.host) in UNSPECIFIED_ADDRESSES:
         yield Finding(
             (*steps, "advertise"),
-            f"{listen.advertise or listen.host} can't be advertised to other nodes",
+            f"{listen.advertise or listen.host} can't be advertised to other "
+            "nodes",
             "give the IP address of the VM as 'advertise'",
         )
     if bool(listen.certificate) != bool(listen.key):
--- a/tests/unit/test_check_settings.py
+++ b/tests/unit/test_check_settings.py
@@ -1,7 +1,7 @@
 """Settings are checked before a process starts.
 
-Each case replaces a part of valid settings, and expects the message and the line
-of the error.
+Each case replaces a part of valid settings and expects the message and the
+line of the error.
 """
 
 import os
