--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -20,7 +20,7 @@
 from tests.lib.cluster import Cluster
 from tests.lib.operators import Operator, find_operator
 
-WATCHED_S = 10.0  # Until a control process has watched the members enough.
+WATCH_MEMBERS_S = 10.0  # Until a control process has watched long enough.
 FROZEN_CHANGES = 2
 
 
@@ -34,7 +34,7 @@
     return time.monotonic() - started
 
 
-async def reads_of(cluster: Cluster) -> int:
+async def count_reads(cluster: Cluster) -> int:
     """Returns how many reads reached the store."""
     url = f"{cluster.urls['table']}/standin/stats"
     async with cluster.session.get(url) as response:
@@ -58,10 +58,10 @@
         for number in range(entries):
             await cluster.start_entry(f"entry-{number}")
         operator = await find_operator(cluster)
-        await asyncio.sleep(WATCHED_S)
-        reads = await reads_of(cluster)
+        await asyncio.sleep(WATCH_MEMBERS_S)
+        reads = await count_reads(cluster)
         await asyncio.sleep(5.0)
-        reads = await reads_of(cluster) - reads
+        reads = await count_reads(cluster) - reads
         healthy = [
             await change(operator, text, number) for number in range(changes)
         ]
@@ -86,9 +86,9 @@
       changes: Changes made while all is well.
     """
     with tempfile.TemporaryDirectory() as folder:
-        found = asyncio.run(measure(entries, changes, folder))
+        results = asyncio.run(measure(entries, changes, folder))
     console = Console(width=100)
-    for name, value in found.items():
+    for name, value in results.items():
         console.print(name, value)
 
 
--- a/tests/failure/test_configuration_currency.py
+++ b/tests/failure/test_configuration_currency.py
@@ -19,9 +19,9 @@
     return await Fleet().start()
 
 
-def outdated(fleet):
+def find_outdated(fleet):
     """Nodes that would start work by less than what is in force."""
-    revisions = [node.works_by() for node in fleet.entries]
+    revisions = [node.serving_revision() for node in fleet.entries]
     return [r for r in revisions if r is not None and r < fleet.in_force()]
 
 
@@ -31,7 +31,7 @@
     while fleet.in_force() < revision:
         assert fleet.clock.now - started < limit_s, "never reported"
         await fleet.run(0.25)
-        assert not outdated(fleet)
+        assert not find_outdated(fleet)
     return fleet.clock.now - started
 
 
@@ -42,78 +42,84 @@
 
 
 @pytest.mark.parametrize("cut", [["table"], ["peers"], ["table", "peers"]])
-async def test_cut_node_never_works_by_an_older_revision(fleet, cut):
+async def test_partitioned_node_never_uses_an_older_revision(fleet, cut):
     await fleet.run(10.0)
     node = fleet.entries[0]
-    node.table.cut = "table" in cut
-    node.peers_cut = "peers" in cut
+    node.table.partitioned = "table" in cut
+    node.isolated = "peers" in cut
     assert await fleet.control.propose(fleet.text)
     assert await run_until_in_force(fleet, 2) < IN_FORCE_S
     await fleet.run(10.0)
-    assert not outdated(fleet)
+    assert not find_outdated(fleet)
     # Cut from one side it hears from the other; cut from both it refuses.
-    assert node.works_by() == (None if len(cut) == 2 else 2)
-    node.table.cut = node.peers_cut = False
+    assert node.serving_revision() == (None if len(cut) == 2 else 2)
+    node.table.partitioned = node.isolated = False
     await fleet.run(1.0)
-    assert node.works_by() == 2
+    assert node.serving_revision() == 2
 
 
-async def test_frozen_node_thaws_out_of_date(fleet):
+async def test_resumed_node_is_out_of_date(fleet):
     await fleet.run(10.0)
     node = fleet.entries[0]
     node.frozen = True
     assert await fleet.control.propose(fleet.text)
     assert await run_until_in_force(fleet, 2) < IN_FORCE_S
     node.frozen = False
-    assert node.works_by() is None
+    assert node.serving_revision() is None
     await fleet.run(1.0)
-    assert node.works_by() == 2
+    assert node.serving_revision() == 2
 
 
-async def test_store_outage_without_a_change_lets_all_go_on(fleet):
+async def test_store_outage_without_a_change_stops_no_node(fleet):
     for node in fleet.nodes.values():
-        node.table.cut = True
+        node.table.partitioned = True
     gaps = 0
     for _ in range(240):
         await fleet.run(0.25)
-        gaps += sum(node.works_by() is None for node in fleet.entries)
+        gaps += sum(node.serving_revision() is None for node in fleet.entries)
     assert gaps == 0
 
 
-async def test_store_outage_that_only_a_minority_sees_stops_it(fleet):
+async def test_minority_without_store_and_peers_stops(fleet):
     for node in fleet.entries[:2]:
-        node.table.cut = node.peers_cut = True
+        node.table.partitioned = node.isolated = True
     await fleet.run(5.0)
-    assert [node.works_by() for node in fleet.entries] == [None, None, 1, 1, 1]
+    assert [node.serving_revision() for node in fleet.entries] == [
+        None,
+        None,
+        1,
+        1,
+        1,
+    ]
 
 
-async def test_outage_with_a_change_accepted_just_before(fleet):
+async def test_change_before_an_outage_is_not_reported_too_early(fleet):
     await fleet.run(10.0)
     # Three of five and the control process lose the store and each other;
     # nothing may be reported while they may take it for an outage.
     for node in fleet.entries[:3]:
-        node.table.cut = True
+        node.table.partitioned = True
     control = fleet.control
-    control.peers_cut = True
+    control.isolated = True
     assert await control.propose(fleet.text)
     for node in fleet.entries[3:]:
-        node.peers_cut = True
+        node.isolated = True
     await fleet.run(20.0)
-    assert fleet.in_force() == 1 or not outdated(fleet)
-    working = [node.works_by() for node in fleet.entries]
+    assert fleet.in_force() == 1 or not find_outdated(fleet)
+    working = [node.serving_revision() for node in fleet.entries]
     assert working == [1, 1, 1, 2, 2]
     assert fleet.in_force() < 2
     for node in fleet.nodes.values():
-        node.table.cut = node.peers_cut = False
+        node.table.partitioned = node.isolated = False
     await run_until_in_force(fleet, 2)
 
 
-async def test_restart_of_all_nodes_does_not_go_back(fleet):
+async def test_restart_of_all_nodes_does_not_restore_an_older_revision(fleet):
     await fleet.run(10.0)
     assert await fleet.control.propose(fleet.text)
     await run_until_in_force(fleet, 2)
     for node in fleet.entries:
-        node.table.cut = True
+        node.table.partitioned = True
     for node in fleet.entries:
         await node.start()
     await fleet.run(1.0)
@@ -121,68 +127,70 @@
     for node in fleet.entries:
         node.follower.apply_revision(1, fleet.text)
     await fleet.run(10.0)
-    assert not outdated(fleet)
+    assert not find_outdated(fleet)
     for node in fleet.entries:
-        node.table.cut = False
+        node.table.partitioned = False
     await fleet.run(1.0)
-    assert [node.works_by() for node in fleet.entries] == [2] * 5
+    assert [node.serving_revision() for node in fleet.entries] == [2] * 5
 
 
-async def test_restarted_nodes_do_not_vote_for_what_a_stale_peer_gave(fleet):
+async def test_restarted_node_does_not_vote_for_a_stale_peers_revision(fleet):
     await fleet.run(10.0)
     stale = fleet.entries[:2]
     for node in stale:
-        node.side, node.table.cut = 1, True
+        node.partition, node.table.partitioned = 1, True
     assert await fleet.control.propose(fleet.text)
     await run_until_in_force(fleet, 2)
     restarted = fleet.entries[2]
-    restarted.side, restarted.table.cut = 1, True
+    restarted.partition, restarted.table.partitioned = 1, True
     await restarted.start()
     await fleet.run(10.0)
     assert restarted.follower.revision == 1
-    assert [node.works_by() for node in [*stale, restarted]] == [None] * 3
+    assert [node.serving_revision() for node in [*stale, restarted]] == [
+        None
+    ] * 3
 
 
-async def test_old_peer_can_not_push_a_node_back(fleet):
+async def test_push_of_an_older_revision_is_ignored(fleet):
     assert await fleet.control.propose(fleet.text)
     await fleet.run(2.0)
     node = fleet.entries[0]
     assert not node.follower.apply_revision(1, fleet.text)
-    assert node.works_by() == 2
+    assert node.serving_revision() == 2
 
 
-async def test_store_that_went_back_confirms_nobody(fleet):
+async def test_restored_store_with_an_older_revision_confirms_no_node(fleet):
     assert await fleet.control.propose(fleet.text)
     await fleet.run(2.0)
     for key in ("config/head", "config/revision/000000002"):
         del fleet.table.rows[key]
     await fleet.run(5.0)
-    assert [node.works_by() for node in fleet.entries] == [None] * 5
+    assert [node.serving_revision() for node in fleet.entries] == [None] * 5
 
 
-async def test_node_whose_row_was_removed_does_not_count_itself_current(fleet):
+async def test_node_whose_row_was_removed_becomes_out_of_date(fleet):
     node = fleet.entries[0]
     del fleet.table.rows[f"member/{node.name}"]
-    node.peers_cut = True
+    node.isolated = True
     await fleet.run(2 * 4.0 + 0.5)
-    assert node.works_by() is None
+    assert node.serving_revision() is None
 
 
-async def test_wall_clock_steps_change_nothing(fleet):
+async def test_wall_clock_steps_do_not_stop_nodes(fleet):
     for step in (-86_400.0, 86_400.0):
         fleet.clock.wall += step
         await fleet.run(1.0)
-        assert [node.works_by() for node in fleet.entries] == [1] * 5
+        assert [node.serving_revision() for node in fleet.entries] == [1] * 5
 
 
-async def act(fleet, rng):
+async def apply_random_fault(fleet, rng):
     """Lets one thing happen to the fleet."""
     node = rng.choice(fleet.entries)
     match rng.randrange(12):
         case 0 | 1:
-            node.table.cut = not node.table.cut
+            node.table.partitioned = not node.table.partitioned
         case 2:
-            node.side = rng.choice([0, 1, node.name])
+            node.partition = rng.choice([0, 1, node.name])
         case 3:
             node.frozen = not node.frozen
         case 4 | 5:
@@ -190,58 +198,58 @@
                 await node.start()
         case 6 | 7:
             for each in rng.sample(fleet.entries, rng.choice([2, 3])):
-                each.side, each.table.cut = 1, True
+                each.partition, each.table.partitioned = 1, True
         case 8:
             down = rng.random() < 0.5
             for each in fleet.entries:
-                each.table.cut = down
+                each.table.partitioned = down
         case 9 | 10:
             await fleet.control.propose(fleet.text)
         case 11:
             for each in fleet.nodes.values():
-                each.table.cut = each.frozen = False
-                each.side = 0
+                each.table.partitioned = each.frozen = False
+                each.partition = 0
 
 
-async def run_random(seed, steps=60):
+async def run_random_history(seed, steps=60):
     """Runs a random history; returns nodes outdated and revisions reported."""
     rng = random.Random(seed)
     fleet = await Fleet().start()
     await fleet.run(9.0)
     wrong = 0
     for _ in range(steps):
-        await act(fleet, rng)
+        await apply_random_fault(fleet, rng)
         for _ in range(rng.choice([1, 1, 4, 24])):
             await fleet.run(0.25)
-            wrong += len(outdated(fleet))
+            wrong += len(find_outdated(fleet))
     return wrong, fleet.in_force()
 
 
 @pytest.mark.parametrize("seed", range(0, 40, 8))
-async def test_random_histories(seed):
+async def test_no_node_is_outdated_in_random_histories(seed):
     reported = 0
     for number in range(seed, seed + 8):
-        wrong, in_force = await run_random(number)
+        wrong, in_force = await run_random_history(number)
         assert wrong == 0, f"seed {number}"
         reported += in_force
     assert reported > 8
 
 
-async def test_restarted_node_does_not_go_back_to_what_a_peer_lends(fleet):
+async def test_restarted_node_does_not_use_a_stale_peers_revision(fleet):
     # As in specs/configuration.prism without SERVE_AFTER_READ.
     await fleet.run(10.0)
     stale, restarted = fleet.entries[:2]
-    stale.table.cut, stale.side = True, 1
+    stale.table.partitioned, stale.partition = True, 1
     assert await fleet.control.propose(fleet.text)
     await fleet.run(0.25)
-    assert restarted.works_by() == 2
-    restarted.table.cut, restarted.side = True, 1
+    assert restarted.serving_revision() == 2
+    restarted.table.partitioned, restarted.partition = True, 1
     await restarted.start()
-    worked_by = set()
+    served_revisions = set()
     for _ in range(20):
         await fleet.run(0.25)
-        worked_by.add(restarted.works_by())
-    assert worked_by == {None}
-    restarted.table.cut, restarted.side = False, 0
+        served_revisions.add(restarted.serving_revision())
+    assert served_revisions == {None}
+    restarted.table.partitioned, restarted.partition = False, 0
     await fleet.run(1.0)
-    assert restarted.works_by() == 2
+    assert restarted.serving_revision() == 2
--- a/tests/lib/config_fleet.py
+++ b/tests/lib/config_fleet.py
@@ -39,27 +39,27 @@
 TICK_S = 0.25
 
 
-class CutTable:
+class PartitionableTable:
     """One node's way to the shared store."""
 
     def __init__(self, table):
         self.table = table
-        self.cut = False
+        self.partitioned = False
 
-    def check(self):
-        if self.cut:
+    def raise_if_partitioned(self):
+        if self.partitioned:
             raise StoreUnavailableError("cut off")
 
     async def get(self, key):
-        self.check()
+        self.raise_if_partitioned()
         return await self.table.get(key)
 
     async def scan(self, prefix, after="", limit=500):
-        self.check()
+        self.raise_if_partitioned()
         return await self.table.scan(prefix, after, limit)
 
     async def transact(self, transaction):
-        if self.cut:
+        if self.partitioned:
             return NotRun("cut off")
         return await self.table.transact(transaction)
 
@@ -71,18 +71,18 @@
         self.fleet = fleet
         self.name = name
         self.role = role
-        self.table = CutTable(fleet.table)
+        self.table = PartitionableTable(fleet.table)
         self.frozen = False
-        self.side = 0  # Peers reach each other on the same side only.
+        self.partition = 0  # Peers reach each other on the same side only.
         self.next_poll = 0.0
 
     @property
-    def peers_cut(self):
-        return self.side == self.name
+    def isolated(self):
+        return self.partition == self.name
 
-    @peers_cut.setter
-    def peers_cut(self, cut):
-        self.side = self.name if cut else 0
+    @isolated.setter
+    def isolated(self, isolated):
+        self.partition = self.name if isolated else 0
 
     async def start(self):
         me = Member(
@@ -154,7 +154,7 @@
         self.inforce.begin(change)
         return True
 
-    def works_by(self):
+    def serving_revision(self):
         """The revision it would start work by now; None if it refuses."""
         if self.frozen or not self.currency.is_current():
             return None
@@ -170,7 +170,7 @@
 
     async def call(self, call, _timeout_s):
         receiver = self.receiver
-        if receiver.frozen or receiver.side != self.sender.side:
+        if receiver.frozen or receiver.partition != self.sender.partition:
             raise PeerUnavailableError("cut off")
         handlers = {
             "currency": receiver.currency.serve,
--- a/tests/lib/configuration_machine.py
+++ b/tests/lib/configuration_machine.py
@@ -76,11 +76,11 @@
 
     @rule(number=ENTRIES, cut=st.booleans())
     def store_cut(self, number, cut):
-        self.fleet.entries[number].table.cut = cut
+        self.fleet.entries[number].table.partitioned = cut
 
     @rule(number=ENTRIES, side=st.integers(0, 1))
     def peers_cut(self, number, side):
-        self.fleet.entries[number].side = side
+        self.fleet.entries[number].partition = side
 
     @rule(number=ENTRIES)
     def cut_off(self, number):
@@ -91,7 +91,7 @@
     def store_fails(self, cut):
         """store_fails, store_back."""
         for node in self.fleet.nodes.values():
-            node.table.cut = cut
+            node.table.partitioned = cut
 
     @rule(number=ENTRIES)
     def restart(self, number):
@@ -115,12 +115,12 @@
 
     def check_working(self):
         for node in self.fleet.entries:
-            works_by = node.works_by()
-            if works_by is None:
+            serving_revision = node.serving_revision()
+            if serving_revision is None:
                 continue
-            assert works_by >= self.fleet.in_force()
-            assert works_by >= self.newest.get(node.name, 0)
-            self.newest[node.name] = works_by
+            assert serving_revision >= self.fleet.in_force()
+            assert serving_revision >= self.newest.get(node.name, 0)
+            self.newest[node.name] = serving_revision
 
     @invariant()
     def accepted_changes_are_never_lost(self):
--- a/tests/unit/test_check.py
+++ b/tests/unit/test_check.py
@@ -19,19 +19,19 @@
     return check_configuration(parse_configuration(text), text, "c.toml")
 
 
-def broken(old, new):
+def replace_once(old, new):
     assert old in CONFIGURATION
     return CONFIGURATION.replace(old, new, 1)
 
 
-def rule(conditions, name="late", action='then.cascade = "cheap"'):
+def build_rule(conditions, name="late", action='then.cascade = "cheap"'):
     lines = "\n".join(f"when.{condition}" for condition in conditions)
     return f'[[rules]]\nname = "{name}"\n{lines}\n{action}\n'
 
 
 # What is replaced, by what, what is said to be wrong, what would be right,
 # and a part of the line that is named.
-CASES = {
+INVALID_CASES = {
     "unknown version in a cascade": (
         'steps = ["small@1", "large@1"]',
         'steps = ["small@1", "lrge@1"]',
@@ -154,7 +154,7 @@
     ),
     "rule behind one that matches everything": (
         'then.cascade = "quick"\n',
-        'then.cascade = "quick"\n' + rule(['models = ["x"]']),
+        'then.cascade = "quick"\n' + build_rule(['models = ["x"]']),
         "rule 'late' is never reached: rule 'rest' before it",
         "move it before 'rest', or take it out",
         "[[rules]]",
@@ -298,10 +298,10 @@
 }
 
 
-@pytest.mark.parametrize("case", CASES)
-def test_refuses(case):
-    old, new, what, right, line = CASES[case]
-    text = broken(old, new)
+@pytest.mark.parametrize("case", INVALID_CASES)
+def test_reports_an_invalid_configuration(case):
+    old, new, what, right, line = INVALID_CASES[case]
+    text = replace_once(old, new)
     problems = check(text)
     assert len(problems) == 1, problems
     assert what in problems[0].what
@@ -310,16 +310,16 @@
 
 
 def test_names_the_line_of_the_rule_that_is_wrong():
-    text = broken(
+    text = replace_once(
         'then.cascade = "quick"\n',
-        'then.cascade = "quick"\n' + rule(['models = ["x"]']),
+        'then.cascade = "quick"\n' + build_rule(['models = ["x"]']),
     )
     (problem,) = check(text)
     assert text.splitlines()[problem.line] == 'name = "late"'
     assert str(problem).startswith(f"c.toml:{problem.line}: rule 'late'")
 
 
-LET_PASS = {
+VALID_CASES = {
     "as it is": ("", ""),
     "withdrawn version on no worker": (
         '[versions."large@1"]',
@@ -362,24 +362,24 @@
 }
 
 
-@pytest.mark.parametrize("case", LET_PASS)
-def test_lets_pass(case):
-    assert check(broken(*LET_PASS[case])) == []
+@pytest.mark.parametrize("case", VALID_CASES)
+def test_accepts_a_valid_configuration(case):
+    assert check(replace_once(*VALID_CASES[case])) == []
 
 
-def test_an_earlier_rule_keeps_a_workspace_from_a_cascade():
+def test_a_workspace_may_be_matched_by_an_earlier_rule():
     old = 'name = "notaries"\nwhen.workspaces = ["notary"]\n'
     assert check(CONFIGURATION) == []
-    problems = check(broken(old, f"{old}when.stream = true\n"))
+    problems = check(replace_once(old, f"{old}when.stream = true\n"))
     assert [problem.what for problem in problems] == [
         "cascade 'quick' goes through version 'large@1', which workspace "
         "'notary' may not use"
     ]
 
 
-def test_all_workspaces_named_is_as_wide_as_none():
+def test_naming_all_workspaces_equals_naming_none():
     problems = check(
-        broken(
+        replace_once(
             'name = "rest"\n',
             'name = "desk"\nwhen.workspaces = ["desk"]\n'
             'then.cascade = "quick"\n[[rules]]\nname = "rest"\n'
@@ -390,7 +390,9 @@
 
 
 def test_require_valid_raises_all_problems_at_once():
-    text = broken("share = 0.1", "share = 2").replace("size = 2", "size = 0")
+    text = replace_once("share = 0.1", "share = 2").replace(
+        "size = 2", "size = 0"
+    )
     with pytest.raises(ConfigurationError) as raised:
         require_valid(parse_configuration(text), text, "c.toml")
     assert raised.value.code == "bad_configuration"
--- a/tests/unit/test_check_parse.py
+++ b/tests/unit/test_check_parse.py
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("case", CASES)
-def test_says_where_and_what(case):
+def test_error_names_the_line_and_the_correction(case):
     text, report = CASES[case]
     with pytest.raises(ConfigurationError) as raised:
         parse_configuration(text, "c.toml")
--- a/tests/unit/test_check_settings.py
+++ b/tests/unit/test_check_settings.py
@@ -89,7 +89,7 @@
 
 
 @pytest.mark.parametrize("case", CASES)
-def test_refuses(case, tmp_path):
+def test_reports_an_invalid_setting(case, tmp_path):
     old, new, what, line = CASES[case]
     assert old in SETTINGS
     text = SETTINGS.replace(old, new, 1)
@@ -104,13 +104,13 @@
     assert line in text.splitlines()[number - 1]
 
 
-def test_lets_pass(tmp_path):
+def test_accepts_valid_settings(tmp_path):
     path = tmp_path / "s.toml"
     path.write_text(SETTINGS)
     assert load_settings(str(path)).node.name == "entry-1"
 
 
-def start(path):
+def run_entry(path):
     """Runs an entry that is expected to exit during its start."""
     return subprocess.run(
         [
@@ -127,7 +127,7 @@
 def test_a_process_does_not_start_with_bad_settings(tmp_path):
     path = tmp_path / "s.toml"
     path.write_text(SETTINGS.replace("8080", "80800"))
-    result = start(path)
+    result = run_entry(path)
     assert result.returncode == 2
     assert "bad_settings" in result.stderr
     assert "s.toml:10: port 80800 does not exist" in result.stderr
@@ -139,7 +139,7 @@
         port = str(taken.getsockname()[1])
         text = SETTINGS.replace("0.0.0.0", "127.0.0.1").replace("8080", port)
         path.write_text(text.replace("10.0.0.9", "127.0.0.1"))
-        result = start(path)
+        result = run_entry(path)
     assert result.returncode == 2
     assert "bad_settings" in result.stderr
     assert "the process can't start" in result.stderr
--- a/tests/unit/test_configuration_change.py
+++ b/tests/unit/test_configuration_change.py
@@ -25,7 +25,7 @@
 from tests.lib.clock import SkippingClock
 
 
-class LossyTable(MemoryTable):
+class FaultyTable(MemoryTable):
     """A table service whose writes meet the faults of a script.
 
     Each write takes the next of: "ok", "lost" (takes effect, no answer),
@@ -51,14 +51,14 @@
 
     async def deliver(self):
         late, self.late = self.late, []
-        return [await super(LossyTable, self).transact(t) for t in late]
+        return [await super(FaultyTable, self).transact(t) for t in late]
 
 
 def build_revision(number, change, text="x = 1\n"):
     return Revision(number, text, "test", change, 0.0)
 
 
-async def surely(table, revision):
+async def propose_with_timeout(table, revision):
     return await propose_with_retry(table, SkippingClock(), revision, 5.0)
 
 
@@ -72,9 +72,11 @@
         ["late", "drop", "refuse", "lost"],
     ],
 )
-async def test_lost_answer_ends_as_accepted_once(script):
-    table = LossyTable(*script)
-    assert await surely(table, build_revision(1, "a")) == Accepted(1)
+async def test_lost_answer_does_not_apply_a_change_twice(script):
+    table = FaultyTable(*script)
+    assert await propose_with_timeout(
+        table, build_revision(1, "a")
+    ) == Accepted(1)
     late = await table.deliver()
     assert await read_head(table) == 1
     assert (await read_revision(table, 1)).change == "a"
@@ -83,14 +85,14 @@
 
 
 async def test_refused_first_write_is_not_accepted():
-    table = LossyTable("refuse")
-    outcome = await surely(table, build_revision(1, "a"))
+    table = FaultyTable("refuse")
+    outcome = await propose_with_timeout(table, build_revision(1, "a"))
     assert outcome == NotAccepted("refused")
     assert await read_head(table) == 0
 
 
-async def test_lost_answer_under_a_race_shows_the_others_change():
-    table = LossyTable("drop")
+async def test_lost_answer_in_a_race_returns_the_other_change():
+    table = FaultyTable("drop")
     other = build_revision(1, "b")
 
     class RacingClock(SkippingClock):
@@ -104,18 +106,20 @@
     assert outcome == Raced(other)
 
 
-async def test_silent_store_leaves_the_change_undecided_then_fenced():
-    table = LossyTable(*["late"] * 100)
-    assert await surely(table, build_revision(1, "a")) == Undecided("a")
+async def test_unanswered_change_is_undecided_and_can_be_fenced():
+    table = FaultyTable(*["late"] * 100)
+    assert await propose_with_timeout(
+        table, build_revision(1, "a")
+    ) == Undecided("a")
     table.script.clear()
     assert await resolve_change(table, SkippingClock(), 1, "a", 5.0) == Fenced()
     await table.deliver()
     assert await read_head(table) == 0
 
 
-async def test_decide_after_the_late_write_landed_says_accepted():
-    table = LossyTable(*["late"] * 100)
-    await surely(table, build_revision(1, "a"))
+async def test_resolving_a_change_after_a_late_write_returns_accepted():
+    table = FaultyTable(*["late"] * 100)
+    await propose_with_timeout(table, build_revision(1, "a"))
     table.script.clear()
     await table.deliver()
     assert await resolve_change(
@@ -123,8 +127,8 @@
     ) == Accepted(1)
 
 
-async def test_fenced_writer_does_not_land_later():
-    table = LossyTable("drop")
+async def test_fenced_change_does_not_take_effect_later():
+    table = FaultyTable("drop")
 
     class FencingClock(SkippingClock):
         async def sleep(self, seconds):
--- a/tests/unit/test_configuration_edit.py
+++ b/tests/unit/test_configuration_edit.py
@@ -25,13 +25,13 @@
     assert found == tomllib.loads(text)
 
 
-def test_refuses_what_it_can_not_edit():
+def test_refuses_an_inline_table():
     text = 'versions = { "a@1" = { model = "a" } }\n'
     with pytest.raises(ConfigurationError):
         set_fields(text, ["versions", "a@1"], {"state": "withdrawn"})
 
 
-def test_leaves_a_multi_line_string_alone():
+def test_does_not_edit_a_multi_line_string():
     text = '[a]\nx = """\n[b.c]\n"""\n[b.c]\ny = 1\n'
     with pytest.raises(ConfigurationError):
         set_fields(text, ["b", "c"], {"y": 2.0})
