--- a/tests/unit/test_check.py
+++ b/tests/unit/test_check.py
@@ -1,4 +1,4 @@
-"""The check of a configuration: what it refuses, and what it lets pass."""
+"""The check of a configuration: which ones it refuses and accepts."""
 
 import pytest
 
@@ -29,8 +29,8 @@
     return f'[[rules]]\nname = "{name}"\n{lines}\n{action}\n'
 
 
-# What is replaced, by what, what is said to be wrong, what would be right,
-# and a part of the line that is named.
+# Replaced text, replacement, expected message, expected correction, and a part
+# of the line that the problem names.
 INVALID_CASES = {
     "unknown version in a cascade": (
         'steps = ["small@1", "large@1"]',
--- a/tests/unit/test_check_parse.py
+++ b/tests/unit/test_check_parse.py
@@ -1,4 +1,4 @@
-"""Texts that are not of the right shape: line, fault, and what is right."""
+"""Texts that don't match the schema: line, message and correction."""
 
 import pytest
 
