--- a/tests/unit/test_configuration_change.py
+++ b/tests/unit/test_configuration_change.py
@@ -1,4 +1,4 @@
-"""Changes end as accepted, raced or fenced, whatever the store loses."""
+"""Changes get a definite outcome although the store loses answers."""
 
 import asyncio
 
@@ -26,11 +26,11 @@
 
 
 class FaultyTable(MemoryTable):
-    """A table service whose writes meet the faults of a script.
+    """A table service whose writes fail as scripted.
 
-    Each write takes the next of: "ok", "lost" (takes effect, no answer),
-    "late" (no answer; takes effect when `deliver` is called), "drop" (never
-    takes effect, no answer), "refuse".
+    Each write takes the next step of the script: "ok", "lost" (takes effect
+    without an answer), "late" (no answer, takes effect when `deliver` is
+    called), "drop" (no answer, never takes effect) or "refuse".
     """
 
     def __init__(self, *script):
--- a/tests/unit/test_configuration_edit.py
+++ b/tests/unit/test_configuration_edit.py
@@ -1,4 +1,4 @@
-"""Edits of single fields keep the rest of the text."""
+"""Edits of single fields leave the rest of the text unchanged."""
 
 import tomllib
 
