--- a/tests/failure/test_configuration_currency.py
+++ b/tests/failure/test_configuration_currency.py
@@ -1,8 +1,8 @@
-"""Nodes cut off, frozen and restarted while the configuration changes.
+"""Nodes that are partitioned, frozen or restarted during changes.
 
-On a controlled clock, with the real code of all nodes in one process. A fault
-in these tests may hit any node at any moment; what has to hold is that no
-node works by a revision older than one that was reported in force.
+The real code of all nodes runs in one process on a controlled clock. Faults may
+hit any node at any time. No node may start work on a revision older than one
+that was reported in force.
 """
 
 import random
@@ -20,13 +20,13 @@
 
 
 def find_outdated(fleet):
-    """Nodes that would start work by less than what is in force."""
+    """Returns the revisions in use that are older than the one in force."""
     revisions = [node.serving_revision() for node in fleet.entries]
     return [r for r in revisions if r is not None and r < fleet.in_force()]
 
 
 async def run_until_in_force(fleet, revision, limit_s=60.0):
-    """Seconds until a revision was reported; nobody may be outdated."""
+    """Returns the seconds until a revision is in force on current nodes."""
     started = fleet.clock.now
     while fleet.in_force() < revision:
         assert fleet.clock.now - started < limit_s, "never reported"
@@ -51,7 +51,8 @@
     assert await run_until_in_force(fleet, 2) < IN_FORCE_S
     await fleet.run(10.0)
     assert not find_outdated(fleet)
-    # Cut from one side it hears from the other; cut from both it refuses.
+    # With only the store or only the peers out of reach, the other source
+    # confirms the revision. With neither, the node refuses work.
     assert node.serving_revision() == (None if len(cut) == 2 else 2)
     node.table.partitioned = node.isolated = False
     await fleet.run(1.0)
@@ -95,8 +96,9 @@
 
 async def test_change_before_an_outage_is_not_reported_too_early(fleet):
     await fleet.run(10.0)
-    # Three of five and the control process lose the store and each other;
-    # nothing may be reported while they may take it for an outage.
+    # Three of five entries lose the store, and the control process loses all
+    # peers. Nothing may be reported while the three are a majority that can
+    # vote for an outage of the store.
     for node in fleet.entries[:3]:
         node.table.partitioned = True
     control = fleet.control
@@ -123,7 +125,7 @@
     for node in fleet.entries:
         await node.start()
     await fleet.run(1.0)
-    # An old peer pushes what it still has; nobody takes it for current.
+    # A stale peer pushes the old revision, which must not become current.
     for node in fleet.entries:
         node.follower.apply_revision(1, fleet.text)
     await fleet.run(10.0)
@@ -184,7 +186,7 @@
 
 
 async def apply_random_fault(fleet, rng):
-    """Lets one thing happen to the fleet."""
+    """Injects one random fault, restart, repair or change."""
     node = rng.choice(fleet.entries)
     match rng.randrange(12):
         case 0 | 1:
@@ -212,7 +214,10 @@
 
 
 async def run_random_history(seed, steps=60):
-    """Runs a random history; returns nodes outdated and revisions reported."""
+    """Runs a random history of faults.
+
+    Returns how often a node was outdated, and the revision reported in force.
+    """
     rng = random.Random(seed)
     fleet = await Fleet().start()
     await fleet.run(9.0)
@@ -236,7 +241,8 @@
 
 
 async def test_restarted_node_does_not_use_a_stale_peers_revision(fleet):
-    # As in specs/configuration.prism without SERVE_AFTER_READ.
+    # The counterexample of specs/configuration.prism if SERVE_AFTER_READ is
+    # switched off.
     await fleet.run(10.0)
     stale, restarted = fleet.entries[:2]
     stale.table.partitioned, stale.partition = True, 1
