--- a/tests/lib/config_fleet.py
+++ b/tests/lib/config_fleet.py
@@ -1,7 +1,7 @@
-"""Nodes of a fleet in one process, on a clock that the test turns.
+"""A simulated fleet in one process, on a clock that the test advances.
 
-The nodes run the real code for following, currency, pushes and "in force";
-the store is shared, and links and stores can be cut.
+The nodes run the real code that follows, checks, broadcasts and tracks
+revisions. They share a store. Nodes can be partitioned from it and from peers.
 """
 
 import asyncio
@@ -40,7 +40,7 @@
 
 
 class PartitionableTable:
-    """One node's way to the shared store."""
+    """A node's connection to the shared store, which can be interrupted."""
 
     def __init__(self, table):
         self.table = table
@@ -65,7 +65,7 @@
 
 
 class Node:
-    """One process; `start` is also a restart that forgets everything."""
+    """One process. `start` also restarts it, which loses all its state."""
 
     def __init__(self, fleet, name, role):
         self.fleet = fleet
@@ -73,7 +73,7 @@
         self.role = role
         self.table = PartitionableTable(fleet.table)
         self.frozen = False
-        self.partition = 0  # Peers reach each other on the same side only.
+        self.partition = 0  # Peers reach each other within one only.
         self.next_poll = 0.0
 
     @property
@@ -120,7 +120,7 @@
         await self.follower.poll()
 
     async def register(self):
-        """Writes the own row, as a process does until it succeeds."""
+        """Writes the member row, as a process does until it succeeds."""
         put = Put(member_key(self.name), encode(self.members.me))
         outcome = await self.table.transact(Transaction(puts=[put]))
         self.registered = isinstance(outcome, Committed)
@@ -142,7 +142,7 @@
             await self.inforce.step(propagation)
 
     async def propose(self, text):
-        """Proposes a text to follow the head; True if it was accepted."""
+        """Proposes a text as the next revision; returns whether accepted."""
         try:
             revision = await read_head(self.table) + 1
             change = Revision(revision, text, self.name, uuid.uuid4().hex, 0.0)
@@ -155,14 +155,14 @@
         return True
 
     def serving_revision(self):
-        """The revision it would start work by now; None if it refuses."""
+        """Returns the revision in use for new work, None if it is refused."""
         if self.frozen or not self.currency.is_current():
             return None
         return self.follower.revision
 
 
 class FakeLink:
-    """Carries a call from one node to another, unless either is cut off."""
+    """Delivers a call to another node, unless they are partitioned."""
 
     def __init__(self, sender, receiver):
         self.sender = sender
@@ -180,7 +180,7 @@
 
 
 class Fleet:
-    """Entries and one control process over one store."""
+    """Entries and one control process that share a store."""
 
     def __init__(self, entries=5, size=5, validity_s=4.0):
         self.clock = ManualClock()
@@ -208,7 +208,7 @@
         return self
 
     async def run(self, seconds):
-        """Lets time pass for all nodes."""
+        """Advances the clock and runs all nodes."""
         end = self.clock.now + seconds
         while self.clock.now < end:
             for node in self.nodes.values():
@@ -217,7 +217,7 @@
             self.clock.now += TICK_S
 
     def in_force(self):
-        """The newest revision that was ever reported in force."""
+        """Returns the newest revision that was ever reported in force."""
         found = self.control.inforce.progress.value
         if found.in_force:
             self.reported = max(self.reported, found.revision)
