--- a/tests/lib/configuration_machine.py
+++ b/tests/lib/configuration_machine.py
@@ -1,7 +1,7 @@
-"""Drives the real configuration code through the specification's steps.
+"""Runs the real configuration code through the steps of its specification.
 
-Rules bear the names of commands of specs/configuration.prism, or of the cuts
-and freezes that there are steps left out.
+The docstring or name of a rule gives the commands of specs/configuration.prism
+that it stands for. Partitions and freezes are steps that don't happen there.
 """
 
 import asyncio
@@ -65,7 +65,7 @@
 
     @rule(back=st.integers(0, 1))
     def write_refused(self, back):
-        """told_raced: another operator on a base that is not the newest."""
+        """told_raced: another operator proposes a change on an old base."""
         head = self.run(read_head(self.fleet.table))
         rival = Revision(
             max(1, head - back), self.fleet.text, "rival", "rival", 0.0
