--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -1,7 +1,7 @@
-"""How fast a change is in force everywhere, over separate processes.
+"""Measures how fast a change is in force everywhere.
 
-Starts entries and two control processes on loopback, makes changes through
-the operators' interface, then freezes an entry and makes some more. Run:
+Starts entries and two control processes on loopback and makes changes through
+the operators' interface. Then it freezes one entry and makes more changes. Run:
 
     python -m benchmarks.configuration --entries 8 --changes 10
 """
@@ -20,12 +20,12 @@
 from tests.lib.cluster import Cluster
 from tests.lib.operators import Operator, find_operator
 
-WATCH_MEMBERS_S = 10.0  # Until a control process has watched long enough.
+WATCH_MEMBERS_S = 10.0  # Until control processes know all members.
 FROZEN_CHANGES = 2
 
 
 async def change(operator: Operator, text: str, number: int) -> float:
-    """Makes a change; returns the seconds until it was in force."""
+    """Makes a change and returns the seconds until it is in force."""
     base = (await operator.get("config"))["revision"]
     edited = text.replace("share = 1.0", f"share = {number + 2}.0")
     started = time.monotonic()
@@ -35,14 +35,14 @@
 
 
 async def count_reads(cluster: Cluster) -> int:
-    """Returns how many reads reached the store."""
+    """Returns the number of reads that the store has served."""
     url = f"{cluster.urls['table']}/standin/stats"
     async with cluster.session.get(url) as response:
         return (await response.json(content_type=None))["reads"]
 
 
 async def measure(entries: int, changes: int, folder: str) -> dict:
-    """Returns seconds of the changes, and reads of the store when idle."""
+    """Returns the seconds of all changes and the store's reads while idle."""
     async with Cluster(folder) as cluster:
         await cluster.start_table()
         url = await cluster.start_standin(
@@ -79,11 +79,11 @@
 
 
 def main(entries: int = 8, changes: int = 10) -> None:
-    """Measures one size of fleet.
+    """Measures a fleet of one size.
 
     Args:
-      entries: Entries to start.
-      changes: Changes made while all is well.
+      entries: Number of entries to start.
+      changes: Number of changes to make before an entry is frozen.
     """
     with tempfile.TemporaryDirectory() as folder:
         results = asyncio.run(measure(entries, changes, folder))
