--- a/tests/failure/test_configuration_currency.py
+++ b/tests/failure/test_configuration_currency.py
@@ -26,7 +26,10 @@
 
 
 async def run_until_in_force(fleet, revision, limit_s=60.0):
-    """Returns the seconds until a revision is in force on current nodes."""
+    """Returns the seconds until a revision is reported in force.
+
+    No node may be outdated meanwhile.
+    """
     started = fleet.clock.now
     while fleet.in_force() < revision:
         assert fleet.clock.now - started < limit_s, "never reported"
@@ -96,9 +99,9 @@
 
 async def test_change_before_an_outage_is_not_reported_too_early(fleet):
     await fleet.run(10.0)
-    # Three of five entries lose the store, and the control process loses all
-    # peers. Nothing may be reported while the three are a majority that can
-    # vote for an outage of the store.
+    # Three of five entries lose the store; the control process and the other
+    # two lose all peers. Nothing may be reported while the three are a
+    # majority that can vote for an outage of the store.
     for node in fleet.entries[:3]:
         node.table.partitioned = True
     control = fleet.control
@@ -241,8 +244,7 @@
 
 
 async def test_restarted_node_does_not_use_a_stale_peers_revision(fleet):
-    # The counterexample of specs/configuration.prism if SERVE_AFTER_READ is
-    # switched off.
+    # Corresponds to specs/configuration.prism without SERVE_AFTER_READ.
     await fleet.run(10.0)
     stale, restarted = fleet.entries[:2]
     stale.table.partitioned, stale.partition = True, 1
--- a/tests/lib/configuration_machine.py
+++ b/tests/lib/configuration_machine.py
@@ -1,7 +1,7 @@
 """Runs the real configuration code through the steps of its specification.
 
 The docstring or name of a rule gives the commands of specs/configuration.prism
-that it stands for. Partitions and freezes are steps that don't happen there.
+that it stands for. There, partitions and freezes are steps that are left out.
 """
 
 import asyncio
