--- a/tests/lib/config_fleet.py
+++ b/tests/lib/config_fleet.py
@@ -81,8 +81,8 @@
         return self.partition == self.name
 
     @isolated.setter
-    def isolated(self, isolated):
-        self.partition = self.name if isolated else 0
+    def isolated(self, value):
+        self.partition = self.name if value else 0
 
     async def start(self):
         me = Member(
