--- a/src/rattanpier/_internal/configuration/currency.py
+++ b/src/rattanpier/_internal/configuration/currency.py
@@ -1,7 +1,8 @@
 """Decides whether the configuration of this node is current.
 
-A node may start work only while it is current. One of these is sufficient, in
-this order (docs/design/configuration.md has the proof):
+A node may start work only while it is current. Once the store has confirmed a
+revision since the start of the process, one of these is sufficient, in this
+order (docs/design/configuration.md has the proof):
 
 * The store confirmed within the validity that no newer revision exists.
 * A peer on the same revision was confirmed within the validity.
@@ -102,7 +103,7 @@
         )
 
     async def run(self, kernel: Kernel) -> None:
-        """Asks peers while the store does not confirm, until the stop."""
+        """Asks peers while the store does not confirm, until the process stops."""
         while not kernel.stopping.is_set():
             await self.query_peers()
             self.record_transition()
