--- a/src/rattanpier/_internal/configuration/currency.py
+++ b/src/rattanpier/_internal/configuration/currency.py
@@ -103,7 +103,7 @@
         )
 
     async def run(self, kernel: Kernel) -> None:
-        """Asks peers while the store does not confirm, until the process stops."""
+        """Asks peers while the store does not confirm, until the stop."""
         while not kernel.stopping.is_set():
             await self.query_peers()
             self.record_transition()
--- a/src/rattanpier/_internal/configuration/follow.py
+++ b/src/rattanpier/_internal/configuration/follow.py
@@ -56,6 +56,8 @@
     """The configuration in force on this node.
 
     Attributes:
+      table: The store.
+      clock: Clock for polls and validities.
       current: Emits each configuration that comes into force.
       text: The TOML text of the configuration in force.
       me: The node's member row. Without it, nothing is confirmed.
