--- a/src/rattanpier/_internal/configuration/spread.py
+++ b/src/rattanpier/_internal/configuration/broadcast.py
@@ -1,8 +1,8 @@
-"""Pushes a revision along a tree of members.
+"""Broadcasts a revision along a tree of members.
 
-Each member passes the revision on to a fixed number of others, whatever the
-size of the fleet, and acknowledges for all below it. What a broken branch
-misses, the next round of the origin or the members' own polls bring.
+Each member relays the revision to a fixed number of children, whatever the size
+of the fleet, and acknowledges for its whole subtree. Members of a broken branch
+get the revision in the next round of the sender or by their own polls.
 """
 
 from __future__ import annotations
@@ -26,20 +26,20 @@
 LEVEL_TIMEOUT_S = 0.5
 
 
-def branches(names: Sequence[str]) -> list[list[str]]:
-    """Deals names out to at most `FAN_OUT` branches.
+def split_into_branches(names: Sequence[str]) -> list[list[str]]:
+    """Splits names into at most `FAN_OUT` branches, round-robin.
 
-    >>> branches(["a", "b", "c", "d", "e"])
+    >>> split_into_branches(["a", "b", "c", "d", "e"])
     [['a', 'e'], ['b'], ['c'], ['d']]
     """
     dealt = [list(names[start::FAN_OUT]) for start in range(FAN_OUT)]
     return [branch for branch in dealt if branch]
 
 
-def levels(size: int) -> int:
-    """Returns the depth of the tree under a branch's first member.
+def tree_depth(size: int) -> int:
+    """Returns the number of levels of a branch with `size` members.
 
-    >>> [levels(size) for size in (1, 2, 5, 6, 105)]
+    >>> [tree_depth(size) for size in (1, 2, 5, 6, 105)]
     [1, 2, 2, 3, 5]
     """
     depth = 1
@@ -50,46 +50,64 @@
 
 
 @attrs.define
-class Spreader:
-    """Sends and relays pushes."""
+class RevisionBroadcaster:
+    """Sends revisions to members and relays those of others.
+
+    Attributes:
+      follower: The configuration in force on this node.
+      members: The members of the fleet.
+      links: Links to peers.
+      metrics: Counts pushes and their bytes.
+    """
 
     follower: Follower
     members: Members
     links: Links
     metrics: Metrics
 
-    async def spread(
+    async def broadcast(
         self, revision: int, packed: bytes, targets: Sequence[Member]
     ) -> set[str]:
-        """Pushes a revision to members.
+        """Sends a revision to members along a tree.
 
         Args:
           revision: Its number.
-          packed: Its text, compressed.
+          packed: Its text, compressed by zlib.
           targets: Members to reach.
 
         Returns:
-          Ids of the members that are known to have it, or a newer one.
+          Incarnation ids of the members known to have it or a newer one.
         """
         by_name = {member.name: member for member in targets}
         replies = await asyncio.gather(
             *(
                 self.send(revision, packed, by_name[branch[0]], branch[1:])
-                for branch in branches(list(by_name))
+                for branch in split_into_branches(list(by_name))
             )
         )
         return {name for reply in replies for name in reply}
 
     async def send(
-        self, revision: int, packed: bytes, first: Member, relay: list[str]
+        self, revision: int, packed: bytes, head: Member, relay: list[str]
     ) -> list[str]:
-        """Pushes to the head of a branch; returns who acknowledged."""
+        """Sends a revision to the head of a branch.
+
+        Args:
+          revision: Its number.
+          packed: Its text, compressed by zlib.
+          head: First member of the branch.
+          relay: Names of the other members of the branch.
+
+        Returns:
+          Incarnation ids of the members that acknowledged; none if the head
+          did not answer in time.
+        """
         push = peer_pb2.ConfigPush(revision=revision, text=packed, relay=relay)
         self.metrics.count("config.pushes")
         self.metrics.count("config.push_bytes", push.ByteSize())
-        timeout_s = LEVEL_TIMEOUT_S * levels(len(relay) + 1)
+        timeout_s = LEVEL_TIMEOUT_S * tree_depth(len(relay) + 1)
         try:
-            reply = await self.links.to(first).call(
+            reply = await self.links.to(head).call(
                 peer_pb2.Call(config_push=push), timeout_s
             )
         except PeerUnavailableError:
@@ -97,13 +115,13 @@
         return list(reply.config_ack.members)
 
     async def serve(self, call: peer_pb2.Call) -> peer_pb2.Reply:
-        """Takes a push in, passes it on and acknowledges."""
+        """Applies a pushed revision, relays it and acknowledges."""
         push = call.config_push
         text = zlib.decompress(push.text).decode()
-        self.follower.enforce(push.revision, text)
+        self.follower.apply_revision(push.revision, text)
         live = self.members.live.value
         targets = [live[name] for name in push.relay if name in live]
-        acked = await self.spread(push.revision, push.text, targets)
+        acked = await self.broadcast(push.revision, push.text, targets)
         if self.follower.revision >= push.revision:
             acked.add(incarnation_id(self.members.me))
         ack = peer_pb2.ConfigAck(
--- a/src/rattanpier/_internal/configuration/check.py
+++ b/src/rattanpier/_internal/configuration/check.py
@@ -1,4 +1,4 @@
-"""Checks a configuration before it may come into force."""
+"""Checks a configuration before it is put in force."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
     Finding,
     Problem,
     check_digest,
-    check_filled,
+    check_fraction,
     check_known,
+    check_not_empty,
     check_not_negative,
     check_positive,
-    check_share,
     check_url,
-    locate,
+    locate_findings,
 )
 from rattanpier._internal.exceptions import ConfigurationError
 from rattanpier._internal.models.configuration import (
@@ -33,8 +33,8 @@
     Workspace,
 )
 
-METHODS = ("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS", "*")
-FLEET_NUMBERS = (
+HTTP_METHODS = ("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS", "*")
+POSITIVE_FLEET_FIELDS = (
     "size",
     "claim_shards",
     "store_writes_per_s",
@@ -47,21 +47,25 @@
 def check_configuration(
     configuration: Configuration, text: str, file: str = "configuration"
 ) -> list[Problem]:
-    """Returns all that is wrong with a configuration; none: it may be used.
+    """Returns the problems of a configuration; it may be used if none.
 
     Args:
       configuration: The configuration as parsed.
       text: Its TOML text, to find the lines.
-      file: Name of the file, for the reports.
+      file: Name of the file, for the messages.
     """
     findings = (finding for check in CHECKS for finding in check(configuration))
-    return list(locate(findings, text, file))
+    return list(locate_findings(findings, text, file))
 
 
 def require_valid(
     configuration: Configuration, text: str, file: str = "configuration"
 ) -> None:
-    """Raises ConfigurationError with all that is wrong, a line each."""
+    """Raises an error if a configuration has problems.
+
+    Raises:
+      ConfigurationError: There are problems; the message has a line for each.
+    """
     problems = check_configuration(configuration, text, file)
     if problems:
         raise ConfigurationError(
@@ -71,14 +75,14 @@
 
 
 def check_fleet(configuration: Configuration) -> Iterator[Finding]:
-    """Finds sizes and rates that can't be."""
-    for name in FLEET_NUMBERS:
+    """Yields findings for sizes and rates that are not positive."""
+    for name in POSITIVE_FLEET_FIELDS:
         value = getattr(configuration.fleet, name)
         yield from check_positive(("fleet", name), value)
 
 
 def check_versions(configuration: Configuration) -> Iterator[Finding]:
-    """Finds versions that no worker has, and numbers that can't be."""
+    """Yields findings for unserved versions and invalid prices or quality."""
     served = {
         version
         for upstream in configuration.upstreams.values()
@@ -87,8 +91,8 @@
     }
     for name, version in configuration.versions.items():
         steps = ("versions", name)
-        yield from check_filled((*steps, "model"), version.model)
-        yield from check_share((*steps, "quality"), version.quality)
+        yield from check_not_empty((*steps, "model"), version.model)
+        yield from check_fraction((*steps, "quality"), version.quality)
         for price in ("input_price", "output_price"):
             value = getattr(version, price)
             yield from check_not_negative((*steps, price), value)
@@ -102,7 +106,7 @@
 
 
 def check_upstreams(configuration: Configuration) -> Iterator[Finding]:
-    """Finds what is wrong with pools and their workers."""
+    """Yields findings for upstreams and their workers."""
     owners: dict[str, str] = {}
     for name, upstream in configuration.upstreams.items():
         steps = ("upstreams", name)
@@ -129,10 +133,10 @@
 def check_non_repeatable(
     steps: Sequence[str], upstream: Upstream
 ) -> Iterator[Finding]:
-    """Finds calls that are not written as method and path."""
+    """Yields a finding for each call that is not a method and a path."""
     for call in upstream.non_repeatable:
         method, _, path = call.partition(" ")
-        if method not in METHODS or not path.startswith("/"):
+        if method not in HTTP_METHODS or not path.startswith("/"):
             yield Finding(
                 (*steps, "non_repeatable"),
                 f"{call!r} is not a method and a path",
@@ -146,9 +150,9 @@
     upstream: Upstream,
     worker: Worker,
 ) -> Iterator[Finding]:
-    """Finds what is wrong with one worker."""
+    """Yields the findings for one worker."""
     yield from check_url((*steps, "url"), worker.url)
-    yield from check_filled((*steps, "domain"), worker.domain)
+    yield from check_not_empty((*steps, "domain"), worker.domain)
     yield from check_positive((*steps, "slots"), worker.slots)
     if worker.versions and upstream.kind is UpstreamKind.PLAIN:
         yield Finding(
@@ -163,7 +167,7 @@
 
 
 def check_workspaces(configuration: Configuration) -> Iterator[Finding]:
-    """Finds unknown names, shared keys, and numbers that can't be."""
+    """Yields findings for workspaces, including keys that are shared."""
     owners: dict[str, str] = {}
     for name, workspace in configuration.workspaces.items():
         steps = ("workspaces", name)
@@ -184,7 +188,7 @@
 def check_workspace(
     configuration: Configuration, steps: Sequence[str], workspace: Workspace
 ) -> Iterator[Finding]:
-    """Finds what is wrong with one workspace, but for its keys."""
+    """Yields the findings for one workspace, except for its keys."""
     for version in workspace.versions:
         yield from check_known(
             (*steps, "versions"), "version", version, configuration.versions
@@ -197,7 +201,9 @@
             plain_services(configuration),
         )
     yield from check_positive((*steps, "share"), workspace.share)
-    yield from check_share((*steps, "quality_target"), workspace.quality_target)
+    yield from check_fraction(
+        (*steps, "quality_target"), workspace.quality_target
+    )
     yield from check_positive((*steps, "max_queued"), workspace.max_queued)
     yield from check_not_negative(
         (*steps, "rating_budget"), workspace.rating_budget
@@ -205,7 +211,7 @@
 
 
 def check_cascades(configuration: Configuration) -> Iterator[Finding]:
-    """Finds cascades without steps, with unknown or repeated ones."""
+    """Yields findings for empty cascades and unknown or repeated steps."""
     for name, cascade in configuration.cascades.items():
         steps = ("cascades", name, "steps")
         if not cascade.steps:
@@ -225,7 +231,7 @@
 
 
 def check_rollouts(configuration: Configuration) -> Iterator[Finding]:
-    """Finds what is wrong with roll-outs."""
+    """Yields findings for roll-outs, including two from one version."""
     running: dict[str, str] = {}
     for name, rollout in configuration.rollouts.items():
         steps = ("rollouts", name)
@@ -245,7 +251,7 @@
 def check_rollout(
     configuration: Configuration, steps: Sequence[str], rollout: Rollout
 ) -> Iterator[Finding]:
-    """Finds what is wrong with one roll-out."""
+    """Yields the findings for one roll-out."""
     for field in ("stable", "candidate"):
         yield from check_known(
             (*steps, field),
@@ -259,8 +265,8 @@
             f"stable and candidate are both {rollout.stable!r}",
             "name two versions",
         )
-    yield from check_share((*steps, "share"), rollout.share)
-    yield from check_share((*steps, "max_share"), rollout.max_share)
+    yield from check_fraction((*steps, "share"), rollout.share)
+    yield from check_fraction((*steps, "max_share"), rollout.max_share)
 
 
 Check = Callable[[Configuration], Iterator[Finding]]
@@ -275,11 +281,12 @@
 )
 
 
-def parse_checked(text: str, file: str = "configuration") -> Configuration:
-    """Returns a configuration from its TOML text, parsed and checked.
+def parse_and_check(text: str, file: str = "configuration") -> Configuration:
+    """Parses and checks the TOML text of a configuration.
 
     Raises:
-      ConfigurationError: The text can't be used; names every line at fault.
+      ConfigurationError: The text is invalid. The message has a line for each
+        error.
     """
     configuration = parse_configuration(text, file)
     require_valid(configuration, text, file)
--- a/src/rattanpier/_internal/configuration/check_rules.py
+++ b/src/rattanpier/_internal/configuration/check_rules.py
@@ -1,4 +1,4 @@
-"""Checks of the when-then rules: names, actions, reach."""
+"""Checks routing rules: names, conditions, actions and reachability."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from rattanpier._internal.configuration.problem import (
     Finding,
-    check_filled,
     check_known,
+    check_not_empty,
     check_not_negative,
 )
 from rattanpier._internal.models.configuration import (
@@ -36,11 +36,11 @@
 
 
 def check_rules(configuration: Configuration) -> Iterator[Finding]:
-    """Finds what is wrong with each rule, and between rules."""
+    """Yields findings for single rules and for conflicts between rules."""
     seen: dict[str, int] = {}
     for number, rule in enumerate(configuration.rules):
         steps = ("rules", str(number))
-        yield from check_filled((*steps, "name"), rule.name)
+        yield from check_not_empty((*steps, "name"), rule.name)
         if rule.name in seen:
             yield Finding(
                 (*steps, "name"),
@@ -52,13 +52,13 @@
         yield from check_when(configuration, steps, rule.when)
         yield from check_then(configuration, steps, rule.then)
         yield from check_allowed(configuration, number)
-    yield from check_reach(configuration)
+    yield from check_reachable(configuration)
 
 
 def check_when(
     configuration: Configuration, steps: Sequence[str], when: When
 ) -> Iterator[Finding]:
-    """Finds unknown names and conditions that never hold."""
+    """Yields findings for unknown names and conditions that never hold."""
     steps = (*steps, "when")
     for name in when.workspaces or []:
         yield from check_known(
@@ -95,7 +95,7 @@
 def check_then(
     configuration: Configuration, steps: Sequence[str], then: Then
 ) -> Iterator[Finding]:
-    """Finds none or several actions, and unknown names in them."""
+    """Yields findings unless there is exactly one, valid action."""
     steps = (*steps, "then")
     given = [
         name for name, value in attrs.asdict(then).items() if value is not None
@@ -132,35 +132,38 @@
 def check_allowed(
     configuration: Configuration, number: int
 ) -> Iterator[Finding]:
-    """Finds workspaces that reach what they may not use.
+    """Yields findings for targets that workspaces at a rule may not use.
 
-    A cascade must fit every workspace that reaches it. A version or a service
-    must fit the workspaces that the rule names; for others, a rule that
-    matches them is the ordinary way to refuse.
+    All versions of a cascade must be allowed for every workspace that can reach
+    the rule. A version or a service must be allowed only for the workspaces
+    that the rule names. For other workspaces, a rule that matches them is the
+    usual way to refuse their requests.
     """
     rule = configuration.rules[number]
     steps = ("rules", str(number), "then")
-    for name in reaching(configuration, number):
+    for name in reaching_workspaces(configuration, number):
         workspace = configuration.workspaces[name]
         for version in cascade_steps(configuration, rule.then):
             if version not in workspace.versions:
-                yield not_allowed(
+                yield not_allowed_finding(
                     (*steps, "cascade"),
                     f"cascade {rule.then.cascade!r} goes through version",
                     version,
                     name,
                 )
         if name in (rule.when.workspaces or []):
-            yield from check_named(configuration, steps, rule.then, name)
+            yield from check_named_workspace(
+                configuration, steps, rule.then, name
+            )
 
 
-def check_named(
+def check_named_workspace(
     configuration: Configuration,
     steps: Sequence[str],
     then: Then,
     name: str,
 ) -> Iterator[Finding]:
-    """Finds a version or service that a workspace named may not use."""
+    """Yields findings for a version or service not allowed for a workspace."""
     workspace = configuration.workspaces[name]
     lists = {"version": workspace.versions, "service": workspace.services}
     known = {
@@ -170,15 +173,15 @@
     for kind, allowed in lists.items():
         wanted = getattr(then, kind)
         if wanted in known[kind] and wanted not in allowed:
-            yield not_allowed(
+            yield not_allowed_finding(
                 (*steps, kind), f"the rule gives {kind}", wanted, name
             )
 
 
-def not_allowed(
+def not_allowed_finding(
     steps: Sequence[str], how: str, what: str, workspace: str
 ) -> Finding:
-    """Returns the finding for something that a workspace may not use."""
+    """Returns the finding for a target that a workspace may not use."""
     return Finding(
         steps,
         f"{how} {what!r}, which workspace {workspace!r} may not use",
@@ -187,14 +190,16 @@
 
 
 def cascade_steps(configuration: Configuration, then: Then) -> list[str]:
-    """Returns the known versions of a rule's cascade."""
+    """Returns the versions of a rule's cascade that are defined."""
     cascade = configuration.cascades.get(then.cascade or "")
     steps = cascade.steps if cascade else []
     return [step for step in steps if step in configuration.versions]
 
 
-def reaching(configuration: Configuration, number: int) -> Iterator[str]:
-    """Yields the workspaces that can reach a rule."""
+def reaching_workspaces(
+    configuration: Configuration, number: int
+) -> Iterator[str]:
+    """Yields the names of the workspaces whose requests can reach a rule."""
     rule = configuration.rules[number]
     for name in configuration.workspaces:
         if name not in (rule.when.workspaces or configuration.workspaces):
@@ -207,24 +212,26 @@
             yield name
 
 
-def check_reach(configuration: Configuration) -> Iterator[Finding]:
-    """Finds rules behind one that matches all that they match."""
+def check_reachable(configuration: Configuration) -> Iterator[Finding]:
+    """Yields a finding for each rule that an earlier rule makes unreachable."""
     workspaces = list(configuration.workspaces)
     for number, rule in enumerate(configuration.rules):
-        cover = find_cover(configuration.rules[:number], rule, workspaces)
-        if cover is not None:
+        covering = find_covering_rule(
+            configuration.rules[:number], rule, workspaces
+        )
+        if covering is not None:
             yield Finding(
                 ("rules", str(number)),
-                f"rule {rule.name!r} is never reached: rule {cover.name!r} "
+                f"rule {rule.name!r} is never reached: rule {covering.name!r} "
                 "before it matches all that it matches",
-                f"move it before {cover.name!r}, or take it out",
+                f"move it before {covering.name!r}, or take it out",
             )
 
 
-def find_cover(
+def find_covering_rule(
     earlier: Sequence[Rule], rule: Rule, workspaces: list[str]
 ) -> Rule | None:
-    """Returns the first rule that matches all that a later one matches."""
+    """Returns the first earlier rule that covers a rule, or None."""
     when = rule.when
     if when.workspaces is None and workspaces:
         when = attrs.evolve(when, workspaces=workspaces)
@@ -232,7 +239,7 @@
 
 
 def covers(wide: When, narrow: When) -> bool:
-    """Says whether one set of conditions holds wherever another does.
+    """Returns whether one set of conditions holds wherever another does.
 
     >>> covers(When(stream=True), When(stream=True, models=["m"]))
     True
@@ -253,14 +260,14 @@
 
 
 def covers_list(wide: list[str] | None, narrow: list[str] | None) -> bool:
-    """Says whether one condition on a name takes in another."""
+    """Returns whether one condition on names covers another."""
     if wide is None:
         return True
     return narrow is not None and set(narrow) <= set(wide)
 
 
 def covers_tokens(wide: When, narrow: When) -> bool:
-    """Says whether one range of prompt tokens takes in another."""
+    """Returns whether one range of prompt tokens covers another."""
     least = narrow.min_prompt_tokens or 0
     most = narrow.max_prompt_tokens
     low = wide.min_prompt_tokens
--- a/src/rattanpier/_internal/configuration/edit.py
+++ b/src/rattanpier/_internal/configuration/edit.py
@@ -1,7 +1,7 @@
-"""Changes of single fields in the TOML text of a configuration.
+"""Sets single fields in the TOML text of a configuration.
 
-The text is the operators' own, with comments and order, so it is edited line
-by line; the result is compared with the wanted tables before it is used.
+The text is edited line by line, because operators' comments and order have to
+be kept. The parsed result is compared with the expected tables before use.
 """
 
 from __future__ import annotations
@@ -20,23 +20,23 @@
 HEADER = re.compile(r"\s*\[([^\[\]]+)\]\s*(#.*)?$")
 ANY_HEADER = re.compile(r"\s*\[")
 BARE_KEY = re.compile(r"^[A-Za-z0-9_-]+$")
-HINT = "write the table as [table.name] with one key on a line"
+EDIT_HINT = "write the table as [table.name] with one key on a line"
 
 
 def set_fields(text: str, table: list[str], fields: dict[str, Value]) -> str:
-    r"""Returns the text with fields of one table set; adds what is missing.
+    r"""Returns the text with fields of a table set, adding missing ones.
 
     >>> set_fields('[versions."a@1"]\nmodel = "a"\n',
     ...     ["versions", "a@1"], {"state": "withdrawn"})
     '[versions."a@1"]\nstate = "withdrawn"\nmodel = "a"\n'
 
     Raises:
-      ConfigurationError: The text is written in a way that can't be edited.
+      ConfigurationError: The text uses a form that can't be edited by line.
     """
     lines = text.splitlines()
     start = find_table(lines, table)
     if start is None:
-        lines.extend(["", header(table)])
+        lines.extend(["", format_header(table)])
         start = len(lines) - 1
     for name, value in reversed(list(fields.items())):
         set_line(lines, start, name, value)
@@ -46,7 +46,7 @@
 
 
 def find_table(lines: list[str], table: list[str]) -> int | None:
-    """Returns the number of the line that opens a table, from 0."""
+    """Returns the 0-based line number of a table's header, None if absent."""
     for number, line in enumerate(lines):
         match = HEADER.match(line)
         if match and split_key(match.group(1)) == table:
@@ -55,8 +55,8 @@
 
 
 def set_line(lines: list[str], start: int, name: str, value: Value) -> None:
-    """Sets one key of the table that opens at a line."""
-    wanted = f"{name} = {literal(value)}"
+    """Sets one key of the table whose header is at line `start`."""
+    wanted = f"{name} = {format_value(value)}"
     for number in range(start + 1, len(lines)):
         if ANY_HEADER.match(lines[number]):
             break
@@ -66,10 +66,10 @@
     lines.insert(start + 1, wanted)
 
 
-def header(table: list[str]) -> str:
-    """Returns the line that opens a table.
+def format_header(table: list[str]) -> str:
+    """Returns the header line of a table.
 
-    >>> header(["rollouts", "small 2"])
+    >>> format_header(["rollouts", "small 2"])
     '[rollouts."small 2"]'
     """
     steps = [
@@ -78,10 +78,10 @@
     return f"[{'.'.join(steps)}]"
 
 
-def literal(value: Value) -> str:
-    """Returns a value as TOML.
+def format_value(value: Value) -> str:
+    """Returns a value as a TOML literal.
 
-    >>> [literal(value) for value in (True, 0.25, "a")]
+    >>> [format_value(value) for value in (True, 0.25, "a")]
     ['true', '0.25', '"a"']
     """
     return json.dumps(value)
@@ -90,23 +90,23 @@
 def check_edit(
     before: str, after: str, table: list[str], fields: dict[str, Value]
 ) -> None:
-    """Checks that an edit did what it was to do, and nothing else.
+    """Checks that an edit set the given fields and changed nothing else.
 
     Raises:
-      ConfigurationError: It did not.
+      ConfigurationError: The edited text differs from the expected tables.
     """
     try:
         wanted = copy.deepcopy(tomllib.loads(before))
         edited = tomllib.loads(after)
     except tomllib.TOMLDecodeError as error:
         raise ConfigurationError(
-            f"the text can't be edited: {error}", HINT
+            f"the text can't be edited: {error}", EDIT_HINT
         ) from error
-    place: dict[str, Any] = wanted
+    target: dict[str, Any] = wanted
     for step in table:
-        place = place.setdefault(step, {})
-    place.update(fields)
+        target = target.setdefault(step, {})
+    target.update(fields)
     if wanted != edited:
         raise ConfigurationError(
-            f"{header(table)} can't be edited in this text", HINT
+            f"{format_header(table)} can't be edited in this text", EDIT_HINT
         )
--- a/src/rattanpier/_internal/configuration/parse.py
+++ b/src/rattanpier/_internal/configuration/parse.py
@@ -1,4 +1,4 @@
-"""TOML text to attrs objects, with the line of each error."""
+"""Parses TOML text into attrs objects and locates errors by line."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 T = TypeVar("T")
 
-REPAIR = "correct the named lines"
+FIX_HINT = "correct the named lines"
 
 converter = exact_converter(forbid_extra_keys=True)
 
@@ -35,32 +35,37 @@
 def parse_configuration(
     text: str, file: str = "configuration"
 ) -> Configuration:
-    """Returns a configuration from its TOML text; it is not checked yet.
+    """Parses the TOML text of a configuration without checking its values.
 
     Raises:
-      ConfigurationError: The text is not TOML, or not of the right shape.
+      ConfigurationError: The text is not valid TOML or doesn't match the
+        schema.
     """
     return parse(Configuration, text, file, ConfigurationError)
 
 
 def load_settings(path: str) -> Settings:
-    """Returns the settings in a file, checked.
+    """Reads, parses and checks a settings file.
 
     Raises:
-      SettingsError: The file can't be read, is not of the right shape, or
-        has settings that can't be used.
+      SettingsError: The file can't be read, doesn't match the schema, or has
+        invalid settings.
     """
     text = read_text(path, SettingsError)
     settings = parse(Settings, text, path, SettingsError)
     problems = check_settings(settings, text, path)
     if problems:
         lines = "\n".join(str(problem) for problem in problems)
-        raise SettingsError(lines, REPAIR)
+        raise SettingsError(lines, FIX_HINT)
     return settings
 
 
 def read_text(path: str, error_class: type[RattanpierError]) -> str:
-    """Returns the text of a file."""
+    """Returns the text of a file.
+
+    Raises:
+      RattanpierError: The file can't be read; of type `error_class`.
+    """
     try:
         return pathlib.Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -72,7 +77,12 @@
 def parse(
     cls: type[T], text: str, file: str, error_class: type[RattanpierError]
 ) -> T:
-    """Structures TOML text into a class."""
+    """Parses TOML text into an attrs class.
+
+    Raises:
+      RattanpierError: The text is not valid TOML or doesn't match the class;
+        of type `error_class`, with one line for each error.
+    """
     try:
         return converter.structure(tomllib.loads(text), cls)
     except tomllib.TOMLDecodeError as error:
@@ -81,13 +91,13 @@
             f"{file}:{line}: {error}", "correct the TOML"
         ) from error
     except cattrs.BaseValidationError as error:
-        reports = cattrs.transform_error(error, format_exception=explain)
-        lines = [place(report, text, file) for report in reports]
-        raise error_class("\n".join(lines), REPAIR) from error
+        reports = cattrs.transform_error(error, format_exception=describe_error)
+        lines = [add_location(report, text, file) for report in reports]
+        raise error_class("\n".join(lines), FIX_HINT) from error
 
 
 def toml_error_line(message: str, text: str) -> int:
-    """Returns the line that an error of tomllib names, or the last one.
+    """Returns the line named by a tomllib error, or the last line.
 
     >>> toml_error_line("Invalid value (at line 3, column 1)", "")
     3
@@ -96,12 +106,12 @@
     return int(found.group(1)) if found else max(1, len(text.splitlines()))
 
 
-def explain(error: BaseException, cls: type[Any] | None) -> str:
-    """Says what is wrong with a value, and what would be right."""
+def describe_error(error: BaseException, cls: type[Any] | None) -> str:
+    """Returns what is wrong with a value and how to correct it."""
     match error:
         case cattrs.ForbiddenExtraKeysError():
             known = [field.name for field in attrs.fields(error.cl)]
-            return "; ".join(explain_keys(error.extra_fields, known))
+            return "; ".join(describe_unknown_keys(error.extra_fields, known))
         case KeyError():
             return f"{error.args[0]!r} is missing; add it"
         case ValueError() if isinstance(cls, type) and issubclass(
@@ -115,14 +125,14 @@
     return format_exception(error, cls)
 
 
-def explain_keys(extra: set[str], known: list[str]) -> Iterator[str]:
-    """Yields a sentence for each unknown key."""
+def describe_unknown_keys(extra: set[str], known: list[str]) -> Iterator[str]:
+    """Yields a message for each unknown key."""
     for key in sorted(extra):
         yield f"unknown key {key!r}; {suggest(key, known)}"
 
 
-def place(report: str, text: str, file: str) -> str:
-    """Puts file and line before a report, whose path is behind it."""
+def add_location(report: str, text: str, file: str) -> str:
+    """Prefixes a cattrs report, which ends in a path, with file and line."""
     problem, _, path = report.rpartition(" @ ")
     steps = split_path(path)
     if problem.startswith("unknown key "):
--- a/tests/lib/config_fleet.py
+++ b/tests/lib/config_fleet.py
@@ -1,7 +1,7 @@
-"""Nodes of a fleet in one process, on a clock that the test turns.
+"""A simulated fleet in one process, on a clock that the test advances.
 
-The nodes run the real code for following, currency, pushes and "in force";
-the store is shared, and links and stores can be cut.
+The nodes run the real code that follows, checks, broadcasts and tracks
+revisions. They share a store. Nodes can be partitioned from it and from peers.
 """
 
 import asyncio
@@ -11,13 +11,13 @@
 
 from reactivex.subject import BehaviorSubject
 
+from rattanpier._internal.configuration.broadcast import RevisionBroadcaster
 from rattanpier._internal.configuration.currency import Currency
 from rattanpier._internal.configuration.follow import (
     Follower,
     poll_interval_s,
 )
-from rattanpier._internal.configuration.inforce import InForce
-from rattanpier._internal.configuration.spread import Spreader
+from rattanpier._internal.configuration.inforce import InForceTracker
 from rattanpier._internal.configuration.store import (
     Accepted,
     Revision,
@@ -39,50 +39,50 @@
 TICK_S = 0.25
 
 
-class CutTable:
-    """One node's way to the shared store."""
+class PartitionableTable:
+    """A node's connection to the shared store, which can be interrupted."""
 
     def __init__(self, table):
         self.table = table
-        self.cut = False
+        self.partitioned = False
 
-    def check(self):
-        if self.cut:
+    def raise_if_partitioned(self):
+        if self.partitioned:
             raise StoreUnavailableError("cut off")
 
     async def get(self, key):
-        self.check()
+        self.raise_if_partitioned()
         return await self.table.get(key)
 
     async def scan(self, prefix, after="", limit=500):
-        self.check()
+        self.raise_if_partitioned()
         return await self.table.scan(prefix, after, limit)
 
     async def transact(self, transaction):
-        if self.cut:
+        if self.partitioned:
             return NotRun("cut off")
         return await self.table.transact(transaction)
 
 
 class Node:
-    """One process; `start` is also a restart that forgets everything."""
+    """One process. `start` also restarts it, which loses all its state."""
 
     def __init__(self, fleet, name, role):
         self.fleet = fleet
         self.name = name
         self.role = role
-        self.table = CutTable(fleet.table)
+        self.table = PartitionableTable(fleet.table)
         self.frozen = False
-        self.side = 0  # Peers reach each other on the same side only.
+        self.partition = 0  # Peers reach each other within one only.
         self.next_poll = 0.0
 
     @property
-    def peers_cut(self):
-        return self.side == self.name
+    def isolated(self):
+        return self.partition == self.name
 
-    @peers_cut.setter
-    def peers_cut(self, cut):
-        self.side = self.name if cut else 0
+    @isolated.setter
+    def isolated(self, value):
+        self.partition = self.name if value else 0
 
     async def start(self):
         me = Member(
@@ -103,13 +103,15 @@
             metrics,
             random.Random(self.name),
         )
-        self.spreader = Spreader(self.follower, self.members, links, metrics)
-        self.inforce = InForce(
+        self.broadcaster = RevisionBroadcaster(
+            self.follower, self.members, links, metrics
+        )
+        self.inforce = InForceTracker(
             self.table,
             clock,
             self.follower,
             self.members,
-            self.spreader,
+            self.broadcaster,
             metrics,
             clock.monotonic(),
         )
@@ -118,7 +120,7 @@
         await self.follower.poll()
 
     async def register(self):
-        """Writes the own row, as a process does until it succeeds."""
+        """Writes the member row, as a process does until it succeeds."""
         put = Put(member_key(self.name), encode(self.members.me))
         outcome = await self.table.transact(Transaction(puts=[put]))
         self.registered = isinstance(outcome, Committed)
@@ -133,14 +135,14 @@
             await self.follower.poll()
             fleet = self.follower.configuration.fleet
             self.next_poll = now + poll_interval_s(fleet)
-        await self.currency.step()
-        self.inforce.note_sightings()
-        watch = self.inforce.watch
-        if watch and not self.inforce.progress.value.in_force:
-            await self.inforce.step(watch)
+        await self.currency.query_peers()
+        self.inforce.record_live_members()
+        propagation = self.inforce.propagation
+        if propagation and not self.inforce.progress.value.in_force:
+            await self.inforce.step(propagation)
 
     async def propose(self, text):
-        """Proposes a text to follow the head; True if it was accepted."""
+        """Proposes a text as the next revision; returns whether accepted."""
         try:
             revision = await read_head(self.table) + 1
             change = Revision(revision, text, self.name, uuid.uuid4().hex, 0.0)
@@ -152,15 +154,15 @@
         self.inforce.begin(change)
         return True
 
-    def works_by(self):
-        """The revision it would start work by now; None if it refuses."""
+    def serving_revision(self):
+        """Returns the revision in use for new work, None if it is refused."""
         if self.frozen or not self.currency.is_current():
             return None
         return self.follower.revision
 
 
 class FakeLink:
-    """Carries a call from one node to another, unless either is cut off."""
+    """Delivers a call to another node, unless they are partitioned."""
 
     def __init__(self, sender, receiver):
         self.sender = sender
@@ -168,17 +170,17 @@
 
     async def call(self, call, _timeout_s):
         receiver = self.receiver
-        if receiver.frozen or receiver.side != self.sender.side:
+        if receiver.frozen or receiver.partition != self.sender.partition:
             raise PeerUnavailableError("cut off")
         handlers = {
             "currency": receiver.currency.serve,
-            "config_push": receiver.spreader.serve,
+            "config_push": receiver.broadcaster.serve,
         }
         return await handlers[call.WhichOneof("body")](call)
 
 
 class Fleet:
-    """Entries and one control process over one store."""
+    """Entries and one control process that share a store."""
 
     def __init__(self, entries=5, size=5, validity_s=4.0):
         self.clock = ManualClock()
@@ -206,7 +208,7 @@
         return self
 
     async def run(self, seconds):
-        """Lets time pass for all nodes."""
+        """Advances the clock and runs all nodes."""
         end = self.clock.now + seconds
         while self.clock.now < end:
             for node in self.nodes.values():
@@ -215,7 +217,7 @@
             self.clock.now += TICK_S
 
     def in_force(self):
-        """The newest revision that was ever reported in force."""
+        """Returns the newest revision that was ever reported in force."""
         found = self.control.inforce.progress.value
         if found.in_force:
             self.reported = max(self.reported, found.revision)
--- a/tests/lib/rollouts.py
+++ b/tests/lib/rollouts.py
@@ -217,7 +217,7 @@
             members=self,
             brakes=self.brakes,
             metrics=self.metrics,
-            accepted=lambda revision: self.follower.enforce(
+            accepted=lambda revision: self.follower.apply_revision(
                 revision.revision, revision.text
             ),
         )
--- a/tests/unit/test_check_settings.py
+++ b/tests/unit/test_check_settings.py
@@ -1,4 +1,8 @@
-"""Settings are checked before a process starts."""
+"""Settings are checked before a process starts.
+
+Each case replaces a part of valid settings and expects the message and the
+line of the error.
+"""
 
 import os
 import socket
@@ -22,26 +26,26 @@
     "certificate without key": (
         "port = 8080",
         'port = 8080\ncertificate = "/absent.pem"',
-        "'certificate' and 'key' come together; give both",
+        "'certificate' and 'key' have to be given together; give both",
         "certificate",
     ),
     "port": ("8080", "80800", "port 80800 does not exist; give 0", "port"),
     "advertised name": (
         "10.0.0.4",
         "entry-1",
-        "advertise 'entry-1' is not an IP number",
+        "advertise 'entry-1' is not an IP address",
         "advertise",
     ),
     "advertise nothing": (
         'advertise = "10.0.0.4"\n',
         "",
-        "0.0.0.0 can't be told to others; give the IP number",
+        "0.0.0.0 can't be advertised to other nodes; give the IP address",
         "[callers]",
     ),
     "table by name": (
         "10.0.0.9",
         "table",
-        "has the name 'table', not an IP number",
+        "has the host name 'table', not an IP address",
         "table_url",
     ),
     "short key": (
@@ -53,7 +57,7 @@
     "operator key in the clear": (
         "operator_key_sha256 = [",
         'operator_key_sha256 = ["operator", ',
-        "a digest is not 64 small hexadecimal digits",
+        "a digest is not 64 lowercase hexadecimal digits",
         "operator_key_sha256",
     ),
     "no domain": ('domain = "a"', 'domain = ""', "domain is empty", "domain"),
@@ -66,7 +70,7 @@
     "statsd by name": (
         "[edge]",
         '[metrics]\nhost = "statsd"\n[edge]',
-        "host 'statsd' is not an IP number",
+        "host 'statsd' is not an IP address",
         "statsd",
     ),
     "log level": (
@@ -85,7 +89,7 @@
 
 
 @pytest.mark.parametrize("case", CASES)
-def test_refuses(case, tmp_path):
+def test_reports_an_invalid_setting(case, tmp_path):
     old, new, what, line = CASES[case]
     assert old in SETTINGS
     text = SETTINGS.replace(old, new, 1)
@@ -100,14 +104,14 @@
     assert line in text.splitlines()[number - 1]
 
 
-def test_lets_pass(tmp_path):
+def test_accepts_valid_settings(tmp_path):
     path = tmp_path / "s.toml"
     path.write_text(SETTINGS)
     assert load_settings(str(path)).node.name == "entry-1"
 
 
-def start(path):
-    """Starts an entry that is expected to end at once."""
+def run_entry(path):
+    """Runs an entry that is expected to exit during its start."""
     return subprocess.run(
         [
             sys.executable,
@@ -123,7 +127,7 @@
 def test_a_process_does_not_start_with_bad_settings(tmp_path):
     path = tmp_path / "s.toml"
     path.write_text(SETTINGS.replace("8080", "80800"))
-    result = start(path)
+    result = run_entry(path)
     assert result.returncode == 2
     assert "bad_settings" in result.stderr
     assert "s.toml:10: port 80800 does not exist" in result.stderr
@@ -135,7 +139,7 @@
         port = str(taken.getsockname()[1])
         text = SETTINGS.replace("0.0.0.0", "127.0.0.1").replace("8080", port)
         path.write_text(text.replace("10.0.0.9", "127.0.0.1"))
-        result = start(path)
+        result = run_entry(path)
     assert result.returncode == 2
     assert "bad_settings" in result.stderr
     assert "the process can't start" in result.stderr
--- a/tests/unit/test_configuration_change.py
+++ b/tests/unit/test_configuration_change.py
@@ -1,13 +1,13 @@
-"""Changes end as accepted, raced or fenced, whatever the store loses."""
+"""Changes get a definite outcome although the store loses answers."""
 
 import asyncio
 
 import pytest
 
 from rattanpier._internal.configuration.change import (
-    change_surely,
-    decide,
-    edit_surely,
+    propose_edit,
+    propose_with_retry,
+    resolve_change,
 )
 from rattanpier._internal.configuration.store import (
     Accepted,
@@ -25,12 +25,12 @@
 from tests.lib.clock import SkippingClock
 
 
-class LossyTable(MemoryTable):
-    """A table service whose writes meet the faults of a script.
+class FaultyTable(MemoryTable):
+    """A table service whose writes fail as scripted.
 
-    Each write takes the next of: "ok", "lost" (takes effect, no answer),
-    "late" (no answer; takes effect when `deliver` is called), "drop" (never
-    takes effect, no answer), "refuse".
+    Each write takes the next step of the script: "ok", "lost" (takes effect
+    without an answer), "late" (no answer, takes effect when `deliver` is
+    called), "drop" (no answer, never takes effect) or "refuse".
     """
 
     def __init__(self, *script):
@@ -51,15 +51,15 @@
 
     async def deliver(self):
         late, self.late = self.late, []
-        return [await super(LossyTable, self).transact(t) for t in late]
+        return [await super(FaultyTable, self).transact(t) for t in late]
 
 
 def build_revision(number, change, text="x = 1\n"):
     return Revision(number, text, "test", change, 0.0)
 
 
-async def surely(table, revision):
-    return await change_surely(table, SkippingClock(), revision, 5.0)
+async def propose_with_timeout(table, revision):
+    return await propose_with_retry(table, SkippingClock(), revision, 5.0)
 
 
 @pytest.mark.parametrize(
@@ -72,9 +72,11 @@
         ["late", "drop", "refuse", "lost"],
     ],
 )
-async def test_lost_answer_ends_as_accepted_once(script):
-    table = LossyTable(*script)
-    assert await surely(table, build_revision(1, "a")) == Accepted(1)
+async def test_lost_answer_does_not_apply_a_change_twice(script):
+    table = FaultyTable(*script)
+    assert await propose_with_timeout(
+        table, build_revision(1, "a")
+    ) == Accepted(1)
     late = await table.deliver()
     assert await read_head(table) == 1
     assert (await read_revision(table, 1)).change == "a"
@@ -83,14 +85,14 @@
 
 
 async def test_refused_first_write_is_not_accepted():
-    table = LossyTable("refuse")
-    outcome = await surely(table, build_revision(1, "a"))
+    table = FaultyTable("refuse")
+    outcome = await propose_with_timeout(table, build_revision(1, "a"))
     assert outcome == NotAccepted("refused")
     assert await read_head(table) == 0
 
 
-async def test_lost_answer_under_a_race_shows_the_others_change():
-    table = LossyTable("drop")
+async def test_lost_answer_in_a_race_returns_the_other_change():
+    table = FaultyTable("drop")
     other = build_revision(1, "b")
 
     class RacingClock(SkippingClock):
@@ -98,38 +100,42 @@
             await propose(table, other)
             await super().sleep(seconds)
 
-    outcome = await change_surely(
+    outcome = await propose_with_retry(
         table, RacingClock(), build_revision(1, "a"), 5.0
     )
     assert outcome == Raced(other)
 
 
-async def test_silent_store_leaves_the_change_undecided_then_fenced():
-    table = LossyTable(*["late"] * 100)
-    assert await surely(table, build_revision(1, "a")) == Undecided("a")
+async def test_unanswered_change_is_undecided_and_can_be_fenced():
+    table = FaultyTable(*["late"] * 100)
+    assert await propose_with_timeout(
+        table, build_revision(1, "a")
+    ) == Undecided("a")
     table.script.clear()
-    assert await decide(table, SkippingClock(), 1, "a", 5.0) == Fenced()
+    assert await resolve_change(table, SkippingClock(), 1, "a", 5.0) == Fenced()
     await table.deliver()
     assert await read_head(table) == 0
 
 
-async def test_decide_after_the_late_write_landed_says_accepted():
-    table = LossyTable(*["late"] * 100)
-    await surely(table, build_revision(1, "a"))
+async def test_resolving_a_change_after_a_late_write_returns_accepted():
+    table = FaultyTable(*["late"] * 100)
+    await propose_with_timeout(table, build_revision(1, "a"))
     table.script.clear()
     await table.deliver()
-    assert await decide(table, SkippingClock(), 1, "a", 5.0) == Accepted(1)
+    assert await resolve_change(
+        table, SkippingClock(), 1, "a", 5.0
+    ) == Accepted(1)
 
 
-async def test_fenced_writer_does_not_land_later():
-    table = LossyTable("drop")
+async def test_fenced_change_does_not_take_effect_later():
+    table = FaultyTable("drop")
 
     class FencingClock(SkippingClock):
         async def sleep(self, seconds):
-            await decide(table, SkippingClock(), 1, "a", 5.0)
+            await resolve_change(table, SkippingClock(), 1, "a", 5.0)
             await super().sleep(seconds)
 
-    outcome = await change_surely(
+    outcome = await propose_with_retry(
         table, FencingClock(), build_revision(1, "a"), 5.0
     )
     assert outcome == Fenced()
@@ -152,7 +158,7 @@
 
     done = await asyncio.gather(
         *(
-            edit_surely(
+            propose_edit(
                 table, SkippingClock(), edit(name), build_revision(0, name), 5.0
             )
             for name in ("left", "right")
