--- a/src/rattanpier/_internal/edge/auth.py
+++ b/src/rattanpier/_internal/edge/auth.py
@@ -22,7 +22,7 @@
     return header[len(BEARER) :].strip() if header.startswith(BEARER) else ""
 
 
-def matches(key: str, digests: Iterable[str]) -> bool:
+def matches_any(key: str, digests: Iterable[str]) -> bool:
     """Says whether a key has one of the digests, in constant time."""
     digest = sha256_hex(key)
     found = [hmac.compare_digest(digest, known) for known in digests]
@@ -46,6 +46,6 @@
     key = bearer_key(header)
     found = None
     for name, workspace in configuration.workspaces.items():
-        if matches(key, workspace.key_sha256):
+        if matches_any(key, workspace.key_sha256):
             found = name
     return found if key else None
--- a/src/rattanpier/_internal/operators/intake.py
+++ b/src/rattanpier/_internal/operators/intake.py
@@ -9,7 +9,7 @@
 
 from aiohttp import web
 
-from rattanpier._internal.edge.auth import bearer_key, matches
+from rattanpier._internal.edge.auth import bearer_key, matches_any
 from rattanpier._internal.exceptions import (
     ConfigurationError,
     RattanpierError,
@@ -46,7 +46,7 @@
         request: web.Request, handler: Handler
     ) -> web.StreamResponse:
         key = bearer_key(request.headers.get("Authorization", ""))
-        if not key or not matches(key, digests):
+        if not key or not matches_any(key, digests):
             return web.json_response(
                 error_body("bad_key", "The operator key is not known."),
                 status=401,
