--- a/src/rattanpier/_internal/edge/chat.py
+++ b/src/rattanpier/_internal/edge/chat.py
@@ -24,10 +24,10 @@
 from rattanpier._internal.dispatch.runner import Runner
 from rattanpier._internal.edge.errors import error_event, refuse
 from rattanpier._internal.edge.intake import (
-    IntakeError,
+    RequestRefusedError,
     find_caller,
+    make_route_request,
     read_body,
-    route_request,
 )
 from rattanpier._internal.edge.pins import SessionPins
 from rattanpier._internal.edge.sessions import SessionTokens
@@ -67,7 +67,7 @@
         request_id = new_request_id()
         try:
             route = await self.take_in(request)
-        except IntakeError as error:
+        except RequestRefusedError as error:
             return self.refuse(error.refusal, request_id)
         parts = self.runner.answer(route, request_id)
         async with aclosing(parts):
@@ -79,7 +79,7 @@
         """Checks who asks, and what.
 
         Raises:
-          IntakeError: The request is refused.
+          RequestRefusedError: The request is refused.
         """
         workspace = find_caller(
             request,
@@ -90,7 +90,7 @@
         pinned = self.tokens.pinned(
             workspace, request.headers.get("X-Session-Token", "")
         )
-        route = route_request(
+        route = make_route_request(
             request, workspace, data, self.settings, self.clock, pinned
         )
         if pinned or not route.session:
@@ -101,14 +101,14 @@
         """Returns a request with the version that its session keeps.
 
         Raises:
-          IntakeError: It can't be found out, and the request would get the
-            candidate of a roll-out.
+          RequestRefusedError: The version can't be read, and the request would
+            be routed to the candidate of a roll-out.
         """
         try:
             pinned = await self.pins.find(route.workspace, route.session)
         except StoreUnavailableError as error:
             if self.gets_candidate(route):
-                raise IntakeError(pin_unknown()) from error
+                raise RequestRefusedError(pin_unknown()) from error
             return route
         return attrs.evolve(route, pinned=pinned)
 
--- a/src/rattanpier/_internal/edge/intake.py
+++ b/src/rattanpier/_internal/edge/intake.py
@@ -18,10 +18,10 @@
 
 DEFAULT_MAX_TOKENS = 256
 MAX_KEY_LENGTH = 255  # Characters.
-NOT_MARKED = frozenset({"", "false", "0", "no"})
+FALSE_HEADER_VALUES = frozenset({"", "false", "0", "no"})
 
 
-class IntakeError(Exception):
+class RequestRefusedError(Exception):
     """A request can't be taken in; carries its refusal."""
 
     def __init__(self, refusal: Refusal) -> None:
@@ -29,9 +29,9 @@
         self.refusal = refusal
 
 
-def bad_request(message: str) -> IntakeError:
+def bad_request(message: str) -> RequestRefusedError:
     """Returns the error for a request that is not well formed."""
-    return IntakeError(Refusal(RefusalCode.BAD_REQUEST, message, True))
+    return RequestRefusedError(Refusal(RefusalCode.BAD_REQUEST, message, True))
 
 
 def find_caller(
@@ -45,13 +45,13 @@
       current: Whether the node knows that there is no newer one.
 
     Raises:
-      IntakeError: The key is not known.
+      RequestRefusedError: The key is not known.
     """
     workspace = find_workspace(
         configuration, request.headers.get("Authorization", "")
     )
     if workspace is None:
-        raise IntakeError(unknown_key(current))
+        raise RequestRefusedError(unknown_key(current))
     return workspace
 
 
@@ -59,12 +59,12 @@
     """Returns the body.
 
     Raises:
-      IntakeError: The body is over the limit.
+      RequestRefusedError: The body is over the limit.
     """
     try:
         return await request.read()
     except web.HTTPRequestEntityTooLarge as error:
-        raise IntakeError(
+        raise RequestRefusedError(
             Refusal(
                 RefusalCode.BODY_TOO_LARGE,
                 f"The body is larger than {limit} bytes.",
@@ -77,7 +77,7 @@
     """Returns a chat-completions body.
 
     Raises:
-      IntakeError: The body is not JSON or lacks what every request has.
+      RequestRefusedError: The body is not JSON or lacks what every request has.
     """
     try:
         body = json.loads(data)
@@ -99,7 +99,7 @@
     """Returns the seconds that the caller gives a request.
 
     Raises:
-      IntakeError: The header is not a positive number.
+      RequestRefusedError: The header is not a positive number.
     """
     text = request.headers.get("X-Timeout-Ms")
     if text is None:
@@ -117,7 +117,7 @@
     """Returns the caller's key, or a fresh one.
 
     Raises:
-      IntakeError: The key is too long.
+      RequestRefusedError: The key is too long.
     """
     key = request.headers.get("Idempotency-Key")
     if key is None:
@@ -129,17 +129,17 @@
     return key
 
 
-def is_marked(request: web.Request) -> bool:
+def is_non_idempotent(request: web.Request) -> bool:
     """Says whether the caller marked a request as non-idempotent.
 
     Whatever does not plainly say "no" is a mark: a request that is run once
     without need costs less than one that is run twice.
     """
     text = request.headers.get("X-Non-Idempotent", "")
-    return text.strip().lower() not in NOT_MARKED
+    return text.strip().lower() not in FALSE_HEADER_VALUES
 
 
-def route_request(
+def make_route_request(
     request: web.Request,
     workspace: str,
     data: bytes,
@@ -150,7 +150,7 @@
     """Returns a chat request as the decisions see it.
 
     Raises:
-      IntakeError: The request is not well formed.
+      RequestRefusedError: The request is not well formed.
     """
     body = parse_body(data)
     characters = sum(
@@ -169,7 +169,7 @@
         model=body["model"],
         session=request.headers.get("X-Session-Id", ""),
         pinned=pinned,
-        idempotent=not is_marked(request),
+        idempotent=not is_non_idempotent(request),
         stream=body.get("stream") is True,
         prompt_tokens=estimate_tokens(characters),
         max_tokens=max_tokens,
--- a/src/rattanpier/_internal/edge/services.py
+++ b/src/rattanpier/_internal/edge/services.py
@@ -17,11 +17,11 @@
 from rattanpier._internal.dispatch.service_runner import ServiceRunner
 from rattanpier._internal.edge.errors import refuse
 from rattanpier._internal.edge.intake import (
-    IntakeError,
+    RequestRefusedError,
     bad_request,
     find_caller,
     idempotency_key,
-    is_marked,
+    is_non_idempotent,
     read_body,
     timeout_s,
 )
@@ -78,7 +78,7 @@
         request_id = new_request_id()
         try:
             taken = await self.take_in(request)
-        except IntakeError as error:
+        except RequestRefusedError as error:
             return self.refuse(error.refusal, request_id)
         result = await self.runner.answer(taken.route, taken.call, request_id)
         match result:
@@ -93,7 +93,7 @@
         """Checks who asks, and what.
 
         Raises:
-          IntakeError: The request is refused.
+          RequestRefusedError: The request is refused.
         """
         configuration = self.runner.configuration()
         workspace = find_caller(
@@ -102,7 +102,7 @@
         service = request.match_info["service"]
         upstream = configuration.upstreams.get(service)
         if upstream is None or upstream.kind is not UpstreamKind.PLAIN:
-            raise IntakeError(
+            raise RequestRefusedError(
                 Refusal(
                     RefusalCode.UNKNOWN_SERVICE,
                     f"There is no service {service!r}.",
@@ -127,7 +127,7 @@
             keyed="Idempotency-Key" in request.headers,
             service=service,
             session=request.headers.get("X-Session-Id", ""),
-            idempotent=not is_marked(request),
+            idempotent=not is_non_idempotent(request),
             deadline=self.clock.monotonic() + timeout_s(request, self.settings),
             digest=digest_of(service, call),
         )
@@ -159,7 +159,7 @@
     """Returns the call to pass on.
 
     Raises:
-      IntakeError: The path climbs out of the service.
+      RequestRefusedError: The path climbs out of the service.
     """
     _, _, rest = request.raw_path.lstrip("/").partition("/")
     _, slash, target = rest.partition("/")
