--- a/benchmarks/sessions.py
+++ b/benchmarks/sessions.py
@@ -128,7 +128,7 @@
     carried: dict[str, str] = {}
 
     async def ask(call: Call) -> str:
-        pinned = tokens.pinned("desk", carried.get(call.session, ""))
+        pinned = tokens.pinned_version("desk", carried.get(call.session, ""))
         version = world.decide(call.session, pinned)
         carried[call.session] = tokens.sign("desk", version)
         return version
--- a/src/rattanpier/_internal/edge/chat.py
+++ b/src/rattanpier/_internal/edge/chat.py
@@ -66,16 +66,18 @@
         """Answers one request."""
         request_id = new_request_id()
         try:
-            route = await self.take_in(request)
+            route = await self.parse_request(request)
         except RequestRefusedError as error:
             return self.refuse(error.refusal, request_id)
         parts = self.runner.answer(route, request_id)
         async with aclosing(parts):
             if route.stream:
-                return await self.stream(request, route, request_id, parts)
-            return await self.whole(route, request_id, parts)
+                return await self.respond_events(
+                    request, route, request_id, parts
+                )
+            return await self.respond_json(route, request_id, parts)
 
-    async def take_in(self, request: web.Request) -> RouteRequest:
+    async def parse_request(self, request: web.Request) -> RouteRequest:
         """Checks who asks, and what.
 
         Raises:
@@ -87,7 +89,7 @@
             self.runner.dispatcher.current(),
         )
         data = await read_body(request, self.settings.max_body_bytes)
-        pinned = self.tokens.pinned(
+        pinned = self.tokens.pinned_version(
             workspace, request.headers.get("X-Session-Token", "")
         )
         route = make_route_request(
@@ -108,7 +110,7 @@
             pinned = await self.pins.find(route.workspace, route.session)
         except StoreUnavailableError as error:
             if self.gets_candidate(route):
-                raise RequestRefusedError(pin_unknown()) from error
+                raise RequestRefusedError(pin_unavailable()) from error
             return route
         return attrs.evolve(route, pinned=pinned)
 
@@ -151,7 +153,7 @@
             headers["X-Session-Version-Lost"] = started.pin_lost
         return headers
 
-    async def whole(
+    async def respond_json(
         self,
         route: RouteRequest,
         request_id: str,
@@ -177,7 +179,7 @@
                     )
         raise AssertionError("an answer ended without a last part")
 
-    async def stream(
+    async def respond_events(
         self,
         request: web.Request,
         route: RouteRequest,
@@ -228,7 +230,7 @@
         await response.write(data)
 
 
-def pin_unknown() -> Refusal:
+def pin_unavailable() -> Refusal:
     """Returns the refusal while a session's version can't be read."""
     return Refusal(
         RefusalCode.NO_VERSION,
--- a/src/rattanpier/_internal/edge/sessions.py
+++ b/src/rattanpier/_internal/edge/sessions.py
@@ -29,15 +29,15 @@
         """Returns a token for a session's version."""
         return self.serializer.dumps([workspace, version])
 
-    def pinned(self, workspace: str, token: str) -> str:
+    def pinned_version(self, workspace: str, token: str) -> str:
         """Returns the version in a token, or an empty string.
 
         A token of another workspace, or one that was changed, counts as none.
 
         >>> tokens = SessionTokens("key")
-        >>> tokens.pinned("desk", tokens.sign("desk", "m@1"))
+        >>> tokens.pinned_version("desk", tokens.sign("desk", "m@1"))
         'm@1'
-        >>> tokens.pinned("other", tokens.sign("desk", "m@1"))
+        >>> tokens.pinned_version("other", tokens.sign("desk", "m@1"))
         ''
         """
         if not token:
