--- a/src/rattanpier/_internal/edge/services.py
+++ b/src/rattanpier/_internal/edge/services.py
@@ -37,7 +37,7 @@
 
 PATH = "/services/{service}{rest:(/.*)?}"
 # What concerns the system alone; a workspace's key goes to no upstream.
-OWN_HEADERS = frozenset(
+ROUTER_REQUEST_HEADERS = frozenset(
     {
         "host",
         "authorization",
@@ -48,11 +48,11 @@
         "x-non-idempotent",
     }
 )
-OWN_ANSWER_HEADERS = frozenset({"x-request-id", "content-type", "date"})
+ROUTER_RESPONSE_HEADERS = frozenset({"x-request-id", "content-type", "date"})
 
 
 @attrs.frozen
-class TakenIn:
+class CheckedCall:
     """A call that was checked.
 
     Attributes:
@@ -77,19 +77,21 @@
         """Answers one call."""
         request_id = new_request_id()
         try:
-            taken = await self.take_in(request)
+            checked = await self.parse_request(request)
         except RequestRefusedError as error:
             return self.refuse(error.refusal, request_id)
-        result = await self.runner.answer(taken.route, taken.call, request_id)
+        result = await self.runner.answer(
+            checked.route, checked.call, request_id
+        )
         match result:
             case ServiceAnswer():
-                return passed_response(result, request_id)
+                return service_response(result, request_id)
             case Recorded(answer):
-                return self.recorded(answer, request_id)
+                return self.recorded_response(answer, request_id)
             case Refused(refusal):
                 return self.refuse(refusal, request_id)
 
-    async def take_in(self, request: web.Request) -> TakenIn:
+    async def parse_request(self, request: web.Request) -> CheckedCall:
         """Checks who asks, and what.
 
         Raises:
@@ -111,7 +113,7 @@
             )
         body = await read_body(request, self.settings.max_body_bytes)
         call = make_call(request, body)
-        return TakenIn(self.route(request, workspace, service, call), call)
+        return CheckedCall(self.route(request, workspace, service, call), call)
 
     def route(
         self,
@@ -129,14 +131,16 @@
             session=request.headers.get("X-Session-Id", ""),
             idempotent=not is_non_idempotent(request),
             deadline=self.clock.monotonic() + timeout_s(request, self.settings),
-            digest=digest_of(service, call),
+            digest=call_digest(service, call),
         )
 
     def refuse(self, refusal: Refusal, request_id: str) -> web.Response:
         """Returns a refusal and counts its reason."""
         return refuse(self.metrics, refusal, request_id)
 
-    def recorded(self, answer: Answer, request_id: str) -> web.Response:
+    def recorded_response(
+        self, answer: Answer, request_id: str
+    ) -> web.Response:
         """Returns a recorded answer."""
         if not answer.kept:
             refusal = Refusal(
@@ -171,25 +175,25 @@
     return ServiceCall(
         request.method,
         f"/{target}",
-        pass_on(request.headers.items(), OWN_HEADERS),
+        pass_on(request.headers.items(), ROUTER_REQUEST_HEADERS),
         body,
     )
 
 
-def digest_of(service: str, call: ServiceCall) -> str:
+def call_digest(service: str, call: ServiceCall) -> str:
     """Returns the digest that tells one call from another."""
     head = f"{call.method} {service} {call.target}\n"
     return short_digest(head.encode() + call.body)
 
 
-def passed_response(answer: ServiceAnswer, request_id: str) -> web.Response:
+def service_response(answer: ServiceAnswer, request_id: str) -> web.Response:
     """Returns a service's answer."""
     response = web.Response(status=answer.status, body=answer.body)
     types = []
     for name, value in answer.headers:
         if name.lower() == "content-type":
             types.append(value)
-        elif name.lower() not in OWN_ANSWER_HEADERS:
+        elif name.lower() not in ROUTER_RESPONSE_HEADERS:
             response.headers.add(name, value)
     if types:
         response.headers["Content-Type"] = types[0]
