--- a/src/rattanpier/_internal/edge/gate.py
+++ b/src/rattanpier/_internal/edge/gate.py
@@ -16,7 +16,7 @@
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 # Answered to the end: they run nothing, and help callers to go elsewhere.
-ALWAYS_OPEN = frozenset({"/healthz", "/readyz", "/v1/entries"})
+UNGATED_PATHS = frozenset({"/healthz", "/readyz", "/v1/entries"})
 RETRY_AFTER_S = 1.0
 
 
@@ -27,14 +27,14 @@
     Attributes:
       leaving: Connections are not kept for another request.
       closed: New requests are refused.
-      running: Requests in flight.
+      in_flight: Requests in flight.
       idle: Set while there are none.
     """
 
     metrics: Metrics
     leaving: bool = False
     closed: bool = False
-    running: int = 0
+    in_flight: int = 0
     idle: asyncio.Event = attrs.Factory(asyncio.Event)
 
     def __attrs_post_init__(self) -> None:
@@ -50,41 +50,43 @@
         self.leaving = True
         self.closed = True
 
-    async def pass_through(
+    async def handle(
         self, request: web.Request, handler: Handler
     ) -> web.StreamResponse:
         """Serves or refuses one request, as aiohttp middleware."""
-        if request.path in ALWAYS_OPEN:
-            return self.let_go(await handler(request))
+        if request.path in UNGATED_PATHS:
+            return self.close_if_leaving(await handler(request))
         if self.closed:
             self.metrics.count(f"refusal.{RefusalCode.DRAINING.value}")
-            return self.let_go(refuse_draining())
-        self.enter()
+            return self.close_if_leaving(refuse_draining())
+        self.begin_request()
         try:
-            response = self.let_go(await handler(request))
+            response = self.close_if_leaving(await handler(request))
             if self.leaving:
                 # Written here, so that the request counts until its last byte.
                 await response.prepare(request)
                 await response.write_eof()
             return response
         finally:
-            self.exit()
+            self.end_request()
 
-    def let_go(self, response: web.StreamResponse) -> web.StreamResponse:
+    def close_if_leaving(
+        self, response: web.StreamResponse
+    ) -> web.StreamResponse:
         """Ends the connection behind a response once the entry leaves."""
         if self.leaving and not response.prepared:
             response.force_close()
         return response
 
-    def enter(self) -> None:
+    def begin_request(self) -> None:
         """Counts a request in."""
-        self.running += 1
+        self.in_flight += 1
         self.idle.clear()
 
-    def exit(self) -> None:
+    def end_request(self) -> None:
         """Counts a request out."""
-        self.running -= 1
-        if self.running == 0:
+        self.in_flight -= 1
+        if self.in_flight == 0:
             self.idle.set()
 
 
@@ -95,7 +97,7 @@
     async def middleware(
         request: web.Request, handler: Handler
     ) -> web.StreamResponse:
-        return await gate.pass_through(request, handler)
+        return await gate.handle(request, handler)
 
     return middleware
 
