--- a/src/rattanpier/_internal/edge/pins.py
+++ b/src/rattanpier/_internal/edge/pins.py
@@ -30,7 +30,7 @@
 from rattanpier._internal.utils.metrics import Metrics
 
 PIN_PREFIX = "pin/"
-MAX_REMEMBERED = 50_000  # Sessions; about 200 bytes each.
+MAX_CACHED_PINS = 50_000  # Sessions; about 200 bytes each.
 
 
 @attrs.frozen
@@ -51,7 +51,7 @@
     return f"{PIN_PREFIX}{workspace}/{sha256_hex(session)[:32]}"
 
 
-def in_rollout(configuration: Configuration) -> set[str]:
+def rollout_versions(configuration: Configuration) -> set[str]:
     """Returns the versions between which an open roll-out moves traffic."""
     return {
         version
@@ -62,16 +62,16 @@
 
 
 @attrs.frozen
-class Remembered:
+class CachedPin:
     """What an entry knows of a session.
 
     Attributes:
       version: Version that the session keeps.
-      row: True once its row was read, or its writing was tried.
+      stored: True once its row was read, or its writing was tried.
     """
 
     version: str
-    row: bool
+    stored: bool
 
 
 @attrs.define
@@ -80,14 +80,14 @@
 
     Attributes:
       configuration: Returns the configuration in force.
-      remembered: Sessions by row key, the most recently used last.
+      cached: Sessions by row key, the most recently used last.
     """
 
     table: Table
     clock: Clock
     metrics: Metrics
     configuration: Callable[[], Configuration]
-    remembered: collections.OrderedDict[str, Remembered] = attrs.Factory(
+    cached: collections.OrderedDict[str, CachedPin] = attrs.Factory(
         collections.OrderedDict
     )
 
@@ -99,10 +99,10 @@
             not answer.
         """
         key = pin_key(workspace, session)
-        if key in self.remembered:
-            self.remembered.move_to_end(key)
-            return self.remembered[key].version
-        if not in_rollout(self.configuration()):
+        if key in self.cached:
+            self.cached.move_to_end(key)
+            return self.cached[key].version
+        if not rollout_versions(self.configuration()):
             return ""
         self.metrics.count("sessions.pin_read")
         return await self.read(key)
@@ -113,7 +113,7 @@
         if row is None:
             return ""
         version = decode(PinRow, row.value).version
-        self.remember(key, version, row=True)
+        self.cache(key, version, stored=True)
         return version
 
     async def keep(self, workspace: str, session: str, version: str) -> str:
@@ -124,13 +124,13 @@
           pinned it first.
         """
         key = pin_key(workspace, session)
-        known = self.remembered.get(key, Remembered("", False))
+        known = self.cached.get(key, CachedPin("", False))
         # A session older than the roll-out gets its row once one is open.
-        open_now = version in in_rollout(self.configuration())
-        if known.version == version and (known.row or not open_now):
+        open_now = version in rollout_versions(self.configuration())
+        if known.version == version and (known.stored or not open_now):
             return version
         if not open_now:
-            self.remember(key, version, row=False)
+            self.cache(key, version, stored=False)
             return version
         row = PinRow(version, self.clock.time())
         outcome = await self.table.transact(
@@ -140,23 +140,23 @@
             case Committed():
                 self.metrics.count("sessions.pin_written")
             case Conflict():
-                return await self.other(key, version)
+                return await self.read_existing(key, version)
             case _:
                 # Held by this entry alone until the store is back.
                 self.metrics.count("sessions.pin_unwritten")
-        self.remember(key, version, row=True)
+        self.cache(key, version, stored=True)
         return version
 
-    async def other(self, key: str, version: str) -> str:
+    async def read_existing(self, key: str, version: str) -> str:
         """Returns the version that was pinned before."""
         try:
             return await self.read(key) or version
         except StoreUnavailableError:
             return version
 
-    def remember(self, key: str, version: str, row: bool) -> None:
+    def cache(self, key: str, version: str, stored: bool) -> None:
         """Notes a session's version in this process."""
-        self.remembered[key] = Remembered(version, row)
-        self.remembered.move_to_end(key)
-        if len(self.remembered) > MAX_REMEMBERED:
-            self.remembered.popitem(last=False)
+        self.cached[key] = CachedPin(version, stored)
+        self.cached.move_to_end(key)
+        if len(self.cached) > MAX_CACHED_PINS:
+            self.cached.popitem(last=False)
