--- a/src/rattanpier/_internal/models/departure.py
+++ b/src/rattanpier/_internal/models/deregistration.py
@@ -8,7 +8,7 @@
 
 
 @attrs.frozen
-class Departure:
+class Deregistration:
     """What was last known of one start of a worker.
 
     Attributes:
--- a/src/rattanpier/_internal/relay/deregistrations.py
+++ b/src/rattanpier/_internal/relay/deregistrations.py
@@ -14,7 +14,7 @@
 import attrs
 import structlog
 
-from rattanpier._internal.models.departure import Departure
+from rattanpier._internal.models.deregistration import Deregistration
 from rattanpier._internal.models.revision import Revision
 from rattanpier._internal.models.worker import RegisteredWorker
 from rattanpier._internal.utils.clock import Clock
@@ -92,12 +92,12 @@
 
     clock: Clock
     registration_ttl_s: float
-    deregistered: collections.OrderedDict[str, Departure] = attrs.Factory(
+    deregistered: collections.OrderedDict[str, Deregistration] = attrs.Factory(
         collections.OrderedDict
     )
     pending: dict[str, PendingRegistration] = attrs.Factory(dict)
 
-    def record(self, departure: Departure) -> None:
+    def record(self, departure: Deregistration) -> None:
         """Records a deregistration, unless a newer one is known."""
         known = self.deregistered.get(departure.incarnation)
         if known is not None and known.order >= departure.order:
@@ -200,7 +200,7 @@
 
     # State that entries exchange.
 
-    def disputed(self) -> list[Departure]:
+    def disputed(self) -> list[Deregistration]:
         """Returns the deregistrations that pending registrations contradict."""
         return [
             self.deregistered[each.worker.incarnation]
--- a/src/rattanpier/_internal/relay/directory.py
+++ b/src/rattanpier/_internal/relay/directory.py
@@ -13,7 +13,7 @@
 import attrs
 import structlog
 
-from rattanpier._internal.models.departure import Departure
+from rattanpier._internal.models.deregistration import Deregistration
 from rattanpier._internal.models.revision import Revision
 from rattanpier._internal.models.worker import RegisteredWorker
 from rattanpier._internal.relay.deregistrations import (
@@ -307,7 +307,7 @@
         self.delete_worker(worker)
         at = max(revision, self.as_of, worker.revision)
         self.deregistrations.record(
-            Departure(worker.incarnation, worker.sequence, at)
+            Deregistration(worker.incarnation, worker.sequence, at)
         )
         log.info("Worker removed.", worker=id, service=worker.service)
         return True
@@ -336,7 +336,7 @@
         return self.remove(id, after_outage=False)
 
     def apply_deregistrations(
-        self, departures: Iterable[Departure]
+        self, departures: Iterable[Deregistration]
     ) -> list[str]:
         """Applies deregistrations that a peer knows.
 
--- a/src/rattanpier/_internal/relay/updates.py
+++ b/src/rattanpier/_internal/relay/updates.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-from rattanpier._internal.models.departure import Departure
+from rattanpier._internal.models.deregistration import Deregistration
 from rattanpier._internal.models.domain_order import DomainOrder
 from rattanpier._internal.models.rate_limit import RateLimit
 from rattanpier._internal.models.rollout_order import (
@@ -51,7 +51,7 @@
     drained: list[DomainOrder] = attrs.Factory(list)
     limits: list[RateLimit] = attrs.Factory(list)
     leaving: list[str] = attrs.Factory(list)
-    departed: list[Departure] = attrs.Factory(list)
+    departed: list[Deregistration] = attrs.Factory(list)
     orders: list[RolloutOrder] = attrs.Factory(list)
     table_version: int = -1
     restored: int = 0
