--- a/src/rattanpier/_internal/models/directory_question.py
+++ b/src/rattanpier/_internal/models/directory_query.py
@@ -6,7 +6,7 @@
 
 
 @attrs.frozen
-class DirectoryQuestion:
+class DirectoryQuery:
     """Which entries to use for a host.
 
     Attributes:
--- a/src/rattanpier/_internal/platform/caller.py
+++ b/src/rattanpier/_internal/platform/caller.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable, Mapping
 
-from rattanpier._internal.models.directory_question import DirectoryQuestion
+from rattanpier._internal.models.directory_query import DirectoryQuery
 from rattanpier._internal.models.relay_request import (
     CallerHeaders,
     Header,
@@ -107,9 +107,9 @@
     return headers
 
 
-def decode_question(query: Mapping[str, str]) -> DirectoryQuestion:
+def decode_question(query: Mapping[str, str]) -> DirectoryQuery:
     """Returns what a caller asks the directory."""
-    return DirectoryQuestion(query.get("name", ""), query.get("region", ""))
+    return DirectoryQuery(query.get("name", ""), query.get("region", ""))
 
 
 def directory_body(addresses: list[str], ttl_s: float) -> dict[str, object]:
--- a/src/rattanpier/_internal/programs/relay_listen.py
+++ b/src/rattanpier/_internal/programs/relay_listen.py
@@ -12,7 +12,7 @@
 from aiohttp.web_response import Response, json_response
 
 from rattanpier._internal.kernel import Kernel
-from rattanpier._internal.models.directory_question import DirectoryQuestion
+from rattanpier._internal.models.directory_query import DirectoryQuery
 from rattanpier._internal.models.member import Member
 from rattanpier._internal.models.relay_settings import Address, RelaySettings
 from rattanpier._internal.platform import caller
@@ -134,7 +134,7 @@
 
 
 def directory_answer(
-    entry: RelayEntry, question: DirectoryQuestion
+    entry: RelayEntry, question: DirectoryQuery
 ) -> dict[str, object] | None:
     """Returns the entries to use, None if this one knows of none."""
     members = entry.fleet.entries()
