--- a/src/rattanpier/_internal/models/sending.py
+++ b/src/rattanpier/_internal/models/upstream_request.py
@@ -9,7 +9,7 @@
 
 
 @attrs.frozen
-class Sending:
+class UpstreamRequest:
     """What one worker is told beside the request.
 
     Attributes:
--- a/src/rattanpier/_internal/platform/reports.py
+++ b/src/rattanpier/_internal/platform/reports.py
@@ -7,7 +7,7 @@
 import aiohttp
 from multidict import CIMultiDictProxy
 
-from rattanpier._internal.models.sending import ReportedLoad
+from rattanpier._internal.models.upstream_request import ReportedLoad
 from rattanpier._internal.models.worker import RegisteredWorker
 from rattanpier._internal.platform.upstream import (
     LEAVING,
--- a/src/rattanpier/_internal/platform/upstream.py
+++ b/src/rattanpier/_internal/platform/upstream.py
@@ -11,10 +11,10 @@
 
 from rattanpier._internal.exceptions import UnreadableError
 from rattanpier._internal.models.relay_request import Header, RelayRequest
-from rattanpier._internal.models.sending import (
+from rattanpier._internal.models.upstream_request import (
     AnswerHead,
     ReportedLoad,
-    Sending,
+    UpstreamRequest,
 )
 from rattanpier._internal.platform.registrations import DRAINING
 from rattanpier._internal.relay.connection import WireHead, WireRequest
@@ -44,7 +44,9 @@
 TEXTS_KEPT = 256  # Texts of headers that are logged once.
 
 
-def encode_request(request: RelayRequest, sending: Sending) -> WireRequest:
+def encode_request(
+    request: RelayRequest, sending: UpstreamRequest
+) -> WireRequest:
     """Returns a request as it goes to one worker."""
     replaced = set()
     own: list[Header] = [
--- a/src/rattanpier/_internal/programs/relay_dispatch.py
+++ b/src/rattanpier/_internal/programs/relay_dispatch.py
@@ -7,7 +7,7 @@
 
 from rattanpier._internal.models.relay_settings import RelaySettings
 from rattanpier._internal.models.route_table import RouteTable
-from rattanpier._internal.models.sending import AnswerHead
+from rattanpier._internal.models.upstream_request import AnswerHead
 from rattanpier._internal.models.worker import RegisteredWorker
 from rattanpier._internal.placement import eligibility
 from rattanpier._internal.placement.backoffs import Backoffs
--- a/src/rattanpier/_internal/relay/dispatch.py
+++ b/src/rattanpier/_internal/relay/dispatch.py
@@ -18,7 +18,7 @@
     WholeAnswer,
 )
 from rattanpier._internal.models.relay_request import Prompt, RelayRequest
-from rattanpier._internal.models.sending import Sending
+from rattanpier._internal.models.upstream_request import UpstreamRequest
 from rattanpier._internal.models.worker import RegisteredWorker
 from rattanpier._internal.placement.backoffs import Backoffs
 from rattanpier._internal.placement.eligibility import (
@@ -246,7 +246,7 @@
 
     def record_upstream_request(
         self, progress: RequestProgress, choice: Choice
-    ) -> Sending:
+    ) -> UpstreamRequest:
         """Records an upstream request and returns its parameters."""
         request = progress.request
         progress.sent += 1
@@ -269,7 +269,7 @@
             report_age_s=round_for_log(choice.report_age_s),
             left_s=round(self.left_s(progress), 3),
         )
-        return Sending(
+        return UpstreamRequest(
             worker=choice.worker,
             left_s=self.left_s(progress),
             model=progress.model,
--- a/src/rattanpier/_internal/relay/escalation.py
+++ b/src/rattanpier/_internal/relay/escalation.py
@@ -7,7 +7,7 @@
 import structlog
 
 from rattanpier._internal.models.relay_request import RelayRequest
-from rattanpier._internal.models.sending import AnswerHead
+from rattanpier._internal.models.upstream_request import AnswerHead
 from rattanpier._internal.models.worker import RegisteredWorker
 from rattanpier._internal.relay.dispatch import Dispatcher
 from rattanpier._internal.relay.model_choice import (
--- a/src/rattanpier/_internal/relay/exchange.py
+++ b/src/rattanpier/_internal/relay/exchange.py
@@ -13,7 +13,10 @@
 import attrs
 
 from rattanpier._internal.models.relay_request import Header, RelayRequest
-from rattanpier._internal.models.sending import AnswerHead, Sending
+from rattanpier._internal.models.upstream_request import (
+    AnswerHead,
+    UpstreamRequest,
+)
 from rattanpier._internal.models.worker import RegisteredWorker
 from rattanpier._internal.relay.connection import (
     ConnectionBrokenError,
@@ -65,7 +68,7 @@
       decode: Decodes the head of an answer.
     """
 
-    encode: Callable[[RelayRequest, Sending], WireRequest]
+    encode: Callable[[RelayRequest, UpstreamRequest], WireRequest]
     decode: Callable[[WireHead], AnswerHead]
 
 
@@ -145,7 +148,7 @@
 
     @asynccontextmanager
     async def send(
-        self, request: RelayRequest, sending: Sending, deadline: float
+        self, request: RelayRequest, sending: UpstreamRequest, deadline: float
     ) -> AsyncIterator[OpenAnswer]:
         """Sends a request and yields its answer once the head was received.
 
@@ -186,7 +189,7 @@
     async def open(
         self,
         request: RelayRequest,
-        sending: Sending,
+        sending: UpstreamRequest,
         connection: WorkerConnection,
         deadline: float,
     ) -> OpenAnswer:
--- a/src/rattanpier/_internal/relay/load.py
+++ b/src/rattanpier/_internal/relay/load.py
@@ -14,7 +14,7 @@
 import attrs
 
 from rattanpier._internal.models.relay_request import Prompt, PromptPart
-from rattanpier._internal.models.sending import ReportedLoad
+from rattanpier._internal.models.upstream_request import ReportedLoad
 from rattanpier._internal.utils.clock import Clock
 from rattanpier._internal.utils.hashing import short_hash
 
--- a/src/rattanpier/_internal/relay/queue_watch.py
+++ b/src/rattanpier/_internal/relay/queue_watch.py
@@ -18,7 +18,7 @@
 import attrs
 import structlog
 
-from rattanpier._internal.models.sending import ReportedLoad
+from rattanpier._internal.models.upstream_request import ReportedLoad
 from rattanpier._internal.models.worker import RegisteredWorker
 from rattanpier._internal.peers.proto import peer_pb2
 from rattanpier._internal.relay.directory import WorkerDirectory
--- a/tests/relay/test_crashing_requests.py
+++ b/tests/relay/test_crashing_requests.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from rattanpier._internal.models.sending import ReportedLoad
+from rattanpier._internal.models.upstream_request import ReportedLoad
 from rattanpier._internal.programs.relay import close
 from rattanpier._internal.relay import termination_checks
 from rattanpier._internal.relay.own_table import QUARANTINED_PREFIX
--- a/tests/relay/test_decisions.py
+++ b/tests/relay/test_decisions.py
@@ -11,7 +11,7 @@
     RolloutPhase,
     RolloutRecord,
 )
-from rattanpier._internal.models.sending import ReportedLoad
+from rattanpier._internal.models.upstream_request import ReportedLoad
 from rattanpier._internal.relay.budgets import ServiceRetryBudgets
 from rattanpier._internal.relay.directory import (
     REREGISTRATION_TIMEOUT_S,
--- a/tests/relay/test_queue_watch.py
+++ b/tests/relay/test_queue_watch.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from rattanpier._internal.models.sending import ReportedLoad
+from rattanpier._internal.models.upstream_request import ReportedLoad
 from rattanpier._internal.relay.directory import WorkerDirectory
 from rattanpier._internal.relay.fleet import Fleet
 from rattanpier._internal.relay.load import Loads
