--- a/src/rattanpier/_internal/dispatch/quarantining.py
+++ b/src/rattanpier/_internal/dispatch/quarantining.py
@@ -19,7 +19,7 @@
 from rattanpier._internal.exceptions import UnreadableError
 from rattanpier._internal.models.refusal import RefusalCode
 from rattanpier._internal.models.request import RouteRequest
-from rattanpier._internal.models.worker_end import QuarantineNews
+from rattanpier._internal.models.worker_crash import QuarantineUpdate
 from rattanpier._internal.peers.proto import peer_pb2
 from rattanpier._internal.retries.quarantine import Quarantine
 from rattanpier._internal.routing.placement import Target
@@ -81,7 +81,7 @@
         self.scheduled = None
         self.publish_update(self.quarantine.pop_unsent())
 
-    def publish_update(self, update: QuarantineNews) -> None:
+    def publish_update(self, update: QuarantineUpdate) -> None:
         """Sends an update to neighbouring entries."""
         rumors = peer_pb2.Rumors(text=encode(update).encode())
         self.broadcast(peer_pb2.Notice(spread=peer_pb2.Spread(rumors=rumors)))
@@ -89,10 +89,10 @@
     def receive(self, notice: peer_pb2.Notice) -> None:
         """Applies a peer's update and forwards the part that was new."""
         try:
-            update = decode(QuarantineNews, notice.spread.rumors.text)
+            update = decode(QuarantineUpdate, notice.spread.rumors.text)
         except UnreadableError as error:
             log.warning("Notice can't be read.", error=error.message)
             return
         unseen = self.quarantine.apply_update(update)
-        if unseen != QuarantineNews():
+        if unseen != QuarantineUpdate():
             self.publish_update(unseen)
--- a/src/rattanpier/_internal/models/worker_end.py
+++ b/src/rattanpier/_internal/models/worker_crash.py
@@ -6,7 +6,7 @@
 
 
 @attrs.frozen
-class WorkerEnd:
+class WorkerCrash:
     """A worker ended while a request was under way there.
 
     Attributes:
@@ -21,7 +21,7 @@
 
 
 @attrs.frozen
-class Cleared:
+class ContentCleared:
     """A content was answered whole: ends up to then are not its doing.
 
     Attributes:
@@ -47,7 +47,7 @@
 
 
 @attrs.frozen
-class QuarantineNews:
+class QuarantineUpdate:
     """What is told of requests that may end their workers.
 
     Attributes:
@@ -56,6 +56,6 @@
       alive: Workers said to have ended that were found to live.
     """
 
-    ends: list[WorkerEnd] = attrs.Factory(list)
-    cleared: list[Cleared] = attrs.Factory(list)
+    ends: list[WorkerCrash] = attrs.Factory(list)
+    cleared: list[ContentCleared] = attrs.Factory(list)
     alive: list[SeenAlive] = attrs.Factory(list)
--- a/src/rattanpier/_internal/relay/quarantine_rows.py
+++ b/src/rattanpier/_internal/relay/quarantine_rows.py
@@ -23,7 +23,10 @@
     RowPut,
     WrittenAt,
 )
-from rattanpier._internal.models.worker_end import QuarantineNews, WorkerEnd
+from rattanpier._internal.models.worker_crash import (
+    QuarantineUpdate,
+    WorkerCrash,
+)
 from rattanpier._internal.relay.fleet import Fleet
 from rattanpier._internal.relay.own_table import (
     QUARANTINED_PREFIX,
@@ -158,7 +161,9 @@
             self.changed.put_nowait(content)
             return
         age_s = max(0.0, (now_ms - stored.ended_ms) / MS_PER_S)
-        ends = [WorkerEnd(content, worker, age_s) for worker in stored.workers]
-        self.quarantine.apply_update(QuarantineNews(ends))
+        ends = [
+            WorkerCrash(content, worker, age_s) for worker in stored.workers
+        ]
+        self.quarantine.apply_update(QuarantineUpdate(ends))
         if age_s >= QUARANTINE_S:
             self.changed.put_nowait(content)
--- a/src/rattanpier/_internal/relay/updates.py
+++ b/src/rattanpier/_internal/relay/updates.py
@@ -14,7 +14,7 @@
     RolloutOrder,
     RolloutRecord,
 )
-from rattanpier._internal.models.worker_end import QuarantineNews
+from rattanpier._internal.models.worker_crash import QuarantineUpdate
 from rattanpier._internal.relay.fleet import EntryState
 from rattanpier._internal.relay.held_sessions import HeldSession
 
@@ -47,7 +47,7 @@
     records: list[RolloutRecord] = attrs.Factory(list)
     stopped: list[int] = attrs.Factory(list)
     held: list[HeldSession] = attrs.Factory(list)
-    quarantine: QuarantineNews = attrs.Factory(QuarantineNews)
+    quarantine: QuarantineUpdate = attrs.Factory(QuarantineUpdate)
     drained: list[DomainOrder] = attrs.Factory(list)
     limits: list[RateLimit] = attrs.Factory(list)
     leaving: list[str] = attrs.Factory(list)
--- a/src/rattanpier/_internal/retries/quarantine.py
+++ b/src/rattanpier/_internal/retries/quarantine.py
@@ -26,11 +26,11 @@
 import attrs
 import structlog
 
-from rattanpier._internal.models.worker_end import (
-    Cleared,
-    QuarantineNews,
+from rattanpier._internal.models.worker_crash import (
+    ContentCleared,
+    QuarantineUpdate,
     SeenAlive,
-    WorkerEnd,
+    WorkerCrash,
 )
 from rattanpier._internal.utils.clock import Clock
 from rattanpier._internal.utils.hashing import stable_hash
@@ -90,7 +90,7 @@
     alive: collections.OrderedDict[str, float] = attrs.Factory(
         collections.OrderedDict
     )
-    unsent: QuarantineNews = attrs.Factory(QuarantineNews)
+    unsent: QuarantineUpdate = attrs.Factory(QuarantineUpdate)
 
     # Verdicts.
 
@@ -131,7 +131,7 @@
           content: Digest of the caller's request.
           worker: Incarnation of the worker.
         """
-        crash = WorkerEnd(content, worker)
+        crash = WorkerCrash(content, worker)
         if self.add_crash(crash):
             self.unsent.ends.append(crash)
             self.on_update()
@@ -145,7 +145,7 @@
             self.answered.popitem(last=False)
         if content in self.crashes:
             self.clear(content, now)
-            self.unsent.cleared.append(Cleared(content))
+            self.unsent.cleared.append(ContentCleared(content))
             self.on_update()
 
     def record_alive(self, worker: str, at: float) -> None:
@@ -170,31 +170,31 @@
 
     # Synchronisation with peers.
 
-    def pop_unsent(self) -> QuarantineNews:
+    def pop_unsent(self) -> QuarantineUpdate:
         """Returns the update to publish, and resets it."""
-        update, self.unsent = self.unsent, QuarantineNews()
+        update, self.unsent = self.unsent, QuarantineUpdate()
         return update
 
-    def full_update(self) -> QuarantineNews:
+    def full_update(self) -> QuarantineUpdate:
         """Returns the whole state, for a peer that missed updates."""
         self.drop_old()
         now = self.clock.monotonic()
-        return QuarantineNews(
+        return QuarantineUpdate(
             [
-                WorkerEnd(content, worker, now - at)
+                WorkerCrash(content, worker, now - at)
                 for content, crashes in self.crashes.items()
                 for worker, at in crashes.items()
             ],
             [
-                Cleared(content, now - at)
+                ContentCleared(content, now - at)
                 for content, at in self.cleared.items()
             ],
             [SeenAlive(worker, now - at) for worker, at in self.alive.items()],
         )
 
-    def apply_update(self, update: QuarantineNews) -> QuarantineNews:
+    def apply_update(self, update: QuarantineUpdate) -> QuarantineUpdate:
         """Applies an update from a peer; returns the part that was new."""
-        new = QuarantineNews()
+        new = QuarantineUpdate()
         now = self.clock.monotonic()
         for cleared in update.cleared:
             known = self.cleared.get(cleared.content, NEVER)
@@ -228,7 +228,7 @@
 
     # Stored state.
 
-    def add_crash(self, crash: WorkerEnd) -> bool:
+    def add_crash(self, crash: WorkerCrash) -> bool:
         """Stores a crash; returns whether it is new and counts."""
         at = self.clock.monotonic() - crash.age_s
         if at < self.cleared.get(crash.content, NEVER) + ANSWER_GRACE_S:
--- a/tests/retries/test_liveness_checks.py
+++ b/tests/retries/test_liveness_checks.py
@@ -6,7 +6,7 @@
 import attrs
 import pytest
 
-from rattanpier._internal.models.worker_end import QuarantineNews
+from rattanpier._internal.models.worker_crash import QuarantineUpdate
 from rattanpier._internal.platform.identity import identifier
 from rattanpier._internal.platform.reports import report_reader
 from rattanpier._internal.relay.directory import WorkerDirectory
@@ -102,7 +102,7 @@
     other.apply_update(fleet.checks[0].quarantine.full_update())
     # An entry that was unreachable reports the same crashes later.
     aged = [attrs.evolve(end, age_s=fleet.clock.now) for end in ends]
-    other.apply_update(QuarantineNews(aged))
+    other.apply_update(QuarantineUpdate(aged))
     assert other.remaining_s(CONTENT) == 0.0
     assert other.digest() == Quarantine(fleet.clock).digest()
 
--- a/tests/retries/test_quarantine.py
+++ b/tests/retries/test_quarantine.py
@@ -5,7 +5,10 @@
 
 from rattanpier._internal.models.refusal import RefusalCode
 from rattanpier._internal.models.relay_answer import AnswerRefused, WholeAnswer
-from rattanpier._internal.models.worker_end import QuarantineNews, WorkerEnd
+from rattanpier._internal.models.worker_crash import (
+    QuarantineUpdate,
+    WorkerCrash,
+)
 from rattanpier._internal.relay.request_progress import (
     RequestProgress,
     final_answer,
@@ -36,7 +39,7 @@
 def send_update(sender, receiver):
     """Sends an update as between two processes."""
     text = encode(sender.pop_unsent())
-    receiver.apply_update(decode(QuarantineNews, text))
+    receiver.apply_update(decode(QuarantineUpdate, text))
 
 
 def test_third_crash_quarantines_content():
@@ -69,7 +72,7 @@
     assert quarantine.remaining_s(DEADLY) == 1.0
     quarantine.clock.now = QUARANTINE_S
     assert quarantine.remaining_s(DEADLY) == 0.0
-    assert quarantine.full_update() == QuarantineNews()
+    assert quarantine.full_update() == QuarantineUpdate()
     assert not quarantine.is_suspect(DEADLY)
 
 
@@ -95,7 +98,7 @@
         assert each.remaining_s(DEADLY) == QUARANTINE_S
         assert len(each.crashes[DEADLY]) == 3
     assert first.digest() == second.digest()
-    assert first.pop_unsent() == QuarantineNews()
+    assert first.pop_unsent() == QuarantineUpdate()
 
 
 def test_updates_may_repeat_and_come_in_any_order():
@@ -132,7 +135,7 @@
     send_update(first, second)
     clock.now = 60.0
     aged = [attrs.evolve(end, age_s=60.0) for end in late.ends]
-    assert second.apply_update(QuarantineNews(aged)) == QuarantineNews()
+    assert second.apply_update(QuarantineUpdate(aged)) == QuarantineUpdate()
     assert second.remaining_s(HARMLESS) == 0.0
 
 
@@ -154,8 +157,8 @@
 )
 def test_crashes_with_invalid_age_are_ignored(age_s):
     quarantine = make_quarantine()
-    ends = [WorkerEnd(DEADLY, f"w{number}", age_s) for number in range(3)]
-    quarantine.apply_update(QuarantineNews(ends))
+    ends = [WorkerCrash(DEADLY, f"w{number}", age_s) for number in range(3)]
+    quarantine.apply_update(QuarantineUpdate(ends))
     assert quarantine.crashes == {}
 
 
--- a/tests/retries/test_quarantining.py
+++ b/tests/retries/test_quarantining.py
@@ -11,7 +11,7 @@
 )
 from rattanpier._internal.membership.ring import neighbours
 from rattanpier._internal.models.request import RouteRequest
-from rattanpier._internal.models.worker_end import QuarantineNews
+from rattanpier._internal.models.worker_crash import QuarantineUpdate
 from rattanpier._internal.peers.proto import peer_pb2
 from rattanpier._internal.retries.quarantine import (
     CRASHES_TO_QUARANTINE,
@@ -72,7 +72,7 @@
     rumors = peer_pb2.Rumors(text=b"no news")
     notice = peer_pb2.Notice(spread=peer_pb2.Spread(rumors=rumors))
     ring.entries["e0"].receive(notice)
-    assert ring.entries["e0"].quarantine.full_update() == QuarantineNews()
+    assert ring.entries["e0"].quarantine.full_update() == QuarantineUpdate()
     assert not ring.sent
 
 
