--- a/src/rattanpier/_internal/models/relay_answer.py
+++ b/src/rattanpier/_internal/models/relay_answer.py
@@ -9,7 +9,7 @@
 
 
 @attrs.frozen
-class WholeAnswer:
+class CompleteAnswer:
     """A worker's whole answer."""
 
     status: int
@@ -18,7 +18,7 @@
 
 
 @attrs.frozen
-class AnswerBegun:
+class AnswerStarted:
     """The head of an answer whose body follows piece by piece."""
 
     status: int
@@ -26,19 +26,19 @@
 
 
 @attrs.frozen
-class AnswerPiece:
+class AnswerChunk:
     """A piece of the body; only whole events where it is a stream."""
 
     data: bytes
 
 
 @attrs.frozen
-class AnswerEnded:
+class AnswerCompleted:
     """The body is whole."""
 
 
 @attrs.frozen
-class AnswerCut:
+class AnswerTruncated:
     """The rest of the body won't come; the answer must not look whole."""
 
     reason: str
@@ -58,10 +58,10 @@
 
 
 AnswerPart = (
-    WholeAnswer
-    | AnswerBegun
-    | AnswerPiece
-    | AnswerEnded
-    | AnswerCut
+    CompleteAnswer
+    | AnswerStarted
+    | AnswerChunk
+    | AnswerCompleted
+    | AnswerTruncated
     | AnswerRefused
 )
--- a/src/rattanpier/_internal/relay/dispatch.py
+++ b/src/rattanpier/_internal/relay/dispatch.py
@@ -15,7 +15,7 @@
 from rattanpier._internal.models.policy import USUAL, Policy
 from rattanpier._internal.models.relay_answer import (
     AnswerRefused,
-    WholeAnswer,
+    CompleteAnswer,
 )
 from rattanpier._internal.models.relay_request import Prompt, RelayRequest
 from rattanpier._internal.models.upstream_request import UpstreamRequest
@@ -277,7 +277,9 @@
             after_event=progress.order.last_number,
         )
 
-    def refuse(self, progress: RequestProgress) -> WholeAnswer | AnswerRefused:
+    def refuse(
+        self, progress: RequestProgress
+    ) -> CompleteAnswer | AnswerRefused:
         """Returns the final answer to a request that no worker answered."""
         found = final_answer(progress, self.left_s(progress))
         if isinstance(found, AnswerRefused):
@@ -371,7 +373,7 @@
         self,
         progress: RequestProgress,
         worker: RegisteredWorker,
-        answer: WholeAnswer,
+        answer: CompleteAnswer,
     ) -> None:
         """Records that a worker ran a request and returned a failure."""
         progress.may_have_run = True
--- a/src/rattanpier/_internal/relay/edge.py
+++ b/src/rattanpier/_internal/relay/edge.py
@@ -13,12 +13,12 @@
 
 from rattanpier._internal.models.refusal import Refusal, RefusalCode
 from rattanpier._internal.models.relay_answer import (
-    AnswerBegun,
-    AnswerCut,
-    AnswerEnded,
-    AnswerPiece,
+    AnswerChunk,
+    AnswerCompleted,
     AnswerRefused,
-    WholeAnswer,
+    AnswerStarted,
+    AnswerTruncated,
+    CompleteAnswer,
 )
 from rattanpier._internal.models.relay_request import (
     CallerHeaders,
@@ -219,7 +219,7 @@
         async with aclosing(answer(self.dispatcher, relay_request)) as parts:
             async for part in parts:
                 match part:
-                    case WholeAnswer():
+                    case CompleteAnswer():
                         self.record_end(relay_request, str(part.status), times)
                         return self.make_response(part)
                     case AnswerRefused(refusal, status):
@@ -229,16 +229,16 @@
                             status,
                             relay_request.arrived,
                         )
-                    case AnswerBegun(status, headers):
+                    case AnswerStarted(status, headers):
                         response = self.make_stream_response(status, headers)
                         await response.prepare(request)
-                    case AnswerPiece(data):
+                    case AnswerChunk(data):
                         times.record_piece(self.clock.monotonic())
                         await response.write(data)  # type: ignore[union-attr]
-                    case AnswerEnded():
+                    case AnswerCompleted():
                         self.record_end(relay_request, "ended", times)
                         await response.write_eof()  # type: ignore[union-attr]
-                    case AnswerCut(reason):
+                    case AnswerTruncated(reason):
                         self.record_end(relay_request, f"cut: {reason}", times)
                         # Without the final chunk, the caller can tell that the
                         # answer is incomplete.
@@ -246,7 +246,7 @@
         assert response is not None
         return response
 
-    def make_response(self, answer: WholeAnswer) -> Response:
+    def make_response(self, answer: CompleteAnswer) -> Response:
         """Returns the response for a worker's complete answer."""
         response = Response(status=answer.status, body=answer.body)
         self.copy_headers(response, answer.headers)
--- a/src/rattanpier/_internal/relay/plain_answers.py
+++ b/src/rattanpier/_internal/relay/plain_answers.py
@@ -4,7 +4,10 @@
 
 import asyncio
 
-from rattanpier._internal.models.relay_answer import AnswerRefused, WholeAnswer
+from rattanpier._internal.models.relay_answer import (
+    AnswerRefused,
+    CompleteAnswer,
+)
 from rattanpier._internal.relay.dispatch import MAX_ANSWER_BYTES, Dispatcher
 from rattanpier._internal.relay.exchange import (
     MIN_FAILURE_STATUS,
@@ -21,7 +24,7 @@
 
 async def plain_answer(
     dispatcher: Dispatcher, progress: RequestProgress
-) -> WholeAnswer | AnswerRefused:
+) -> CompleteAnswer | AnswerRefused:
     """Returns the answer to a request that is not streamed.
 
     Args:
@@ -40,7 +43,7 @@
 
 async def answer_with_hedge(
     dispatcher: Dispatcher, progress: RequestProgress, choice: Choice
-) -> WholeAnswer | None:
+) -> CompleteAnswer | None:
     """Returns the first answer of a worker or of a hedge to a second one.
 
     The hedge, a concurrent request to a second worker, is for workers that hang
@@ -88,7 +91,7 @@
 
 async def answer_from_worker(
     dispatcher: Dispatcher, progress: RequestProgress, choice: Choice
-) -> WholeAnswer | None:
+) -> CompleteAnswer | None:
     """Returns a worker's complete answer, or None if it failed."""
     request = progress.request
     worker = choice.worker
@@ -109,7 +112,7 @@
         return None
     finally:
         dispatcher.loads.end(worker.id, in_flight)
-    worker_answer = WholeAnswer(head.status, copied_headers(head), body)
+    worker_answer = CompleteAnswer(head.status, copied_headers(head), body)
     bad = head.status >= MIN_FAILURE_STATUS
     seconds = dispatcher.clock.monotonic() - started_at
     dispatcher.record_result(progress, worker, bad, None if bad else seconds)
--- a/src/rattanpier/_internal/relay/request_progress.py
+++ b/src/rattanpier/_internal/relay/request_progress.py
@@ -11,7 +11,10 @@
 import attrs
 
 from rattanpier._internal.models.refusal import Refusal, RefusalCode
-from rattanpier._internal.models.relay_answer import AnswerRefused, WholeAnswer
+from rattanpier._internal.models.relay_answer import (
+    AnswerRefused,
+    CompleteAnswer,
+)
 from rattanpier._internal.models.relay_request import RelayRequest
 from rattanpier._internal.relay.events import EventOrder
 
@@ -56,7 +59,7 @@
     sent: int = 0
     tried: set[str] = attrs.Factory(set)
     may_have_run: bool = False
-    failure: WholeAnswer | None = None
+    failure: CompleteAnswer | None = None
     reason: str = ""
     retry_after_s: float | None = None
     model: str = ""
@@ -71,7 +74,7 @@
 
 def final_answer(
     progress: RequestProgress, left_s: float
-) -> WholeAnswer | AnswerRefused:
+) -> CompleteAnswer | AnswerRefused:
     """Returns the final answer to a request that no worker answered.
 
     Args:
--- a/src/rattanpier/_internal/relay/stream_answers.py
+++ b/src/rattanpier/_internal/relay/stream_answers.py
@@ -8,12 +8,12 @@
 import structlog
 
 from rattanpier._internal.models.relay_answer import (
-    AnswerBegun,
-    AnswerCut,
-    AnswerEnded,
+    AnswerChunk,
+    AnswerCompleted,
     AnswerPart,
-    AnswerPiece,
-    WholeAnswer,
+    AnswerStarted,
+    AnswerTruncated,
+    CompleteAnswer,
 )
 from rattanpier._internal.models.worker import RegisteredWorker
 from rattanpier._internal.relay.dispatch import MAX_ANSWER_BYTES, Dispatcher
@@ -66,11 +66,11 @@
         ) as parts:
             async for part in parts:
                 yield part
-                if isinstance(part, AnswerEnded | WholeAnswer):
+                if isinstance(part, AnswerCompleted | CompleteAnswer):
                     return
     if progress.head_delivered:
         dispatcher.metrics.count("relay.cut")
-        yield AnswerCut(progress.reason)
+        yield AnswerTruncated(progress.reason)
     else:
         yield dispatcher.refuse(progress)
 
@@ -136,11 +136,11 @@
                         record_first_event(
                             dispatcher, progress, choice, started_at
                         )
-                        yield AnswerBegun(head.status, copied_headers(head))
-                    yield AnswerPiece(event.data)
+                        yield AnswerStarted(head.status, copied_headers(head))
+                    yield AnswerChunk(event.data)
             if not progress.head_delivered:
                 progress.head_delivered = True
-                yield AnswerBegun(head.status, copied_headers(head))
+                yield AnswerStarted(head.status, copied_headers(head))
         dispatcher.record_result(
             progress, worker, bad=False, relative_s=relative_s
         )
@@ -150,7 +150,7 @@
             request.prompt.expected_output,
             dispatcher.clock.monotonic() - first_event_at,
         )
-        yield AnswerEnded()
+        yield AnswerCompleted()
     except WorkerFailedError:
         return
     except SendError as error:
@@ -198,7 +198,7 @@
     progress: RequestProgress,
     worker: RegisteredWorker,
     answer: OpenAnswer,
-) -> WholeAnswer:
+) -> CompleteAnswer:
     """Returns a worker's answer that is no stream, if it is final.
 
     Statuses of 500 and above are recorded as failures of the worker.
@@ -210,7 +210,7 @@
     """
     head = answer.head
     body = await answer.read_all(MAX_ANSWER_BYTES)
-    error_answer = WholeAnswer(head.status, copied_headers(head), body)
+    error_answer = CompleteAnswer(head.status, copied_headers(head), body)
     if head.status < MIN_FAILURE_STATUS:
         return error_answer
     dispatcher.record_result(progress, worker, bad=True, relative_s=None)
--- a/tests/retries/test_quarantine.py
+++ b/tests/retries/test_quarantine.py
@@ -4,7 +4,10 @@
 import pytest
 
 from rattanpier._internal.models.refusal import RefusalCode
-from rattanpier._internal.models.relay_answer import AnswerRefused, WholeAnswer
+from rattanpier._internal.models.relay_answer import (
+    AnswerRefused,
+    CompleteAnswer,
+)
 from rattanpier._internal.models.worker_crash import (
     QuarantineUpdate,
     WorkerCrash,
@@ -209,6 +212,6 @@
 
 
 def test_failure_response_of_worker_is_still_forwarded():
-    failure = WholeAnswer(500, (), b"")
+    failure = CompleteAnswer(500, (), b"")
     course = make_course(sent=1, may_have_run=True, failure=failure)
     assert final_answer(course, 5.0) is failure
