--- a/src/rattanpier/_internal/models/policy.py
+++ b/src/rattanpier/_internal/models/policy.py
@@ -43,4 +43,4 @@
     hold_sessions: bool = True
 
 
-USUAL = Policy()
+DEFAULT_POLICY = Policy()
--- a/src/rattanpier/_internal/models/relay_settings.py
+++ b/src/rattanpier/_internal/models/relay_settings.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from rattanpier._internal.models.policy import USUAL, Policy
+from rattanpier._internal.models.policy import DEFAULT_POLICY, Policy
 
 
 @attrs.frozen
@@ -112,4 +112,4 @@
     heartbeat_s: float = 1.2
     bounds: Bounds = attrs.Factory(Bounds)
     regions: Mapping[str, str] = attrs.Factory(dict)
-    policy: Policy = USUAL
+    policy: Policy = DEFAULT_POLICY
--- a/src/rattanpier/_internal/relay/dispatch.py
+++ b/src/rattanpier/_internal/relay/dispatch.py
@@ -12,7 +12,7 @@
 import attrs
 import structlog
 
-from rattanpier._internal.models.policy import USUAL, Policy
+from rattanpier._internal.models.policy import DEFAULT_POLICY, Policy
 from rattanpier._internal.models.relay_answer import (
     AnswerRefused,
     CompleteAnswer,
@@ -108,7 +108,7 @@
     quarantine: Quarantine
     rollouts: Rollouts
     budgets: Mapping[str, ServiceRetryBudget]
-    policy: Policy = USUAL
+    policy: Policy = DEFAULT_POLICY
     publish_prompt: Callable[[str, str, Prompt, float], None] = attrs.field(
         default=lambda _worker, _model, _prompt, _read_s: None
     )
--- a/src/rattanpier/_internal/relay/health.py
+++ b/src/rattanpier/_internal/relay/health.py
@@ -14,7 +14,7 @@
 import attrs
 import structlog
 
-from rattanpier._internal.models.policy import USUAL, Policy
+from rattanpier._internal.models.policy import DEFAULT_POLICY, Policy
 from rattanpier._internal.models.worker import RegisteredWorker
 from rattanpier._internal.utils.clock import Clock
 
@@ -70,7 +70,7 @@
     """
 
     clock: Clock
-    policy: Policy = USUAL
+    policy: Policy = DEFAULT_POLICY
     records: dict[str, WorkerRecord] = attrs.Factory(dict)
 
     def record_result(
--- a/src/rattanpier/_internal/relay/model_choice.py
+++ b/src/rattanpier/_internal/relay/model_choice.py
@@ -11,7 +11,7 @@
 
 import attrs
 
-from rattanpier._internal.models.policy import USUAL, Policy
+from rattanpier._internal.models.policy import DEFAULT_POLICY, Policy
 from rattanpier._internal.models.relay_request import RelayRequest
 
 # Answers with at least this confidence are kept while workers are idle. A
@@ -57,7 +57,7 @@
     BUDGET = "budget"
 
 
-def first_model(request: RelayRequest, policy: Policy = USUAL) -> str:
+def first_model(request: RelayRequest, policy: Policy = DEFAULT_POLICY) -> str:
     """Returns the first model to ask.
 
     Returns:
@@ -81,7 +81,7 @@
     confidence: float,
     now: float,
     estimate: LargerModelEstimate,
-    policy: Policy = USUAL,
+    policy: Policy = DEFAULT_POLICY,
 ) -> KeepReason | None:
     """Returns why an answer is kept; None if a larger model is to be asked.
 
--- a/src/rattanpier/_internal/relay/placement.py
+++ b/src/rattanpier/_internal/relay/placement.py
@@ -13,7 +13,7 @@
 
 import attrs
 
-from rattanpier._internal.models.policy import USUAL, Policy
+from rattanpier._internal.models.policy import DEFAULT_POLICY, Policy
 from rattanpier._internal.models.relay_request import Prompt, RelayRequest
 from rattanpier._internal.models.worker import RegisteredWorker
 from rattanpier._internal.relay.load import Loads, part_sizes
@@ -84,7 +84,7 @@
     rng: random.Random
     timings: ModelTimings
     groups: ModelGroups
-    policy: Policy = USUAL
+    policy: Policy = DEFAULT_POLICY
 
     def choose(
         self,
--- a/src/rattanpier/_internal/relay/rollouts.py
+++ b/src/rattanpier/_internal/relay/rollouts.py
@@ -12,7 +12,7 @@
 import attrs
 import structlog
 
-from rattanpier._internal.models.policy import USUAL, Policy
+from rattanpier._internal.models.policy import DEFAULT_POLICY, Policy
 from rattanpier._internal.models.relay_request import RelayRequest
 from rattanpier._internal.models.rollout_order import (
     RolloutOrder,
@@ -98,7 +98,7 @@
     bound: ExposureBound
     session_s: float
     clock: Clock
-    policy: Policy = USUAL
+    policy: Policy = DEFAULT_POLICY
     sessions: HeldSessions = attrs.field(
         default=attrs.Factory(
             lambda self: HeldSessions(self.session_s, self.clock),
--- a/tests/relay/test_policy.py
+++ b/tests/relay/test_policy.py
@@ -5,7 +5,7 @@
 
 from rattanpier._internal.cli.relay import load_policy
 from rattanpier._internal.exceptions import SettingsError
-from rattanpier._internal.models.policy import USUAL, Policy
+from rattanpier._internal.models.policy import DEFAULT_POLICY, Policy
 from rattanpier._internal.relay.health import Health
 from rattanpier._internal.relay.model_choice import (
     KeepReason,
@@ -25,14 +25,14 @@
 
 
 def without(**off):
-    return attrs.evolve(USUAL, **off)
+    return attrs.evolve(DEFAULT_POLICY, **off)
 
 
 def test_all_mechanisms_are_enabled_by_default(tmp_path):
     path = tmp_path / "policy.toml"
     path.write_text("")
-    assert load_policy(str(path)) == USUAL
-    assert all(attrs.astuple(USUAL))
+    assert load_policy(str(path)) == DEFAULT_POLICY
+    assert all(attrs.astuple(DEFAULT_POLICY))
 
 
 def test_a_mechanism_is_disabled_by_name(tmp_path):
