--- a/src/rattanpier/_internal/models/rate_limit.py
+++ b/src/rattanpier/_internal/models/rate_limit.py
@@ -22,12 +22,12 @@
     rate_per_s: float | None
     serial: int = 0
 
-    def is_narrower(self, rate_per_s: float | None) -> bool:
+    def is_stricter(self, rate_per_s: float | None) -> bool:
         """Says whether this allows less than a rate does.
 
-        >>> RateLimit("w", "w", 2.0).is_narrower(None)
+        >>> RateLimit("w", "w", 2.0).is_stricter(None)
         True
-        >>> RateLimit("w", "w", None).is_narrower(2.0)
+        >>> RateLimit("w", "w", None).is_stricter(2.0)
         False
         """
         if self.rate_per_s is None:
@@ -42,4 +42,4 @@
         """
         if self.serial != other.serial:
             return self.serial > other.serial
-        return self.is_narrower(other.rate_per_s)
+        return self.is_stricter(other.rate_per_s)
--- a/src/rattanpier/_internal/models/revision.py
+++ b/src/rattanpier/_internal/models/revision.py
@@ -35,13 +35,13 @@
         """
         return self.era << ERA_BITS | self.version
 
-    def is_kept_from(self, earlier: Revision) -> bool:
+    def is_restored_from(self, earlier: Revision) -> bool:
         """Says whether a row is one that was known in an earlier era.
 
         A row that stands in the copy that a store came back from keeps the
         version of its last change; one that is written again gets another.
 
-        >>> Revision(2, 7).is_kept_from(Revision(1, 7))
+        >>> Revision(2, 7).is_restored_from(Revision(1, 7))
         True
         """
         return earlier.era < self.era and earlier.version == self.version
--- a/src/rattanpier/_internal/placement/drained_domains.py
+++ b/src/rattanpier/_internal/placement/drained_domains.py
@@ -35,7 +35,7 @@
 def repeats_ended_order(known: DomainOrder, received: DomainOrder) -> bool:
     """Returns whether a restored store contains an order that has ended."""
     was_ended = received.drained and not known.drained
-    return was_ended and received.revision.is_kept_from(known.ended)
+    return was_ended and received.revision.is_restored_from(known.ended)
 
 
 @attrs.define(eq=False, repr=False)
--- a/src/rattanpier/_internal/placement/rate_limits.py
+++ b/src/rattanpier/_internal/placement/rate_limits.py
@@ -113,7 +113,7 @@
         reported = attrs.evolve(known, rate_per_s=rate_per_s)
         if asked_at >= self.received_at[worker.incarnation]:
             self.publish_limit(attrs.evolve(reported, serial=known.serial + 1))
-        elif reported.is_narrower(known.rate_per_s):
+        elif reported.is_stricter(known.rate_per_s):
             self.publish_limit(reported)
 
     def publish_limit(self, limit: RateLimit) -> None:
--- a/src/rattanpier/_internal/relay/known_orders.py
+++ b/src/rattanpier/_internal/relay/known_orders.py
@@ -151,7 +151,7 @@
         """Returns whether an order was superseded before a store restore."""
         return any(
             has_same_target(order, each)
-            and order.revision.is_kept_from(each.revision)
+            and order.revision.is_restored_from(each.revision)
             for each in self.past.get(order.service, ())
         )
 
