--- a/src/rattanpier/_internal/configuration/parse.py
+++ b/src/rattanpier/_internal/configuration/parse.py
@@ -23,13 +23,13 @@
 )
 from rattanpier._internal.models.configuration import Configuration
 from rattanpier._internal.models.settings import Settings
-from rattanpier._internal.utils.exact import exact_converter
+from rattanpier._internal.utils.strict import strict_converter
 
 T = TypeVar("T")
 
 REPAIR = "correct the named lines"
 
-converter = exact_converter(forbid_extra_keys=True)
+converter = strict_converter(forbid_extra_keys=True)
 
 
 def parse_configuration(
--- a/src/rattanpier/_internal/platform/manifest.py
+++ b/src/rattanpier/_internal/platform/manifest.py
@@ -19,7 +19,7 @@
     Workspace,
 )
 from rattanpier._internal.utils.codec import parse_json, structure
-from rattanpier._internal.utils.exact import exact_converter
+from rattanpier._internal.utils.strict import strict_converter
 
 KEY = "config"
 MS = 1000.0
@@ -27,7 +27,7 @@
 DEFAULT_PRIORITY = 5
 
 # Operators may state more than an entry needs.
-converter = exact_converter(forbid_extra_keys=False)
+converter = strict_converter(forbid_extra_keys=False)
 
 
 @attrs.frozen
--- a/src/rattanpier/_internal/platform/registrations.py
+++ b/src/rattanpier/_internal/platform/registrations.py
@@ -11,7 +11,7 @@
 from rattanpier._internal.models.feed import FeedRow
 from rattanpier._internal.models.worker import RegisteredWorker
 from rattanpier._internal.utils.codec import parse_json, structure
-from rattanpier._internal.utils.exact import exact_converter
+from rattanpier._internal.utils.strict import strict_converter
 
 TABLE = "servers"
 READY, DRAINING = "ready", "draining"
@@ -19,7 +19,7 @@
 MS = 1000.0
 
 # Workers may tell more than an entry needs.
-converter = exact_converter(forbid_extra_keys=False)
+converter = strict_converter(forbid_extra_keys=False)
 
 
 @attrs.frozen
--- a/src/rattanpier/_internal/platform/rollouts.py
+++ b/src/rattanpier/_internal/platform/rollouts.py
@@ -12,7 +12,7 @@
     RolloutPhase,
 )
 from rattanpier._internal.utils.codec import parse_json, structure
-from rattanpier._internal.utils.exact import exact_converter
+from rattanpier._internal.utils.strict import strict_converter
 
 ORDERS = "op"
 ORDER_PREFIX = "rollout/"
@@ -25,7 +25,7 @@
 IN_PROGRESS = "in_progress"
 
 # Operators may state more than an entry needs.
-converter = exact_converter(forbid_extra_keys=False)
+converter = strict_converter(forbid_extra_keys=False)
 
 
 @attrs.frozen
--- a/src/rattanpier/_internal/platform/upstream.py
+++ b/src/rattanpier/_internal/platform/upstream.py
@@ -19,7 +19,7 @@
 from rattanpier._internal.platform.registrations import DRAINING
 from rattanpier._internal.relay.connection import WireHead, WireRequest
 from rattanpier._internal.utils.codec import parse_json, structure
-from rattanpier._internal.utils.exact import exact_converter
+from rattanpier._internal.utils.strict import strict_converter
 
 log = structlog.get_logger(part="platform")
 
@@ -34,7 +34,7 @@
 MODEL = "x-model"
 LAST_EVENT_ID = "last-event-id"
 # Workers may tell more than an entry needs.
-converter = exact_converter(forbid_extra_keys=False)
+converter = strict_converter(forbid_extra_keys=False)
 HIGHEST_PRIORITY_VALUE = 9
 TURNED_AWAY = frozenset({429, 503})
 MISDIRECTED = 421  # It promises as well that nothing was run.
--- a/src/rattanpier/_internal/utils/codec.py
+++ b/src/rattanpier/_internal/utils/codec.py
@@ -20,7 +20,7 @@
 
 T = TypeVar("T")
 
-MOST_EXPLAINED = 80  # Characters of a message, which holds the value.
+MAX_EXPLANATION_LENGTH = 80  # Characters of a message, which holds the value.
 
 converter = json_converters.make_converter()
 packer = msgpack_converters.make_converter()
@@ -73,7 +73,7 @@
 def explain(error: BaseException, cls: type[Any] | None) -> str:
     """Says what is wrong with a value, as long as a log line may be."""
     if isinstance(error, TypeError):
-        return str(error)[:MOST_EXPLAINED]
+        return str(error)[:MAX_EXPLANATION_LENGTH]
     return format_exception(error, cls)
 
 
--- a/src/rattanpier/_internal/utils/exact.py
+++ b/src/rattanpier/_internal/utils/strict.py
@@ -25,12 +25,12 @@
 }
 
 
-def structure_exactly(value: Any, cls: type[Any]) -> Any:
+def structure_strictly(value: Any, cls: type[Any]) -> Any:
     """Takes a value of the wanted type, and turns no other into it.
 
-    >>> structure_exactly(1, float)
+    >>> structure_strictly(1, float)
     1.0
-    >>> structure_exactly("false", bool)
+    >>> structure_strictly("false", bool)
     Traceback (most recent call last):
       ...
     TypeError: 'false' is wrong; give true or false, without quotes
@@ -81,7 +81,7 @@
     return factory
 
 
-def exact_converter(*, forbid_extra_keys: bool) -> cattrs.Converter:
+def strict_converter(*, forbid_extra_keys: bool) -> cattrs.Converter:
     """Returns a converter that refuses wrong types.
 
     Args:
@@ -90,7 +90,7 @@
     """
     made = cattrs.Converter()
     for cls in TYPE_NAMES:
-        made.register_structure_hook(cls, structure_exactly)
+        made.register_structure_hook(cls, structure_strictly)
     made.register_structure_hook_factory(
         attrs.has, table_factory(forbid_extra_keys=forbid_extra_keys)
     )
