--- a/src/rattanpier/_internal/dispatch/plain.py
+++ b/src/rattanpier/_internal/dispatch/plain.py
@@ -16,7 +16,7 @@
     read_refusal,
 )
 from rattanpier._internal.dispatch.failures import UpstreamError
-from rattanpier._internal.utils.headers import Header, pass_on
+from rattanpier._internal.utils.headers import Header, forwarded_headers
 
 MAX_ANSWER_BYTES = 16 * 2**20
 READ_BYTES = 2**16
@@ -169,7 +169,7 @@
     check_delimited(response, method)
     body = await read_limited(response)
     return ServiceAnswer(
-        response.status, pass_on(response.headers.items()), body
+        response.status, forwarded_headers(response.headers.items()), body
     )
 
 
--- a/src/rattanpier/_internal/edge/services.py
+++ b/src/rattanpier/_internal/edge/services.py
@@ -31,7 +31,7 @@
 from rattanpier._internal.models.settings import EdgeSettings
 from rattanpier._internal.utils.clock import Clock
 from rattanpier._internal.utils.hashing import short_digest
-from rattanpier._internal.utils.headers import pass_on
+from rattanpier._internal.utils.headers import forwarded_headers
 from rattanpier._internal.utils.ids import new_request_id
 from rattanpier._internal.utils.metrics import Metrics
 
@@ -175,7 +175,7 @@
     return ServiceCall(
         request.method,
         f"/{target}",
-        pass_on(request.headers.items(), ROUTER_REQUEST_HEADERS),
+        forwarded_headers(request.headers.items(), ROUTER_REQUEST_HEADERS),
         body,
     )
 
--- a/src/rattanpier/_internal/relay/edge.py
+++ b/src/rattanpier/_internal/relay/edge.py
@@ -31,7 +31,7 @@
 from rattanpier._internal.relay.drain import DrainState
 from rattanpier._internal.relay.request_progress import round_for_log
 from rattanpier._internal.utils.clock import Clock
-from rattanpier._internal.utils.headers import pass_on
+from rattanpier._internal.utils.headers import forwarded_headers
 from rattanpier._internal.utils.metrics import Metrics
 
 log = structlog.get_logger(part="edge")
@@ -175,7 +175,7 @@
             id=headers.attempt_id,
             method=request.method,
             target=request.raw_path,
-            headers=pass_on(
+            headers=forwarded_headers(
                 request.headers.items(), self.dialect.stripped_headers
             ),
             body=body,
--- a/src/rattanpier/_internal/utils/headers.py
+++ b/src/rattanpier/_internal/utils/headers.py
@@ -19,7 +19,7 @@
 )
 
 
-def pass_on(
+def forwarded_headers(
     headers: object, dropped: frozenset[str] = frozenset()
 ) -> tuple[Header, ...]:
     """Returns the headers that go to the other side.
@@ -28,7 +28,7 @@
       headers: Pairs of names and values.
       dropped: Further names, in lower case.
 
-    >>> pass_on([("Connection", "x-a"), ("X-A", "1"), ("ETag", "2")])
+    >>> forwarded_headers([("Connection", "x-a"), ("X-A", "1"), ("ETag", "2")])
     (('ETag', '2'),)
     """
     pairs = [(str(name), str(value)) for name, value in headers]  # type: ignore[attr-defined]
