--- a/src/rattanpier/_internal/utils/hashing.py
+++ b/src/rattanpier/_internal/utils/hashing.py
@@ -8,7 +8,7 @@
 
 import xxhash
 
-KEPT_HASHES = 8192  # The ids of workers and of parts of prompts recur.
+MAX_CACHED_HASHES = 8192  # The ids of workers and of parts of prompts recur.
 
 
 def stable_hash(text: str) -> int:
@@ -16,7 +16,7 @@
     return xxhash.xxh3_64_intdigest(text.encode())
 
 
-@functools.lru_cache(maxsize=KEPT_HASHES)
+@functools.lru_cache(maxsize=MAX_CACHED_HASHES)
 def short_hash(text: str) -> int:
     """Returns a 32-bit hash: enough for hints, where one in a million errs."""
     return xxhash.xxh32_intdigest(text.encode())
--- a/src/rattanpier/_internal/utils/http_listener.py
+++ b/src/rattanpier/_internal/utils/http_listener.py
@@ -61,9 +61,9 @@
       **options: Of the server.
     """
     server = Server(handler, **options)
-    place: dict[str, Any] = {"host": address.host, "port": address.port}
+    bind_options: dict[str, Any] = {"host": address.host, "port": address.port}
     if listening is not None:
-        place = {"sock": listening}
+        bind_options = {"sock": listening}
     loop = asyncio.get_running_loop()
-    sockets = await loop.create_server(server, backlog=backlog, **place)
+    sockets = await loop.create_server(server, backlog=backlog, **bind_options)
     return HttpListener(server, sockets)
--- a/src/rattanpier/_internal/utils/log_sink.py
+++ b/src/rattanpier/_internal/utils/log_sink.py
@@ -11,7 +11,7 @@
 import time
 
 LINES_PER_S = 400.0  # Some ten lines a request at the usual load of an entry.
-MOST_SAVED_LINES = 2000.0
+MAX_BURST_LINES = 2000.0
 BUFFER_BYTES = 2**20  # Held for a reader that is slow.
 FLUSH_BYTES = 8192
 
@@ -29,13 +29,13 @@
         self.fd = fd
         self.buffer = bytearray()
         self.dropped = 0
-        self.tokens = MOST_SAVED_LINES
+        self.tokens = MAX_BURST_LINES
         self.filled_at = time.monotonic()
         os.set_blocking(fd, False)
 
     def msg(self, message: str) -> None:
         """Takes a line; the name is structlog's."""
-        if not self.take_token():
+        if not self.try_acquire():
             self.dropped += 1
             return
         self.buffer += message.encode()
@@ -43,22 +43,22 @@
         if len(self.buffer) >= FLUSH_BYTES:
             self.flush()
         if len(self.buffer) > BUFFER_BYTES:
-            self.cut_buffer()
+            self.drop_buffered_lines()
 
     debug = info = warning = error = critical = exception = log = msg
 
-    def take_token(self) -> bool:
+    def try_acquire(self) -> bool:
         """Says whether one more line is within the budget."""
         now = time.monotonic()
         earned = (now - self.filled_at) * LINES_PER_S
-        self.tokens = min(MOST_SAVED_LINES, self.tokens + earned)
+        self.tokens = min(MAX_BURST_LINES, self.tokens + earned)
         self.filled_at = now
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
         return True
 
-    def cut_buffer(self) -> None:
+    def drop_buffered_lines(self) -> None:
         """Drops the lines that nobody read."""
         end = self.buffer.find(b"\n") + 1
         self.dropped += self.buffer.count(b"\n", end)
--- a/src/rattanpier/_internal/utils/samples.py
+++ b/src/rattanpier/_internal/utils/samples.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-KEPT = 16  # Samples of a quantile: some seconds of an entry's requests.
+MAX_SAMPLES = 16  # Samples of a quantile: some seconds of an entry's requests.
 
 
 @attrs.define(eq=False, repr=False)
@@ -57,7 +57,7 @@
 
     share: float
     samples: collections.deque[float] = attrs.Factory(
-        lambda: collections.deque(maxlen=KEPT)
+        lambda: collections.deque(maxlen=MAX_SAMPLES)
     )
 
     def add(self, sample: float) -> None:
