--- a/src/rattanpier/_internal/relay/model_groups.py
+++ b/src/rattanpier/_internal/relay/model_groups.py
@@ -22,7 +22,7 @@
 from rattanpier._internal.models.worker import RegisteredWorker
 from rattanpier._internal.utils.clock import Clock
 from rattanpier._internal.utils.hashing import rendezvous
-from rattanpier._internal.utils.samples import FadingSum
+from rattanpier._internal.utils.samples import DecayingSum
 from rattanpier._internal.utils.turns import in_turns
 
 MIN_WORKERS = 4  # In a smaller pool each worker serves all models.
@@ -47,8 +47,8 @@
         number of slots.
     """
 
-    reading: FadingSum = attrs.Factory(lambda: FadingSum(HALF_LIFE_S))
-    running: FadingSum = attrs.Factory(lambda: FadingSum(HALF_LIFE_S))
+    reading: DecayingSum = attrs.Factory(lambda: DecayingSum(HALF_LIFE_S))
+    running: DecayingSum = attrs.Factory(lambda: DecayingSum(HALF_LIFE_S))
 
     def current(self, now: float) -> float:
         """Returns the larger of both demands, in worker seconds.
@@ -58,8 +58,8 @@
         Args:
           now: Monotonic seconds.
         """
-        self.reading.fade(now)
-        self.running.fade(now)
+        self.reading.decay(now)
+        self.running.decay(now)
         return max(self.reading.total, self.running.total)
 
 
--- a/src/rattanpier/_internal/relay/model_timings.py
+++ b/src/rattanpier/_internal/relay/model_timings.py
@@ -13,7 +13,7 @@
 
 from rattanpier._internal.models.route_table import ModelCost
 from rattanpier._internal.utils.clock import Clock
-from rattanpier._internal.utils.samples import FadingSum, RecentQuantile
+from rattanpier._internal.utils.samples import DecayingSum, RecentQuantile
 
 # Initial estimate for a model of the mean price, in seconds a token. It only
 # affects which of two workers is preferred.
@@ -48,7 +48,7 @@
 
     read: RecentQuantile = attrs.Factory(lambda: RecentQuantile(IDLE_QUANTILE))
     first: RecentQuantile = attrs.Factory(lambda: RecentQuantile(0.0))
-    request_read: FadingSum = attrs.Factory(lambda: FadingSum(HALF_LIFE_S))
+    request_read: DecayingSum = attrs.Factory(lambda: DecayingSum(HALF_LIFE_S))
     waits: dict[int, RecentQuantile] = attrs.Factory(
         lambda: collections.defaultdict(lambda: RecentQuantile(UPPER_QUANTILE))
     )
@@ -139,7 +139,7 @@
     def typical_read_s(self, model: str) -> float:
         """Returns the mean seconds to read the prompt of a request."""
         request_read = self.models[model].request_read
-        request_read.fade(self.clock.monotonic())
+        request_read.decay(self.clock.monotonic())
         return request_read.mean(self.read_s(model, DEFAULT_PROMPT_TOKENS))
 
     def wait_s(self, model: str, priority: int) -> float:
--- a/src/rattanpier/_internal/relay/prompt_updates.py
+++ b/src/rattanpier/_internal/relay/prompt_updates.py
@@ -24,7 +24,7 @@
 from rattanpier._internal.relay.load import Loads, part_keys
 from rattanpier._internal.utils.clock import Clock
 from rattanpier._internal.utils.hashing import short_hash
-from rattanpier._internal.utils.samples import FadingSum
+from rattanpier._internal.utils.samples import DecayingSum
 
 # Prompts that are read faster cause no delay that callers notice. They are the
 # majority: prompts for the smallest model and prompts that are cached.
@@ -62,7 +62,7 @@
     send: Callable[[Iterable[Member], peer_pb2.Notice], None]
     clock: Clock
     rng: random.Random
-    sent: FadingSum = attrs.Factory(lambda: FadingSum(RATE_HALF_LIFE_S))
+    sent: DecayingSum = attrs.Factory(lambda: DecayingSum(RATE_HALF_LIFE_S))
     ids_by_hash: dict[int, str] = attrs.Factory(dict)
 
     def publish(
--- a/src/rattanpier/_internal/utils/samples.py
+++ b/src/rattanpier/_internal/utils/samples.py
@@ -10,7 +10,7 @@
 
 
 @attrs.define(eq=False, repr=False)
-class FadingSum:
+class DecayingSum:
     """A sum, and mean, in which a sample's weight halves again and again.
 
     Attributes:
@@ -25,7 +25,7 @@
     total: float = 0.0
     at: float = 0.0
 
-    def fade(self, now: float) -> None:
+    def decay(self, now: float) -> None:
         """Brings the weights up to date."""
         factor = 0.5 ** (max(0.0, now - self.at) / self.half_life_s)
         self.weight *= factor
@@ -34,14 +34,14 @@
 
     def add(self, sample: float, now: float) -> None:
         """Takes a sample in."""
-        self.fade(now)
+        self.decay(now)
         self.weight += 1.0
         self.total += sample
 
     def mean(self, default: float) -> float:
         """Returns the mean; near a default while there are few samples.
 
-        >>> FadingSum(1.0, weight=3.0, total=9.0).mean(1.0)
+        >>> DecayingSum(1.0, weight=3.0, total=9.0).mean(1.0)
         2.5
         """
         return (self.total + default) / (self.weight + 1.0)
