--- a/src/rattanpier/_internal/relay/model_groups.py
+++ b/src/rattanpier/_internal/relay/model_groups.py
@@ -22,8 +22,8 @@
 from rattanpier._internal.models.worker import RegisteredWorker
 from rattanpier._internal.utils.clock import Clock
 from rattanpier._internal.utils.hashing import rendezvous
+from rattanpier._internal.utils.interleave import interleave
 from rattanpier._internal.utils.samples import DecayingSum
-from rattanpier._internal.utils.turns import in_turns
 
 MIN_WORKERS = 4  # In a smaller pool each worker serves all models.
 # Share of a pool for the smallest model before any demand was measured, derived
@@ -128,4 +128,4 @@
     domains: dict[str, list[str]] = collections.defaultdict(list)
     for id in rendezvous("models", domain_of):
         domains[domain_of[id]].append(id)
-    return tuple(in_turns(domains[name] for name in sorted(domains)))
+    return tuple(interleave(domains[name] for name in sorted(domains)))
--- a/src/rattanpier/_internal/routing/placement.py
+++ b/src/rattanpier/_internal/routing/placement.py
@@ -20,7 +20,7 @@
     Worker,
 )
 from rattanpier._internal.utils.hashing import rendezvous
-from rattanpier._internal.utils.turns import in_turns
+from rattanpier._internal.utils.interleave import interleave
 
 SUBSET_SIZE = 64  # Workers per version that an entry uses of a larger pool.
 MIN_ENTRIES_PER_WORKER = 32  # On average; with fewer, load gets uneven.
@@ -178,7 +178,7 @@
     for name in rendezvous(entry, by_name):
         target = by_name[name]
         domains.setdefault(target.worker.domain, []).append(target)
-    return list(itertools.islice(in_turns(domains.values()), size))
+    return list(itertools.islice(interleave(domains.values()), size))
 
 
 def usable_targets(
--- a/src/rattanpier/_internal/utils/turns.py
+++ b/src/rattanpier/_internal/utils/interleave.py
@@ -9,10 +9,10 @@
 T = TypeVar("T")
 
 
-def in_turns(lists: Iterable[Sequence[T]]) -> Iterator[T]:
+def interleave(lists: Iterable[Sequence[T]]) -> Iterator[T]:
     """Yields the first of each list, then the second of each, and so on.
 
-    >>> "".join(in_turns(["ad", "be", "c"]))
+    >>> "".join(interleave(["ad", "be", "c"]))
     'abcde'
     """
     missing = object()
