--- a/src/rattanpier/_internal/models/deregistration.py
+++ b/src/rattanpier/_internal/models/deregistration.py
@@ -21,11 +21,11 @@
     sequence: int
     revision: Revision
 
-    def names(self, id: str) -> bool:
+    def is_of_worker(self, id: str) -> bool:
         """Says whether it is of a start of a worker."""
         return self.incarnation == id or self.incarnation.startswith(f"{id}/")
 
     @property
-    def order(self) -> tuple[Revision, int]:
+    def sort_key(self) -> tuple[Revision, int]:
         """The larger of two of one start tells more."""
         return self.revision, self.sequence
--- a/src/rattanpier/_internal/relay/deregistrations.py
+++ b/src/rattanpier/_internal/relay/deregistrations.py
@@ -100,7 +100,7 @@
     def record(self, departure: Deregistration) -> None:
         """Records a deregistration, unless a newer one is known."""
         known = self.deregistered.get(departure.incarnation)
-        if known is not None and known.order >= departure.order:
+        if known is not None and known.sort_key >= departure.sort_key:
             return
         self.deregistered[departure.incarnation] = departure
         self.deregistered.move_to_end(departure.incarnation)
@@ -118,7 +118,7 @@
           revision: Revision of the removal.
         """
         for departure in list(self.deregistered.values()):
-            if departure.names(id):
+            if departure.is_of_worker(id):
                 self.record(attrs.evolve(departure, revision=revision))
 
     def contradicts(
