--- a/src/rattanpier/_internal/edge/app.py
+++ b/src/rattanpier/_internal/edge/app.py
@@ -1,4 +1,4 @@
-"""The caller interface: routes of an entry."""
+"""HTTP routes that an entry serves to callers."""
 
 from __future__ import annotations
 
@@ -26,7 +26,15 @@
 
 @attrs.define
 class Edge:
-    """Serves everything but the answers themselves."""
+    """Registers all routes and serves those that need no upstream.
+
+    Attributes:
+      chat: Serves chat completions.
+      services: Serves calls to plain services.
+      follower: Holds the configuration in force on this node.
+      members: Processes of the system that this one knows.
+      settings: Limits of the caller edge.
+    """
 
     chat: ChatHandler
     services: ServiceHandler
@@ -35,7 +43,7 @@
     settings: EdgeSettings
 
     def workspace(self, request: web.Request) -> str | None:
-        """Returns the workspace that asks, or None."""
+        """Returns the workspace whose key a request carries, or None."""
         return find_workspace(
             self.follower.configuration,
             request.headers.get("Authorization", ""),
@@ -46,7 +54,7 @@
         return refuse(self.chat.metrics, refusal, new_request_id())
 
     async def models(self, request: web.Request) -> web.Response:
-        """`GET /v1/models`: only what the workspace allows."""
+        """Serves `GET /v1/models`: the versions the workspace may use."""
         name = self.workspace(request)
         if name is None:
             return self.refuse(BAD_KEY)
@@ -63,7 +71,11 @@
         return web.json_response({"object": "list", "data": data})
 
     async def entries(self, _request: web.Request) -> web.Response:
-        """`GET /v1/entries`: addresses, and how long they may be cached."""
+        """Serves `GET /v1/entries`.
+
+        The reply holds the addresses of entries and the seconds for which
+        callers may cache them.
+        """
         fleet = self.follower.configuration.fleet
         return web.json_response(
             {
@@ -82,7 +94,7 @@
         )
 
     async def request_state(self, request: web.Request) -> web.Response:
-        """`GET /v1/requests/KEY`: what became of a request."""
+        """Serves `GET /v1/requests/KEY`: the state of a request's claim."""
         name = self.workspace(request)
         if name is None:
             return self.refuse(BAD_KEY)
@@ -110,11 +122,11 @@
         )
 
     async def health(self, _request: web.Request) -> web.Response:
-        """`GET /healthz`: the process runs."""
+        """Serves `GET /healthz`: 200 while the process runs."""
         return web.json_response({"status": "ok"})
 
     async def ready(self, _request: web.Request) -> web.Response:
-        """`GET /readyz`: the entry takes new callers."""
+        """Serves `GET /readyz`: 200 if the entry accepts callers, else 503."""
         ready = (
             self.chat.runner.dispatcher.current()
             and self.chat.runner.claims.ownership.acquainted
@@ -130,7 +142,7 @@
         )
 
     def app(self) -> web.Application:
-        """Returns the aiohttp application."""
+        """Returns the aiohttp application with all routes."""
         app = web.Application(
             client_max_size=self.settings.max_body_bytes,
             middlewares=[refuse_unrouted(self.chat.metrics)],
