--- a/src/rattanpier/_internal/edge/auth.py
+++ b/src/rattanpier/_internal/edge/auth.py
@@ -1,4 +1,7 @@
-"""Keys of workspaces and operators: stored hashed, compared safely."""
+"""API keys of workspaces and operators.
+
+Only SHA-256 digests are configured; they are compared in constant time.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +26,11 @@
 
 
 def matches_any(key: str, digests: Iterable[str]) -> bool:
-    """Says whether a key has one of the digests, in constant time."""
+    """Returns whether a key has one of the digests.
+
+    All digests are compared, each in constant time, so that the duration
+    tells nothing about the key.
+    """
     digest = sha256_hex(key)
     found = [hmac.compare_digest(digest, known) for known in digests]
     return any(found)
@@ -33,8 +40,8 @@
     """Returns the refusal for a key that is not in the configuration.
 
     Args:
-      current: Whether the configuration is in force; if not, the key may be
-        newer than it.
+      current: Whether the node's configuration is known to be current; if
+        not, the key may have been added by a newer revision.
     """
     if current:
         return Refusal(RefusalCode.BAD_KEY, "The key is not known.", True)
