--- a/src/rattanpier/_internal/edge/chat.py
+++ b/src/rattanpier/_internal/edge/chat.py
@@ -1,4 +1,7 @@
-"""`POST /v1/chat/completions`: parts of an answer to HTTP."""
+"""Serves `POST /v1/chat/completions`.
+
+Turns the parts of an answer from the runner into an HTTP response.
+"""
 
 from __future__ import annotations
 
@@ -51,8 +54,11 @@
 
     Attributes:
       runner: Answers the requests.
-      tokens: Signs and reads session tokens.
-      pins: Versions of sessions without a token.
+      tokens: Signs and verifies session tokens.
+      pins: Pinned versions of sessions whose callers send no token.
+      settings: Limits on bodies and timeouts.
+      clock: Source of the deadlines.
+      metrics: Counts refusals.
     """
 
     runner: Runner
@@ -63,7 +69,7 @@
     metrics: Metrics
 
     async def handle(self, request: web.Request) -> web.StreamResponse:
-        """Answers one request."""
+        """Serves one chat request, streamed or not."""
         request_id = new_request_id()
         try:
             route = await self.parse_request(request)
@@ -78,10 +84,11 @@
             return await self.respond_json(route, request_id, parts)
 
     async def parse_request(self, request: web.Request) -> RouteRequest:
-        """Checks who asks, and what.
+        """Authenticates the caller, validates the body and finds the pin.
 
         Raises:
-          RequestRefusedError: The request is refused.
+          RequestRefusedError: The key, the body or a header is not valid, or
+            the session's pin can't be read.
         """
         workspace = find_caller(
             request,
@@ -100,7 +107,7 @@
         return await self.with_pin(route)
 
     async def with_pin(self, route: RouteRequest) -> RouteRequest:
-        """Returns a request with the version that its session keeps.
+        """Returns a request with the version that its session is pinned to.
 
         Raises:
           RequestRefusedError: The version can't be read, and the request would
@@ -115,7 +122,7 @@
         return attrs.evolve(route, pinned=pinned)
 
     def gets_candidate(self, route: RouteRequest) -> bool:
-        """Says whether a roll-out puts its candidate into a request's plan."""
+        """Returns whether a request's plan has a roll-out's candidate in it."""
         configuration = self.runner.configuration()
         plan = make_plan(configuration, route, self.runner.braked)
         candidates = {
@@ -124,7 +131,12 @@
         return isinstance(plan, Plan) and not candidates.isdisjoint(plan.steps)
 
     async def keep_pin(self, route: RouteRequest, started: Started) -> Started:
-        """Pins the session of an answer that is about to be released."""
+        """Pins the session of an answer whose first byte is released next.
+
+        Returns:
+          The start of the answer, with the version in `pin_lost` that another
+          entry pinned first, if there is one.
+        """
         if not route.session:
             return started
         kept = await self.pins.keep(
@@ -135,13 +147,13 @@
         return attrs.evolve(started, pin_lost=kept)
 
     def refuse(self, refusal: Refusal, request_id: str) -> web.Response:
-        """Returns a refusal and counts its reason."""
+        """Returns the response for a refusal and counts its reason."""
         return refuse(self.metrics, refusal, request_id)
 
     def headers(
         self, route: RouteRequest, request_id: str, started: Started
     ) -> dict[str, str]:
-        """Returns the headers of an answer."""
+        """Returns the response headers of an answer."""
         headers = {
             "X-Request-Id": request_id,
             "X-Model-Version": started.version,
@@ -159,7 +171,7 @@
         request_id: str,
         parts: AsyncIterator[Part],
     ) -> web.Response:
-        """Answers with one JSON body."""
+        """Responds with one JSON body."""
         headers: dict[str, str] = {}
         chunks: list[Chunk] = []
         async for part in parts:
@@ -186,9 +198,10 @@
         request_id: str,
         parts: AsyncIterator[Part],
     ) -> web.StreamResponse:
-        """Answers with server-sent events."""
+        """Responds with server-sent events."""
         response: web.StreamResponse | None = None
-        # Chunks that came together go out together: one write, one packet.
+        # Chunks that were received together are sent in one write, which
+        # usually makes one packet.
         ready: list[bytes] = []
         async for part in parts:
             match part:
@@ -222,7 +235,7 @@
 async def write_all(
     response: web.StreamResponse | None, ready: list[bytes]
 ) -> None:
-    """Writes what is ready, and empties the list."""
+    """Writes the pending events and clears the list."""
     assert response is not None
     if ready:
         data = b"".join(ready)
@@ -231,7 +244,7 @@
 
 
 def pin_unavailable() -> Refusal:
-    """Returns the refusal while a session's version can't be read."""
+    """Returns the refusal for a session whose pin can't be read."""
     return Refusal(
         RefusalCode.NO_VERSION,
         "The session's version can't be read now; send X-Session-Token.",
@@ -248,7 +261,7 @@
 
 
 def recorded_response(answer: Answer, request_id: str) -> web.Response:
-    """Returns a recorded answer."""
+    """Returns the response for a recorded answer."""
     return web.Response(
         status=answer.status,
         text=answer.body,
@@ -263,7 +276,7 @@
 async def replay(
     request: web.Request, answer: Answer, request_id: str
 ) -> web.StreamResponse:
-    """Streams a recorded answer as one chunk."""
+    """Streams a recorded answer as one chunk and the end mark."""
     body = json.loads(answer.body)
     choice = body["choices"][0]
     event = {
