--- a/src/rattanpier/_internal/edge/errors.py
+++ b/src/rattanpier/_internal/edge/errors.py
@@ -1,4 +1,4 @@
-"""Refusals as callers see them, in the shape that OpenAI clients parse."""
+"""Renders refusals as error bodies that OpenAI clients parse."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def error_response(refusal: Refusal, request_id: str) -> web.Response:
-    """Returns the HTTP answer for a refusal."""
+    """Returns the HTTP response for a refusal."""
     headers = {"X-Request-Id": request_id}
     if refusal.retry_after_s is not None:
         headers["Retry-After"] = str(math.ceil(refusal.retry_after_s))
@@ -40,11 +40,11 @@
 
 
 def refuse(metrics: Metrics, refusal: Refusal, request_id: str) -> web.Response:
-    """Returns the HTTP answer for a refusal and counts its reason."""
+    """Returns the HTTP response for a refusal and counts its reason."""
     metrics.count(f"refusal.{refusal.code.value}")
     return error_response(refusal, request_id)
 
 
 def error_event(refusal: Refusal, request_id: str) -> bytes:
-    """Returns the event that ends a stream without its end mark."""
+    """Returns the error event that ends a stream instead of its end mark."""
     return f"data: {json.dumps(error_body(refusal, request_id))}\n\n".encode()
--- a/src/rattanpier/_internal/edge/gate.py
+++ b/src/rattanpier/_internal/edge/gate.py
@@ -1,4 +1,4 @@
-"""Counts requests in flight, and closes the edge to new ones."""
+"""Counts requests in flight and refuses new ones during a drain."""
 
 from __future__ import annotations
 
@@ -15,20 +15,22 @@
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
-# Answered to the end: they run nothing, and help callers to go elsewhere.
+# Served until the process ends: these requests run nothing on an upstream, and
+# callers use them to find another entry.
 UNGATED_PATHS = frozenset({"/healthz", "/readyz", "/v1/entries"})
 RETRY_AFTER_S = 1.0
 
 
 @attrs.define
 class Gate:
-    """Whether an entry takes requests.
+    """Admission of callers' requests to an entry, as it drains.
 
     Attributes:
-      leaving: Connections are not kept for another request.
-      closed: New requests are refused.
-      in_flight: Requests in flight.
-      idle: Set while there are none.
+      metrics: Counts refusals.
+      leaving: Each connection is closed after its current response.
+      closed: New requests are refused; `leaving` is also set.
+      in_flight: Number of requests in flight.
+      idle: Set while no request is in flight.
     """
 
     metrics: Metrics
@@ -38,22 +40,22 @@
     idle: asyncio.Event = attrs.Factory(asyncio.Event)
 
     def __attrs_post_init__(self) -> None:
-        """An edge starts without requests."""
+        """Sets `idle`, since no request is in flight at the start."""
         self.idle.set()
 
     def leave(self) -> None:
-        """Lets callers go after their present request."""
+        """Closes each connection after its current request."""
         self.leaving = True
 
     def close(self) -> None:
-        """Refuses new requests."""
+        """Refuses new requests from now on."""
         self.leaving = True
         self.closed = True
 
     async def handle(
         self, request: web.Request, handler: Handler
     ) -> web.StreamResponse:
-        """Serves or refuses one request, as aiohttp middleware."""
+        """Serves or refuses one request, as an aiohttp middleware does."""
         if request.path in UNGATED_PATHS:
             return self.close_if_leaving(await handler(request))
         if self.closed:
@@ -63,7 +65,8 @@
         try:
             response = self.close_if_leaving(await handler(request))
             if self.leaving:
-                # Written here, so that the request counts until its last byte.
+                # Written here, so that the request counts as in flight until
+                # its last byte.
                 await response.prepare(request)
                 await response.write_eof()
             return response
@@ -73,25 +76,25 @@
     def close_if_leaving(
         self, response: web.StreamResponse
     ) -> web.StreamResponse:
-        """Ends the connection behind a response once the entry leaves."""
+        """Marks the connection to be closed if the entry is leaving."""
         if self.leaving and not response.prepared:
             response.force_close()
         return response
 
     def begin_request(self) -> None:
-        """Counts a request in."""
+        """Adds a request to those in flight."""
         self.in_flight += 1
         self.idle.clear()
 
     def end_request(self) -> None:
-        """Counts a request out."""
+        """Removes a request; sets `idle` if it was the last."""
         self.in_flight -= 1
         if self.in_flight == 0:
             self.idle.set()
 
 
 def gate_middleware(gate: Gate) -> Callable[..., Awaitable[web.StreamResponse]]:
-    """Returns the gate as middleware of an aiohttp application."""
+    """Returns the aiohttp middleware that applies a gate."""
 
     @web.middleware
     async def middleware(
@@ -103,7 +106,7 @@
 
 
 def refuse_draining() -> web.Response:
-    """Returns the refusal of a request that comes too late."""
+    """Returns the refusal for a request that arrives after `Gate.close`."""
     refusal = Refusal(
         RefusalCode.DRAINING,
         "This entry is leaving; ask another for GET /v1/entries.",
