--- a/src/rattanpier/_internal/edge/intake.py
+++ b/src/rattanpier/_internal/edge/intake.py
@@ -1,4 +1,4 @@
-"""From an HTTP request to a checked `RouteRequest`."""
+"""Validates HTTP requests and turns them into `RouteRequest` objects."""
 
 from __future__ import annotations
 
@@ -17,12 +17,16 @@
 from rattanpier._internal.utils.ids import new_key
 
 DEFAULT_MAX_TOKENS = 256
-MAX_KEY_LENGTH = 255  # Characters.
+MAX_KEY_LENGTH = 255  # In characters.
 FALSE_HEADER_VALUES = frozenset({"", "false", "0", "no"})
 
 
 class RequestRefusedError(Exception):
-    """A request can't be taken in; carries its refusal."""
+    """A request is not valid.
+
+    Attributes:
+      refusal: What the caller is answered.
+    """
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(refusal.message)
@@ -30,19 +34,19 @@
 
 
 def bad_request(message: str) -> RequestRefusedError:
-    """Returns the error for a request that is not well formed."""
+    """Returns the error for a malformed request."""
     return RequestRefusedError(Refusal(RefusalCode.BAD_REQUEST, message, True))
 
 
 def find_caller(
     request: web.Request, configuration: Configuration, current: bool
 ) -> str:
-    """Returns the workspace that asks.
+    """Returns the name of the caller's workspace.
 
     Args:
-      request: The request, with its key.
+      request: The request, with the key in its Authorization header.
       configuration: The configuration in force on this node.
-      current: Whether the node knows that there is no newer one.
+      current: Whether the node knows that there is no newer configuration.
 
     Raises:
       RequestRefusedError: The key is not known.
@@ -56,7 +60,11 @@
 
 
 async def read_body(request: web.Request, limit: int) -> bytes:
-    """Returns the body.
+    """Returns the body of a request.
+
+    Args:
+      request: The request.
+      limit: Size limit in bytes, named in the refusal.
 
     Raises:
       RequestRefusedError: The body is over the limit.
@@ -74,10 +82,11 @@
 
 
 def parse_body(data: bytes) -> dict[str, Any]:
-    """Returns a chat-completions body.
+    """Returns the parsed body of a chat completion.
 
     Raises:
-      RequestRefusedError: The body is not JSON or lacks what every request has.
+      RequestRefusedError: The body is not a JSON object, or has no valid
+        `model` or `messages`.
     """
     try:
         body = json.loads(data)
@@ -96,7 +105,7 @@
 
 
 def timeout_s(request: web.Request, settings: EdgeSettings) -> float:
-    """Returns the seconds that the caller gives a request.
+    """Returns a request's timeout in seconds, `max_timeout_s` at most.
 
     Raises:
       RequestRefusedError: The header is not a positive number.
@@ -114,10 +123,10 @@
 
 
 def idempotency_key(request: web.Request) -> str:
-    """Returns the caller's key, or a fresh one.
+    """Returns the caller's idempotency key, or a new random one.
 
     Raises:
-      RequestRefusedError: The key is too long.
+      RequestRefusedError: The key is empty or too long.
     """
     key = request.headers.get("Idempotency-Key")
     if key is None:
@@ -130,10 +139,11 @@
 
 
 def is_non_idempotent(request: web.Request) -> bool:
-    """Says whether the caller marked a request as non-idempotent.
+    """Returns whether the caller marked a request as non-idempotent.
 
-    Whatever does not plainly say "no" is a mark: a request that is run once
-    without need costs less than one that is run twice.
+    Any header value outside `FALSE_HEADER_VALUES` is a mark: to run an
+    idempotent request at most once costs less than to run a non-idempotent one
+    twice.
     """
     text = request.headers.get("X-Non-Idempotent", "")
     return text.strip().lower() not in FALSE_HEADER_VALUES
@@ -147,10 +157,10 @@
     clock: Clock,
     pinned: str,
 ) -> RouteRequest:
-    """Returns a chat request as the decisions see it.
+    """Returns what routing needs of a chat request.
 
     Raises:
-      RequestRefusedError: The request is not well formed.
+      RequestRefusedError: The request is malformed.
     """
     body = parse_body(data)
     characters = sum(
