--- a/src/rattanpier/_internal/edge/pins.py
+++ b/src/rattanpier/_internal/edge/pins.py
@@ -1,9 +1,10 @@
-"""Pins of sessions whose callers send an id and no token.
+"""Version pins of sessions whose callers send a session id but no token.
 
-An entry remembers what it answered. While a roll-out is open, the version is
-also kept in the table service, one row a session, so that the session holds
-it on other entries and while the share moves. Without an open roll-out the
-split can't move a session, and nothing is written or read.
+Each entry caches the versions that it answered with. While a roll-out is open,
+the version is also stored in the table service, one row per session, so that
+the session keeps it on other entries and when the share of the candidate
+changes. Without an open roll-out no session can change its version, and the
+table is neither read nor written.
 """
 
 from __future__ import annotations
@@ -30,15 +31,15 @@
 from rattanpier._internal.utils.metrics import Metrics
 
 PIN_PREFIX = "pin/"
-MAX_CACHED_PINS = 50_000  # Sessions; about 200 bytes each.
+MAX_CACHED_PINS = 50_000  # About 200 bytes each.
 
 
 @attrs.frozen
 class PinRow:
-    """The row of one session.
+    """The stored pin of one session.
 
     Attributes:
-      version: Version that the session keeps.
+      version: Version that the session is pinned to.
       time: Seconds since the epoch at which it was pinned.
     """
 
@@ -63,11 +64,11 @@
 
 @attrs.frozen
 class CachedPin:
-    """What an entry knows of a session.
+    """A session's pin in the cache of an entry.
 
     Attributes:
-      version: Version that the session keeps.
-      stored: True once its row was read, or its writing was tried.
+      version: Version that the session is pinned to.
+      stored: True once its row was read, or a write of it was attempted.
     """
 
     version: str
@@ -76,11 +77,14 @@
 
 @attrs.define
 class SessionPins:
-    """Finds and keeps the versions of sessions.
+    """Reads and writes the pinned versions of sessions.
 
     Attributes:
+      table: The table service that holds the rows.
+      clock: Source of the times in the rows.
+      metrics: Counts reads and writes of rows.
       configuration: Returns the configuration in force.
-      cached: Sessions by row key, the most recently used last.
+      cached: Pins by row key, the most recently used last.
     """
 
     table: Table
@@ -92,11 +96,11 @@
     )
 
     async def find(self, workspace: str, session: str) -> str:
-        """Returns the version that a session keeps, or an empty string.
+        """Returns the version that a session is pinned to, or an empty string.
 
         Raises:
-          StoreUnavailableError: It is not remembered here, and the store did
-            not answer.
+          StoreUnavailableError: The pin is not cached, and the store did not
+            answer.
         """
         key = pin_key(workspace, session)
         if key in self.cached:
@@ -108,7 +112,7 @@
         return await self.read(key)
 
     async def read(self, key: str) -> str:
-        """Returns the version in a row and remembers it."""
+        """Returns the version in a row, or an empty string, and caches it."""
         row = await self.table.get(key)
         if row is None:
             return ""
@@ -120,12 +124,13 @@
         """Pins a session; called before an answer's first byte is released.
 
         Returns:
-          The version that the session keeps: another one if another entry
-          pinned it first.
+          The version that the session is pinned to: a different one if
+          another entry pinned it first.
         """
         key = pin_key(workspace, session)
         known = self.cached.get(key, CachedPin("", False))
-        # A session older than the roll-out gets its row once one is open.
+        # A session that was pinned before the roll-out was opened gets its
+        # row now.
         open_now = version in rollout_versions(self.configuration())
         if known.version == version and (known.stored or not open_now):
             return version
@@ -142,20 +147,24 @@
             case Conflict():
                 return await self.read_existing(key, version)
             case _:
-                # Held by this entry alone until the store is back.
+                # The store is unavailable, so that only this entry knows the
+                # pin.
                 self.metrics.count("sessions.pin_unwritten")
         self.cache(key, version, stored=True)
         return version
 
     async def read_existing(self, key: str, version: str) -> str:
-        """Returns the version that was pinned before."""
+        """Returns the version that another entry pinned first.
+
+        Returns `version` if the row can't be read or is gone.
+        """
         try:
             return await self.read(key) or version
         except StoreUnavailableError:
             return version
 
     def cache(self, key: str, version: str, stored: bool) -> None:
-        """Notes a session's version in this process."""
+        """Caches a pin and evicts the least recently used one if full."""
         self.cached[key] = CachedPin(version, stored)
         self.cached.move_to_end(key)
         if len(self.cached) > MAX_CACHED_PINS:
