--- a/src/rattanpier/_internal/edge/server.py
+++ b/src/rattanpier/_internal/edge/server.py
@@ -1,4 +1,4 @@
-"""Listens for callers, in the clear or by TLS."""
+"""HTTP server of one listening address, with or without TLS."""
 
 from __future__ import annotations
 
@@ -8,14 +8,17 @@
 from rattanpier._internal.models.settings import ListenSettings
 from rattanpier._internal.peers.tls import caller_server_context
 
-SHUTDOWN_S = 5.0  # aiohttp's own patience; the drain comes before it.
+# Seconds that aiohttp waits for open requests; the drain has ended by then.
+SHUTDOWN_S = 5.0
 
 
 class HttpServer:
     """One listening address for an aiohttp application.
 
     Attributes:
-      port: The port taken.
+      runner: Runs the application.
+      listen: Address and certificate.
+      port: The bound port, once started.
     """
 
     def __init__(
@@ -36,7 +39,7 @@
         self.port = listen.port
 
     async def start(self) -> None:
-        """Starts to listen."""
+        """Binds the address and starts to accept connections."""
         await self.runner.setup()
         site = web.TCPSite(
             self.runner,
@@ -48,12 +51,12 @@
         self.port = self.runner.addresses[0][1]
 
     async def stop(self) -> None:
-        """Stops listening and ends the connections."""
+        """Stops listening and closes the connections."""
         await self.runner.cleanup()
 
     @property
     def url(self) -> str:
-        """The address told to callers."""
+        """The URL that is advertised to callers."""
         scheme = "https" if self.listen.certificate else "http"
         host = self.listen.advertise or self.listen.host
         return f"{scheme}://{host}:{self.port}"
--- a/src/rattanpier/_internal/edge/services.py
+++ b/src/rattanpier/_internal/edge/services.py
@@ -1,4 +1,4 @@
-"""`/services/NAME/...`: calls to plain services."""
+"""Serves `/services/NAME/...`: calls to plain services."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 from rattanpier._internal.utils.metrics import Metrics
 
 PATH = "/services/{service}{rest:(/.*)?}"
-# What concerns the system alone; a workspace's key goes to no upstream.
+# Headers for the router alone. A workspace's key is never sent to an upstream.
 ROUTER_REQUEST_HEADERS = frozenset(
     {
         "host",
@@ -48,16 +48,17 @@
         "x-non-idempotent",
     }
 )
+# Headers of a service's answer that the router replaces by its own.
 ROUTER_RESPONSE_HEADERS = frozenset({"x-request-id", "content-type", "date"})
 
 
 @attrs.frozen
 class CheckedCall:
-    """A call that was checked.
+    """A call that passed validation.
 
     Attributes:
-      route: The call as the decisions see it.
-      call: What is passed on to the service.
+      route: What routing needs of the call.
+      call: What is forwarded to the service.
     """
 
     route: RouteRequest
@@ -66,7 +67,14 @@
 
 @attrs.define
 class ServiceHandler:
-    """Serves calls to plain services."""
+    """Serves calls to plain services.
+
+    Attributes:
+      runner: Answers the calls.
+      settings: Limits on bodies and timeouts.
+      clock: Source of the deadlines.
+      metrics: Counts refusals.
+    """
 
     runner: ServiceRunner
     settings: EdgeSettings
@@ -74,7 +82,7 @@
     metrics: Metrics
 
     async def handle(self, request: web.Request) -> web.Response:
-        """Answers one call."""
+        """Serves one call."""
         request_id = new_request_id()
         try:
             checked = await self.parse_request(request)
@@ -92,10 +100,11 @@
                 return self.refuse(refusal, request_id)
 
     async def parse_request(self, request: web.Request) -> CheckedCall:
-        """Checks who asks, and what.
+        """Authenticates the caller and validates the call.
 
         Raises:
-          RequestRefusedError: The request is refused.
+          RequestRefusedError: The key, the service, the body or a header is
+            not valid.
         """
         configuration = self.runner.configuration()
         workspace = find_caller(
@@ -122,7 +131,7 @@
         service: str,
         call: ServiceCall,
     ) -> RouteRequest:
-        """Returns a call as the decisions see it."""
+        """Returns what routing needs of a call."""
         return RouteRequest(
             workspace=workspace,
             key=idempotency_key(request),
@@ -135,13 +144,13 @@
         )
 
     def refuse(self, refusal: Refusal, request_id: str) -> web.Response:
-        """Returns a refusal and counts its reason."""
+        """Returns the response for a refusal and counts its reason."""
         return refuse(self.metrics, refusal, request_id)
 
     def recorded_response(
         self, answer: Answer, request_id: str
     ) -> web.Response:
-        """Returns a recorded answer."""
+        """Returns the response for a recorded answer, or for one not kept."""
         if not answer.kept:
             refusal = Refusal(
                 RefusalCode.OUTCOME_UNKNOWN,
@@ -160,10 +169,11 @@
 
 
 def make_call(request: web.Request, body: bytes) -> ServiceCall:
-    """Returns the call to pass on.
+    """Returns the call that is forwarded to the service.
 
     Raises:
-      RequestRefusedError: The path climbs out of the service.
+      RequestRefusedError: The path has `.` or `..` segments, which could lead
+        out of the service.
     """
     _, _, rest = request.raw_path.lstrip("/").partition("/")
     _, slash, target = rest.partition("/")
@@ -181,13 +191,13 @@
 
 
 def call_digest(service: str, call: ServiceCall) -> str:
-    """Returns the digest that tells one call from another."""
+    """Returns a digest of a call's method, service, target and body."""
     head = f"{call.method} {service} {call.target}\n"
     return short_digest(head.encode() + call.body)
 
 
 def service_response(answer: ServiceAnswer, request_id: str) -> web.Response:
-    """Returns a service's answer."""
+    """Returns the response for a service's answer."""
     response = web.Response(status=answer.status, body=answer.body)
     types = []
     for name, value in answer.headers:
