--- a/src/rattanpier/_internal/edge/unrouted.py
+++ b/src/rattanpier/_internal/edge/unrouted.py
@@ -1,4 +1,4 @@
-"""Refusals for requests that no handler answers."""
+"""Middleware that refuses requests which no handler answers."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 async def mark_started(
     request: web.Request, _response: web.StreamResponse
 ) -> None:
-    """Notes that the head of an answer goes out."""
+    """Marks a request whose response head is about to be sent."""
     request[STARTED] = True
 
 
 def refuse_unrouted(metrics: Metrics) -> Middleware:
-    """Returns the middleware that answers what no handler does.
+    """Returns the middleware that refuses requests without an answer.
 
-    Unknown paths, wrong methods and faults of a handler get a refusal in the
-    shape of all others, as long as no answer has begun.
+    Unknown paths, wrong methods and exceptions of a handler get the same error
+    body as other refusals, unless a response has already begun.
     """
 
     @web.middleware
@@ -59,7 +59,7 @@
 
 
 def unknown_path(request: web.Request) -> Refusal:
-    """Returns the refusal of a path that does not exist."""
+    """Returns the refusal for a path that does not exist."""
     return Refusal(
         RefusalCode.UNKNOWN_PATH,
         f"There is no path {request.path!r}; try /v1/chat/completions.",
@@ -70,7 +70,7 @@
 def wrong_method(
     request: web.Request, error: web.HTTPMethodNotAllowed
 ) -> Refusal:
-    """Returns the refusal of a method that a path does not have."""
+    """Returns the refusal for a method that a path does not support."""
     allowed = ", ".join(sorted(error.allowed_methods))
     return Refusal(
         RefusalCode.METHOD_NOT_ALLOWED,
@@ -80,7 +80,7 @@
 
 
 def handler_failed() -> Refusal:
-    """Returns the refusal for a fault of this program."""
+    """Returns the refusal for an unexpected exception of a handler."""
     return Refusal(
         RefusalCode.INTERNAL,
         "The request failed for a fault of the router; it may have run.",
