--- a/src/rattanpier/_internal/models/configuration.py
+++ b/src/rattanpier/_internal/models/configuration.py
@@ -8,22 +8,22 @@
 
 
 class VersionState(enum.StrEnum):
-    """Whether a version takes work."""
+    """Whether a version accepts requests."""
 
     SERVING = "serving"
-    PAUSED = "paused"  # No new sessions; pinned sessions go on.
-    WITHDRAWN = "withdrawn"  # No new work at all.
+    PAUSED = "paused"  # No new sessions; pinned sessions continue.
+    WITHDRAWN = "withdrawn"  # No new requests at all.
 
 
 class UpstreamKind(enum.StrEnum):
-    """What stands behind an upstream."""
+    """What the workers of an upstream run."""
 
     ENGINE = "engine"
     PLAIN = "plain"
 
 
 class RolloutState(enum.StrEnum):
-    """Where a roll-out stands."""
+    """State of a roll-out."""
 
     RUNNING = "running"
     HALTED = "halted"
@@ -32,15 +32,16 @@
 
 @attrs.frozen
 class Fleet:
-    """Sizes and rates that all nodes agree on.
+    """Sizes and rates that hold on all nodes.
 
     Attributes:
-      size: Entry VMs' processes expected to be alive.
-      claim_shards: Number of claim shards; never changed under traffic.
-      store_writes_per_s: Write budget of all claim shards together.
-      retention_s: Seconds a settled claim is remembered.
-      validity_s: Seconds a node may go on without knowing it is current.
-      entries_ttl_s: Seconds callers may cache the list of entries.
+      size: Number of entry processes that are expected to be alive.
+      claim_shards: Number of claim shards; must not change under traffic.
+      store_writes_per_s: Writes per second of all claim shards together.
+      retention_s: Seconds for which a settled claim is kept.
+      validity_s: Seconds for which a node may serve without confirmation that
+        its configuration is current.
+      entries_ttl_s: Seconds for which callers may cache the list of entries.
     """
 
     size: int = 8
@@ -56,11 +57,12 @@
     """A version of a model.
 
     Attributes:
-      model: Name of the model, as callers ask for it.
-      state: Whether it takes work.
-      input_price: Credits for a million prompt tokens.
-      output_price: Credits for a million generated tokens.
-      quality: Expected share of answers rated good, before any rating.
+      model: Name of the model, as callers request it.
+      state: Whether it accepts requests.
+      input_price: Credits per million prompt tokens.
+      output_price: Credits per million generated tokens.
+      quality: Expected share of answers rated good, 0 to 1, as assumed before
+        there are ratings.
     """
 
     model: str
@@ -75,11 +77,11 @@
     """One machine of an upstream.
 
     Attributes:
-      url: Base address, by IP number.
+      url: Base URL, with an IP address.
       domain: Its failure domain.
-      versions: Versions it serves; none for a plain service.
-      slots: Requests it runs at once.
-      draining: True when it must get no new work.
+      versions: Versions that it serves; empty for a plain service.
+      slots: Number of requests that it runs concurrently.
+      draining: Whether it must get no new requests.
     """
 
     url: str
@@ -96,10 +98,10 @@
     Attributes:
       kind: Engine or plain service.
       workers: Workers by name.
-      checks_fencing: True if its workers refuse old fencing numbers.
-      takes_orders: True if its workers are told which versions to serve.
-      non_repeatable: Calls like "POST /orders" that may not be repeated.
-      draining: True when the whole pool must get no new work.
+      checks_fencing: Whether its workers refuse outdated fencing tokens.
+      takes_orders: Whether its workers are told which versions to serve.
+      non_repeatable: Calls like "POST /orders" that must not be repeated.
+      draining: Whether the whole pool must get no new requests.
     """
 
     kind: UpstreamKind
@@ -115,13 +117,13 @@
     """A customer of the operator.
 
     Attributes:
-      key_sha256: Digests of its keys.
-      versions: Versions it may use.
-      services: Plain services it may use.
-      share: Weight of its share under overload.
-      quality_target: Share of answers that must be rated good.
-      max_queued: Requests it may have waiting on one entry.
-      rating_budget: Ratings it pays for in an hour.
+      key_sha256: SHA-256 digests of its keys.
+      versions: Versions that it may use.
+      services: Plain services that it may use.
+      share: Weight of its share of the capacity under overload.
+      quality_target: Share of answers that must be rated good, 0 to 1.
+      max_queued: Maximum number of its requests that wait on one entry.
+      rating_budget: Number of ratings that it pays for per hour.
     """
 
     key_sha256: list[str]
@@ -135,23 +137,29 @@
 
 @attrs.frozen
 class Cascade:
-    """Versions from cheap to strong."""
+    """A cascade of versions.
+
+    Attributes:
+      steps: Versions in the order of use, from cheap to strong.
+    """
 
     steps: list[str]
 
 
 @attrs.frozen
 class Rollout:
-    """A move of traffic from one version to another.
+    """A gradual shift of traffic from one version to another.
 
     Attributes:
-      stable: Version in service.
-      candidate: Version rolled out.
+      stable: Version that serves the traffic now.
+      candidate: Version that is rolled out.
       share: Share of new sessions that get the candidate, 0 to 1.
-      state: Where it stands.
-      max_share: Share that evidence may widen to without an operator.
-      halts: Times it was halted, so that a brake from before a halt ends for
-        good when the roll-out is begun anew just as it was.
+      state: Whether it runs, was halted or is done.
+      max_share: Largest share that evidence may widen it to without an
+        operator, 0 to 1.
+      halts: Number of times it was halted. It tells a roll-out that is started
+        again with the same values from the one before, so that a brake from
+        before the halt no longer applies.
     """
 
     stable: str
@@ -164,17 +172,17 @@
 
 @attrs.frozen
 class When:
-    """Conditions of a rule; all that are given must hold.
+    """Conditions of a rule; all that are set must hold.
 
     Attributes:
-      workspaces: Any of these workspaces.
-      models: Any of these names in the request's `model`.
-      services: Any of these plain services.
-      labels: Request metadata with these values.
-      min_prompt_tokens: At least so many prompt tokens.
-      max_prompt_tokens: At most so many prompt tokens.
-      stream: Streaming or not.
-      non_idempotent: Marked as non-idempotent or not.
+      workspaces: The workspace is one of these.
+      models: The request's `model` is one of these.
+      services: The plain service is one of these.
+      labels: The request's metadata has these values.
+      min_prompt_tokens: Minimum number of prompt tokens.
+      max_prompt_tokens: Maximum number of prompt tokens.
+      stream: Whether the request is streamed.
+      non_idempotent: Whether the request is marked as non-idempotent.
     """
 
     workspaces: list[str] | None = None
@@ -189,13 +197,13 @@
 
 @attrs.frozen
 class Then:
-    """What happens to a request; exactly one is given.
+    """Action of a rule; exactly one field is set.
 
     Attributes:
       cascade: Use this cascade.
       version: Use this version.
-      service: Pass on to this plain service.
-      refuse: Refuse with this sentence.
+      service: Forward to this plain service.
+      refuse: Refuse with this message.
     """
 
     cascade: str | None = None
@@ -206,7 +214,13 @@
 
 @attrs.frozen
 class Rule:
-    """An ordered when-then rule; the first that matches decides."""
+    """A routing rule; of an ordered list, the first that matches applies.
+
+    Attributes:
+      name: Name of the rule.
+      then: Its action.
+      when: Its conditions; a rule without any matches every request.
+    """
 
     name: str
     then: Then
@@ -215,10 +229,18 @@
 
 @attrs.frozen
 class Configuration:
-    """One revision of what operators decided.
+    """One revision of the configuration.
 
     Attributes:
-      revision: Rises by one with each accepted change; 0 is none.
+      revision: Increases by one with each accepted change; 0: no
+        configuration yet.
+      fleet: Sizes and rates that hold on all nodes.
+      versions: Versions by name.
+      upstreams: Upstreams by name.
+      workspaces: Workspaces by name.
+      cascades: Cascades by name.
+      rollouts: Roll-outs by name.
+      rules: Routing rules in order.
     """
 
     revision: int = 0
