--- a/src/rattanpier/_internal/models/deregistration.py
+++ b/src/rattanpier/_internal/models/deregistration.py
@@ -1,4 +1,4 @@
-"""A worker whose registration was removed."""
+"""Record of a worker whose registration was removed."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 @attrs.frozen
 class Deregistration:
-    """What was last known of one start of a worker.
+    """A deregistered incarnation of a worker.
 
     Attributes:
-      incarnation: The start.
-      sequence: Of its last registration that was known.
-      revision: Of its removal.
+      incarnation: Id of the incarnation.
+      sequence: Sequence number of its last known registration.
+      revision: Store revision of the removal.
     """
 
     incarnation: str
@@ -22,10 +22,10 @@
     revision: Revision
 
     def is_of_worker(self, id: str) -> bool:
-        """Says whether it is of a start of a worker."""
+        """Returns whether it is of an incarnation of the worker `id`."""
         return self.incarnation == id or self.incarnation.startswith(f"{id}/")
 
     @property
     def sort_key(self) -> tuple[Revision, int]:
-        """The larger of two of one start tells more."""
+        """Sort key: of two records of an incarnation, the larger is newer."""
         return self.revision, self.sequence
--- a/src/rattanpier/_internal/models/directory_query.py
+++ b/src/rattanpier/_internal/models/directory_query.py
@@ -1,4 +1,4 @@
-"""What a caller asks the directory of entries."""
+"""A caller's query to the directory of entries."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 @attrs.frozen
 class DirectoryQuery:
-    """Which entries to use for a host.
+    """Asks which entries to use for a host.
 
     Attributes:
       host: Host name of the requests.
-      region: Where the caller is; empty if it does not tell.
+      region: Region of the caller; empty if it is not given.
     """
 
     host: str = ""
--- a/src/rattanpier/_internal/models/domain_order.py
+++ b/src/rattanpier/_internal/models/domain_order.py
@@ -1,4 +1,4 @@
-"""An operator's order to drain a failure domain, or its end."""
+"""An operator's order to drain a failure domain, or its withdrawal."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 @attrs.frozen
 class DomainOrder:
-    """What operators want of the workers of one failure domain.
+    """Whether the workers of a failure domain are to be drained.
 
     Attributes:
-      domain: Its name.
-      drained: Nothing more is to be sent there; False: the order was taken
-        back.
-      revision: Of the change; the larger is the newer.
-      ended: Of the order that was taken back, where it is known.
+      domain: Name of the failure domain.
+      drained: True if no more requests are to be sent there; False if the order
+        was withdrawn.
+      revision: Store revision of the change; the larger is newer.
+      ended: Revision of the order that was withdrawn, where it is known.
     """
 
     domain: str
