--- a/src/rattanpier/_internal/models/feed.py
+++ b/src/rattanpier/_internal/models/feed.py
@@ -1,4 +1,4 @@
-"""Rows of a store that tells its changes, and writes to it."""
+"""Rows, pages of rows and writes of a store that publishes its changes."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 @attrs.frozen
 class FeedRow:
-    """A row, or that it was removed.
+    """A row, or the removal of one.
 
     Attributes:
       key: Unique in its table.
-      value: Its bytes; empty if removed.
-      revision: Of its last change.
-      deleted: It was removed.
+      value: Its content; empty if it was removed.
+      revision: Store revision of its last change.
+      deleted: Whether it was removed.
     """
 
     key: str
@@ -26,7 +26,9 @@
 
 @attrs.frozen
 class UnreadableRow:
-    """A row that names nothing: what it named before is no longer there.
+    """A row whose value can't be read.
+
+    It names nothing, so that what it named before no longer exists.
 
     Attributes:
       key: Unique in its table.
@@ -37,13 +39,13 @@
 
 @attrs.frozen
 class Page:
-    """Rows of a table.
+    """Result of reading a table.
 
     Attributes:
-      rows: All of them, or those that changed, in order.
-      revision: The store's that they are as of.
-      now_ms: The store's steady clock, in ms.
-      whole: True for all rows of the table.
+      rows: All rows, or those that changed, in order.
+      revision: Store revision as of which the rows are valid.
+      now_ms: The store's monotonic clock, in ms.
+      whole: True for a full read, False for changes only.
     """
 
     rows: list[FeedRow]
@@ -54,7 +56,13 @@
 
 @attrs.frozen
 class RowCheck:
-    """A row and the revision that it must have; the first: no such row."""
+    """A condition of a transaction: the revision that a row must have.
+
+    Attributes:
+      table: Name of the table.
+      key: Key of the row.
+      revision: Required revision; the default: the row must not exist.
+    """
 
     table: str
     key: str
@@ -63,7 +71,13 @@
 
 @attrs.frozen
 class RowPut:
-    """A row to write."""
+    """A row to write.
+
+    Attributes:
+      table: Name of the table.
+      key: Key of the row.
+      value: New content.
+    """
 
     table: str
     key: str
@@ -75,8 +89,8 @@
     """A transaction took effect.
 
     Attributes:
-      revision: The store's after it.
-      now_ms: The store's steady clock, in ms.
+      revision: Store revision after it.
+      now_ms: The store's monotonic clock, in ms.
     """
 
     revision: Revision
--- a/src/rattanpier/_internal/models/member.py
+++ b/src/rattanpier/_internal/models/member.py
@@ -1,4 +1,4 @@
-"""Processes of the system as they see each other."""
+"""Membership records of the system's processes."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 
 class Role(enum.StrEnum):
-    """What a process does."""
+    """Role of a process."""
 
     ENTRY = "entry"
     CONTROL = "control"
 
 
 class MemberState(enum.StrEnum):
-    """Where a process is in its life."""
+    """Lifecycle state of a process."""
 
     LIVE = "live"
-    LEAVING = "leaving"  # Not advertised any more; still serves.
+    LEAVING = "leaving"  # No longer advertised; still serves.
 
 
 @attrs.frozen
@@ -27,16 +27,16 @@
 
     Attributes:
       name: Unique name from its settings.
-      incarnation: Unique to this start of the process.
+      incarnation: Unique id of this incarnation of the process.
       role: Entry or control.
       domain: Failure domain.
       region: Region.
-      caller_url: Where callers connect; empty for a control process.
-      peer_host: IP number for peers.
-      peer_port: Port for peers.
+      caller_url: URL for callers; empty for a control process.
+      peer_host: IP address for connections of peers.
+      peer_port: Port for connections of peers.
       state: Live or leaving.
-      operator_url: Where operators connect; empty for an entry.
-      hint_port: Port for datagrams from peers; 0 where it takes none.
+      operator_url: URL for operators; empty for an entry.
+      hint_port: Port for datagrams from peers; 0 if it accepts none.
     """
 
     name: str
@@ -53,7 +53,7 @@
 
     @property
     def is_reachable(self) -> bool:
-        """Whether it serves already: an entry needs an address for callers."""
+        """Whether it serves yet: an entry does once it has a caller URL."""
         return bool(self.caller_url) or self.role is not Role.ENTRY
 
 
--- a/src/rattanpier/_internal/models/outcomes.py
+++ b/src/rattanpier/_internal/models/outcomes.py
@@ -17,7 +17,7 @@
     """A condition failed; nothing took effect.
 
     Attributes:
-      key: The first row whose condition failed.
+      key: Key of the first row whose condition failed.
     """
 
     key: str
@@ -25,14 +25,22 @@
 
 @attrs.frozen
 class NotRun:
-    """The transaction certainly did not reach the table service."""
+    """The transaction certainly did not reach the table service.
+
+    Attributes:
+      reason: Description of the failure.
+    """
 
     reason: str
 
 
 @attrs.frozen
 class Uncertain:
-    """The transaction may or may not have taken effect, now or later."""
+    """The transaction may have taken effect, or may still do so.
+
+    Attributes:
+      reason: Description of the failure.
+    """
 
     reason: str
 
@@ -41,18 +49,18 @@
 
 
 class ClaimOutcome(enum.StrEnum):
-    """What a claim's asker may do next."""
+    """Result of a claim, which says what its requester may do."""
 
-    GRANTED = "granted"  # Run the request, release its answer.
-    RUNNING = "running"  # Another attempt runs it.
-    ANSWERED = "answered"  # The recorded answer is to be given.
-    UNKNOWN = "unknown"  # It may have run; it won't run again.
-    MISMATCH = "mismatch"  # The key was used for another request.
-    UNAVAILABLE = "unavailable"  # The claim can't be made certain now.
+    GRANTED = "granted"  # May run the request and release its answer.
+    RUNNING = "running"  # Another attempt is running it.
+    ANSWERED = "answered"  # The recorded answer is returned.
+    UNKNOWN = "unknown"  # It may have run and won't be run again.
+    MISMATCH = "mismatch"  # The key belongs to another request.
+    UNAVAILABLE = "unavailable"  # The claim can't be confirmed now.
 
 
 class SettleOutcome(enum.StrEnum):
-    """Whether the last byte of an answer may be released."""
+    """Result of a settlement: the last byte is released only if settled."""
 
     SETTLED = "settled"
     SUPERSEDED = "superseded"
