--- a/src/rattanpier/_internal/models/plan.py
+++ b/src/rattanpier/_internal/models/plan.py
@@ -1,4 +1,4 @@
-"""What was decided for a request."""
+"""Routing decision for a request."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 @attrs.frozen
 class Plan:
-    """How a request is to be answered.
+    """How a request is answered.
 
     Attributes:
       rule: Name of the rule that matched.
       steps: Versions in the order of use, from cheap to strong.
-      service: Plain service to pass the request on to, or empty.
-      pin_lost: Version the session was pinned to and can't have, or empty.
+      service: Plain service that the request is forwarded to, or empty.
+      pin_lost: Version that the session was pinned to and can't keep, or empty.
     """
 
     rule: str
--- a/src/rattanpier/_internal/models/policy.py
+++ b/src/rattanpier/_internal/models/policy.py
@@ -1,7 +1,7 @@
-"""What an entry decides by: mechanisms that can be switched off, and limits.
+"""Switches for the optional mechanisms of an entry's routing decisions.
 
-Operators switch a mechanism off to see what it is worth on their load, or to
-rule it out while they look for a cause.
+Operators disable a mechanism to measure its benefit under their load, or to
+exclude it as the cause of a problem.
 """
 
 from __future__ import annotations
@@ -11,22 +11,26 @@
 
 @attrs.frozen
 class Policy:
-    """Mechanisms of an entry's decisions; all are on by default.
+    """Mechanisms of an entry's decisions; all are enabled by default.
 
     Attributes:
-      cascade: An answer with little confidence is dropped for the largest
-        model's; off, the first answer is kept.
-      start_small: The smallest model is asked first; off, the largest.
-      load_line: Under load a doubtful answer is kept sooner.
-      outlook: A larger model is not asked where it would come too late.
+      cascade: An answer of low confidence is replaced by one of the largest
+        model; if disabled, the first answer is kept.
+      start_small: The smallest model is asked first; if disabled, the largest.
+      load_line: The confidence that an answer needs to be kept falls with load.
+      outlook: A larger model is not asked if its answer would come too late.
       groups: Workers are divided between the smallest model and larger ones.
-      homes: Shared parts of prompts belong to a worker that all entries find.
-      domain_cost: Workers in other failure domains have to be better.
-      hedges: A slow repeatable request goes to a second worker as well.
-      queue_reading: A few entries ask engines how many requests wait there.
-      prompt_news: Entries tell each other of long prompts that they send.
-      avoidance: Workers that fail or are not reached are avoided for a while.
-      hold_sessions: Sessions under way stay where they are at an order.
+      homes: Each shared part of prompts is assigned to one worker, which all
+        entries compute alike.
+      domain_cost: A worker in another failure domain is chosen only if it is
+        better by a margin.
+      hedges: A slow repeatable request is also sent to a second worker.
+      queue_reading: A few entries poll engines for the lengths of their queues.
+      prompt_news: Entries send each other updates about long prompts that they
+        dispatch.
+      avoidance: Workers that fail or can't be reached are avoided for a while.
+      hold_sessions: Active sessions keep their version when a roll-out order
+        arrives.
     """
 
     cascade: bool = True
