--- a/src/rattanpier/_internal/models/rate_limit.py
+++ b/src/rattanpier/_internal/models/rate_limit.py
@@ -1,4 +1,4 @@
-"""How much a worker says that it takes."""
+"""Rate limits that workers report."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 @attrs.frozen
 class RateLimit:
-    """What one incarnation of a worker says that it takes.
+    """Rate limit that one incarnation of a worker reported.
 
     Attributes:
-      worker: Its id.
-      incarnation: What tells this start of it from others.
-      rate_per_s: Requests from all entries together; None: as many as come.
-      serial: Raised by an answer to a request that was sent after the former
-        word was known.
+      worker: Id of the worker.
+      incarnation: Id of the incarnation.
+      rate_per_s: Requests per second from all entries together; None: no limit.
+      serial: Orders the reports: it is increased by the answer to a request
+        that was sent when the previous report was already known.
     """
 
     worker: str
@@ -23,7 +23,7 @@
     serial: int = 0
 
     def is_stricter(self, rate_per_s: float | None) -> bool:
-        """Says whether this allows less than a rate does.
+        """Returns whether this limit is lower than a rate; None: unlimited.
 
         >>> RateLimit("w", "w", 2.0).is_stricter(None)
         True
@@ -35,7 +35,9 @@
         return rate_per_s is None or self.rate_per_s < rate_per_s
 
     def supersedes(self, other: RateLimit) -> bool:
-        """Says whether this word counts where both are known.
+        """Returns whether this report takes precedence over another.
+
+        The larger serial does; of two with the same one, the stricter limit.
 
         >>> RateLimit("w", "w", None, 1).supersedes(RateLimit("w", "w", 2.0))
         True
--- a/src/rattanpier/_internal/models/refusal.py
+++ b/src/rattanpier/_internal/models/refusal.py
@@ -1,4 +1,4 @@
-"""Refusals: final answers that say a request gets no other."""
+"""Refusals: final error replies to requests that get no answer."""
 
 from __future__ import annotations
 
@@ -74,9 +74,9 @@
 
     Attributes:
       code: Stable name of the reason.
-      message: One sentence.
-      not_run: True only if it is certain that no upstream ran it.
-      retry_after_s: When to come back, or None.
+      message: One sentence for the caller.
+      not_run: True only if certainly no upstream ran the request.
+      retry_after_s: Seconds after which the caller may retry, or None.
     """
 
     code: RefusalCode
@@ -86,5 +86,5 @@
 
     @property
     def status(self) -> int:
-        """The HTTP status."""
+        """HTTP status of the reply."""
         return HTTP_STATUS[self.code]
--- a/src/rattanpier/_internal/models/relay_answer.py
+++ b/src/rattanpier/_internal/models/relay_answer.py
@@ -1,4 +1,4 @@
-"""What a caller gets, part by part."""
+"""Parts of the answer that the relay sends to a caller."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @attrs.frozen
 class CompleteAnswer:
-    """A worker's whole answer."""
+    """A worker's complete answer, sent at once."""
 
     status: int
     headers: tuple[Header, ...]
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class AnswerStarted:
-    """The head of an answer whose body follows piece by piece."""
+    """The head of an answer whose body follows in chunks."""
 
     status: int
     headers: tuple[Header, ...]
@@ -27,29 +27,35 @@
 
 @attrs.frozen
 class AnswerChunk:
-    """A piece of the body; only whole events where it is a stream."""
+    """A chunk of the body; of an event stream, only complete events."""
 
     data: bytes
 
 
 @attrs.frozen
 class AnswerCompleted:
-    """The body is whole."""
+    """The body is complete."""
 
 
 @attrs.frozen
 class AnswerTruncated:
-    """The rest of the body won't come; the answer must not look whole."""
+    """The rest of the body is missing.
+
+    The caller must be able to tell that the answer is incomplete.
+
+    Attributes:
+      reason: Why it is missing.
+    """
 
     reason: str
 
 
 @attrs.frozen
 class AnswerRefused:
-    """The system's own answer.
+    """A refusal by the relay instead of a worker's answer.
 
     Attributes:
-      refusal: Why.
+      refusal: The reason and the message.
       status: HTTP status.
     """
 
