--- a/src/rattanpier/_internal/models/relay_request.py
+++ b/src/rattanpier/_internal/models/relay_request.py
@@ -1,4 +1,4 @@
-"""A caller's request as the relay sees it: an opaque body and what decides."""
+"""A caller's request in the relay: an opaque body and what routing needs."""
 
 from __future__ import annotations
 
@@ -14,7 +14,12 @@
 
 @attrs.frozen
 class PromptPart:
-    """A part of a prompt that other requests may share."""
+    """A part of a prompt that other requests may share.
+
+    Attributes:
+      id: Id of the part, the same in all requests that share it.
+      tokens: Tokens of the part.
+    """
 
     id: str
     tokens: int
@@ -26,8 +31,8 @@
 
     Attributes:
       tokens: Tokens of the prompt.
-      max_output: Most tokens to generate.
-      parts: In order; the last belongs to this request or its session.
+      max_output: Maximum number of tokens to generate.
+      parts: Parts in order; the last belongs to this request or its session.
       output_hint: The caller's estimate of the tokens generated, 0 if none.
     """
 
@@ -38,7 +43,10 @@
 
     @property
     def expected_output(self) -> int:
-        """Tokens that are likely generated; callers' hints are often off."""
+        """Estimate of generated tokens, which the limit caps.
+
+        Callers' estimates are often wrong.
+        """
         return min(self.output_hint or self.max_output, self.max_output)
 
 
@@ -47,19 +55,21 @@
     """One attempt of a caller.
 
     Attributes:
-      id: The caller's id of the attempt.
+      id: Id of the attempt, given by the caller.
       method: HTTP method.
       target: Path and query, as received.
-      headers: What is passed on; what the system sets itself is not in it.
-      body: The whole body.
+      headers: Headers to forward, without those that the system sets itself.
+      body: The complete body.
       route: The route that it matched.
-      workspace: Whose key it carried, or None.
-      arrived: Monotonic seconds at which its head was read.
-      deadline: Monotonic seconds at which the caller or the route gives up.
-      session: Requests of one session keep their version; empty if none.
-      any_model: The system names the model.
+      workspace: Workspace whose key it carried, or None.
+      arrived: Monotonic time at which its head was read, in seconds.
+      deadline: Monotonic time at which the caller or the route times out, in
+        seconds.
+      session: Session id, or empty. Requests of a session keep their version.
+      any_model: Whether the system chooses the model.
       prompt: Empty for plain services.
-      after_event: Last event that the caller has, where it resumes a stream.
+      after_event: Number of the last event that the caller received, if it
+        resumes a stream.
     """
 
     id: str
@@ -78,17 +88,17 @@
 
     @property
     def priority(self) -> int:
-        """Its rank, 0 first: the workspace's goes before the route's."""
+        """Priority, 0 is the highest; a workspace's overrides the route's."""
         if self.workspace is not None and self.workspace.priority is not None:
             return self.workspace.priority
         return self.route.priority
 
     @functools.cached_property
     def content(self) -> str:
-        """A digest of what the caller asks, the same for each attempt.
+        """Digest of the request's content, the same for each attempt.
 
-        Ids, deadlines and sessions differ from attempt to attempt; caller,
-        path and body stay.
+        It covers the workspace, host, method, target and body, and leaves out
+        ids, deadlines and sessions, which differ between attempts.
         """
         caller = "" if self.workspace is None else self.workspace.name
         named = "\0".join(
@@ -99,16 +109,16 @@
 
 @attrs.frozen
 class CallerHeaders:
-    """What a caller's headers say.
+    """Values from a caller's headers.
 
     Attributes:
-      attempt_id: Empty if there is none.
-      deadline_s: Seconds that the caller will wait, or None.
-      key: Empty if there is none.
-      session: Empty if there is none.
-      any_model: The system is to name the model.
+      attempt_id: Id of the attempt, or empty.
+      deadline_s: Seconds for which the caller waits, or None.
+      key: Key of the workspace, or empty.
+      session: Session id, or empty.
+      any_model: Whether the system is to choose the model.
       prompt: What is known of the prompt.
-      after_event: Last event that the caller has, or None.
+      after_event: Number of the last event that the caller received, or None.
     """
 
     attempt_id: str = ""
