--- a/src/rattanpier/_internal/models/relay_settings.py
+++ b/src/rattanpier/_internal/models/relay_settings.py
@@ -1,4 +1,4 @@
-"""Settings of an entry on a platform that workers register with."""
+"""Settings of an entry on a platform where workers register themselves."""
 
 from __future__ import annotations
 
@@ -11,13 +11,18 @@
 
 @attrs.frozen
 class Address:
-    """An IP number and a port."""
+    """An IP address and a port.
+
+    Attributes:
+      host: IP address.
+      port: Port.
+    """
 
     host: str
     port: int
 
     def __str__(self) -> str:
-        """Returns the usual spelling.
+        """Returns the address as `host:port`.
 
         >>> str(Address("10.0.0.1", 80))
         '10.0.0.1:80'
@@ -27,22 +32,25 @@
 
 @attrs.frozen
 class Bounds:
-    """What operators promised to callers and workers.
+    """Guarantees of the operators to callers and workers.
 
     Attributes:
-      drain_s: After a worker announced that it leaves, it gets nothing new.
-      grace_s: From SIGTERM to SIGKILL.
-      contact_s: Rules with a time bound hold for a VM that was well so long.
-      retry_ratio: Further sends to a service for each request for it.
-      retry_window_s: Time over which that ratio is taken.
-      retry_slack: Further sends beyond that ratio, in all entries together.
+      drain_s: Seconds after a worker announced that it leaves, from which on it
+        must get no new requests.
+      grace_s: Seconds from SIGTERM to SIGKILL.
+      contact_s: Seconds for which a VM must have been healthy and connected,
+        for rules with a time bound to apply to it.
+      retry_ratio: Additional upstream requests per request for a service.
+      retry_window_s: Seconds over which that ratio is measured.
+      retry_slack: Additional upstream requests beyond that ratio, over all
+        entries together.
       exposure_ratio: Largest share of requests that a bad version may get.
-      exposure_slack: Requests that it may get beyond that share.
-      warm_up_ratio: Times the rate that a worker bears while it warms up which
-        may reach it in any one second.
-      warm_up_slack: Requests that may reach it beyond that.
-      session_s: Requests of a session follow each other within this time.
-      address_ttl_s: Longest time that callers keep a list of entries.
+      exposure_slack: Number of requests that it may get beyond that share.
+      warm_up_ratio: Multiple of a worker's warm-up rate that may reach it in
+        any one second while it warms up.
+      warm_up_slack: Number of requests that may reach it beyond that.
+      session_s: Maximum seconds between two requests of a session.
+      address_ttl_s: Maximum seconds for which callers cache a list of entries.
     """
 
     drain_s: float = 2.0
@@ -61,12 +69,12 @@
 
 @attrs.frozen
 class StoreSettings:
-    """The platform's store.
+    """Connection to the platform's store.
 
     Attributes:
       address: Where it listens.
-      history_s: Time for which it tells past changes.
-      row_bytes: Longest value of a row.
+      history_s: Seconds for which it can report past changes.
+      row_bytes: Maximum size of a row's value, in bytes.
     """
 
     address: Address
@@ -76,25 +84,25 @@
 
 @attrs.frozen
 class RelaySettings:
-    """One entry.
+    """Settings of one entry.
 
     Attributes:
       name: Unique name of the VM.
-      host: Its IP number.
+      host: Its IP address.
       domain: Its failure domain.
       region: Its region.
       regions: Region of each failure domain.
-      callers: Where callers' requests come in.
-      readiness: Where the platform asks whether the entry is ready.
-      directory: Where callers ask for entries' addresses.
-      peers: Where other entries connect.
-      hints: Where other entries send datagrams.
-      seeds: Peers to ask while the store is away; may be stale.
-      metrics: Where metrics are served, or None.
-      heartbeat_s: Workers renew their registration this often.
+      callers: Listening address for callers' requests.
+      readiness: Listening address for the platform's readiness probes.
+      directory: Listening address for queries for entries' addresses.
+      peers: Listening address for connections of peers.
+      hints: Listening address for datagrams of peers.
+      seeds: Peers to contact while the store is unavailable; may be outdated.
+      metrics: Listening address for metrics, or None.
+      heartbeat_s: Seconds between renewals of a worker's registration.
       store: The platform's store.
-      bounds: Promises.
-      policy: What the entry decides by.
+      bounds: Guarantees to callers and workers.
+      policy: Enabled mechanisms of the entry's decisions.
     """
 
     name: str
