--- a/src/rattanpier/_internal/models/request.py
+++ b/src/rattanpier/_internal/models/request.py
@@ -1,4 +1,4 @@
-"""A caller's request as the decisions see it."""
+"""What routing needs of a caller's request."""
 
 from __future__ import annotations
 
@@ -6,29 +6,31 @@
 
 import attrs
 
-CHARACTERS_PER_TOKEN = 4  # A rough measure, before the engine counts.
+CHARACTERS_PER_TOKEN = 4  # Rough estimate until the engine counts tokens.
 
 
 @attrs.frozen
 class RouteRequest:
-    """What is known of a request before it is routed.
+    """A request before it is routed.
 
     Attributes:
       workspace: Name of the workspace.
-      key: Idempotency key; made up where the caller gave none.
-      keyed: True if the caller gave the key, so that it may be a repeat.
-      model: What the caller asked for in `model`.
+      key: Idempotency key; random if the caller gave none.
+      keyed: Whether the caller gave the key, so that the request may be a
+        repeat.
+      model: Value of `model` in the body.
       service: Plain service, or empty.
       session: Session id, or empty.
       pinned: Version named by a valid session token, or empty.
       idempotent: False if it may run at most once.
-      stream: True for server-sent events.
-      prompt_tokens: Estimate.
+      stream: Whether the answer is sent as server-sent events.
+      prompt_tokens: Estimated number of prompt tokens.
       max_tokens: Limit on generated tokens.
       labels: Request metadata.
-      deadline: Monotonic seconds at which the caller gives up.
+      deadline: Monotonic time at which the caller times out, in seconds.
       body: The JSON body.
-      digest: SHA-256 of the body as received.
+      digest: Digest that tells requests apart: a truncated SHA-256 of the body
+        as received, of a call to a plain service also of method and target.
     """
 
     workspace: str
@@ -49,7 +51,7 @@
 
 
 def estimate_tokens(text_length: int) -> int:
-    """Returns a rough number of tokens.
+    """Returns an estimate of the tokens in a text of some characters.
 
     >>> estimate_tokens(9)
     3
--- a/src/rattanpier/_internal/models/revision.py
+++ b/src/rattanpier/_internal/models/revision.py
@@ -1,24 +1,24 @@
-"""A place in the store's history."""
+"""Revision of the store: a version within an era."""
 
 from __future__ import annotations
 
 import attrs
 
-ERA_BITS = 48  # More versions than a store gives out in one era.
+ERA_BITS = 48  # Bits of a version; enough for all versions of one era.
 
 
 @attrs.frozen(order=True)
 class Revision:
-    """A version of the store, and the era that it was given out in.
+    """A version of the store and the era in which it was assigned.
 
-    A store that comes back from an older copy begins a new era and gives
-    versions out again, so that a version alone tells nothing. The larger of two
-    revisions is the newer one. The default is older than all that a store
-    gives out; as a condition it means that there is no such row.
+    A store that was restored from a backup begins a new era and assigns
+    versions again, so that a version alone is ambiguous. The larger of two
+    revisions is newer. The default is older than any revision that a store
+    assigns; as a condition it means that the row must not exist.
 
     Attributes:
-      era: Number of the history; 0 where the store tells none.
-      version: Of the store, within the era.
+      era: Number of the era; 0 if the store reports none.
+      version: Version of the store within the era.
     """
 
     era: int = 0
@@ -26,7 +26,7 @@
 
     @property
     def number(self) -> int:
-        """A whole number that orders revisions as they are ordered.
+        """The revision as one integer, in the same order.
 
         >>> Revision(0, 7).number
         7
@@ -36,10 +36,10 @@
         return self.era << ERA_BITS | self.version
 
     def is_restored_from(self, earlier: Revision) -> bool:
-        """Says whether a row is one that was known in an earlier era.
+        """Returns whether a row is unchanged since an earlier era.
 
-        A row that stands in the copy that a store came back from keeps the
-        version of its last change; one that is written again gets another.
+        A row of the backup that a store was restored from keeps the version of
+        its last change; a row that is written again gets a new one.
 
         >>> Revision(2, 7).is_restored_from(Revision(1, 7))
         True
@@ -47,9 +47,9 @@
         return earlier.era < self.era and earlier.version == self.version
 
     def may_predate(self, earlier: Revision) -> bool:
-        """Says whether a row may be of a copy from before an earlier change.
+        """Returns whether a row may be from a backup older than a change.
 
-        It then has the version that it had when the copy was made.
+        Such a row has the version that it had when the backup was made.
 
         >>> Revision(2, 6).may_predate(Revision(1, 7))
         True
@@ -58,5 +58,5 @@
 
     @classmethod
     def from_number(cls, number: int) -> Revision:
-        """Returns the revision that a number stands for."""
+        """Returns the revision with a `number`."""
         return cls(number >> ERA_BITS, number & (1 << ERA_BITS) - 1)
