--- a/src/rattanpier/_internal/models/rollout_order.py
+++ b/src/rattanpier/_internal/models/rollout_order.py
@@ -10,32 +10,32 @@
 
 
 class RolloutPhase(enum.StrEnum):
-    """How far a move went. The later in this list, the further."""
+    """Phase of a roll-out, in the order of progress."""
 
-    TRYING = "trying"  # A small share, while evidence is gathered.
-    EXTENDING = "extending"  # A little more, where few answers came.
-    WIDENING = "widening"  # A larger share, to see it under load.
-    FULL = "full"  # Everything new; the old workers end what they have.
+    TRYING = "trying"  # A small share, to collect evidence.
+    EXTENDING = "extending"  # A slightly larger share, after few answers.
+    WIDENING = "widening"  # A larger share, to test it under load.
+    FULL = "full"  # All new requests; old workers finish theirs.
     COMPLETED = "completed"
     ROLLED_BACK = "rolled_back"
 
     @property
     def final(self) -> bool:
-        """Whether it stays as it is."""
+        """Whether no other phase can follow."""
         return self in (RolloutPhase.COMPLETED, RolloutPhase.ROLLED_BACK)
 
 
 @attrs.frozen
 class RolloutOrder:
-    """One order.
+    """An order to roll out a version of a service.
 
     Attributes:
-      id: Unique to the order: the number of the revision under which it
-        became known.
-      service: Whose traffic is moved.
-      version: Where to.
-      deadline_s: Seconds after the order at which it should be done.
-      revision: Of its row, as it was read last.
+      id: Unique id: the number of the revision at which the order was first
+        read.
+      service: Service whose traffic is moved.
+      version: Version that the traffic is moved to.
+      deadline_s: Seconds from the order within which it should be completed.
+      revision: Store revision of its row when last read.
     """
 
     id: int
@@ -51,17 +51,19 @@
 
 @attrs.frozen
 class RolloutRecord:
-    """What the entries agreed on for an order, as kept in the store.
+    """Progress of an order that all entries share through the store.
 
     Attributes:
-      order: The order's id.
-      service: Its service.
-      version: Its version.
-      phase: How far it went.
-      begun_ms: The store's steady clock at the first phase, in ms.
-      since_ms: The same at the present phase.
-      seen: Number of the revision of the order's row that its writer read last;
-        0: the order's own.
+      order: Id of the order.
+      service: Service of the order.
+      version: Version of the order.
+      phase: Current phase.
+      begun_ms: The store's monotonic clock at the start of the first phase, in
+        ms.
+      since_ms: The store's monotonic clock at the start of the current phase,
+        in ms.
+      seen: Number of the revision of the order's row that the writer of this
+        record read last; 0: the order's id.
     """
 
     order: int
--- a/src/rattanpier/_internal/models/route_table.py
+++ b/src/rattanpier/_internal/models/route_table.py
@@ -1,7 +1,7 @@
-"""What operators decided, as the relay sees it: routes, services, workspaces.
+"""Routes, services and workspaces of the relay.
 
-One `RouteTable` is one version of the operators' document. It is immutable:
-a request keeps the table that it was matched with until its end.
+A `RouteTable` is one version of the operators' document. It is immutable, and a
+request uses the table that it was matched with until it ends.
 """
 
 from __future__ import annotations
@@ -12,15 +12,22 @@
 
 import attrs
 
-DEFAULT_HEADER_BYTES = 16384  # Until a table is known; the usual HTTP limit.
-DEFAULT_BODY_BYTES = 2**22  # Until a table is known; 4 MiB.
+# Limits that apply until a table has been read. 16 KiB is the usual limit for
+# HTTP headers.
+DEFAULT_HEADER_BYTES = 16384
+DEFAULT_BODY_BYTES = 2**22  # 4 MiB.
 DEFAULT_HEADER_S = 3.0
 DEFAULT_IDLE_S = 15.0
 
 
 @attrs.frozen
 class ServiceShare:
-    """The part of a route's requests that one service gets."""
+    """A service's share of the requests of a route.
+
+    Attributes:
+      service: Name of the service.
+      weight: Weight of its share.
+    """
 
     service: str
     weight: float
@@ -28,25 +35,26 @@
 
 @attrs.frozen
 class Route:
-    """Requests of one host and path prefix.
+    """Rules for the requests of one host and path prefix.
 
     Attributes:
       name: Unique in its table.
       host: Host name, in lower case.
-      prefix: Begins and ends with a slash.
-      shares: Services that the requests go to, by weight.
-      idempotent: May run more than once.
-      streaming: The answer is a series of numbered events.
-      resumable: A broken stream may go on at another worker.
-      timeout_s: Longest time the operator wants a caller kept waiting.
-      objective_s: Time within which an answer is worth most.
-      event_gap_s: Longest pause between events of an answer on time; 0: none.
-      max_workers: Workers that one request may be sent to.
-      priority: 0 is the highest.
-      public: Needs no key.
-      models: Models that may answer, smallest first; empty where the caller
-        names the model.
-      regions: Where it may be answered; empty: anywhere.
+      prefix: Path prefix that begins and ends with a slash.
+      shares: Services that the requests are sent to, by weight.
+      idempotent: Whether a request may run more than once.
+      streaming: Whether answers are streams of numbered events.
+      resumable: Whether a broken stream may continue at another worker.
+      timeout_s: Maximum seconds for which a caller is kept waiting.
+      objective_s: Seconds within which an answer has its full value.
+      event_gap_s: Maximum seconds between events of an answer that is on time;
+        0: no limit.
+      max_workers: Maximum number of workers that a request may be sent to.
+      priority: Priority of the requests, 0 is the highest.
+      public: Whether requests need no key.
+      models: Models that may answer, smallest first; empty if the caller
+        chooses the model.
+      regions: Regions that may answer; empty: all.
     """
 
     name: str
@@ -73,7 +81,12 @@
 
 @attrs.frozen
 class ModelCost:
-    """A model of an engine and its price for 1,000 generated tokens."""
+    """A model of an engine and its price.
+
+    Attributes:
+      name: Name of the model.
+      cost: Price per 1,000 generated tokens.
+    """
 
     name: str
     cost: float
@@ -81,12 +94,12 @@
 
 @attrs.frozen
 class EngineSpec:
-    """What a pool of model engines has in common.
+    """Properties that all model engines of a pool share.
 
     Attributes:
-      slots: Requests that a worker runs at once.
-      kv_tokens: Tokens that a worker's memory holds.
-      models: Its models.
+      slots: Number of requests that a worker runs concurrently.
+      kv_tokens: Capacity of a worker's key-value cache, in tokens.
+      models: Models that the pool serves.
     """
 
     slots: int
@@ -96,11 +109,11 @@
 
 @attrs.frozen
 class WarmUp:
-    """What a worker bears after its start.
+    """Reduced rate of a worker after its start.
 
     Attributes:
-      start_s: Seconds for which it warms up.
-      rate_per_s: Requests a second that it bears meanwhile.
+      start_s: Seconds for which a worker warms up.
+      rate_per_s: Requests per second that it can serve meanwhile.
     """
 
     start_s: float
@@ -113,10 +126,12 @@
 
     Attributes:
       name: Unique in its table.
-      max_connections: Connections that a worker takes from all callers.
-      engine: Given for model engines, None for plain services.
-      warm_up: What its workers bear after a start; None: as much as ever.
-      health_path: Where its workers answer who they are; empty: nowhere.
+      max_connections: Maximum connections that a worker accepts from all
+        clients together.
+      engine: Properties of its engines; None for plain services.
+      warm_up: Reduced rate of its workers after a start; None: none.
+      health_path: Path at which its workers report their identity; empty: they
+        don't.
     """
 
     name: str
@@ -131,9 +146,9 @@
     """A customer of the operators.
 
     Attributes:
-      name: Told to the workers.
-      priority: Goes before the route's, if given.
-      regions: Where its requests may be answered; empty: anywhere.
+      name: Name, which is sent to the workers.
+      priority: Overrides the route's priority, unless None.
+      regions: Regions that may answer its requests; empty: all.
     """
 
     name: str
@@ -143,13 +158,13 @@
 
 @attrs.frozen
 class CallerLimits:
-    """What a caller may send, and how long it may take.
+    """Limits on the size and duration of callers' requests.
 
     Attributes:
-      header_bytes: Most bytes of a request's head.
-      body_bytes: Most bytes of a request's body.
-      header_s: Longest time for a head.
-      idle_s: Longest time without a request on a connection.
+      header_bytes: Maximum size of a request's head, in bytes.
+      body_bytes: Maximum size of a request's body, in bytes.
+      header_s: Maximum seconds to receive a head.
+      idle_s: Maximum seconds without a request on a connection.
     """
 
     header_bytes: int = DEFAULT_HEADER_BYTES
@@ -160,15 +175,17 @@
 
 @attrs.frozen(slots=False)
 class RouteTable:
-    """One version of what operators decided.
+    """One version of the operators' document.
 
     Attributes:
-      version: Rises with each change, in uneven steps.
+      version: Increases with each change, by one or more.
       routes: All routes.
-      services: By name.
-      workspaces: By key.
-      limits: For callers.
-      keyed: True if requests need a key, unless their route is public.
+      services: Services by name.
+      workspaces: Workspaces by key.
+      limits: Limits on callers' requests.
+      keyed: Whether requests need a key, unless their route is public.
+      index: Routes by host and prefix.
+      lengths: Lengths of the prefixes of each host, in ascending order.
     """
 
     version: int
@@ -193,11 +210,11 @@
         object.__setattr__(self, "lengths", lengths)
 
     def match(self, host: str, path: str) -> Route | None:
-        """Returns the route with the longest prefix that begins a path.
+        """Returns the route with the longest matching prefix, or None.
 
         Args:
-          host: As the caller sent it; a port is ignored.
-          path: Without the query.
+          host: Host as the caller sent it; a port is ignored.
+          path: Path without the query.
 
         >>> table = RouteTable(1, (
         ...     Route("a", "h", "/x/", ()), Route("b", "h", "/x/y/", ())))
@@ -219,9 +236,10 @@
         return None
 
     def regions_of(self, host: str) -> frozenset[str]:
-        """Returns the regions that routes of a host are bound to.
+        """Returns the regions that the routes of a host are restricted to.
 
-        Empty if none is bound, or one may be answered anywhere.
+        Empty if any of its routes may be answered in all regions, or if it has
+        no routes.
         """
         routes = self.index.get(host.lower(), {}).values()
         if not all(route.regions for route in routes):
@@ -230,7 +248,7 @@
 
     @functools.cached_property
     def model_costs(self) -> dict[str, float]:
-        """Price of each model for 1,000 generated tokens."""
+        """Price of each model per 1,000 generated tokens."""
         return {
             model.name: model.cost
             for service in self.services.values()
