--- a/src/rattanpier/_internal/models/upstream_request.py
+++ b/src/rattanpier/_internal/models/upstream_request.py
@@ -1,4 +1,4 @@
-"""One send of a request to one worker, and what the worker's answer says."""
+"""An upstream request to one worker, and what its response head says."""
 
 from __future__ import annotations
 
@@ -10,14 +10,16 @@
 
 @attrs.frozen
 class UpstreamRequest:
-    """What one worker is told beside the request.
+    """What one worker is sent in addition to the caller's request.
 
     Attributes:
-      worker: Where to.
-      left_s: Seconds until the caller or the route gives up.
-      model: Named by the system, or empty.
-      urgency: Rank of the request at the worker, 0 first; None: not told.
-      after_event: Last event of the answer that came already, or None.
+      worker: The worker.
+      left_s: Seconds until the caller or the route times out.
+      model: Model that the system chose, or empty.
+      urgency: Priority of the request at the worker, 0 is the highest; None:
+        not sent.
+      after_event: Number of the last event of the answer that was received
+        already, or None.
     """
 
     worker: RegisteredWorker
@@ -29,11 +31,14 @@
 
 @attrs.frozen
 class ReportedLoad:
-    """A worker's own count of requests.
+    """Load that a worker reported.
 
     Attributes:
-      born: Start of the incarnation that counted, in Unix ms; None: not told.
-      leaving: The worker says beside it that it leaves.
+      running: Number of requests that it runs.
+      waiting: Number of requests that wait there.
+      slots: Number of requests that it runs concurrently.
+      born: Start of the reporting incarnation, in Unix ms; None: not reported.
+      leaving: Whether the worker also reported that it leaves.
     """
 
     running: int
@@ -45,25 +50,28 @@
 
 @attrs.frozen
 class AnswerHead:
-    """What the head of a worker's answer says.
+    """Head of a worker's response.
 
     Attributes:
       status: HTTP status.
-      headers: As received, names in lower case.
-      request_id: The request it belongs to, or None.
-      receipt: The worker's proof of the answer, or None.
-      not_run: The worker promises that it did not run the request.
-      misdirected: What answered is not the worker that was asked for, or does
-        not serve what was asked for.
-      encoded: The body is not as the worker made it.
-      load: Its load, or None.
-      confidence: The model's opinion of its answer, 0 to 100, or None.
-      retry_after_s: When to come back, or None.
-      keep_alive_s: How long it keeps an idle connection, or None.
-      rate_per_s: Requests a second that it takes from all entries together;
-        None: it names no limit.
-      leaving: It takes no new requests any more.
-      rest_s: Seconds for which it wants nothing from this entry.
+      headers: Headers as received, with names in lower case.
+      request_id: Id of the request that it belongs to, or None.
+      receipt: The worker's receipt for the answer, which proves it, or None.
+      not_run: Whether the worker guarantees that it did not run the request.
+      misdirected: Whether the responder is another worker than the one
+        addressed, or does not serve what was requested.
+      encoded: Whether the body was encoded, so that it is not as the worker
+        made it.
+      load: The worker's load, or None.
+      confidence: The model's confidence in its answer, 0 to 100, or None.
+      retry_after_s: Seconds after which to retry, or None.
+      keep_alive_s: Seconds for which the worker keeps an idle connection, or
+        None.
+      rate_per_s: Requests per second that it accepts from all entries together;
+        None: it reports no limit.
+      leaving: Whether the worker accepts no new requests any more.
+      rest_s: Backoff: seconds for which it asks for no requests from this
+        entry.
     """
 
     status: int
