--- a/src/rattanpier/_internal/models/settings.py
+++ b/src/rattanpier/_internal/models/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one process, as written in its TOML file."""
+"""Settings of one process, as read from its TOML file."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 @attrs.frozen
 class NodeSettings:
-    """Who the process is.
+    """Identity of the process.
 
     Attributes:
-      name: Unique among all processes of the system.
+      name: Name, unique among all processes of the system.
       domain: Failure domain of the entry VM.
       region: Region of the entry VM.
     """
@@ -24,15 +24,16 @@
 
 @attrs.frozen
 class ListenSettings:
-    """Where the process listens.
+    """A listening address of the process.
 
     Attributes:
-      host: IP number to bind.
-      port: Port to bind; 0 takes a free one.
-      advertise: IP number told to others; `host` if empty.
-      certificate: Path of a PEM certificate, or empty for plain text.
+      host: IP address to bind.
+      port: Port to bind; 0: any free port.
+      advertise: IP address that is advertised; `host` if empty.
+      certificate: Path of a PEM certificate; empty: no TLS.
       key: Path of its private key.
-      authority: Path of the authority that peers' certificates must have.
+      authority: Path of the CA certificate that must have signed peers'
+        certificates.
     """
 
     host: str = "127.0.0.1"
@@ -45,15 +46,15 @@
 
 @attrs.frozen
 class PlatformSettings:
-    """Where the platform's services are, by IP number.
+    """URLs of the platform's services, with IP addresses.
 
     Attributes:
-      table_url: The transactional table service.
-      objects_url: The object store.
-      ratings_url: The answer-rating service.
-      vms_url: The list of live and leaving VMs.
-      weights_url: The weight store.
-      timeout_s: Seconds until a call is given up.
+      table_url: URL of the transactional table service.
+      objects_url: URL of the object store.
+      ratings_url: URL of the answer-rating service.
+      vms_url: URL of the list of live and leaving VMs.
+      weights_url: URL of the weight store.
+      timeout_s: Timeout of a call, in seconds.
     """
 
     table_url: str
@@ -66,7 +67,12 @@
 
 @attrs.frozen
 class MetricsSettings:
-    """Where statsd listens; no host, no sending."""
+    """Address of statsd.
+
+    Attributes:
+      host: IP address; empty: metrics are not sent.
+      port: UDP port.
+    """
 
     host: str = ""
     port: int = 8125
@@ -74,7 +80,12 @@
 
 @attrs.frozen
 class LogSettings:
-    """How logs are written."""
+    """Format and level of logs.
+
+    Attributes:
+      json: Whether to write JSON lines instead of text.
+      level: Minimum level of the lines.
+    """
 
     json: bool = False
     level: str = "info"
@@ -82,11 +93,11 @@
 
 @attrs.frozen
 class SecretSettings:
-    """Keys of the process.
+    """Secrets of the process.
 
     Attributes:
-      session_key: Signs session tokens; the same on all entry VMs.
-      operator_key_sha256: Digests of the operators' keys.
+      session_key: Key that signs session tokens; the same on all entry VMs.
+      operator_key_sha256: SHA-256 digests of the operators' keys.
     """
 
     session_key: str = ""
@@ -98,11 +109,11 @@
     """Limits of the caller edge.
 
     Attributes:
-      max_body_bytes: Largest request body.
-      max_timeout_s: Longest time a caller may ask for.
-      default_timeout_s: Time given to a request that asks for none.
-      drain_s: Seconds that all others need to learn that an entry leaves; it
-        serves new requests for so long and for `Fleet.entries_ttl_s` more.
+      max_body_bytes: Maximum size of a request body, in bytes.
+      max_timeout_s: Maximum timeout that a caller may request, in seconds.
+      default_timeout_s: Timeout of a request that sets none, in seconds.
+      drain_s: Seconds until all peers know that an entry leaves. The entry
+        serves new requests for this time and `Fleet.entries_ttl_s` more.
       drain_limit_s: Seconds after which a step of a drain is reported late.
     """
 
@@ -115,7 +126,20 @@
 
 @attrs.frozen
 class Settings:
-    """All settings of one process."""
+    """All settings of one process.
+
+    Attributes:
+      node: Identity of the process.
+      platform: URLs of the platform's services.
+      callers: Listening address for callers.
+      peers: Listening address for peers.
+      operators: Listening address for operators.
+      metrics: Address of statsd.
+      logs: Format and level of logs.
+      secrets: Secrets of the process.
+      edge: Limits of the caller edge.
+      trace_path: Path of the trace file; empty: no trace is written.
+    """
 
     node: NodeSettings
     platform: PlatformSettings
