--- a/src/rattanpier/_internal/models/worker.py
+++ b/src/rattanpier/_internal/models/worker.py
@@ -1,4 +1,4 @@
-"""A worker that registered itself."""
+"""A worker that registered itself with the platform."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
     """One incarnation of a worker.
 
     Attributes:
-      id: Of the worker; it may start again under the same one.
-      service: The pool it belongs to.
-      host: IP number.
+      id: Id of the worker, which it may keep when it restarts.
+      service: Pool that it belongs to.
+      host: IP address.
       port: TCP port.
       domain: Failure domain.
       version: Version of its software.
-      slots: Requests that it runs at once.
-      draining: It announced that it leaves.
-      born: When it started, in Unix ms, or None where it does not tell.
-        Another value under the same id is another incarnation, which holds
-        nothing of what the one before held.
+      slots: Number of requests that it runs concurrently.
+      draining: Whether it announced that it leaves.
+      born: Start time in Unix ms, or None if the worker does not report it. A
+        different value under the same id is another incarnation, which has none
+        of the state of the previous one.
       warm_in_s: Seconds for which it still warms up, as of its registration.
-      revision: Of its registration in the store; within an era the larger of
-        two is the newer, whatever the workers' clocks say.
-      sequence: Raised by the worker with each renewal; what it last said counts
-        where an older copy of the store says something else.
+      revision: Store revision of its registration. Within an era the larger of
+        two is newer, independently of the workers' clocks.
+      sequence: Number that the worker increases with each renewal. It shows
+        which registration is newer if the store was restored from a backup.
     """
 
     id: str
@@ -45,7 +45,7 @@
 
     @property
     def incarnation(self) -> str:
-        """What tells its start from others under the same id.
+        """Id of the incarnation: the worker's id and its start time.
 
         >>> RegisteredWorker("w", "s", "h", 1, "d", born=7).incarnation
         'w/7'
--- a/src/rattanpier/_internal/models/worker_crash.py
+++ b/src/rattanpier/_internal/models/worker_crash.py
@@ -1,4 +1,4 @@
-"""What entries tell each other of workers that ended under requests."""
+"""Updates between entries about workers that crashed under requests."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 @attrs.frozen
 class WorkerCrash:
-    """A worker ended while a request was under way there.
+    """A worker crashed while it ran a request.
 
     Attributes:
       content: Digest of what the caller asked, the same for each attempt.
       worker: Incarnation of the worker.
-      age_s: Seconds since.
+      age_s: Seconds since the crash.
     """
 
     content: str
@@ -22,11 +22,11 @@
 
 @attrs.frozen
 class ContentCleared:
-    """A content was answered whole: ends up to then are not its doing.
+    """A content got a complete answer: it did not cause earlier crashes.
 
     Attributes:
       content: Digest of what the caller asked.
-      age_s: Seconds since.
+      age_s: Seconds since the answer.
     """
 
     content: str
@@ -35,11 +35,11 @@
 
 @attrs.frozen
 class SeenAlive:
-    """A worker answered under its own name: up to then it had not ended.
+    """A worker answered under its own id: it had not crashed until then.
 
     Attributes:
-      worker: Its incarnation.
-      age_s: Seconds since.
+      worker: Incarnation of the worker.
+      age_s: Seconds since the answer.
     """
 
     worker: str
@@ -48,12 +48,12 @@
 
 @attrs.frozen
 class QuarantineUpdate:
-    """What is told of requests that may end their workers.
+    """Update about requests that may crash their workers.
 
     Attributes:
-      ends: Workers that ended.
-      cleared: Contents with ends that were answered whole since.
-      alive: Workers said to have ended that were found to live.
+      ends: Workers that crashed.
+      cleared: Contents that got a complete answer after crashes under them.
+      alive: Workers that were reported as crashed but found to be alive.
     """
 
     ends: list[WorkerCrash] = attrs.Factory(list)
