--- a/src/rattanpier/_internal/utils/clock.py
+++ b/src/rattanpier/_internal/utils/clock.py
@@ -1,4 +1,4 @@
-"""Time, as an interface, so that tests can turn the clock themselves."""
+"""Clock interface, so that tests can control time."""
 
 from __future__ import annotations
 
@@ -8,32 +8,32 @@
 
 
 class Clock(Protocol):
-    """What the program asks of time."""
+    """Source of time."""
 
     def monotonic(self) -> float:
-        """Returns seconds that never go back."""
+        """Returns monotonic seconds."""
         ...
 
     def time(self) -> float:
-        """Returns seconds since the epoch."""
+        """Returns seconds since the Unix epoch."""
         ...
 
     async def sleep(self, seconds: float) -> None:
-        """Waits."""
+        """Waits for some seconds."""
         ...
 
 
 class SystemClock:
-    """The machine's clock."""
+    """Clock of the operating system."""
 
     def monotonic(self) -> float:
-        """Returns the machine's monotonic time in seconds."""
+        """Returns the system's monotonic time in seconds."""
         return time.monotonic()
 
     def time(self) -> float:
-        """Returns the machine's wall clock in seconds."""
+        """Returns the system's wall clock time in seconds."""
         return time.time()
 
     async def sleep(self, seconds: float) -> None:
-        """Waits on the running loop."""
+        """Waits for some seconds on the running event loop."""
         await asyncio.sleep(seconds)
--- a/src/rattanpier/_internal/utils/codec.py
+++ b/src/rattanpier/_internal/utils/codec.py
@@ -1,7 +1,8 @@
-"""Text and bytes for attrs classes, by cattrs; what can't be read is one error.
+"""Serialization of attrs classes to JSON and to compressed MessagePack.
 
-JSON is for what people or other programs read, packed bytes are for what
-entries send each other: they hold the same, and bytes within them as they are.
+JSON is for data that people or other programs read, packed bytes are for
+messages between entries. Both hold the same data; packed bytes hold values of
+type bytes unencoded. All input that can't be decoded raises `UnreadableError`.
 """
 
 from __future__ import annotations
@@ -20,7 +21,8 @@
 
 T = TypeVar("T")
 
-MAX_EXPLANATION_LENGTH = 80  # Characters of a message, which holds the value.
+# In characters. Messages of type errors contain the value, which may be long.
+MAX_EXPLANATION_LENGTH = 80
 
 converter = json_converters.make_converter()
 packer = msgpack_converters.make_converter()
@@ -37,10 +39,10 @@
 
 
 def parse_json(text: str | bytes) -> Any:
-    """Returns what a JSON text holds.
+    """Returns the document in a JSON text.
 
     Raises:
-      UnreadableError: It holds nothing that can be read.
+      UnreadableError: The text is not valid JSON.
     """
     try:
         return json.loads(text)
@@ -52,7 +54,7 @@
     """Returns an object of a class from its JSON text.
 
     Raises:
-      UnreadableError: The text does not fit the class.
+      UnreadableError: The text is not valid JSON or does not fit the class.
     """
     return structure(converter, cls, parse_json(text))
 
@@ -61,7 +63,7 @@
     """Returns an object of a class from its compressed bytes.
 
     Raises:
-      UnreadableError: The bytes do not fit the class.
+      UnreadableError: The bytes are malformed or do not fit the class.
     """
     try:
         document = msgpack.unpackb(zlib.decompress(packed))
@@ -71,7 +73,7 @@
 
 
 def explain(error: BaseException, cls: type[Any] | None) -> str:
-    """Says what is wrong with a value, as long as a log line may be."""
+    """Returns what is wrong with a value, short enough for a log line."""
     if isinstance(error, TypeError):
         return str(error)[:MAX_EXPLANATION_LENGTH]
     return format_exception(error, cls)
@@ -81,7 +83,8 @@
     """Returns an object of a class from a decoded document.
 
     Raises:
-      UnreadableError: It names the fields and what is wrong with them.
+      UnreadableError: The document does not fit the class; the message names
+        the fields and what is wrong with them.
     """
     try:
         return made.structure(document, cls)
@@ -90,5 +93,5 @@
             "; ".join(cattrs.transform_error(error, format_exception=explain))
         ) from error
     except (TypeError, ValueError, KeyError, AttributeError) as error:
-        # Hooks raise these bare where the whole document is of another type.
+        # Hooks raise these directly if the document itself has a wrong type.
         raise UnreadableError(repr(error)) from error
