--- a/src/rattanpier/_internal/utils/hashing.py
+++ b/src/rattanpier/_internal/utils/hashing.py
@@ -1,4 +1,4 @@
-"""Stable hashes."""
+"""Hashes that are the same in all processes, and rendezvous hashing."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import xxhash
 
-MAX_CACHED_HASHES = 8192  # The ids of workers and of parts of prompts recur.
+MAX_CACHED_HASHES = 8192  # Ids of workers and of prompt parts recur.
 
 
 def stable_hash(text: str) -> int:
@@ -18,14 +18,17 @@
 
 @functools.lru_cache(maxsize=MAX_CACHED_HASHES)
 def short_hash(text: str) -> int:
-    """Returns a 32-bit hash: enough for hints, where one in a million errs."""
+    """Returns a 32-bit hash, for notices.
+
+    They tolerate a collision in one of a million cases.
+    """
     return xxhash.xxh32_intdigest(text.encode())
 
 
 def rendezvous(key: str, names: Iterable[str]) -> list[str]:
-    """Orders names by preference for a key (highest random weight).
+    """Returns names in order of preference for a key (rendezvous hashing).
 
-    Removing a name leaves the order of the others as it was.
+    Removing a name does not change the order of the others.
 
     >>> rendezvous("k", ["a", "b", "c"]) == rendezvous("k", ["c", "b", "a"])
     True
@@ -34,7 +37,7 @@
 
 
 def most_preferred(key: str, names: Iterable[str]) -> str:
-    """Returns the first name by preference for a key.
+    """Returns the most preferred name for a key.
 
     >>> most_preferred("k", "abc") == rendezvous("k", "abc")[0]
     True
@@ -43,7 +46,7 @@
 
 
 def weight_for(key: str) -> Callable[[str], int]:
-    """Returns what weighs names for a key."""
+    """Returns the function that gives a name's weight for a key."""
     return lambda name: stable_hash(f"{key}\x1f{name}")
 
 
@@ -54,7 +57,9 @@
 
 
 def short_digest(data: str | bytes) -> str:
-    """Returns half of a SHA-256 digest: enough to tell requests apart.
+    """Returns the first half of a SHA-256 digest in hexadecimal.
+
+    128 bits are enough to tell requests apart.
 
     >>> len(short_digest("request"))
     32
--- a/src/rattanpier/_internal/utils/headers.py
+++ b/src/rattanpier/_internal/utils/headers.py
@@ -1,4 +1,4 @@
-"""Headers that concern one connection only, and those that are passed on."""
+"""Selection of the HTTP headers that a proxy forwards."""
 
 from __future__ import annotations
 
@@ -22,11 +22,13 @@
 def forwarded_headers(
     headers: object, dropped: frozenset[str] = frozenset()
 ) -> tuple[Header, ...]:
-    """Returns the headers that go to the other side.
+    """Returns the headers to forward, without hop-by-hop headers.
+
+    Headers that `Connection` names are left out as well, and `Content-Length`.
 
     Args:
       headers: Pairs of names and values.
-      dropped: Further names, in lower case.
+      dropped: Additional names to leave out, in lower case.
 
     >>> forwarded_headers([("Connection", "x-a"), ("X-A", "1"), ("ETag", "2")])
     (('ETag', '2'),)
--- a/src/rattanpier/_internal/utils/strict.py
+++ b/src/rattanpier/_internal/utils/strict.py
@@ -1,7 +1,8 @@
-"""Decoding that takes a value of the wanted type, and turns no other into it.
+"""Structuring of documents without type coercion.
 
-A text is no number, a number is no text, and true is no 1: what another writer
-got wrong is refused, not guessed at.
+A string is not accepted as a number, a number not as a string and a boolean not
+as an integer, so that mistakes in a document are reported rather than guessed
+at.
 """
 
 from __future__ import annotations
@@ -26,7 +27,9 @@
 
 
 def structure_strictly(value: Any, cls: type[Any]) -> Any:
-    """Takes a value of the wanted type, and turns no other into it.
+    """Returns a value that has the type `cls`, without coercion.
+
+    An integer is accepted for a float, and the value of a member for an enum.
 
     >>> structure_strictly(1, float)
     1.0
@@ -47,7 +50,7 @@
 def list_factory(
     cls: Any, converter: cattrs.BaseConverter
 ) -> Callable[[Any, Any], Any]:
-    """Returns the hook of a list type; a text is not a list of letters."""
+    """Returns the hook of a list type, which rejects strings."""
     structure = list_structure_factory(cls, converter)
 
     def hook(value: Any, wanted: Any) -> Any:
@@ -59,7 +62,7 @@
 
 
 def table_factory(*, forbid_extra_keys: bool) -> HookFactory:
-    """Returns what makes the hooks of attrs classes, which are tables."""
+    """Returns the hook factory for attrs classes, which are read as tables."""
 
     def factory(
         cls: Any, converter: cattrs.BaseConverter
@@ -82,11 +85,11 @@
 
 
 def strict_converter(*, forbid_extra_keys: bool) -> cattrs.Converter:
-    """Returns a converter that refuses wrong types.
+    """Returns a converter that rejects wrong types.
 
     Args:
-      forbid_extra_keys: Whether keys that a class does not have are refused;
-        else they are left out.
+      forbid_extra_keys: Whether keys that a class does not have are rejected;
+        otherwise they are ignored.
     """
     made = cattrs.Converter()
     for cls in TYPE_NAMES:
