--- a/src/rattanpier/_internal/utils/http_listener.py
+++ b/src/rattanpier/_internal/utils/http_listener.py
@@ -1,7 +1,7 @@
-"""An address on which aiohttp's HTTP server listens.
+"""Listening address of aiohttp's low-level HTTP server.
 
-Only the lower half of that server: the one above it, with its applications and
-their routes, is not used here and takes a twentieth of a start to load.
+Only the low-level server is imported. The application layer with its routes is
+not needed here, and its import takes a twentieth of the start-up time.
 """
 
 from __future__ import annotations
@@ -23,23 +23,23 @@
 
 @attrs.define(eq=False, repr=False)
 class HttpListener:
-    """One address.
+    """One listening address.
 
     Attributes:
-      server: Serves its connections.
-      sockets: Accepts them.
+      server: Serves the connections.
+      sockets: Accepts the connections.
     """
 
     server: Server
     sockets: asyncio.Server
 
     def stop_accepting(self) -> None:
-        """Takes no more connections; those that are open go on."""
+        """Accepts no more connections; open ones continue."""
         self.sockets.close()
 
     async def close(self) -> None:
-        """Ends all connections."""
-        await asyncio.sleep(0)  # What was accepted just now is served.
+        """Closes all connections."""
+        await asyncio.sleep(0)  # Requests that were just accepted are served.
         self.server.pre_shutdown()
         await self.server.shutdown(0.0)
 
@@ -51,14 +51,14 @@
     listening: socket.socket | None = None,
     **options: Any,
 ) -> HttpListener:
-    """Opens an address, unless a socket listens there already.
+    """Starts an HTTP server at an address or on a listening socket.
 
     Args:
       handler: Answers requests.
-      address: Where to listen.
-      backlog: Connections that may wait to be accepted.
-      listening: The socket that does so already, or None.
-      **options: Of the server.
+      address: Address to bind, unless `listening` is given.
+      backlog: Maximum number of connections that wait to be accepted.
+      listening: A socket that already listens there, or None.
+      **options: Options of `aiohttp.web_server.Server`.
     """
     server = Server(handler, **options)
     bind_options: dict[str, Any] = {"host": address.host, "port": address.port}
--- a/src/rattanpier/_internal/utils/ids.py
+++ b/src/rattanpier/_internal/utils/ids.py
@@ -1,7 +1,7 @@
-"""Random names for requests.
+"""Random ids of requests.
 
-They travel with every claim and settlement, so they are no longer than it takes
-to be unique.
+They are sent with every claim and settlement, so they are only as long as
+uniqueness requires.
 """
 
 from __future__ import annotations
@@ -22,5 +22,5 @@
 
 
 def new_key() -> str:
-    """Returns a request key for a caller that gave none."""
+    """Returns an idempotency key for a request without one."""
     return f"auto-{secrets.token_urlsafe(KEY_BYTES)}"
--- a/src/rattanpier/_internal/utils/interleave.py
+++ b/src/rattanpier/_internal/utils/interleave.py
@@ -1,4 +1,4 @@
-"""Taking from several lists in turn."""
+"""Round-robin interleaving of sequences."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def interleave(lists: Iterable[Sequence[T]]) -> Iterator[T]:
-    """Yields the first of each list, then the second of each, and so on.
+    """Yields the first item of each list, then the second, and so on.
 
     >>> "".join(interleave(["ad", "be", "c"]))
     'abcde'
--- a/src/rattanpier/_internal/utils/log_sink.py
+++ b/src/rattanpier/_internal/utils/log_sink.py
@@ -1,7 +1,7 @@
-"""Writes log lines to standard output, bounded and without ever blocking.
+"""Non-blocking, bounded writer of log lines to a file descriptor.
 
-A reader that stops reading, or a burst of lines, costs lines and never time:
-what does not fit is dropped, counted and told.
+If the reader stalls or lines come in a burst, the process never waits: lines
+that exceed the rate or the buffer are dropped, and their number is logged.
 """
 
 from __future__ import annotations
@@ -10,19 +10,22 @@
 import os
 import time
 
-LINES_PER_S = 400.0  # Some ten lines a request at the usual load of an entry.
+# About ten lines per request at the typical load of an entry.
+LINES_PER_S = 400.0
 MAX_BURST_LINES = 2000.0
-BUFFER_BYTES = 2**20  # Held for a reader that is slow.
+BUFFER_BYTES = 2**20  # Kept for a slow reader.
 FLUSH_BYTES = 8192
 
 
 class LogSink:
-    """A bounded buffer before a file descriptor.
+    """A bounded buffer in front of a file descriptor.
 
     Attributes:
-      fd: Where lines go; set to be non-blocking.
-      buffer: What was not written yet.
-      dropped: Lines dropped since the last that told of it.
+      fd: File descriptor, which is set to non-blocking mode.
+      buffer: Bytes that are not written yet.
+      dropped: Number of lines dropped since that was last logged.
+      tokens: Lines that may be written now, by the token bucket.
+      filled_at: Monotonic time of the last refill, in seconds.
     """
 
     def __init__(self, fd: int = 1) -> None:
@@ -34,7 +37,7 @@
         os.set_blocking(fd, False)
 
     def msg(self, message: str) -> None:
-        """Takes a line; the name is structlog's."""
+        """Buffers a line or drops it; structlog requires this name."""
         if not self.try_acquire():
             self.dropped += 1
             return
@@ -48,7 +51,7 @@
     debug = info = warning = error = critical = exception = log = msg
 
     def try_acquire(self) -> bool:
-        """Says whether one more line is within the budget."""
+        """Takes a token for one line; returns whether there was one."""
         now = time.monotonic()
         earned = (now - self.filled_at) * LINES_PER_S
         self.tokens = min(MAX_BURST_LINES, self.tokens + earned)
@@ -59,13 +62,13 @@
         return True
 
     def drop_buffered_lines(self) -> None:
-        """Drops the lines that nobody read."""
+        """Drops all buffered lines but the first, which may be half written."""
         end = self.buffer.find(b"\n") + 1
         self.dropped += self.buffer.count(b"\n", end)
         del self.buffer[end:]
 
     def flush(self) -> None:
-        """Writes as much as the reader takes."""
+        """Writes as much as the file descriptor accepts."""
         if self.dropped:
             line = {"event": "logs: Lines dropped.", "lines": self.dropped}
             self.buffer += json.dumps(line).encode() + b"\n"
@@ -77,5 +80,5 @@
         except BlockingIOError:
             return  # The reader is slow; the rest waits for the next flush.
         except OSError:
-            # There is no reader, and so nobody to tell.
+            # The reader is gone, so that the error can't be reported either.
             self.buffer.clear()
--- a/src/rattanpier/_internal/utils/logs.py
+++ b/src/rattanpier/_internal/utils/logs.py
@@ -1,4 +1,4 @@
-"""Set-up of structlog: short sentences, a fixed prefix per part."""
+"""Configuration of structlog: short sentences with a prefix per part."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 def add_prefix(
     _logger: Any, _method: str, event: dict[str, Any]
 ) -> dict[str, Any]:
-    """Puts the part's name before the sentence.
+    """Prefixes the event with the name of the part that logs it.
 
     >>> add_prefix(None, "info", {"part": "claims", "event": "Lease lost."})
     {'event': 'claims: Lease lost.'}
@@ -25,7 +25,7 @@
 
 
 def configure_logs(json_lines: bool, level: str = "info") -> None:
-    """Sends logs to standard error, as text or as JSON lines."""
+    """Writes logs to standard error, as text or as JSON lines."""
     renderer = (
         structlog.processors.JSONRenderer()
         if json_lines
@@ -48,7 +48,7 @@
 
 
 def configure_sink(sink: LogSink, node: str, level: str = "info") -> None:
-    """Sends logs to a bounded sink, as JSON lines that name the node."""
+    """Writes logs to a bounded sink, as JSON lines with the node's name."""
 
     def add_node(
         _logger: Any, _method: str, event: dict[str, Any]
