--- a/src/rattanpier/_internal/utils/metrics.py
+++ b/src/rattanpier/_internal/utils/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and timings, sent by statsd over UDP."""
+"""Counters, gauges and timings, sent to statsd over UDP."""
 
 from __future__ import annotations
 
@@ -11,7 +11,8 @@
 
 from rattanpier._internal.exceptions import SettingsError
 
-# Upper edges in seconds: from an answer at once to the longest timeouts.
+# Upper bounds of the buckets, from 5 ms for immediate answers to 20 s for the
+# longest timeouts.
 TIMING_EDGES_S = tuple(0.005 * 2**step for step in range(13))
 
 
@@ -20,26 +21,28 @@
     """A histogram of durations.
 
     Attributes:
-      buckets: Counts up to each of `TIMING_EDGES_S`, and one of the rest.
-      total_s: Sum of the durations.
+      buckets: Number of durations up to each of `TIMING_EDGES_S`, and of longer
+        ones.
+      total_s: Sum of the durations, in seconds.
     """
 
     buckets: list[int] = attrs.Factory(lambda: [0] * (len(TIMING_EDGES_S) + 1))
     total_s: float = 0.0
 
     def add(self, seconds: float) -> None:
-        """Counts a duration."""
+        """Records a duration."""
         self.buckets[bisect.bisect_left(TIMING_EDGES_S, seconds)] += 1
         self.total_s += seconds
 
 
 class Metrics:
-    """Counts locally and, where an address is given, sends by statsd.
+    """Keeps metrics locally and sends them to statsd if a host is given.
 
     Attributes:
       counts: Totals since the start, by metric name.
-      gauges: Levels, by metric name.
+      gauges: Current values, by metric name.
       timings: Histograms, by metric name.
+      client: The statsd client, or None.
     """
 
     def __init__(self, host: str = "", port: int = 8125) -> None:
@@ -48,31 +51,35 @@
         self.timings: dict[str, Timing] = collections.defaultdict(Timing)
         self.client: statsd.StatsClient | None = None
         if host:
-            # A name would be resolved, and could block, on the hot path.
+            # The client would resolve a name on the hot path and could block.
             check_ip_number(host)
             self.client = statsd.StatsClient(host, port, prefix="rattanpier")
 
     def count(self, name: str, amount: int = 1) -> None:
-        """Adds to a counter."""
+        """Increases a counter."""
         self.counts[name] += amount
         if self.client is not None:
             self.client.incr(name, amount)
 
     def timing(self, name: str, seconds: float) -> None:
-        """Reports how long something took."""
+        """Records a duration in seconds."""
         self.timings[name].add(seconds)
         if self.client is not None:
             self.client.timing(name, seconds * 1000)
 
     def gauge(self, name: str, value: float) -> None:
-        """Reports a level."""
+        """Sets the value of a gauge."""
         self.gauges[name] = value
         if self.client is not None:
             self.client.gauge(name, value)
 
 
 def check_ip_number(host: str) -> None:
-    """Raises SettingsError unless the host is an IP number."""
+    """Checks that a host is an IP address.
+
+    Raises:
+      SettingsError: It is a name.
+    """
     try:
         ipaddress.ip_address(host)
     except ValueError as error:
--- a/src/rattanpier/_internal/utils/ports.py
+++ b/src/rattanpier/_internal/utils/ports.py
@@ -1,4 +1,4 @@
-"""Whether a process listens at an address."""
+"""Check whether a process listens at an address."""
 
 from __future__ import annotations
 
@@ -6,10 +6,11 @@
 
 
 async def listens(host: str, port: int, timeout_s: float) -> bool | None:
-    """Says whether a process listens, by opening a connection.
+    """Returns whether a process listens, by opening a connection.
 
     Returns:
-      False if the machine refused, None if it can't be reached in time.
+      True if the connection was accepted, False if it was refused, None if
+      neither happened within the timeout.
     """
     try:
         async with asyncio.timeout(timeout_s):
--- a/src/rattanpier/_internal/utils/samples.py
+++ b/src/rattanpier/_internal/utils/samples.py
@@ -1,4 +1,4 @@
-"""Small statistics of what was seen lately."""
+"""Statistics of recent samples."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 import attrs
 
-MAX_SAMPLES = 16  # Samples of a quantile: some seconds of an entry's requests.
+MAX_SAMPLES = 16  # Requests of an entry within some seconds.
 
 
 @attrs.define(eq=False, repr=False)
 class DecayingSum:
-    """A sum, and mean, in which a sample's weight halves again and again.
+    """A sum and a mean with exponentially decaying weights of the samples.
 
     Attributes:
-      half_life_s: Time in which it halves.
+      half_life_s: Seconds in which the weight of a sample halves.
       weight: Sum of the samples' weights.
       total: Weighted sum of the samples.
-      at: When both were last brought up to date, in monotonic seconds.
+      at: Monotonic time of the last decay, in seconds.
     """
 
     half_life_s: float
@@ -26,20 +26,20 @@
     at: float = 0.0
 
     def decay(self, now: float) -> None:
-        """Brings the weights up to date."""
+        """Decays the weights up to a monotonic time in seconds."""
         factor = 0.5 ** (max(0.0, now - self.at) / self.half_life_s)
         self.weight *= factor
         self.total *= factor
         self.at = now
 
     def add(self, sample: float, now: float) -> None:
-        """Takes a sample in."""
+        """Adds a sample with weight 1."""
         self.decay(now)
         self.weight += 1.0
         self.total += sample
 
     def mean(self, default: float) -> float:
-        """Returns the mean; near a default while there are few samples.
+        """Returns the mean; the default counts as one sample of weight 1.
 
         >>> DecayingSum(1.0, weight=3.0, total=9.0).mean(1.0)
         2.5
@@ -49,10 +49,11 @@
 
 @attrs.define(eq=False, repr=False)
 class RecentQuantile:
-    """A quantile of the newest samples.
+    """A quantile of the most recent samples.
 
     Attributes:
-      share: Of the samples that are at most as large.
+      share: Share of the samples that are at most the quantile, 0 to 1.
+      samples: The most recent samples, oldest first.
     """
 
     share: float
@@ -61,7 +62,7 @@
     )
 
     def add(self, sample: float) -> None:
-        """Takes a sample in."""
+        """Adds a sample and drops the oldest one if full."""
         self.samples.append(sample)
 
     def value(self, default: float, least: int) -> float:
