--- a/tests/unit/test_session_pins.py
+++ b/tests/unit/test_session_pins.py
@@ -7,16 +7,16 @@
 from tests.lib.builders import LARGE, SMALL, build_configuration
 from tests.lib.clock import ManualClock
 
-OPEN = {"r": Rollout(SMALL, LARGE, 0.5)}
+OPEN_ROLLOUT = {"r": Rollout(SMALL, LARGE, 0.5)}
 
 
 class Entries:
-    """Two entries over one table and one configuration."""
+    """Two entries over first table and first configuration."""
 
     def __init__(self):
         self.table = MemoryTable()
         self.configuration = build_configuration()
-        self.one, self.two = (
+        self.first, self.second = (
             SessionPins(
                 self.table,
                 ManualClock(),
@@ -27,26 +27,28 @@
         )
 
     def open_rollout(self):
-        self.configuration = build_configuration(revision=2, rollouts=OPEN)
+        self.configuration = build_configuration(
+            revision=2, rollouts=OPEN_ROLLOUT
+        )
 
 
-async def test_a_session_older_than_the_roll_out_gets_its_row():
+async def test_session_pinned_before_a_rollout_is_stored_once_it_is_open():
     entries = Entries()
-    assert await entries.one.keep("desk", "s", SMALL) == SMALL
+    assert await entries.first.keep("desk", "s", SMALL) == SMALL
     assert entries.table.stats.writes == 0
     entries.open_rollout()
     for _ in range(3):
-        assert await entries.one.find("desk", "s") == SMALL
-        assert await entries.one.keep("desk", "s", SMALL) == SMALL
+        assert await entries.first.find("desk", "s") == SMALL
+        assert await entries.first.keep("desk", "s", SMALL) == SMALL
     assert entries.table.stats.writes == 1
-    assert await entries.two.find("desk", "s") == SMALL
+    assert await entries.second.find("desk", "s") == SMALL
 
 
-async def test_the_row_that_came_first_counts():
+async def test_stored_pin_is_not_replaced_by_another_entry():
     entries = Entries()
-    await entries.one.keep("desk", "s", SMALL)
+    await entries.first.keep("desk", "s", SMALL)
     entries.open_rollout()
-    assert await entries.two.keep("desk", "s", LARGE) == LARGE
-    assert await entries.one.keep("desk", "s", SMALL) == LARGE
-    assert await entries.one.find("desk", "s") == LARGE
+    assert await entries.second.keep("desk", "s", LARGE) == LARGE
+    assert await entries.first.keep("desk", "s", SMALL) == LARGE
+    assert await entries.first.find("desk", "s") == LARGE
     assert entries.table.stats.writes == 1
