--- a/tests/unit/test_session_pins.py
+++ b/tests/unit/test_session_pins.py
@@ -1,4 +1,4 @@
-"""Pins of sessions by rows, over the store in memory."""
+"""Pins of sessions in the table service, on an in-memory table."""
 
 from rattanpier._internal.edge.pins import SessionPins
 from rattanpier._internal.models.configuration import Rollout
@@ -11,7 +11,7 @@
 
 
 class Entries:
-    """Two entries over first table and first configuration."""
+    """The pins of two entries that share a table and a configuration."""
 
     def __init__(self):
         self.table = MemoryTable()
