--- a/tests/unit/test_unrouted.py
+++ b/tests/unit/test_unrouted.py
@@ -14,7 +14,7 @@
     raise ValueError("a fault")
 
 
-async def fail_late(request):
+async def fail_after_start(request):
     response = web.StreamResponse()
     await response.prepare(request)
     await response.write(b"data: begun\n\n")
@@ -22,12 +22,12 @@
 
 
 @pytest.fixture
-async def failing():
+async def failing_server():
     metrics = Metrics()
     app = web.Application(middlewares=[refuse_unrouted(metrics)])
     app.on_response_prepare.append(mark_started)
     app.router.add_get("/fail", fail)
-    app.router.add_get("/late", fail_late)
+    app.router.add_get("/late", fail_after_start)
     server = HttpServer(app, ListenSettings())
     await server.start()
     async with aiohttp.ClientSession(server.url) as session:
@@ -35,8 +35,10 @@
     await server.stop()
 
 
-async def test_a_fault_is_a_refusal_that_claims_nothing(failing):
-    session, metrics = failing
+async def test_handler_exception_is_refused_without_claiming_not_run(
+    failing_server,
+):
+    session, metrics = failing_server
     async with session.get("/fail") as response:
         error = (await response.json())["error"]
     assert (response.status, error["code"]) == (500, "internal")
@@ -44,8 +46,10 @@
     assert metrics.counts == {"refusal.internal": 1}
 
 
-async def test_an_answer_that_has_begun_gets_no_second_head(failing):
-    session, metrics = failing
+async def test_exception_after_the_start_adds_no_second_response(
+    failing_server,
+):
+    session, metrics = failing_server
     data = b""
     with pytest.raises(aiohttp.ClientPayloadError):
         async with session.get("/late") as response:
