--- a/tests/unit/test_unrouted.py
+++ b/tests/unit/test_unrouted.py
@@ -1,4 +1,4 @@
-"""A fault of a handler: a refusal, unless an answer has begun."""
+"""Exceptions of handlers give a refusal, unless a response has begun."""
 
 import aiohttp
 import pytest
