--- a/tests/functional/test_path.py
+++ b/tests/functional/test_path.py
@@ -28,7 +28,7 @@
     )
 
 
-async def test_answers_through_two_entries(cluster):
+async def test_each_entry_returns_a_complete_answer(cluster):
     for entry in ("entry-1", "entry-2"):
         answer = await client(cluster, entry).chat.completions.create(
             model="auto", messages=[{"role": "user", "content": "hello"}]
@@ -38,7 +38,7 @@
         assert answer.choices[0].message.content.startswith("good")
 
 
-async def test_streams(cluster):
+async def test_stream_has_all_chunks_and_a_finish_reason(cluster):
     stream = await client(cluster, "entry-1").chat.completions.create(
         model="auto",
         messages=[{"role": "user", "content": "hello"}],
@@ -49,7 +49,7 @@
     assert len(chunks) == 33
 
 
-async def test_repeat_of_a_key_through_another_entry_runs_once(cluster):
+async def test_repeated_key_runs_once_across_entries(cluster):
     answers = []
     for entry in ("entry-1", "entry-2", "entry-1"):
         answer = await client(cluster, entry).chat.completions.create(
@@ -77,7 +77,7 @@
         )
 
 
-async def test_openai_client_streaming_and_not_through_two_entries(cluster):
+async def test_streamed_and_complete_answers_have_the_same_text(cluster):
     texts = [
         await ask(cluster, entry, stream)
         for entry in ("entry-1", "entry-2")
