--- a/tests/functional/test_path.py
+++ b/tests/functional/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path through separate processes."""
+"""Chat requests through the whole system, with each part a process."""
 
 import openai
 import pytest
@@ -63,7 +63,7 @@
 
 
 async def ask(cluster, entry, stream):
-    """Returns the text of an answer, streamed or whole."""
+    """Returns the text of an answer, streamed or in one response."""
     async with client(cluster, entry) as caller:
         answer = await caller.chat.completions.create(
             model="auto",
