--- a/tests/functional/test_errors.py
+++ b/tests/functional/test_errors.py
@@ -137,7 +137,7 @@
         yield system
 
 
-async def test_each_fault_has_its_code_and_nothing_ran(system):
+async def test_each_error_has_its_code_and_runs_nothing(system):
     async with aiohttp.ClientSession(system.entry_urls[0]) as session:
         for name, case in CASES.items():
             method, path, key, headers, body, status, code = case
@@ -156,7 +156,7 @@
     assert await runs(system) == []
 
 
-async def test_clients_raise_their_usual_exceptions(system):
+async def test_openai_client_raises_the_matching_exceptions(system):
     def client(key):
         url = f"{system.entry_urls[0]}/v1"
         return openai.AsyncOpenAI(base_url=url, api_key=key, max_retries=0)
@@ -187,7 +187,7 @@
     assert raised.value.code == "unknown_path"
 
 
-async def test_models_are_those_that_the_workspace_allows(system):
+async def test_models_of_other_workspaces_are_not_listed(system):
     client = openai.AsyncOpenAI(
         base_url=f"{system.entry_urls[0]}/v1", api_key=TRIAL_KEY
     )
