--- a/tests/functional/test_errors.py
+++ b/tests/functional/test_errors.py
@@ -1,4 +1,4 @@
-"""Each thing a caller can do wrong has a clear error with a stable code."""
+"""Each error of a caller is answered with a stable code."""
 
 import json
 
@@ -40,7 +40,7 @@
 CHAT = "/v1/chat/completions"
 BODY = {"model": "auto", "messages": MESSAGES}
 
-# Method, path, key, headers, body; status and code.
+# Method, path, key, headers and body; expected status and code.
 CASES = {
     "wrong key": ("POST", CHAT, "wrong", {}, BODY, 401, "bad_key"),
     "no key": ("POST", CHAT, "", {}, BODY, 401, "bad_key"),
@@ -120,7 +120,7 @@
 
 
 async def runs(system):
-    """Everything that ran at the stand-ins."""
+    """Returns all requests that ran at the stand-ins."""
     found = []
     platform = system.platform
     async with aiohttp.ClientSession() as session:
@@ -151,7 +151,7 @@
                 assert response.headers["X-Request-Id"], name
             assert (response.status, error["code"]) == (status, code), name
             assert error["message"].endswith("."), name
-            # What is not known may have run, and been forgotten since.
+            # An unknown request may have run, and its claim may have expired.
             assert error["not_run"] is (code != "unknown_request"), name
     assert await runs(system) == []
 
