--- a/tests/functional/test_errors.py
+++ b/tests/functional/test_errors.py
@@ -187,7 +187,7 @@
     assert raised.value.code == "unknown_path"
 
 
-async def test_models_of_other_workspaces_are_not_listed(system):
+async def test_models_that_a_workspace_may_not_use_are_not_listed(system):
     client = openai.AsyncOpenAI(
         base_url=f"{system.entry_urls[0]}/v1", api_key=TRIAL_KEY
     )
