--- a/tests/failure/test_sessions.py
+++ b/tests/failure/test_sessions.py
@@ -70,7 +70,7 @@
     return moved
 
 
-async def test_share_widens_and_the_entry_is_killed(system):
+async def test_sessions_keep_their_version_after_widening_and_a_kill(system):
     cluster, operator = system
     await set_share(operator, SHARES[0])
     first = {
@@ -88,10 +88,10 @@
     assert version == LARGE
 
 
-async def test_token_holds_where_the_store_is_down(system):
+async def test_token_keeps_the_version_and_unknown_pins_are_refused(system):
     cluster, operator = system
     await set_share(operator, 0.5)
-    stable = next(s for s in SESSIONS if point(s) >= 0.5)
+    stable = next(s for s in SESSIONS if split_point(s) >= 0.5)
     _, version, _, token = await ask(cluster, "entry-1", stable)
     assert version == SMALL
     await set_share(operator, 1.0)
@@ -102,6 +102,6 @@
     assert status == 503  # Unknown here, and the split would move it.
 
 
-def point(session):
+def split_point(session):
     """Where a session falls in the split of roll-out `r`."""
     return stable_hash(f"r\x1f{session}") % 10_000 / 10_000
