--- a/tests/failure/test_sessions.py
+++ b/tests/failure/test_sessions.py
@@ -1,4 +1,8 @@
-"""A session keeps its version: other entries, kills, a moving share."""
+"""Sessions keep their version on all entries.
+
+Guards against a session that changes its version when a roll-out's share grows,
+when it continues at another entry or when its entry is killed.
+"""
 
 import json
 
@@ -36,7 +40,7 @@
 
 
 async def ask(cluster, entry, session, token=""):
-    """Status, version, lost version and token of one answer."""
+    """Returns status, version, lost version and token of one answer."""
     async with cluster.session.post(
         f"{cluster.urls[entry]}/v1/chat/completions",
         json={
@@ -99,9 +103,10 @@
     assert version == SMALL
     await cluster.set_faults("table", fault="down")
     status, *_ = await ask(cluster, "entry-2", stable)
-    assert status == 503  # Unknown here, and the split would move it.
+    # The entry does not know the pin, and the split would move the session.
+    assert status == 503
 
 
 def split_point(session):
-    """Where a session falls in the split of roll-out `r`."""
+    """Returns where a session falls in the split of roll-out `r`, 0 to 1."""
     return stable_hash(f"r\x1f{session}") % 10_000 / 10_000
