--- a/src/rattanpier/_internal/utils/codec.py
+++ b/src/rattanpier/_internal/utils/codec.py
@@ -79,7 +79,7 @@
     return format_exception(error, cls)
 
 
-def structure(made: cattrs.Converter, cls: type[T], document: Any) -> T:
+def structure(chosen: cattrs.Converter, cls: type[T], document: Any) -> T:
     """Returns an object of a class from a decoded document.
 
     Raises:
@@ -87,7 +87,7 @@
         the fields and what is wrong with them.
     """
     try:
-        return made.structure(document, cls)
+        return chosen.structure(document, cls)
     except cattrs.BaseValidationError as error:
         raise UnreadableError(
             "; ".join(cattrs.transform_error(error, format_exception=explain))
--- a/src/rattanpier/_internal/utils/strict.py
+++ b/src/rattanpier/_internal/utils/strict.py
@@ -91,13 +91,13 @@
       forbid_extra_keys: Whether keys that a class does not have are rejected;
         otherwise they are ignored.
     """
-    made = cattrs.Converter()
+    converter = cattrs.Converter()
     for cls in TYPE_NAMES:
-        made.register_structure_hook(cls, structure_strictly)
-    made.register_structure_hook_factory(
+        converter.register_structure_hook(cls, structure_strictly)
+    converter.register_structure_hook_factory(
         attrs.has, table_factory(forbid_extra_keys=forbid_extra_keys)
     )
-    made.register_structure_hook_factory(
+    converter.register_structure_hook_factory(
         lambda cls: get_origin(cls) is list, list_factory
     )
-    return made
+    return converter
