--- a/src/rattanpier/_internal/models/configuration.py
+++ b/src/rattanpier/_internal/models/configuration.py
@@ -99,7 +99,7 @@
       kind: Engine or plain service.
       workers: Workers by name.
       checks_fencing: Whether its workers refuse outdated fencing tokens.
-      takes_orders: Whether its workers are told which versions to serve.
+      takes_orders: Whether its workers are sent orders for versions to serve.
       non_repeatable: Calls like "POST /orders" that must not be repeated.
       draining: Whether the whole pool must get no new requests.
     """
