--- a/src/rattanpier/_internal/edge/intake.py
+++ b/src/rattanpier/_internal/edge/intake.py
@@ -1,4 +1,4 @@
-"""From an HTTP request to a checked `RouteRequest`."""
+"""Validates HTTP requests and turns them into `RouteRequest` objects."""
 
 from __future__ import annotations
 
@@ -17,54 +17,62 @@
 from rattanpier._internal.utils.ids import new_key
 
 DEFAULT_MAX_TOKENS = 256
-MAX_KEY_LENGTH = 255  # Characters.
-NOT_MARKED = frozenset({"", "false", "0", "no"})
+MAX_KEY_LENGTH = 255  # In characters.
+FALSE_HEADER_VALUES = frozenset({"", "false", "0", "no"})
 
 
-class IntakeError(Exception):
-    """A request can't be taken in; carries its refusal."""
+class RequestRefusedError(Exception):
+    """A request is not valid.
+
+    Attributes:
+      refusal: What the caller is answered.
+    """
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(refusal.message)
         self.refusal = refusal
 
 
-def bad_request(message: str) -> IntakeError:
-    """Returns the error for a request that is not well formed."""
-    return IntakeError(Refusal(RefusalCode.BAD_REQUEST, message, True))
+def bad_request(message: str) -> RequestRefusedError:
+    """Returns the error for a malformed request."""
+    return RequestRefusedError(Refusal(RefusalCode.BAD_REQUEST, message, True))
 
 
 def find_caller(
     request: web.Request, configuration: Configuration, current: bool
 ) -> str:
-    """Returns the workspace that asks.
+    """Returns the name of the caller's workspace.
 
     Args:
-      request: The request, with its key.
+      request: The request, with the key in its Authorization header.
       configuration: The configuration in force on this node.
-      current: Whether the node knows that there is no newer one.
+      current: Whether the node knows that there is no newer configuration.
 
     Raises:
-      IntakeError: The key is not known.
+      RequestRefusedError: The key is not known.
     """
     workspace = find_workspace(
         configuration, request.headers.get("Authorization", "")
     )
     if workspace is None:
-        raise IntakeError(unknown_key(current))
+        raise RequestRefusedError(unknown_key(current))
     return workspace
 
 
 async def read_body(request: web.Request, limit: int) -> bytes:
-    """Returns the body.
+    """Returns the body of a request.
+
+    Args:
+      request: The request.
+      limit: Size limit in bytes, named in the refusal.
 
     Raises:
-      IntakeError: The body is over the limit.
+      RequestRefusedError: The body is over the limit.
     """
     try:
         return await request.read()
     except web.HTTPRequestEntityTooLarge as error:
-        raise IntakeError(
+        raise RequestRefusedError(
             Refusal(
                 RefusalCode.BODY_TOO_LARGE,
                 f"The body is larger than {limit} bytes.",
@@ -74,10 +82,11 @@
 
 
 def parse_body(data: bytes) -> dict[str, Any]:
-    """Returns a chat-completions body.
+    """Returns the parsed body of a chat completion.
 
     Raises:
-      IntakeError: The body is not JSON or lacks what every request has.
+      RequestRefusedError: The body is not a JSON object, or has no valid
+        `model` or `messages`.
     """
     try:
         body = json.loads(data)
@@ -96,10 +105,10 @@
 
 
 def timeout_s(request: web.Request, settings: EdgeSettings) -> float:
-    """Returns the seconds that the caller gives a request.
+    """Returns a request's timeout in seconds, `max_timeout_s` at most.
 
     Raises:
-      IntakeError: The header is not a positive number.
+      RequestRefusedError: The header is not a positive number.
     """
     text = request.headers.get("X-Timeout-Ms")
     if text is None:
@@ -114,10 +123,10 @@
 
 
 def idempotency_key(request: web.Request) -> str:
-    """Returns the caller's key, or a fresh one.
+    """Returns the caller's idempotency key, or a new random one.
 
     Raises:
-      IntakeError: The key is too long.
+      RequestRefusedError: The key is empty or too long.
     """
     key = request.headers.get("Idempotency-Key")
     if key is None:
@@ -129,17 +138,18 @@
     return key
 
 
-def is_marked(request: web.Request) -> bool:
-    """Says whether the caller marked a request as non-idempotent.
+def is_non_idempotent(request: web.Request) -> bool:
+    """Returns whether the caller marked a request as non-idempotent.
 
-    Whatever does not plainly say "no" is a mark: a request that is run once
-    without need costs less than one that is run twice.
+    Any header value outside `FALSE_HEADER_VALUES` is a mark: to run an
+    idempotent request at most once costs less than to run a non-idempotent one
+    twice.
     """
     text = request.headers.get("X-Non-Idempotent", "")
-    return text.strip().lower() not in NOT_MARKED
+    return text.strip().lower() not in FALSE_HEADER_VALUES
 
 
-def route_request(
+def make_route_request(
     request: web.Request,
     workspace: str,
     data: bytes,
@@ -147,10 +157,10 @@
     clock: Clock,
     pinned: str,
 ) -> RouteRequest:
-    """Returns a chat request as the decisions see it.
+    """Returns what routing needs of a chat request.
 
     Raises:
-      IntakeError: The request is not well formed.
+      RequestRefusedError: The request is malformed.
     """
     body = parse_body(data)
     characters = sum(
@@ -169,7 +179,7 @@
         model=body["model"],
         session=request.headers.get("X-Session-Id", ""),
         pinned=pinned,
-        idempotent=not is_marked(request),
+        idempotent=not is_non_idempotent(request),
         stream=body.get("stream") is True,
         prompt_tokens=estimate_tokens(characters),
         max_tokens=max_tokens,
--- a/src/rattanpier/_internal/edge/pins.py
+++ b/src/rattanpier/_internal/edge/pins.py
@@ -1,9 +1,10 @@
-"""Pins of sessions whose callers send an id and no token.
+"""Version pins of sessions whose callers send a session id but no token.
 
-An entry remembers what it answered. While a roll-out is open, the version is
-also kept in the table service, one row a session, so that the session holds
-it on other entries and while the share moves. Without an open roll-out the
-split can't move a session, and nothing is written or read.
+Each entry caches the versions that it answered with. While a roll-out is open,
+the version is also stored in the table service, one row per session, so that
+the session keeps it on other entries and when the share of the candidate
+changes. Without an open roll-out no session can change its version, and the
+table is neither read nor written.
 """
 
 from __future__ import annotations
@@ -30,15 +31,15 @@
 from rattanpier._internal.utils.metrics import Metrics
 
 PIN_PREFIX = "pin/"
-MAX_REMEMBERED = 50_000  # Sessions; about 200 bytes each.
+MAX_CACHED_PINS = 50_000  # About 200 bytes each.
 
 
 @attrs.frozen
 class PinRow:
-    """The row of one session.
+    """The stored pin of one session.
 
     Attributes:
-      version: Version that the session keeps.
+      version: Version that the session is pinned to.
       time: Seconds since the epoch at which it was pinned.
     """
 
@@ -51,7 +52,7 @@
     return f"{PIN_PREFIX}{workspace}/{sha256_hex(session)[:32]}"
 
 
-def in_rollout(configuration: Configuration) -> set[str]:
+def rollout_versions(configuration: Configuration) -> set[str]:
     """Returns the versions between which an open roll-out moves traffic."""
     return {
         version
@@ -62,75 +63,79 @@
 
 
 @attrs.frozen
-class Remembered:
-    """What an entry knows of a session.
+class CachedPin:
+    """A session's pin in the cache of an entry.
 
     Attributes:
-      version: Version that the session keeps.
-      row: True once its row was read, or its writing was tried.
+      version: Version that the session is pinned to.
+      stored: True once its row was read, or a write of it was attempted.
     """
 
     version: str
-    row: bool
+    stored: bool
 
 
 @attrs.define
 class SessionPins:
-    """Finds and keeps the versions of sessions.
+    """Reads and writes the pinned versions of sessions.
 
     Attributes:
+      table: The table service that holds the rows.
+      clock: Source of the times in the rows.
+      metrics: Counts reads and writes of rows.
       configuration: Returns the configuration in force.
-      remembered: Sessions by row key, the most recently used last.
+      cached: Pins by row key, the most recently used last.
     """
 
     table: Table
     clock: Clock
     metrics: Metrics
     configuration: Callable[[], Configuration]
-    remembered: collections.OrderedDict[str, Remembered] = attrs.Factory(
+    cached: collections.OrderedDict[str, CachedPin] = attrs.Factory(
         collections.OrderedDict
     )
 
     async def find(self, workspace: str, session: str) -> str:
-        """Returns the version that a session keeps, or an empty string.
+        """Returns the version that a session is pinned to, or an empty string.
 
         Raises:
-          StoreUnavailableError: It is not remembered here, and the store did
-            not answer.
+          StoreUnavailableError: The pin is not cached, and the store did not
+            answer.
         """
         key = pin_key(workspace, session)
-        if key in self.remembered:
-            self.remembered.move_to_end(key)
-            return self.remembered[key].version
-        if not in_rollout(self.configuration()):
+        if key in self.cached:
+            self.cached.move_to_end(key)
+            return self.cached[key].version
+        if not rollout_versions(self.configuration()):
             return ""
         self.metrics.count("sessions.pin_read")
         return await self.read(key)
 
     async def read(self, key: str) -> str:
-        """Returns the version in a row and remembers it."""
+        """Returns the version in a row, or an empty string, and caches it."""
         row = await self.table.get(key)
         if row is None:
             return ""
         version = decode(PinRow, row.value).version
-        self.remember(key, version, row=True)
+        self.cache(key, version, stored=True)
         return version
 
     async def keep(self, workspace: str, session: str, version: str) -> str:
         """Pins a session; called before an answer's first byte is released.
 
         Returns:
-          The version that the session keeps: another one if another entry
-          pinned it first.
+          The version that the session is pinned to: a different one if
+          another entry pinned it first.
         """
         key = pin_key(workspace, session)
-        known = self.remembered.get(key, Remembered("", False))
-        # A session older than the roll-out gets its row once one is open.
-        open_now = version in in_rollout(self.configuration())
-        if known.version == version and (known.row or not open_now):
+        known = self.cached.get(key, CachedPin("", False))
+        # A session that was pinned before the roll-out was opened gets its
+        # row now.
+        open_now = version in rollout_versions(self.configuration())
+        if known.version == version and (known.stored or not open_now):
             return version
         if not open_now:
-            self.remember(key, version, row=False)
+            self.cache(key, version, stored=False)
             return version
         row = PinRow(version, self.clock.time())
         outcome = await self.table.transact(
@@ -140,23 +145,27 @@
             case Committed():
                 self.metrics.count("sessions.pin_written")
             case Conflict():
-                return await self.other(key, version)
+                return await self.read_existing(key, version)
             case _:
-                # Held by this entry alone until the store is back.
+                # The store is unavailable, so that only this entry knows the
+                # pin.
                 self.metrics.count("sessions.pin_unwritten")
-        self.remember(key, version, row=True)
+        self.cache(key, version, stored=True)
         return version
 
-    async def other(self, key: str, version: str) -> str:
-        """Returns the version that was pinned before."""
+    async def read_existing(self, key: str, version: str) -> str:
+        """Returns the version that another entry pinned first.
+
+        Returns `version` if the row can't be read or is gone.
+        """
         try:
             return await self.read(key) or version
         except StoreUnavailableError:
             return version
 
-    def remember(self, key: str, version: str, row: bool) -> None:
-        """Notes a session's version in this process."""
-        self.remembered[key] = Remembered(version, row)
-        self.remembered.move_to_end(key)
-        if len(self.remembered) > MAX_REMEMBERED:
-            self.remembered.popitem(last=False)
+    def cache(self, key: str, version: str, stored: bool) -> None:
+        """Caches a pin and evicts the least recently used one if full."""
+        self.cached[key] = CachedPin(version, stored)
+        self.cached.move_to_end(key)
+        if len(self.cached) > MAX_CACHED_PINS:
+            self.cached.popitem(last=False)
--- a/src/rattanpier/_internal/edge/services.py
+++ b/src/rattanpier/_internal/edge/services.py
@@ -1,4 +1,4 @@
-"""`/services/NAME/...`: calls to plain services."""
+"""Serves `/services/NAME/...`: calls to plain services."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from rattanpier._internal.dispatch.service_runner import ServiceRunner
 from rattanpier._internal.edge.errors import refuse
 from rattanpier._internal.edge.intake import (
-    IntakeError,
+    RequestRefusedError,
     bad_request,
     find_caller,
     idempotency_key,
-    is_marked,
+    is_non_idempotent,
     read_body,
     timeout_s,
 )
@@ -31,13 +31,13 @@
 from rattanpier._internal.models.settings import EdgeSettings
 from rattanpier._internal.utils.clock import Clock
 from rattanpier._internal.utils.hashing import short_digest
-from rattanpier._internal.utils.headers import pass_on
+from rattanpier._internal.utils.headers import forwarded_headers
 from rattanpier._internal.utils.ids import new_request_id
 from rattanpier._internal.utils.metrics import Metrics
 
 PATH = "/services/{service}{rest:(/.*)?}"
-# What concerns the system alone; a workspace's key goes to no upstream.
-OWN_HEADERS = frozenset(
+# Headers for the router alone. A workspace's key is never sent to an upstream.
+ROUTER_REQUEST_HEADERS = frozenset(
     {
         "host",
         "authorization",
@@ -48,16 +48,17 @@
         "x-non-idempotent",
     }
 )
-OWN_ANSWER_HEADERS = frozenset({"x-request-id", "content-type", "date"})
+# Headers of a service's answer that the router replaces by its own.
+ROUTER_RESPONSE_HEADERS = frozenset({"x-request-id", "content-type", "date"})
 
 
 @attrs.frozen
-class TakenIn:
-    """A call that was checked.
+class CheckedCall:
+    """A call that passed validation.
 
     Attributes:
-      route: The call as the decisions see it.
-      call: What is passed on to the service.
+      route: What routing needs of the call.
+      call: What is forwarded to the service.
     """
 
     route: RouteRequest
@@ -66,7 +67,14 @@
 
 @attrs.define
 class ServiceHandler:
-    """Serves calls to plain services."""
+    """Serves calls to plain services.
+
+    Attributes:
+      runner: Answers the calls.
+      settings: Limits on bodies and timeouts.
+      clock: Source of the deadlines.
+      metrics: Counts refusals.
+    """
 
     runner: ServiceRunner
     settings: EdgeSettings
@@ -74,26 +82,29 @@
     metrics: Metrics
 
     async def handle(self, request: web.Request) -> web.Response:
-        """Answers one call."""
+        """Serves one call."""
         request_id = new_request_id()
         try:
-            taken = await self.take_in(request)
-        except IntakeError as error:
+            checked = await self.parse_request(request)
+        except RequestRefusedError as error:
             return self.refuse(error.refusal, request_id)
-        result = await self.runner.answer(taken.route, taken.call, request_id)
+        result = await self.runner.answer(
+            checked.route, checked.call, request_id
+        )
         match result:
             case ServiceAnswer():
-                return passed_response(result, request_id)
+                return service_response(result, request_id)
             case Recorded(answer):
-                return self.recorded(answer, request_id)
+                return self.recorded_response(answer, request_id)
             case Refused(refusal):
                 return self.refuse(refusal, request_id)
 
-    async def take_in(self, request: web.Request) -> TakenIn:
-        """Checks who asks, and what.
+    async def parse_request(self, request: web.Request) -> CheckedCall:
+        """Authenticates the caller and validates the call.
 
         Raises:
-          IntakeError: The request is refused.
+          RequestRefusedError: The key, the service, the body or a header is
+            not valid.
         """
         configuration = self.runner.configuration()
         workspace = find_caller(
@@ -102,7 +113,7 @@
         service = request.match_info["service"]
         upstream = configuration.upstreams.get(service)
         if upstream is None or upstream.kind is not UpstreamKind.PLAIN:
-            raise IntakeError(
+            raise RequestRefusedError(
                 Refusal(
                     RefusalCode.UNKNOWN_SERVICE,
                     f"There is no service {service!r}.",
@@ -111,7 +122,7 @@
             )
         body = await read_body(request, self.settings.max_body_bytes)
         call = make_call(request, body)
-        return TakenIn(self.route(request, workspace, service, call), call)
+        return CheckedCall(self.route(request, workspace, service, call), call)
 
     def route(
         self,
@@ -120,24 +131,26 @@
         service: str,
         call: ServiceCall,
     ) -> RouteRequest:
-        """Returns a call as the decisions see it."""
+        """Returns what routing needs of a call."""
         return RouteRequest(
             workspace=workspace,
             key=idempotency_key(request),
             keyed="Idempotency-Key" in request.headers,
             service=service,
             session=request.headers.get("X-Session-Id", ""),
-            idempotent=not is_marked(request),
+            idempotent=not is_non_idempotent(request),
             deadline=self.clock.monotonic() + timeout_s(request, self.settings),
-            digest=digest_of(service, call),
+            digest=call_digest(service, call),
         )
 
     def refuse(self, refusal: Refusal, request_id: str) -> web.Response:
-        """Returns a refusal and counts its reason."""
+        """Returns the response for a refusal and counts its reason."""
         return refuse(self.metrics, refusal, request_id)
 
-    def recorded(self, answer: Answer, request_id: str) -> web.Response:
-        """Returns a recorded answer."""
+    def recorded_response(
+        self, answer: Answer, request_id: str
+    ) -> web.Response:
+        """Returns the response for a recorded answer, or for one not kept."""
         if not answer.kept:
             refusal = Refusal(
                 RefusalCode.OUTCOME_UNKNOWN,
@@ -156,10 +169,11 @@
 
 
 def make_call(request: web.Request, body: bytes) -> ServiceCall:
-    """Returns the call to pass on.
+    """Returns the call that is forwarded to the service.
 
     Raises:
-      IntakeError: The path climbs out of the service.
+      RequestRefusedError: The path has `.` or `..` segments, which could lead
+        out of the service.
     """
     _, _, rest = request.raw_path.lstrip("/").partition("/")
     _, slash, target = rest.partition("/")
@@ -171,25 +185,25 @@
     return ServiceCall(
         request.method,
         f"/{target}",
-        pass_on(request.headers.items(), OWN_HEADERS),
+        forwarded_headers(request.headers.items(), ROUTER_REQUEST_HEADERS),
         body,
     )
 
 
-def digest_of(service: str, call: ServiceCall) -> str:
-    """Returns the digest that tells one call from another."""
+def call_digest(service: str, call: ServiceCall) -> str:
+    """Returns a digest of a call's method, service, target and body."""
     head = f"{call.method} {service} {call.target}\n"
     return short_digest(head.encode() + call.body)
 
 
-def passed_response(answer: ServiceAnswer, request_id: str) -> web.Response:
-    """Returns a service's answer."""
+def service_response(answer: ServiceAnswer, request_id: str) -> web.Response:
+    """Returns the response for a service's answer."""
     response = web.Response(status=answer.status, body=answer.body)
     types = []
     for name, value in answer.headers:
         if name.lower() == "content-type":
             types.append(value)
-        elif name.lower() not in OWN_ANSWER_HEADERS:
+        elif name.lower() not in ROUTER_RESPONSE_HEADERS:
             response.headers.add(name, value)
     if types:
         response.headers["Content-Type"] = types[0]
--- a/src/rattanpier/_internal/models/relay_answer.py
+++ b/src/rattanpier/_internal/models/relay_answer.py
@@ -1,4 +1,4 @@
-"""What a caller gets, part by part."""
+"""Parts of the answer that the relay sends to a caller."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 
 
 @attrs.frozen
-class WholeAnswer:
-    """A worker's whole answer."""
+class CompleteAnswer:
+    """A worker's complete answer, sent at once."""
 
     status: int
     headers: tuple[Header, ...]
@@ -18,38 +18,44 @@
 
 
 @attrs.frozen
-class AnswerBegun:
-    """The head of an answer whose body follows piece by piece."""
+class AnswerStarted:
+    """The head of an answer whose body follows in chunks."""
 
     status: int
     headers: tuple[Header, ...]
 
 
 @attrs.frozen
-class AnswerPiece:
-    """A piece of the body; only whole events where it is a stream."""
+class AnswerChunk:
+    """A chunk of the body; of an event stream, only complete events."""
 
     data: bytes
 
 
 @attrs.frozen
-class AnswerEnded:
-    """The body is whole."""
+class AnswerCompleted:
+    """The body is complete."""
 
 
 @attrs.frozen
-class AnswerCut:
-    """The rest of the body won't come; the answer must not look whole."""
+class AnswerTruncated:
+    """The rest of the body is missing.
+
+    The caller must be able to tell that the answer is incomplete.
+
+    Attributes:
+      reason: Why it is missing.
+    """
 
     reason: str
 
 
 @attrs.frozen
 class AnswerRefused:
-    """The system's own answer.
+    """A refusal by the relay instead of a worker's answer.
 
     Attributes:
-      refusal: Why.
+      refusal: The reason and the message.
       status: HTTP status.
     """
 
@@ -58,10 +64,10 @@
 
 
 AnswerPart = (
-    WholeAnswer
-    | AnswerBegun
-    | AnswerPiece
-    | AnswerEnded
-    | AnswerCut
+    CompleteAnswer
+    | AnswerStarted
+    | AnswerChunk
+    | AnswerCompleted
+    | AnswerTruncated
     | AnswerRefused
 )
--- /dev/null
+++ b/src/rattanpier/_internal/models/upstream_request.py
@@ -0,0 +1,90 @@
+"""An upstream request to one worker, and what its response head says."""
+
+from __future__ import annotations
+
+import attrs
+
+from rattanpier._internal.models.relay_request import Header
+from rattanpier._internal.models.worker import RegisteredWorker
+
+
+@attrs.frozen
+class UpstreamRequest:
+    """What one worker is sent in addition to the caller's request.
+
+    Attributes:
+      worker: The worker.
+      left_s: Seconds until the caller or the route times out.
+      model: Model that the system chose, or empty.
+      urgency: Priority of the request at the worker, 0 is the highest; None:
+        not sent.
+      after_event: Number of the last event of the answer that was received
+        already, or None.
+    """
+
+    worker: RegisteredWorker
+    left_s: float
+    model: str = ""
+    urgency: int | None = None
+    after_event: int | None = None
+
+
+@attrs.frozen
+class ReportedLoad:
+    """Load that a worker reported.
+
+    Attributes:
+      running: Number of requests that it runs.
+      waiting: Number of requests that wait there.
+      slots: Number of requests that it runs concurrently.
+      born: Start of the reporting incarnation, in Unix ms; None: not reported.
+      leaving: Whether the worker also reported that it leaves.
+    """
+
+    running: int
+    waiting: int
+    slots: int
+    born: int | None = None
+    leaving: bool = False
+
+
+@attrs.frozen
+class AnswerHead:
+    """Head of a worker's response.
+
+    Attributes:
+      status: HTTP status.
+      headers: Headers as received, with names in lower case.
+      request_id: Id of the request that it belongs to, or None.
+      receipt: The worker's receipt for the answer, which proves it, or None.
+      not_run: Whether the worker guarantees that it did not run the request.
+      misdirected: Whether the responder is another worker than the one
+        addressed, or does not serve what was requested.
+      encoded: Whether the body was encoded, so that it is not as the worker
+        made it.
+      load: The worker's load, or None.
+      confidence: The model's confidence in its answer, 0 to 100, or None.
+      retry_after_s: Seconds after which to retry, or None.
+      keep_alive_s: Seconds for which the worker keeps an idle connection, or
+        None.
+      rate_per_s: Requests per second that it accepts from all entries together;
+        None: it reports no limit.
+      leaving: Whether the worker accepts no new requests any more.
+      rest_s: Backoff: seconds for which it asks for no requests from this
+        entry.
+    """
+
+    status: int
+    headers: tuple[Header, ...]
+    request_id: str | None = None
+    receipt: str | None = None
+    not_run: bool = False
+    misdirected: bool = False
+    encoded: bool = False
+    load: ReportedLoad | None = None
+    confidence: float | None = None
+    retry_after_s: float | None = None
+    keep_alive_s: float | None = None
+    rate_per_s: float | None = None
+    leaving: bool = False
+    rest_s: float = 0.0
--- a/src/rattanpier/_internal/relay/dispatch.py
+++ b/src/rattanpier/_internal/relay/dispatch.py
@@ -12,13 +12,13 @@
 import attrs
 import structlog
 
-from rattanpier._internal.models.policy import USUAL, Policy
+from rattanpier._internal.models.policy import DEFAULT_POLICY, Policy
 from rattanpier._internal.models.relay_answer import (
     AnswerRefused,
-    WholeAnswer,
+    CompleteAnswer,
 )
 from rattanpier._internal.models.relay_request import Prompt, RelayRequest
-from rattanpier._internal.models.sending import Sending
+from rattanpier._internal.models.upstream_request import UpstreamRequest
 from rattanpier._internal.models.worker import RegisteredWorker
 from rattanpier._internal.placement.backoffs import Backoffs
 from rattanpier._internal.placement.eligibility import (
@@ -108,7 +108,7 @@
     quarantine: Quarantine
     rollouts: Rollouts
     budgets: Mapping[str, ServiceRetryBudget]
-    policy: Policy = USUAL
+    policy: Policy = DEFAULT_POLICY
     publish_prompt: Callable[[str, str, Prompt, float], None] = attrs.field(
         default=lambda _worker, _model, _prompt, _read_s: None
     )
@@ -246,7 +246,7 @@
 
     def record_upstream_request(
         self, progress: RequestProgress, choice: Choice
-    ) -> Sending:
+    ) -> UpstreamRequest:
         """Records an upstream request and returns its parameters."""
         request = progress.request
         progress.sent += 1
@@ -269,7 +269,7 @@
             report_age_s=round_for_log(choice.report_age_s),
             left_s=round(self.left_s(progress), 3),
         )
-        return Sending(
+        return UpstreamRequest(
             worker=choice.worker,
             left_s=self.left_s(progress),
             model=progress.model,
@@ -277,7 +277,9 @@
             after_event=progress.order.last_number,
         )
 
-    def refuse(self, progress: RequestProgress) -> WholeAnswer | AnswerRefused:
+    def refuse(
+        self, progress: RequestProgress
+    ) -> CompleteAnswer | AnswerRefused:
         """Returns the final answer to a request that no worker answered."""
         found = final_answer(progress, self.left_s(progress))
         if isinstance(found, AnswerRefused):
@@ -371,7 +373,7 @@
         self,
         progress: RequestProgress,
         worker: RegisteredWorker,
-        answer: WholeAnswer,
+        answer: CompleteAnswer,
     ) -> None:
         """Records that a worker ran a request and returned a failure."""
         progress.may_have_run = True
--- a/src/rattanpier/_internal/relay/updates.py
+++ b/src/rattanpier/_internal/relay/updates.py
@@ -7,14 +7,14 @@
 
 import attrs
 
-from rattanpier._internal.models.departure import Departure
+from rattanpier._internal.models.deregistration import Deregistration
 from rattanpier._internal.models.domain_order import DomainOrder
 from rattanpier._internal.models.rate_limit import RateLimit
 from rattanpier._internal.models.rollout_order import (
     RolloutOrder,
     RolloutRecord,
 )
-from rattanpier._internal.models.worker_end import QuarantineNews
+from rattanpier._internal.models.worker_crash import QuarantineUpdate
 from rattanpier._internal.relay.fleet import EntryState
 from rattanpier._internal.relay.held_sessions import HeldSession
 
@@ -47,11 +47,11 @@
     records: list[RolloutRecord] = attrs.Factory(list)
     stopped: list[int] = attrs.Factory(list)
     held: list[HeldSession] = attrs.Factory(list)
-    quarantine: QuarantineNews = attrs.Factory(QuarantineNews)
+    quarantine: QuarantineUpdate = attrs.Factory(QuarantineUpdate)
     drained: list[DomainOrder] = attrs.Factory(list)
     limits: list[RateLimit] = attrs.Factory(list)
     leaving: list[str] = attrs.Factory(list)
-    departed: list[Departure] = attrs.Factory(list)
+    departed: list[Deregistration] = attrs.Factory(list)
     orders: list[RolloutOrder] = attrs.Factory(list)
     table_version: int = -1
     restored: int = 0
--- a/src/rattanpier/_internal/utils/turns.py
+++ b/src/rattanpier/_internal/utils/interleave.py
@@ -1,4 +1,4 @@
-"""Taking from several lists in turn."""
+"""Round-robin interleaving of sequences."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 T = TypeVar("T")
 
 
-def in_turns(lists: Iterable[Sequence[T]]) -> Iterator[T]:
-    """Yields the first of each list, then the second of each, and so on.
+def interleave(lists: Iterable[Sequence[T]]) -> Iterator[T]:
+    """Yields the first item of each list, then the second, and so on.
 
-    >>> "".join(in_turns(["ad", "be", "c"]))
+    >>> "".join(interleave(["ad", "be", "c"]))
     'abcde'
     """
     missing = object()
--- a/src/rattanpier/_internal/utils/exact.py
+++ b/src/rattanpier/_internal/utils/strict.py
@@ -1,7 +1,8 @@
-"""Decoding that takes a value of the wanted type, and turns no other into it.
+"""Structuring of documents without type coercion.
 
-A text is no number, a number is no text, and true is no 1: what another writer
-got wrong is refused, not guessed at.
+A string is not accepted as a number, a number not as a string and a boolean not
+as an integer, so that mistakes in a document are reported rather than guessed
+at.
 """
 
 from __future__ import annotations
@@ -25,12 +26,14 @@
 }
 
 
-def structure_exactly(value: Any, cls: type[Any]) -> Any:
-    """Takes a value of the wanted type, and turns no other into it.
+def structure_strictly(value: Any, cls: type[Any]) -> Any:
+    """Returns a value that has the type `cls`, without coercion.
 
-    >>> structure_exactly(1, float)
+    An integer is accepted for a float, and the value of a member for an enum.
+
+    >>> structure_strictly(1, float)
     1.0
-    >>> structure_exactly("false", bool)
+    >>> structure_strictly("false", bool)
     Traceback (most recent call last):
       ...
     TypeError: 'false' is wrong; give true or false, without quotes
@@ -47,7 +50,7 @@
 def list_factory(
     cls: Any, converter: cattrs.BaseConverter
 ) -> Callable[[Any, Any], Any]:
-    """Returns the hook of a list type; a text is not a list of letters."""
+    """Returns the hook of a list type, which rejects strings."""
     structure = list_structure_factory(cls, converter)
 
     def hook(value: Any, wanted: Any) -> Any:
@@ -59,7 +62,7 @@
 
 
 def table_factory(*, forbid_extra_keys: bool) -> HookFactory:
-    """Returns what makes the hooks of attrs classes, which are tables."""
+    """Returns the hook factory for attrs classes, which are read as tables."""
 
     def factory(
         cls: Any, converter: cattrs.BaseConverter
@@ -81,20 +84,20 @@
     return factory
 
 
-def exact_converter(*, forbid_extra_keys: bool) -> cattrs.Converter:
-    """Returns a converter that refuses wrong types.
+def strict_converter(*, forbid_extra_keys: bool) -> cattrs.Converter:
+    """Returns a converter that rejects wrong types.
 
     Args:
-      forbid_extra_keys: Whether keys that a class does not have are refused;
-        else they are left out.
+      forbid_extra_keys: Whether keys that a class does not have are rejected;
+        otherwise they are ignored.
     """
-    made = cattrs.Converter()
+    converter = cattrs.Converter()
     for cls in TYPE_NAMES:
-        made.register_structure_hook(cls, structure_exactly)
-    made.register_structure_hook_factory(
+        converter.register_structure_hook(cls, structure_strictly)
+    converter.register_structure_hook_factory(
         attrs.has, table_factory(forbid_extra_keys=forbid_extra_keys)
     )
-    made.register_structure_hook_factory(
+    converter.register_structure_hook_factory(
         lambda cls: get_origin(cls) is list, list_factory
     )
-    return made
+    return converter
--- a/tests/failure/test_sessions.py
+++ b/tests/failure/test_sessions.py
@@ -1,4 +1,8 @@
-"""A session keeps its version: other entries, kills, a moving share."""
+"""Sessions keep their version on all entries.
+
+Guards against a session that changes its version when a roll-out's share grows,
+when it continues at another entry or when its entry is killed.
+"""
 
 import json
 
@@ -36,7 +40,7 @@
 
 
 async def ask(cluster, entry, session, token=""):
-    """Status, version, lost version and token of one answer."""
+    """Returns status, version, lost version and token of one answer."""
     async with cluster.session.post(
         f"{cluster.urls[entry]}/v1/chat/completions",
         json={
@@ -70,7 +74,7 @@
     return moved
 
 
-async def test_share_widens_and_the_entry_is_killed(system):
+async def test_sessions_keep_their_version_after_widening_and_a_kill(system):
     cluster, operator = system
     await set_share(operator, SHARES[0])
     first = {
@@ -88,10 +92,10 @@
     assert version == LARGE
 
 
-async def test_token_holds_where_the_store_is_down(system):
+async def test_token_keeps_the_version_and_unknown_pins_are_refused(system):
     cluster, operator = system
     await set_share(operator, 0.5)
-    stable = next(s for s in SESSIONS if point(s) >= 0.5)
+    stable = next(s for s in SESSIONS if split_point(s) >= 0.5)
     _, version, _, token = await ask(cluster, "entry-1", stable)
     assert version == SMALL
     await set_share(operator, 1.0)
@@ -99,9 +103,10 @@
     assert version == SMALL
     await cluster.set_faults("table", fault="down")
     status, *_ = await ask(cluster, "entry-2", stable)
-    assert status == 503  # Unknown here, and the split would move it.
+    # The entry does not know the pin, and the split would move the session.
+    assert status == 503
 
 
-def point(session):
-    """Where a session falls in the split of roll-out `r`."""
+def split_point(session):
+    """Returns where a session falls in the split of roll-out `r`, 0 to 1."""
     return stable_hash(f"r\x1f{session}") % 10_000 / 10_000
--- a/tests/functional/test_errors.py
+++ b/tests/functional/test_errors.py
@@ -1,4 +1,4 @@
-"""Each thing a caller can do wrong has a clear error with a stable code."""
+"""Each error of a caller is answered with a stable code."""
 
 import json
 
@@ -40,7 +40,7 @@
 CHAT = "/v1/chat/completions"
 BODY = {"model": "auto", "messages": MESSAGES}
 
-# Method, path, key, headers, body; status and code.
+# Method, path, key, headers and body; expected status and code.
 CASES = {
     "wrong key": ("POST", CHAT, "wrong", {}, BODY, 401, "bad_key"),
     "no key": ("POST", CHAT, "", {}, BODY, 401, "bad_key"),
@@ -120,7 +120,7 @@
 
 
 async def runs(system):
-    """Everything that ran at the stand-ins."""
+    """Returns all requests that ran at the stand-ins."""
     found = []
     platform = system.platform
     async with aiohttp.ClientSession() as session:
@@ -137,7 +137,7 @@
         yield system
 
 
-async def test_each_fault_has_its_code_and_nothing_ran(system):
+async def test_each_error_has_its_code_and_runs_nothing(system):
     async with aiohttp.ClientSession(system.entry_urls[0]) as session:
         for name, case in CASES.items():
             method, path, key, headers, body, status, code = case
@@ -151,12 +151,12 @@
                 assert response.headers["X-Request-Id"], name
             assert (response.status, error["code"]) == (status, code), name
             assert error["message"].endswith("."), name
-            # What is not known may have run, and been forgotten since.
+            # An unknown request may have run, and its claim may have expired.
             assert error["not_run"] is (code != "unknown_request"), name
     assert await runs(system) == []
 
 
-async def test_clients_raise_their_usual_exceptions(system):
+async def test_openai_client_raises_the_matching_exceptions(system):
     def client(key):
         url = f"{system.entry_urls[0]}/v1"
         return openai.AsyncOpenAI(base_url=url, api_key=key, max_retries=0)
@@ -187,7 +187,7 @@
     assert raised.value.code == "unknown_path"
 
 
-async def test_models_are_those_that_the_workspace_allows(system):
+async def test_models_that_a_workspace_may_not_use_are_not_listed(system):
     client = openai.AsyncOpenAI(
         base_url=f"{system.entry_urls[0]}/v1", api_key=TRIAL_KEY
     )
