--- a/src/rattanpier/_internal/membership/absences.py
+++ b/src/rattanpier/_internal/membership/exclusions.py
@@ -16,7 +16,7 @@
 MAX_SUSPECT_SHARE = 0.5  # Of a pool; more are not left out on suspicion.
 
 
-class Reason(enum.StrEnum):
+class ExclusionReason(enum.StrEnum):
     """Why a worker gets nothing new."""
 
     LEAVING = "leaving"  # The platform says so.
@@ -24,83 +24,83 @@
 
 
 @attrs.define
-class Absence:
+class Exclusion:
     """A worker that gets nothing new; times are monotonic seconds.
 
     Attributes:
       reason: Why.
       since: When this entry learned of it.
-      heard: When it last heard of it.
+      confirmed_at: When it last heard of it.
       url: Where the worker was then; a new address is a new machine.
-      told: When it last told others.
+      announced_at: When it last told others.
     """
 
-    reason: Reason
+    reason: ExclusionReason
     since: float
-    heard: float
+    confirmed_at: float
     url: str
-    told: float = float("-inf")
+    announced_at: float = float("-inf")
 
 
 @attrs.define
-class Absences:
+class WorkerExclusions:
     """A collection of the names of the workers that get nothing new.
 
     Attributes:
       configuration: Returns the configuration in force.
-      absent: Workers that are leaving or silent, by name.
+      exclusions: Workers that are leaving or silent, by name.
     """
 
     configuration: Callable[[], Configuration]
-    absent: dict[str, Absence] = attrs.Factory(dict)
+    exclusions: dict[str, Exclusion] = attrs.Factory(dict)
 
     def __contains__(self, name: object) -> bool:
         """Says whether a worker gets nothing new."""
-        absence = self.absent.get(str(name))
-        if absence is None or absence.url != self.url_of(str(name)):
+        exclusion = self.exclusions.get(str(name))
+        if exclusion is None or exclusion.url != self.url_of(str(name)):
             return False
-        if absence.reason is Reason.LEAVING:
+        if exclusion.reason is ExclusionReason.LEAVING:
             return True
-        return str(name) in self.left_out(self.pool_of(str(name)))
+        return str(name) in self.excluded_silent(self.pool_of(str(name)))
 
     def is_leaving(self, name: str) -> bool:
         """Says whether the platform told that a worker leaves."""
-        absence = self.absent.get(name)
+        exclusion = self.exclusions.get(name)
         return (
-            absence is not None
-            and absence.reason is Reason.LEAVING
-            and absence.url == self.url_of(name)
+            exclusion is not None
+            and exclusion.reason is ExclusionReason.LEAVING
+            and exclusion.url == self.url_of(name)
         )
 
     def __iter__(self) -> Iterator[str]:
         """Iterates over the workers that get nothing new."""
-        return (name for name in self.absent if name in self)
+        return (name for name in self.exclusions if name in self)
 
     def __len__(self) -> int:
         """Returns how many workers get nothing new."""
         return sum(1 for _ in self)
 
-    def get(self, name: str) -> Absence | None:
+    def get(self, name: str) -> Exclusion | None:
         """Returns what is known of a worker, though it be out of date."""
-        return self.absent.get(name)
+        return self.exclusions.get(name)
 
     def add(
-        self, name: str, reason: Reason, since: float, now: float
-    ) -> Absence:
+        self, name: str, reason: ExclusionReason, since: float, now: float
+    ) -> Exclusion:
         """Notes that a worker gets nothing new at its present address."""
-        absence = Absence(reason, since, now, self.url_of(name))
-        self.absent[name] = absence
-        return absence
+        exclusion = Exclusion(reason, since, now, self.url_of(name))
+        self.exclusions[name] = exclusion
+        return exclusion
 
-    def drop(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Takes a worker into use again."""
-        del self.absent[name]
+        del self.exclusions[name]
 
     def expire(self, before: float) -> None:
         """Drops what was last heard of too long ago, or is not in use."""
-        for name, absence in list(self.absent.items()):
-            if absence.heard < before or self.find(name) is None:
-                self.drop(name)
+        for name, exclusion in list(self.exclusions.items()):
+            if exclusion.confirmed_at < before or self.find(name) is None:
+                self.remove(name)
 
     def workers(self) -> Iterator[tuple[str, Worker]]:
         """Iterates over all workers of the configuration, by name."""
@@ -124,7 +124,7 @@
         worker = self.find(name)
         return worker.url if worker else ""
 
-    def left_out(self, pool: Upstream | None) -> list[str]:
+    def excluded_silent(self, pool: Upstream | None) -> list[str]:
         """Returns the silent workers of a pool that are left out.
 
         Should most of a pool seem silent, the fault may be the observer's:
@@ -135,7 +135,8 @@
         silent = [
             name
             for name in pool.workers
-            if name in self.absent and self.absent[name].reason is Reason.SILENT
+            if name in self.exclusions
+            and self.exclusions[name].reason is ExclusionReason.SILENT
         ]
-        silent.sort(key=lambda name: (self.absent[name].since, name))
+        silent.sort(key=lambda name: (self.exclusions[name].since, name))
         return silent[: int(len(pool.workers) * MAX_SUSPECT_SHARE)]
--- a/src/rattanpier/_internal/membership/workers.py
+++ b/src/rattanpier/_internal/membership/workers.py
@@ -16,7 +16,10 @@
 
 from rattanpier._internal.exceptions import PlatformUnavailableError
 from rattanpier._internal.kernel import Kernel
-from rattanpier._internal.membership.absences import Absences, Reason
+from rattanpier._internal.membership.exclusions import (
+    ExclusionReason,
+    WorkerExclusions,
+)
 from rattanpier._internal.membership.members import Members
 from rattanpier._internal.membership.ring import owners, ring_order
 from rattanpier._internal.membership.worker_probe import (
@@ -31,12 +34,16 @@
 
 log = structlog.get_logger(part="workers")
 
-PROBE_S = 0.8  # Between two probes of one worker by one entry.
-PROBERS = 2  # Entries that probe one worker, and that read the VM list.
-VMS_S = 1.0  # Between reads of the VM list.
-REMIND_S = 10.0  # Between notices that a worker still is down.
-EXPIRE_S = 30.0  # A worker of which nobody reminds is tried again.
-KEPT_PER_ORIGIN = 4  # Notice numbers, for each live process and absence.
+PROBE_INTERVAL_S = 0.8  # Between two probes of one worker by one entry.
+ENTRIES_PER_WORKER = (
+    2  # Entries that probe one worker, and that read the VM list.
+)
+VM_LIST_INTERVAL_S = 1.0  # Between reads of the VM list.
+REMINDER_INTERVAL_S = 10.0  # Between notices that a worker still is down.
+EXCLUSION_TTL_S = 30.0  # A worker of which nobody reminds is tried again.
+MAX_SEQUENCES_PER_ORIGIN = (
+    4  # Notice numbers, for each live process and absence.
+)
 
 ReadVms = Callable[[], Awaitable[list[Vm]]]
 
@@ -50,7 +57,7 @@
       probe: Says whether the worker at a base address answers.
       spawn: Runs a task.
       read_vms: Returns the platform's list, or None if there is none.
-      absences: Workers that are leaving or silent.
+      exclusions: Workers that are leaving or silent.
       checking: Workers that are being probed out of turn.
       listed: Workers that were leaving when the list was last read here.
       sequence: Number of the last notice sent.
@@ -65,36 +72,36 @@
     spawn: Callable[..., asyncio.Task]
     read_vms: ReadVms | None = None
     checking: set[str] = attrs.Factory(set)
-    listed: set[str] = attrs.Factory(set)
+    listed_leaving: set[str] = attrs.Factory(set)
     sequence: int = 0
-    heard: dict[tuple[str, str], int] = attrs.Factory(dict)
-    absences: Absences = attrs.field(init=False)
+    last_sequences: dict[tuple[str, str], int] = attrs.Factory(dict)
+    exclusions: WorkerExclusions = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Puts the parts together."""
-        self.absences = Absences(self.configuration)
+        self.exclusions = WorkerExclusions(self.configuration)
 
     # The choice of a worker.
 
     def __contains__(self, name: object) -> bool:
         """Says whether a worker gets nothing new."""
-        return name in self.absences
+        return name in self.exclusions
 
-    def announced(self) -> list[str]:
+    def leaving(self) -> list[str]:
         """Returns the workers that leave; not those that seem silent."""
-        return [name for name in self if self.absences.is_leaving(name)]
+        return [name for name in self if self.exclusions.is_leaving(name)]
 
     def __iter__(self) -> Iterator[str]:
         """Iterates over the workers that get nothing new."""
-        return iter(self.absences)
+        return iter(self.exclusions)
 
     def __len__(self) -> int:
         """Returns how many workers get nothing new."""
-        return len(self.absences)
+        return len(self.exclusions)
 
     # What dispatch sees.
 
-    def note_failure(self, name: str, error: Exception) -> None:
+    def record_failure(self, name: str, error: Exception) -> None:
         """Takes in that a request to a worker failed."""
         cause = error.__cause__
         if isinstance(cause, aiohttp.ClientConnectorError):
@@ -104,7 +111,7 @@
 
     def check_soon(self, name: str) -> None:
         """Probes a worker out of turn."""
-        worker = self.absences.find(name)
+        worker = self.exclusions.find(name)
         if worker is not None and name not in self.checking:
             self.checking.add(name)
             self.spawn(self.check(name, worker))
@@ -115,24 +122,24 @@
         """Probes this entry's share of the workers until the end."""
         while not kernel.stopping.is_set():
             # Workers of which nobody reminded are tried again.
-            self.absences.expire(self.clock.monotonic() - EXPIRE_S)
-            for name, worker in self.share():
+            self.exclusions.expire(self.clock.monotonic() - EXCLUSION_TTL_S)
+            for name, worker in self.assigned_workers():
                 if name not in self.checking:
                     self.checking.add(name)
                     self.spawn(self.check(name, worker))
-            await self.clock.sleep(PROBE_S)
+            await self.clock.sleep(PROBE_INTERVAL_S)
 
-    def share(self) -> list[tuple[str, Worker]]:
+    def assigned_workers(self) -> list[tuple[str, Worker]]:
         """Returns the workers that this entry probes."""
-        ring = self.entry_ring()
+        ring = self.ring_of_entries()
         me = self.members.me.name
         return [
             (name, worker)
-            for name, worker in self.absences.workers()
-            if me in owners(name, ring, PROBERS)
+            for name, worker in self.exclusions.workers()
+            if me in owners(name, ring, ENTRIES_PER_WORKER)
         ]
 
-    def entry_ring(self) -> list[tuple[int, str]]:
+    def ring_of_entries(self) -> list[tuple[int, str]]:
         """Returns the entries in ring order."""
         return ring_order(member.name for member in self.members.entries())
 
@@ -144,7 +151,7 @@
         finally:
             self.checking.discard(name)
         if alive:
-            self.clear(name, Reason.SILENT)
+            self.readmit(name, ExclusionReason.SILENT)
         else:
             self.suspect(name)
 
@@ -154,65 +161,65 @@
         """Reads the list of VMs until the end, if it is this entry's turn."""
         assert self.read_vms is not None
         while not kernel.stopping.is_set():
-            readers = owners("vms", self.entry_ring(), PROBERS)
+            readers = owners("vms", self.ring_of_entries(), ENTRIES_PER_WORKER)
             if self.members.me.name in readers:
                 try:
-                    self.take_vms(await self.read_vms())
+                    self.apply_vms(await self.read_vms())
                 except PlatformUnavailableError:
                     self.metrics.count("workers.retry.vms_down")
-            await self.clock.sleep(VMS_S)
+            await self.clock.sleep(VM_LIST_INTERVAL_S)
 
-    def take_vms(self, vms: list[Vm]) -> None:
+    def apply_vms(self, vms: list[Vm]) -> None:
         """Takes in the platform's list."""
         leaving = {vm.address for vm in vms if vm.state is VmState.LEAVING}
         listed = {
             name
-            for name, worker in self.absences.workers()
+            for name, worker in self.exclusions.workers()
             if addresses(worker) & leaving
         }
         for name in sorted(listed):
-            self.mark(name, Reason.LEAVING)
+            self.exclude(name, ExclusionReason.LEAVING)
         # Only what this entry read itself: a peer may have a newer list.
-        for name in sorted(self.listed - listed):
-            self.clear(name, Reason.LEAVING)
-        self.listed = listed
+        for name in sorted(self.listed_leaving - listed):
+            self.readmit(name, ExclusionReason.LEAVING)
+        self.listed_leaving = listed
 
     # Changes, and the others.
 
     def suspect(self, name: str) -> None:
         """Leaves out a worker that does not answer."""
-        absence = self.absences.get(name)
-        if absence is None or absence.reason is not Reason.LEAVING:
-            self.mark(name, Reason.SILENT)
+        exclusion = self.exclusions.get(name)
+        if exclusion is None or exclusion.reason is not ExclusionReason.LEAVING:
+            self.exclude(name, ExclusionReason.SILENT)
 
-    def mark(self, name: str, reason: Reason) -> None:
+    def exclude(self, name: str, reason: ExclusionReason) -> None:
         """Leaves out a worker and tells the others, now and then again."""
         now = self.clock.monotonic()
-        absence = self.absences.get(name)
+        exclusion = self.exclusions.get(name)
         if (
-            absence is None
-            or absence.reason is not reason
-            or absence.url != self.absences.url_of(name)
+            exclusion is None
+            or exclusion.reason is not reason
+            or exclusion.url != self.exclusions.url_of(name)
         ):
-            absence = self.absences.add(name, reason, now, now)
+            exclusion = self.exclusions.add(name, reason, now, now)
             self.metrics.count(f"workers.absent.{reason.value}")
             log.warning("Worker gets nothing new.", worker=name, why=reason)
-        absence.heard = now
-        if now - absence.told >= REMIND_S:
-            absence.told = now
-            self.tell(name, down=True, reason=reason)
+        exclusion.confirmed_at = now
+        if now - exclusion.announced_at >= REMINDER_INTERVAL_S:
+            exclusion.announced_at = now
+            self.announce(name, down=True, reason=reason)
 
-    def clear(self, name: str, reason: Reason) -> None:
+    def readmit(self, name: str, reason: ExclusionReason) -> None:
         """Takes a worker into use again and tells the others."""
-        absence = self.absences.get(name)
-        if absence is None or absence.reason is not reason:
+        exclusion = self.exclusions.get(name)
+        if exclusion is None or exclusion.reason is not reason:
             return
-        self.absences.drop(name)
+        self.exclusions.remove(name)
         self.metrics.count(f"workers.back.{reason.value}")
         log.info("Worker is back.", worker=name)
-        self.tell(name, down=False, reason=reason)
+        self.announce(name, down=False, reason=reason)
 
-    def tell(self, name: str, down: bool, reason: Reason) -> None:
+    def announce(self, name: str, down: bool, reason: ExclusionReason) -> None:
         """Tells the others of a change."""
         self.sequence += 1
         notice = peer_pb2.WorkerNotice(
@@ -222,40 +229,40 @@
             down=down,
             reason=reason.value,
         )
-        self.heard[name, notice.origin] = self.sequence
+        self.last_sequences[name, notice.origin] = self.sequence
         self.members.spread(peer_pb2.Notice(worker=notice))
 
-    def take_notice(self, notice: peer_pb2.Notice) -> None:
+    def apply_notice(self, notice: peer_pb2.Notice) -> None:
         """Takes in what a peer found, and passes it on."""
         body = notice.worker
-        known = self.absences.find(body.worker) is not None
-        heard = self.heard.get((body.worker, body.origin), 0)
+        known = self.exclusions.find(body.worker) is not None
+        heard = self.last_sequences.get((body.worker, body.origin), 0)
         if not known or body.sequence <= heard:
             return
-        self.heard[body.worker, body.origin] = body.sequence
+        self.last_sequences[body.worker, body.origin] = body.sequence
         self.forget_old_origins()
         now = self.clock.monotonic()
-        reason = Reason(body.reason)
-        absence = self.absences.get(body.worker)
+        reason = ExclusionReason(body.reason)
+        exclusion = self.exclusions.get(body.worker)
         if not body.down:
-            if absence is not None and absence.reason is reason:
-                self.absences.drop(body.worker)
-        elif absence is None or reason is Reason.LEAVING:
-            since = absence.since if absence else now
-            added = self.absences.add(body.worker, reason, since, now)
+            if exclusion is not None and exclusion.reason is reason:
+                self.exclusions.remove(body.worker)
+        elif exclusion is None or reason is ExclusionReason.LEAVING:
+            since = exclusion.since if exclusion else now
+            added = self.exclusions.add(body.worker, reason, since, now)
             # The origin told the others.
-            added.told = now
+            added.announced_at = now
         else:
-            absence.heard = now
+            exclusion.confirmed_at = now
         self.members.spread(notice)
 
     def forget_old_origins(self) -> None:
         """Drops numbers of processes that are gone."""
         live = {item.incarnation for item in self.members.live.value.values()}
-        origins = len(live) + len(self.absences.absent)
-        if len(self.heard) > KEPT_PER_ORIGIN * origins:
-            self.heard = {
+        origins = len(live) + len(self.exclusions.exclusions)
+        if len(self.last_sequences) > MAX_SEQUENCES_PER_ORIGIN * origins:
+            self.last_sequences = {
                 key: number
-                for key, number in self.heard.items()
+                for key, number in self.last_sequences.items()
                 if key[1] in live
             }
--- a/src/rattanpier/_internal/programs/entry.py
+++ b/src/rattanpier/_internal/programs/entry.py
@@ -119,9 +119,9 @@
         read_vms=vms.read if vms_url else None,
     )
     dispatcher.leaving = workers
-    dispatcher.announced_leaving = workers.announced
-    dispatcher.on_failure = workers.note_failure
-    kernel.find("peer_server").on_notice("worker", workers.take_notice)
+    dispatcher.announced_leaving = workers.leaving
+    dispatcher.on_failure = workers.record_failure
+    kernel.find("peer_server").on_notice("worker", workers.apply_notice)
     kernel.spawn(workers.run(kernel))
     if vms_url:
         kernel.spawn(workers.follow_vms(kernel))
--- a/tests/unit/test_membership_workers.py
+++ b/tests/unit/test_membership_workers.py
@@ -4,7 +4,7 @@
 import pytest
 
 from rattanpier._internal.dispatch.failures import UpstreamError
-from rattanpier._internal.membership.workers import EXPIRE_S, Workers
+from rattanpier._internal.membership.workers import EXCLUSION_TTL_S, Workers
 from rattanpier._internal.models.configuration import (
     Upstream,
     UpstreamKind,
@@ -55,7 +55,7 @@
                 spawn=node.kernel.spawn,
                 read_vms=self.read_vms,
             )
-            node.server.on_notice("worker", node.workers.take_notice)
+            node.server.on_notice("worker", node.workers.apply_notice)
             node.kernel.spawn(node.workers.run(node.kernel))
             node.kernel.spawn(node.workers.follow_vms(node.kernel))
             self.nodes.append(node)
@@ -84,7 +84,7 @@
     fleet.fail(1)
     await fleet.network.clock.advance(LEAVES_S)
     assert fleet.absent() == [["w1"]] * 12
-    await fleet.network.clock.advance(10 * EXPIRE_S)
+    await fleet.network.clock.advance(10 * EXCLUSION_TTL_S)
     assert fleet.absent() == [["w1"]] * 12
     fleet.mend(1)
     await fleet.network.clock.advance(LEAVES_S)
@@ -95,7 +95,7 @@
     fleet.vms = [Vm("10.0.1.2", VmState.LEAVING), Vm("10.0.1.1")]
     await fleet.network.clock.advance(LEAVES_S)
     assert fleet.absent() == [["w2"]] * 12
-    await fleet.network.clock.advance(4 * EXPIRE_S)
+    await fleet.network.clock.advance(4 * EXCLUSION_TTL_S)
     assert fleet.absent() == [["w2"]] * 12
     fleet.vms = []
     await fleet.network.clock.advance(LEAVES_S)
@@ -106,14 +106,14 @@
     fleet.fail(3)
     error = UpstreamError("can't connect", True)
     error.__cause__ = aiohttp.ClientConnectorError(None, OSError())
-    fleet.nodes[7].workers.note_failure("w3", error)
+    fleet.nodes[7].workers.record_failure("w3", error)
     assert "w3" in fleet.nodes[7].workers
     await fleet.network.clock.advance(0.1)
     assert fleet.absent() == [["w3"]] * 12
 
 
 async def test_a_refusal_of_a_full_worker_narrows_nothing(fleet):
-    fleet.nodes[7].workers.note_failure("w3", UpstreamError("full", True))
+    fleet.nodes[7].workers.record_failure("w3", UpstreamError("full", True))
     await fleet.network.clock.advance(0.1)
     assert fleet.absent() == [[]] * 12
 
@@ -135,7 +135,7 @@
 
 async def test_its_probers_die_with_a_worker(fleet):
     share = {
-        node.name: {name for name, _ in node.workers.share()}
+        node.name: {name for name, _ in node.workers.assigned_workers()}
         for node in fleet.nodes
     }
     probers = [node for node in fleet.nodes if "w1" in share[node.name]]
@@ -149,14 +149,16 @@
 
 
 async def test_a_lost_comeback_expires(fleet):
-    alone = next(node for node in fleet.nodes if not node.workers.share())
+    alone = next(
+        node for node in fleet.nodes if not node.workers.assigned_workers()
+    )
     fleet.fail(1)
     await fleet.network.clock.advance(LEAVES_S)
     alone.server.notices["worker"] = []
     fleet.mend(1)
     await fleet.network.clock.advance(LEAVES_S)
     assert sorted(alone.workers) == ["w1"]
-    await fleet.network.clock.advance(EXPIRE_S)
+    await fleet.network.clock.advance(EXCLUSION_TTL_S)
     assert fleet.absent() == [[]] * 12
 
 
