--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -153,7 +153,7 @@
             peer_host=f"10.0.{number // 256}.{number % 256}",
             peer_port=7000,
         )
-        roster.learn(Presence(member))
+        roster.apply_presence(Presence(member))
     used, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return used
--- a/src/rattanpier/_internal/membership/directory.py
+++ b/src/rattanpier/_internal/membership/directory.py
@@ -43,10 +43,10 @@
 
 log = structlog.get_logger(part="directory")
 
-KEPT_CHANGES = 64  # A reader further behind reads the whole directory.
-CANDIDATES = 3  # Processes that watch the directory's lease.
-LEASE_LAPSE_S = 4.0  # Unchanged for so long on the watcher's own clock.
-RANK_PAUSE_S = 1.5  # The second candidate waits so much longer, and so on.
+MAX_KEPT_CHANGES = 64  # A reader further behind reads the whole directory.
+MAX_CANDIDATES = 3  # Processes that watch the directory's lease.
+LEASE_TIMEOUT_S = 4.0  # Unchanged for so long on the watcher's own clock.
+RANK_DELAY_S = 1.5  # The second candidate waits so much longer, and so on.
 MAX_REQUESTS = 200  # Requests taken into one revision.
 
 
@@ -57,7 +57,7 @@
     [0, 1]
     """
     rank = rendezvous("directory", names).index(me)
-    return rank if rank < CANDIDATES else None
+    return rank if rank < MAX_CANDIDATES else None
 
 
 async def read_full(table: Table) -> Directory:
@@ -118,20 +118,20 @@
             return await self.write(me, row, roster)
         self.directory = None
         self.holding = False
-        if self.is_free(row, rank):
-            return await self.take(me, row, roster)
+        if self.is_lease_free(row, rank):
+            return await self.acquire_lease(me, row, roster)
         return []
 
-    def is_free(self, row: Row | None, rank: int) -> bool:
+    def is_lease_free(self, row: Row | None, rank: int) -> bool:
         """Says whether the lease is there to be taken."""
         if row is None:
             return True
         unchanged_s = self.watch.unchanged_s(
             row.version, self.clock.monotonic()
         )
-        return unchanged_s >= LEASE_LAPSE_S + RANK_PAUSE_S * rank
+        return unchanged_s >= LEASE_TIMEOUT_S + RANK_DELAY_S * rank
 
-    async def take(
+    async def acquire_lease(
         self, me: Member, row: Row | None, roster: Roster
     ) -> list[Presence]:
         """Takes the lease from the version seen, and writes at once."""
@@ -157,13 +157,13 @@
         if self.directory is None:
             self.directory = await read_full(self.table)
         rows = await self.table.scan(REQUEST_PREFIX, limit=MAX_REQUESTS)
-        transaction = renewal(me, lease_row)
+        transaction = lease_renewal(me, lease_row)
         directory = self.directory
         presences = [decode(Presence, row.value) for row in rows]
-        presences += unrecorded(directory, roster, presences)
+        presences += unrecorded_presences(directory, roster, presences)
         if presences:
             directory, change = apply_presences(directory, presences)
-            gone_rows = await self.rows_of_gone(presences)
+            gone_rows = await self.find_gone_rows(presences)
             transaction = attrs.evolve(
                 transaction,
                 checks=[
@@ -178,7 +178,7 @@
                 ],
                 deletes=[
                     *(row.key for row in rows),
-                    change_key(change.revision - KEPT_CHANGES),
+                    change_key(change.revision - MAX_KEPT_CHANGES),
                     *(row.key for row in gone_rows),
                 ],
             )
@@ -188,7 +188,7 @@
         self.directory = directory if committed else None
         return presences if committed else []
 
-    async def rows_of_gone(self, presences: list[Presence]) -> list[Row]:
+    async def find_gone_rows(self, presences: list[Presence]) -> list[Row]:
         """Returns the member rows whose incarnation is gone."""
         found = []
         for presence in presences:
@@ -203,31 +203,31 @@
         return found
 
 
-def unrecorded(
-    directory: Directory, roster: Roster, asked: list[Presence]
+def unrecorded_presences(
+    directory: Directory, roster: Roster, requested: list[Presence]
 ) -> list[Presence]:
     """Returns what the writer knows by notices and nobody could record.
 
     A process that is cut from the store can find another dead, or rejoin.
     """
     members = {incarnation_id(item): item for item in directory.members}
-    settled = {incarnation_id(item.member) for item in asked}
+    requested_ids = {incarnation_id(item.member) for item in requested}
     gone = [
         Presence(member, gone=True)
         for identity, member in members.items()
-        if identity in roster.departed and identity not in settled
+        if identity in roster.departed and identity not in requested_ids
     ]
     joined = [
         Presence(member)
         for member in roster.known.values()
-        if incarnation_id(member) not in settled
+        if incarnation_id(member) not in requested_ids
         and members.get(incarnation_id(member)) != member
         and member.is_reachable
     ]
     return gone + joined
 
 
-def renewal(me: Member, lease_row: Row) -> Transaction:
+def lease_renewal(me: Member, lease_row: Row) -> Transaction:
     """Returns the transaction that renews a lease that is still held."""
     lease = DirectoryLease(incarnation_id(me))
     return Transaction(
@@ -246,7 +246,7 @@
     table: Table
     revision: int | None = None
 
-    async def news(self) -> list[Presence]:
+    async def read_new(self) -> list[Presence]:
         """Returns the presences that are new since the last call.
 
         Raises:
--- a/src/rattanpier/_internal/membership/draining.py
+++ b/src/rattanpier/_internal/membership/draining.py
@@ -29,7 +29,7 @@
     CLOSE = 3  # New requests are refused.
     FINISH = 4  # Requests in flight end.
     HAND_OVER = 5  # Nothing runs any more; duties go to others.
-    GO = 6  # The member row is deleted.
+    DEREGISTER = 6  # The member row is deleted.
 
 
 @attrs.frozen
@@ -85,7 +85,7 @@
             log.warning("Drain step is late.", step=step.name)
 
 
-def add_leaving(
+def add_leaving_steps(
     drain: Drain,
     clock: Clock,
     leave: Hook,
@@ -103,4 +103,4 @@
     """
     drain.add(DrainPhase.ANNOUNCE, "announce", leave)
     drain.add(DrainPhase.OUTLIVE, "outlive", lambda: clock.sleep(outlive_s()))
-    drain.add(DrainPhase.GO, "remove row", remove)
+    drain.add(DrainPhase.DEREGISTER, "remove row", remove)
--- a/src/rattanpier/_internal/membership/gone_reports.py
+++ b/src/rattanpier/_internal/membership/gone_reports.py
@@ -16,8 +16,8 @@
 from rattanpier._internal.utils.metrics import Metrics
 
 VERIFY_TIMEOUT_S = 1.0
-REPEAT_S = 10.0  # The same said again within this time is not news.
-MAX_REMEMBERED = 1_000  # Reports.
+REPEAT_WINDOW_S = 10.0  # The same said again within this time is not news.
+MAX_REPORTS = 1_000  # Reports.
 
 
 @attrs.define
@@ -31,7 +31,7 @@
       prober: Asks a reported member; None in a process without peers.
       spawn: Runs a task; None until this process runs, and till then every
         report is believed.
-      heard: Monotonic seconds of the last report, by "name/incarnation", the
+      reported_at: Monotonic seconds of the last report, by "name/incarnation", the
         oldest first.
     """
 
@@ -40,11 +40,11 @@
     metrics: Metrics
     prober: Prober | None
     spawn: Callable[..., asyncio.Task] | None = None
-    heard: collections.OrderedDict[str, float] = attrs.Factory(
+    reported_at: collections.OrderedDict[str, float] = attrs.Factory(
         collections.OrderedDict
     )
 
-    def take(self, identity: str) -> bool:
+    def apply_report(self, identity: str) -> bool:
         """Takes in that others say of a "name/incarnation" that it is gone.
 
         Returns:
@@ -52,7 +52,7 @@
         """
         if identity in self.roster.departed or self.is_repeat(identity):
             return False
-        self.remember(identity)
+        self.record_report(identity)
         known = self.roster.known.get(identity.split("/")[0])
         if (
             self.spawn is None
@@ -60,22 +60,22 @@
             or incarnation_id(known) != identity
             or known.state is MemberState.LEAVING
         ):
-            self.roster.depart(identity)
+            self.roster.apply_departure(identity)
         else:
             self.spawn(self.verify(known))
         return True
 
     def is_repeat(self, identity: str) -> bool:
         """Says whether the same was reported a short time ago."""
-        heard = self.heard.get(identity, float("-inf"))
-        return self.clock.monotonic() - heard < REPEAT_S
+        reported_at = self.reported_at.get(identity, float("-inf"))
+        return self.clock.monotonic() - reported_at < REPEAT_WINDOW_S
 
-    def remember(self, identity: str) -> None:
+    def record_report(self, identity: str) -> None:
         """Notes the time of a report, and forgets the oldest ones."""
-        self.heard[identity] = self.clock.monotonic()
-        self.heard.move_to_end(identity)
-        while len(self.heard) > MAX_REMEMBERED:
-            self.heard.popitem(last=False)
+        self.reported_at[identity] = self.clock.monotonic()
+        self.reported_at.move_to_end(identity)
+        while len(self.reported_at) > MAX_REPORTS:
+            self.reported_at.popitem(last=False)
 
     async def verify(self, member: Member) -> None:
         """Takes a member out unless it answers this process."""
@@ -84,4 +84,4 @@
         if found is Probe.ALIVE:
             self.metrics.count("members.kept")
         else:
-            self.roster.depart(incarnation_id(member))
+            self.roster.apply_departure(incarnation_id(member))
--- a/src/rattanpier/_internal/membership/members.py
+++ b/src/rattanpier/_internal/membership/members.py
@@ -16,7 +16,7 @@
 from rattanpier._internal.exceptions import StoreUnavailableError
 from rattanpier._internal.kernel import Kernel
 from rattanpier._internal.membership.directory import (
-    CANDIDATES,
+    MAX_CANDIDATES,
     DirectoryReader,
     DirectoryWriter,
     candidate_rank,
@@ -32,19 +32,22 @@
     NameTaken,
     RowMissing,
     RowOwned,
-    judge_row,
+    classify_row,
     read_row,
     remove_row,
     write_row,
 )
-from rattanpier._internal.membership.probing import PROBE_S, Prober
+from rattanpier._internal.membership.probing import PROBE_INTERVAL_S, Prober
 from rattanpier._internal.membership.records import (
     Presence,
     incarnation_id,
     new_incarnation,
 )
-from rattanpier._internal.membership.rejoining import RejoinPause
-from rattanpier._internal.membership.requests import Requests, read_requests
+from rattanpier._internal.membership.rejoining import RejoinBackoff
+from rattanpier._internal.membership.requests import (
+    DirectoryRequests,
+    read_requests,
+)
 from rattanpier._internal.membership.roster import Roster
 from rattanpier._internal.models.member import (
     Member,
@@ -60,12 +63,16 @@
 
 ROW_WRITES_PER_S = 20.0  # Of all processes together.
 MIN_REFRESH_S = 2.0
-ROW_LAPSE_PERIODS = 3
-DUTY_S = 1.0  # Between looks at the directory's lease, and of its holder.
-FOLLOW_S = 2.0  # Between reads of the directory.
-UNRECORDED_S = 3.0  # Not in the directory for so long: watch its lease too.
-ANSWER_FRESH_S = 3.0  # A peer answered so lately: not cut off.
-REMOVE_TRIES = 3
+ROW_STALE_PERIODS = 3
+MAINTAIN_INTERVAL_S = (
+    1.0  # Between looks at the directory's lease, and of its holder.
+)
+READ_INTERVAL_S = 2.0  # Between reads of the directory.
+UNRECORDED_TIMEOUT_S = (
+    3.0  # Not in the directory for so long: watch its lease too.
+)
+MAX_ANSWER_AGE_S = 3.0  # A peer answered so lately: not cut off.
+MAX_REMOVE_ATTEMPTS = 3
 
 
 @attrs.define
@@ -81,7 +88,7 @@
       recorded: Whether the directory has this incarnation.
       yielded: Whether another process has this one's name.
       must_rejoin: Whether this process was declared gone.
-      rejoin_pause: When it may come back then.
+      rejoin_backoff: When it may come back then.
       next_refresh: Monotonic seconds at which the own row is due.
     """
 
@@ -97,11 +104,11 @@
     recorded: bool = False
     yielded: bool = False
     must_rejoin: bool = False
-    rejoin_pause: RejoinPause = attrs.Factory(RejoinPause)
+    rejoin_backoff: RejoinBackoff = attrs.Factory(RejoinBackoff)
     next_refresh: float = float("-inf")
     reader: DirectoryReader = attrs.field(init=False)
     writer: DirectoryWriter = attrs.field(init=False)
-    requests: Requests = attrs.field(init=False)
+    requests: DirectoryRequests = attrs.field(init=False)
     notifier: Notifier = attrs.field(init=False)
     gone_reports: GoneReports = attrs.field(init=False)
     prober: Prober | None = attrs.field(init=False, default=None)
@@ -110,14 +117,14 @@
         """Puts the parts together."""
         self.reader = DirectoryReader(self.table)
         self.writer = DirectoryWriter(self.table, self.clock)
-        self.requests = Requests(self.table)
+        self.requests = DirectoryRequests(self.table)
         self.notifier = Notifier(lambda: self.me, self.roster, self.links)
         if self.links is not None:
             self.prober = self.build_prober(self.links)
         self.gone_reports = GoneReports(
             self.roster, self.clock, self.metrics, self.prober
         )
-        self.roster.learn(Presence(self.me))
+        self.roster.apply_presence(Presence(self.me))
 
     def build_prober(self, links: Links) -> Prober:
         """Returns what probes peers, and tells what it finds."""
@@ -129,9 +136,9 @@
             clock=self.clock,
             metrics=self.metrics,
             on_gone=self.declare_gone,
-            on_self_gone=self.note_self_gone,
+            on_self_gone=self.record_self_gone,
             on_unknown=self.announce_to,
-            row_lapse_s=lambda: ROW_LAPSE_PERIODS * self.refresh_s,
+            row_stale_s=lambda: ROW_STALE_PERIODS * self.refresh_s,
             directory_revision=lambda: self.reader.revision or 0,
         )
 
@@ -164,9 +171,12 @@
         """Keeps membership going until the end."""
         if self.prober is not None:
             self.gone_reports.spawn = kernel.spawn
-        work = [(self.duty, DUTY_S), (self.follow, FOLLOW_S)]
+        work = [
+            (self.maintain, MAINTAIN_INTERVAL_S),
+            (self.read_directory, READ_INTERVAL_S),
+        ]
         if self.prober is not None:
-            work.append((self.prober.round, PROBE_S))
+            work.append((self.prober.probe_successors, PROBE_INTERVAL_S))
         loops = [
             kernel.spawn(self.repeat(kernel, step, period_s))
             for step, period_s in work
@@ -187,16 +197,16 @@
     async def step(self) -> None:
         """Does at once what is done over time, apart from probes."""
         try:
-            await self.follow()
-            await self.duty()
-            await self.follow()
+            await self.read_directory()
+            await self.maintain()
+            await self.read_directory()
         except StoreUnavailableError:
             log.warning("The directory can't be read.")
 
-    async def duty(self) -> None:
+    async def maintain(self) -> None:
         """Announces and refreshes this process; writes the directory."""
-        self.roster.learn(Presence(self.me))
-        self.notifier.close_links()
+        self.roster.apply_presence(Presence(self.me))
+        self.notifier.close_stale_links()
         self.announce()
         await self.requests.write()
         if self.must_rejoin:
@@ -207,7 +217,7 @@
         rank = self.rank()
         if self.announced and rank is not None:
             for presence in await self.writer.step(self.me, rank, self.roster):
-                self.take(presence)
+                self.apply_presence(presence)
 
     @property
     def refresh_s(self) -> float:
@@ -223,30 +233,32 @@
             return rank
         # All candidates known may be dead when all processes started anew.
         unrecorded_s = self.clock.monotonic() - self.announced_at
-        return CANDIDATES if unrecorded_s > UNRECORDED_S else None
+        return MAX_CANDIDATES if unrecorded_s > UNRECORDED_TIMEOUT_S else None
 
-    async def follow(self) -> None:
+    async def read_directory(self) -> None:
         """Takes in what is new in the directory."""
-        presences = await self.reader.news()
+        presences = await self.reader.read_new()
         if not self.recorded:
             presences += await read_requests(self.table)
         for presence in presences:
-            self.take(presence)
+            self.apply_presence(presence)
 
-    def take(self, presence: Presence) -> bool:
+    def apply_presence(self, presence: Presence) -> bool:
         """Takes in a presence; says whether it was news."""
         if presence.member.name == self.me.name:
-            return self.take_own(presence)
+            return self.apply_own_presence(presence)
         if presence.gone:
-            return self.gone_reports.take(incarnation_id(presence.member))
-        return self.roster.learn(presence)
+            return self.gone_reports.apply_report(
+                incarnation_id(presence.member)
+            )
+        return self.roster.apply_presence(presence)
 
-    def take_own(self, presence: Presence) -> bool:
+    def apply_own_presence(self, presence: Presence) -> bool:
         """Takes in what others say of this process."""
         if presence.member.incarnation != self.me.incarnation:
             return False
         if presence.gone:
-            self.note_self_gone()
+            self.record_self_gone()
         else:
             self.recorded = True
         return False
@@ -274,7 +286,7 @@
             # has to know the new one already.
             self.notifier.send(notice, self.others())
         else:
-            self.spread(notice)
+            self.notify_neighbours(notice)
 
     def announce_to(self, peer: Member) -> None:
         """Tells a peer again whose notice was lost.
@@ -292,21 +304,21 @@
         if self.yielded:
             return
         row = await read_row(self.table, self.me)
-        match judge_row(row, self.me, self.recorded):
+        match classify_row(row, self.me, self.recorded):
             case RowOwned():
                 await write_row(self.table, self.me, row)
             case RowMissing():
-                self.note_self_gone()
+                self.record_self_gone()
             case NameTaken(owner):
-                self.give_way(owner)
+                self.yield_name(owner)
 
-    def give_way(self, owner: Member) -> None:
+    def yield_name(self, owner: Member) -> None:
         """Leaves the name to the process that has it now."""
         self.yielded = True
         self.metrics.count("members.name_taken")
         log.error("Another process has this name.", other=owner.incarnation)
 
-    def note_self_gone(self) -> None:
+    def record_self_gone(self) -> None:
         """Takes in that this process was declared gone."""
         self.must_rejoin = True
 
@@ -317,18 +329,18 @@
         again. One that is declared gone again and again waits longer.
         """
         now = self.clock.monotonic()
-        cut_off = (
+        partitioned = (
             self.prober is not None
             and self.others()
-            and now - self.prober.last_answer > ANSWER_FRESH_S
+            and now - self.prober.last_answer > MAX_ANSWER_AGE_S
         )
-        if self.yielded or cut_off or not self.rejoin_pause.is_over(now):
+        if self.yielded or partitioned or not self.rejoin_backoff.is_over(now):
             return
         self.must_rejoin = False
-        self.rejoin_pause.begin(now)
+        self.rejoin_backoff.record_rejoin(now)
         old = incarnation_id(self.me)
         self.me = attrs.evolve(self.me, incarnation=new_incarnation())
-        self.roster.learn(Presence(self.me))
+        self.roster.apply_presence(Presence(self.me))
         self.metrics.count("members.rejoined")
         log.warning("Declared gone; rejoined.", old=old)
         self.rejoined.on_next(self.me)
@@ -337,7 +349,7 @@
     async def leave(self) -> None:
         """Tells the others that this process is leaving."""
         self.me = attrs.evolve(self.me, state=MemberState.LEAVING)
-        self.roster.learn(Presence(self.me))
+        self.roster.apply_presence(Presence(self.me))
         self.announced = self.me
         self.requests.add(Presence(self.me))
         # Told to all, not only to neighbours: callers ask any of them.
@@ -348,32 +360,32 @@
     async def remove(self) -> None:
         """Tells the others that this process is gone, and the store."""
         gone = Presence(self.me, gone=True)
-        self.spread(departed_notice(self.me))
+        self.notify_neighbours(departed_notice(self.me))
         self.requests.add(gone)
-        for _ in range(REMOVE_TRIES):
+        for _ in range(MAX_REMOVE_ATTEMPTS):
             try:
                 await self.requests.write()
                 row = await read_row(self.table, self.me)
                 await remove_row(self.table, self.me, row)
             except StoreUnavailableError:
                 log.warning("The store is down; probes will find this end.")
-            if not self.requests.waiting:
+            if not self.requests.pending:
                 return
-            await self.clock.sleep(DUTY_S)
+            await self.clock.sleep(MAINTAIN_INTERVAL_S)
 
     # Peers.
 
     def declare_gone(self, member: Member) -> None:
         """Takes a member out after a confirmed failure, and spreads it."""
-        if not self.roster.depart(incarnation_id(member)):
+        if not self.roster.apply_departure(incarnation_id(member)):
             return
         self.metrics.count("members.declared_gone")
         log.warning("Declared gone.", member=incarnation_id(member))
         self.requests.add(Presence(member, gone=True))
-        self.spread(departed_notice(member))
+        self.notify_neighbours(departed_notice(member))
         # The one that is declared gone hears of it if it is not.
         self.notifier.send(departed_notice(member), [member])
 
-    def spread(self, notice: peer_pb2.Notice) -> None:
+    def notify_neighbours(self, notice: peer_pb2.Notice) -> None:
         """Sends a notice to the neighbours on the ring."""
-        self.notifier.spread(notice)
+        self.notifier.notify_neighbours(notice)
--- a/src/rattanpier/_internal/membership/notices.py
+++ b/src/rattanpier/_internal/membership/notices.py
@@ -53,7 +53,7 @@
     roster: Roster
     links: Links | None
 
-    def spread(self, notice: peer_pb2.Notice) -> None:
+    def notify_neighbours(self, notice: peer_pb2.Notice) -> None:
         """Sends a notice to the neighbours on the ring."""
         known = self.roster.known
         names = neighbours(known, self.me().name)
@@ -66,9 +66,9 @@
         for member in targets:
             self.links.to(member).notify(notice)
 
-    def close_links(self) -> None:
+    def close_stale_links(self) -> None:
         """Ends links to processes that are gone."""
         if self.links is None:
             return
         known = self.roster.known.values()
-        self.links.keep({(item.peer_host, item.peer_port) for item in known})
+        self.links.retain({(item.peer_host, item.peer_port) for item in known})
--- a/src/rattanpier/_internal/membership/own_row.py
+++ b/src/rattanpier/_internal/membership/own_row.py
@@ -49,7 +49,7 @@
     return await table.get(member_key(me.name))
 
 
-def judge_row(row: Row | None, me: Member, recorded: bool) -> RowState:
+def classify_row(row: Row | None, me: Member, recorded: bool) -> RowState:
     """Says what the row under this process's name tells.
 
     Args:
--- a/src/rattanpier/_internal/membership/probing.py
+++ b/src/rattanpier/_internal/membership/probing.py
@@ -33,10 +33,10 @@
 
 log = structlog.get_logger(part="probes")
 
-PROBE_S = 1.0  # Between two probes of one successor.
+PROBE_INTERVAL_S = 1.0  # Between two probes of one successor.
 PING_TIMEOUT_S = 1.5
 INDIRECT_TIMEOUT_S = 2.0
-HELPERS = 3
+MAX_HELPERS = 3
 
 
 class Probe(enum.Enum):
@@ -58,10 +58,10 @@
       on_gone: Called with a member that is declared gone.
       on_self_gone: Called when a peer says that this process is gone.
       on_unknown: Called with a peer that does not know this process.
-      row_lapse_s: Returns how long a row may stand still.
-      under_way: Names that are being probed.
+      row_stale_s: Returns how long a row may stand still.
+      probing: Names that are being probed.
       last_answer: When a peer last answered a probe.
-      still: Rows watched while nobody else can be asked.
+      row_watches: Rows watched while nobody else can be asked.
     """
 
     me: Callable[[], Member]
@@ -73,22 +73,22 @@
     on_gone: Callable[[Member], None]
     on_self_gone: Callable[[], None]
     on_unknown: Callable[[Member], None]
-    row_lapse_s: Callable[[], float]
+    row_stale_s: Callable[[], float]
     directory_revision: Callable[[], int]
-    under_way: set[str] = attrs.Factory(set)
+    probing: set[str] = attrs.Factory(set)
     last_answer: float = float("-inf")
-    still: dict[str, RowWatch] = attrs.Factory(dict)
+    row_watches: dict[str, RowWatch] = attrs.Factory(dict)
 
-    async def round(self) -> None:
+    async def probe_successors(self) -> None:
         """Probes each successor that is not being probed already."""
         names = successors(self.roster.known, self.me().name)
-        targets = [name for name in names if name not in self.under_way]
+        targets = [name for name in names if name not in self.probing]
         await asyncio.gather(*(self.probe(name) for name in targets))
 
     async def probe(self, name: str) -> None:
         """Probes one member, and declares it gone if that is confirmed."""
         member = self.roster.known[name]
-        self.under_way.add(name)
+        self.probing.add(name)
         try:
             found = await self.ping(member, PING_TIMEOUT_S)
             if found in (Probe.REFUSED, Probe.SILENT):
@@ -97,9 +97,9 @@
             if found is Probe.REPLACED or found is Probe.REFUSED:
                 self.on_gone(member)
             elif found is Probe.ALIVE:
-                self.still.pop(name, None)
+                self.row_watches.pop(name, None)
         finally:
-            self.under_way.discard(name)
+            self.probing.discard(name)
 
     async def ping(self, member: Member, timeout_s: float) -> Probe:
         """Probes a member directly."""
@@ -136,7 +136,10 @@
         """
         direct, *indirect = await asyncio.gather(
             self.ping(member, INDIRECT_TIMEOUT_S),
-            *(self.ask(helper, member) for helper in self.helpers(member)),
+            *(
+                self.probe_through(helper, member)
+                for helper in self.helpers(member)
+            ),
         )
         if direct is Probe.ALIVE or True in indirect:
             return Probe.ALIVE
@@ -144,7 +147,7 @@
             return direct
         if direct is Probe.REFUSED or False in indirect:
             return Probe.REFUSED
-        if await self.row_stands_still(member):
+        if await self.is_row_stale(member):
             return Probe.REFUSED
         self.metrics.count("members.suspect.unconfirmed")
         return Probe.SILENT
@@ -155,9 +158,11 @@
         names = neighbours(
             (name for name in known if name != member.name), self.me().name
         )
-        return [known[name] for name in names[:HELPERS]]
+        return [known[name] for name in names[:MAX_HELPERS]]
 
-    async def ask(self, helper: Member, member: Member) -> bool | None:
+    async def probe_through(
+        self, helper: Member, member: Member
+    ) -> bool | None:
         """Returns what a helper found, or None if it does not answer."""
         request = peer_pb2.ProbeRequest(
             address=f"{member.peer_host}:{member.peer_port}",
@@ -173,18 +178,18 @@
         self.last_answer = self.clock.monotonic()
         return reply.probe.alive
 
-    async def row_stands_still(self, member: Member) -> bool:
+    async def is_row_stale(self, member: Member) -> bool:
         """Says whether a member stopped to refresh its row."""
         try:
             row = await self.table.get(member_key(member.name))
         except StoreUnavailableError:
             # Cut from all others and from the store: nobody is judged.
-            self.still.pop(member.name, None)
+            self.row_watches.pop(member.name, None)
             return False
         version = row.version if row else 0
-        watch = self.still.setdefault(member.name, RowWatch())
+        watch = self.row_watches.setdefault(member.name, RowWatch())
         unchanged_s = watch.unchanged_s(version, self.clock.monotonic())
-        return unchanged_s >= self.row_lapse_s()
+        return unchanged_s >= self.row_stale_s()
 
     # For peers.
 
--- a/src/rattanpier/_internal/membership/rejoining.py
+++ b/src/rattanpier/_internal/membership/rejoining.py
@@ -9,22 +9,22 @@
 
 
 @attrs.define
-class RejoinPause:
+class RejoinBackoff:
     """The pause before the next rejoin, which doubles with each.
 
     Attributes:
-      pause_s: Seconds between the next rejoin and the one after it.
+      backoff_s: Seconds between the next rejoin and the one after it.
       not_before: Monotonic seconds before which there is no rejoin.
     """
 
-    pause_s: float = MIN_REJOIN_S
+    backoff_s: float = MIN_REJOIN_S
     not_before: float = float("-inf")
 
     def is_over(self, now: float) -> bool:
         """Says whether the process may rejoin at a monotonic time."""
         return now >= self.not_before
 
-    def begin(self, now: float) -> None:
+    def record_rejoin(self, now: float) -> None:
         """Takes in a rejoin at a monotonic time."""
-        self.not_before = now + self.pause_s
-        self.pause_s = min(MAX_REJOIN_S, 2 * self.pause_s)
+        self.not_before = now + self.backoff_s
+        self.backoff_s = min(MAX_REJOIN_S, 2 * self.backoff_s)
--- a/src/rattanpier/_internal/membership/requests.py
+++ b/src/rattanpier/_internal/membership/requests.py
@@ -40,27 +40,27 @@
 
 
 @attrs.define
-class Requests:
+class DirectoryRequests:
     """What one process has to ask the directory's writer for.
 
     Attributes:
-      waiting: Presences that the store does not have yet, by request key.
+      pending: Presences that the store does not have yet, by request key.
     """
 
     table: Table
-    waiting: dict[str, Presence] = attrs.Factory(dict)
+    pending: dict[str, Presence] = attrs.Factory(dict)
 
     def add(self, presence: Presence) -> None:
         """Sees to it that the directory gets a presence."""
-        self.waiting[request_key(presence)] = presence
+        self.pending[request_key(presence)] = presence
 
     async def write(self) -> None:
         """Writes what waits; what is not surely written keeps waiting."""
-        waiting = dict(self.waiting)
-        if not waiting:
+        pending = dict(self.pending)
+        if not pending:
             return
-        outcome = await write_requests(self.table, list(waiting.values()))
+        outcome = await write_requests(self.table, list(pending.values()))
         if isinstance(outcome, Committed):
-            for key, presence in waiting.items():
-                if self.waiting.get(key) == presence:
-                    del self.waiting[key]
+            for key, presence in pending.items():
+                if self.pending.get(key) == presence:
+                    del self.pending[key]
--- a/src/rattanpier/_internal/membership/ring.py
+++ b/src/rattanpier/_internal/membership/ring.py
@@ -10,9 +10,9 @@
 
 from rattanpier._internal.utils.hashing import stable_hash
 
-PROBED = 2  # Successors that each process probes.
+PROBED_SUCCESSORS = 2  # Successors that each process probes.
 # Together these reach 420 members in at most 13 steps, over 5 links each.
-OFFSETS = (1, 2, 8, 32, 128)
+NEIGHBOUR_OFFSETS = (1, 2, 8, 32, 128)
 
 
 def ring_after(names: Iterable[str], me: str) -> list[str]:
@@ -28,13 +28,15 @@
 
 def successors(names: Iterable[str], me: str) -> list[str]:
     """Returns the names that `me` probes."""
-    return ring_after(names, me)[:PROBED]
+    return ring_after(names, me)[:PROBED_SUCCESSORS]
 
 
 def neighbours(names: Iterable[str], me: str) -> list[str]:
     """Returns the names that `me` sends notices to."""
     ring = ring_after(names, me)
-    return [ring[offset - 1] for offset in OFFSETS if offset <= len(ring)]
+    return [
+        ring[offset - 1] for offset in NEIGHBOUR_OFFSETS if offset <= len(ring)
+    ]
 
 
 def ring_order(names: Iterable[str]) -> list[tuple[int, str]]:
--- a/src/rattanpier/_internal/membership/roster.py
+++ b/src/rattanpier/_internal/membership/roster.py
@@ -34,10 +34,10 @@
         factory=lambda: BehaviorSubject({})
     )
 
-    def learn(self, presence: Presence) -> bool:
+    def apply_presence(self, presence: Presence) -> bool:
         """Takes in a presence; says whether it was news."""
         if presence.gone:
-            return self.depart(incarnation_id(presence.member))
+            return self.apply_departure(incarnation_id(presence.member))
         member = presence.member
         if incarnation_id(member) in self.departed:
             return False
@@ -48,18 +48,18 @@
                     # Whoever leaves is older than the one that is there.
                     return False
                 # A process that came again is not the one that was there.
-                self.remember_departed(incarnation_id(known))
+                self.record_departed(incarnation_id(known))
             elif presence.rank < Presence(known).rank or known == member:
                 return False
         self.known[member.name] = member
         self.publish()
         return True
 
-    def depart(self, identity: str) -> bool:
+    def apply_departure(self, identity: str) -> bool:
         """Takes in that an incarnation is gone; says whether it was news."""
         if identity in self.departed:
             return False
-        self.remember_departed(identity)
+        self.record_departed(identity)
         name = identity.split("/")[0]
         known = self.known.get(name)
         if known is not None and incarnation_id(known) == identity:
@@ -67,7 +67,7 @@
             self.publish()
         return True
 
-    def remember_departed(self, identity: str) -> None:
+    def record_departed(self, identity: str) -> None:
         """Remembers an incarnation as gone."""
         self.departed[identity] = None
         while len(self.departed) > MAX_DEPARTED:
--- a/src/rattanpier/_internal/membership/serving.py
+++ b/src/rattanpier/_internal/membership/serving.py
@@ -17,18 +17,18 @@
     assert members.prober is not None
     server.on_call("ping", members.prober.serve_ping)
     server.on_call("probe", members.prober.serve_probe)
-    server.on_notice("joined", lambda notice: take_joined(members, notice))
-    server.on_notice("leaving", lambda notice: take_leaving(members, notice))
-    server.on_notice("departed", lambda notice: take_departed(members, notice))
+    server.on_notice("joined", lambda notice: apply_joined(members, notice))
+    server.on_notice("leaving", lambda notice: apply_leaving(members, notice))
+    server.on_notice("departed", lambda notice: apply_departed(members, notice))
 
 
-def take_joined(members: Members, notice: peer_pb2.Notice) -> None:
+def apply_joined(members: Members, notice: peer_pb2.Notice) -> None:
     """Takes in that a member joined; passes news on."""
-    if members.take(Presence(decode(Member, notice.joined.member))):
-        members.spread(notice)
+    if members.apply_presence(Presence(decode(Member, notice.joined.member))):
+        members.notify_neighbours(notice)
 
 
-def take_leaving(members: Members, notice: peer_pb2.Notice) -> None:
+def apply_leaving(members: Members, notice: peer_pb2.Notice) -> None:
     """Takes in that a member leaves, before the directory says so."""
     known = members.roster.known.get(notice.leaving.member)
     if known is None or known.incarnation != notice.leaving.incarnation:
@@ -36,15 +36,15 @@
     if known.name == members.me.name:
         return
     leaving = attrs.evolve(known, state=MemberState.LEAVING)
-    if members.roster.learn(Presence(leaving)):
-        members.spread(notice)
+    if members.roster.apply_presence(Presence(leaving)):
+        members.notify_neighbours(notice)
 
 
-def take_departed(members: Members, notice: peer_pb2.Notice) -> None:
+def apply_departed(members: Members, notice: peer_pb2.Notice) -> None:
     """Takes in that a member is gone; passes news on."""
     identity = f"{notice.departed.member}/{notice.departed.incarnation}"
     if identity == incarnation_id(members.me):
-        members.note_self_gone()
-    elif members.gone_reports.take(identity):
+        members.record_self_gone()
+    elif members.gone_reports.apply_report(identity):
         # Passed on at once: others ask for themselves.
-        members.spread(notice)
+        members.notify_neighbours(notice)
--- a/src/rattanpier/_internal/membership/workers.py
+++ b/src/rattanpier/_internal/membership/workers.py
@@ -230,7 +230,7 @@
             reason=reason.value,
         )
         self.last_sequences[name, notice.origin] = self.sequence
-        self.members.spread(peer_pb2.Notice(worker=notice))
+        self.members.notify_neighbours(peer_pb2.Notice(worker=notice))
 
     def apply_notice(self, notice: peer_pb2.Notice) -> None:
         """Takes in what a peer found, and passes it on."""
@@ -254,7 +254,7 @@
             added.announced_at = now
         else:
             exclusion.confirmed_at = now
-        self.members.spread(notice)
+        self.members.notify_neighbours(notice)
 
     def forget_old_origins(self) -> None:
         """Drops numbers of processes that are gone."""
--- a/src/rattanpier/_internal/peers/links.py
+++ b/src/rattanpier/_internal/peers/links.py
@@ -31,7 +31,7 @@
             self.links[address] = Link(*address, self.member, self.tls)
         return self.links[address]
 
-    def keep(self, addresses: set[tuple[str, int]]) -> None:
+    def retain(self, addresses: set[tuple[str, int]]) -> None:
         """Ends the links to all other addresses; their calls fail."""
         for address in [key for key in self.links if key not in addresses]:
             link = self.links.pop(address)
--- a/src/rattanpier/_internal/programs/common.py
+++ b/src/rattanpier/_internal/programs/common.py
@@ -14,7 +14,7 @@
 from rattanpier._internal.configuration.currency import Currency
 from rattanpier._internal.configuration.follow import Follower
 from rattanpier._internal.kernel import Kernel
-from rattanpier._internal.membership.draining import Drain, add_leaving
+from rattanpier._internal.membership.draining import Drain, add_leaving_steps
 from rattanpier._internal.membership.members import Members
 from rattanpier._internal.membership.records import new_incarnation
 from rattanpier._internal.membership.serving import serve_peers
@@ -150,7 +150,7 @@
         cached = follower.configuration.fleet.entries_ttl_s
         return cached + settings.edge.drain_s
 
-    add_leaving(drain, clock, members.leave, outlive_s, members.remove)
+    add_leaving_steps(drain, clock, members.leave, outlive_s, members.remove)
 
 
 def add_brakes(kernel: Kernel, members: Members) -> Brakes:
--- a/tests/lib/network.py
+++ b/tests/lib/network.py
@@ -146,7 +146,7 @@
     def to(self, member):
         return NodeLink(self.node, member)
 
-    def keep(self, addresses):
+    def retain(self, addresses):
         pass
 
 
--- a/tests/unit/test_membership.py
+++ b/tests/unit/test_membership.py
@@ -303,7 +303,7 @@
     again = await network.start("n1")
     await network.clock.advance(DETECT_S)
     for node in without(nodes, old):
-        assert not node.members.take(leaving)
+        assert not node.members.apply_presence(leaving)
         assert node.members.alive(again.identity)
     directory = Directory(1, [again.members.me])
     changed, _ = apply_presences(directory, [leaving])
