--- a/benchmarks/hints.py
+++ b/benchmarks/hints.py
@@ -15,7 +15,7 @@
 import structlog
 
 from rattanpier._internal.models.member import Member, Role
-from rattanpier._internal.peers.hints import Hints
+from rattanpier._internal.peers.datagrams import DatagramNotifier
 from rattanpier._internal.peers.link import Link
 from rattanpier._internal.peers.proto import peer_pb2
 from rattanpier._internal.peers.server import PeerServer
@@ -50,7 +50,7 @@
     server.on_notice("prompt_sent", taken.append)
     await server.start(HOST, 0)
     link = Link(HOST, server.port, "bench")
-    hints = Hints(server.take_notice, Metrics())
+    hints = DatagramNotifier(server.handle_notice, Metrics())
     await hints.start(HOST, server.port)
     port = server.port
     member = Member(
--- a/src/rattanpier/_internal/peers/hints.py
+++ b/src/rattanpier/_internal/peers/datagrams.py
@@ -22,25 +22,25 @@
 log = structlog.get_logger(part="peers")
 
 # What fits into one packet on any link; longer hints are not sent.
-MOST_BYTES = 1200
+MAX_BYTES = 1200
 # Not yet taken by the kernel; further hints are dropped. A burst to 400 peers
 # fits, and it leaves a link of 5 Mbit/s within a tenth of a second.
-MOST_WAITING_BYTES = 65536
+MAX_BUFFERED_BYTES = 65536
 
 
-class Hints(asyncio.DatagramProtocol):
+class DatagramNotifier(asyncio.DatagramProtocol):
     """Sends hints, and hands those that come to a handler.
 
     Attributes:
-      take: Handles a notice.
+      handler: Handles a notice.
       metrics: Counts hints that were not sent or could not be read.
       transport: None until it is open.
     """
 
     def __init__(
-        self, take: Callable[[peer_pb2.Notice], None], metrics: Metrics
+        self, handler: Callable[[peer_pb2.Notice], None], metrics: Metrics
     ) -> None:
-        self.take = take
+        self.handler = handler
         self.metrics = metrics
         self.transport: asyncio.DatagramTransport | None = None
 
@@ -58,12 +58,12 @@
     def send(self, members: Iterable[Member], notice: peer_pb2.Notice) -> None:
         """Sends a hint to some peers."""
         packed = notice.SerializeToString()
-        if self.transport is None or len(packed) > MOST_BYTES:
-            self.note_dropped("long")
+        if self.transport is None or len(packed) > MAX_BYTES:
+            self.record_dropped("long")
             return
         for member in members:
-            if self.transport.get_write_buffer_size() > MOST_WAITING_BYTES:
-                self.note_dropped("full")
+            if self.transport.get_write_buffer_size() > MAX_BUFFERED_BYTES:
+                self.record_dropped("full")
                 return
             if member.hint_port:
                 address = (member.peer_host, member.hint_port)
@@ -74,18 +74,18 @@
         try:
             notice = peer_pb2.Notice.FromString(data)
         except DecodeError as error:
-            self.note_dropped("unreadable")
+            self.record_dropped("unreadable")
             log.warning("Hint left out.", peer=addr[0], error=str(error))
             return
         self.metrics.count("peers.hint_taken")
-        self.take(notice)
+        self.handler(notice)
 
     def error_received(self, exc: OSError) -> None:
         """Counts a hint that a peer's VM refused: no process listens there."""
-        self.note_dropped("refused")
+        self.record_dropped("refused")
         log.debug("Hint refused.", error=repr(exc))
 
-    def note_dropped(self, reason: str) -> None:
+    def record_dropped(self, reason: str) -> None:
         """Counts a hint that reaches nobody, or that nobody can read."""
         self.metrics.count(f"peers.hint_dropped.{reason}")
 
--- a/src/rattanpier/_internal/peers/link.py
+++ b/src/rattanpier/_internal/peers/link.py
@@ -30,11 +30,11 @@
 
 BATCH_PAUSE_S = 0.001  # Calls of one millisecond share a frame.
 CONNECT_TIMEOUT_S = 2.0
-FIRST_BACKOFF_S = 0.05
+MIN_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 1.0
 MAX_PENDING = 10_000  # Calls without a reply.
 MAX_NOTICES = 1_000  # Notices not yet sent; further ones are dropped.
-MAX_SILENT_CALLS = 3  # Timeouts in a row before the stream is replaced.
+MAX_CONSECUTIVE_TIMEOUTS = 3  # Timeouts in a row before the stream is replaced.
 BROKEN = (
     OSError,
     GRPCError,
@@ -53,9 +53,9 @@
       member: Own member name, sent in the first frame.
       pending: Futures of calls without a reply, by call id.
       connected: Whether the present stream has been answered.
-      silent_calls: Timeouts since the last frame from the peer; of calls
+      consecutive_timeouts: Timeouts since the last frame from the peer; of calls
         that overlap only one is counted.
-      silent_at: Monotonic time of the last timeout that was counted on the
+      last_timeout_at: Monotonic time of the last timeout that was counted on the
         present stream, 0 if none was; infinite while there is no stream.
       backoff_s: Wait before the next stream; 0 after one that worked.
       retry_at: Monotonic time before which no stream is opened.
@@ -78,8 +78,8 @@
         self.wake = asyncio.Event()
         self.task: asyncio.Task[None] | None = None
         self.connected = False
-        self.silent_calls = 0
-        self.silent_at = math.inf
+        self.consecutive_timeouts = 0
+        self.last_timeout_at = math.inf
         self.backoff_s = 0.0
         self.retry_at = 0.0
 
@@ -105,7 +105,7 @@
         try:
             reply = await asyncio.wait_for(future, timeout_s)
         except TimeoutError as error:
-            self.note_silence(sent_at)
+            self.record_timeout(sent_at)
             raise PeerUnavailableError(
                 f"peer {self.address} did not answer"
             ) from error
@@ -134,7 +134,7 @@
             self.frame = peer_pb2.Frame(sender=self.member)
             self.task = asyncio.get_running_loop().create_task(self.run())
 
-    def note_silence(self, sent_at: float) -> None:
+    def record_timeout(self, sent_at: float) -> None:
         """Counts a call without a reply; replaces a silent stream.
 
         Nothing is counted before a stream is open; else calls given up
@@ -143,13 +143,16 @@
         Taken one by one they would end its stream, with every other call on
         it, and a new stream costs a busy peer more still.
         """
-        if sent_at < self.silent_at:
+        if sent_at < self.last_timeout_at:
             return
-        self.silent_at = time.monotonic()
-        self.silent_calls += 1
-        if self.silent_calls >= MAX_SILENT_CALLS and self.task is not None:
+        self.last_timeout_at = time.monotonic()
+        self.consecutive_timeouts += 1
+        if (
+            self.consecutive_timeouts >= MAX_CONSECUTIVE_TIMEOUTS
+            and self.task is not None
+        ):
             log.info("Link is silent.", peer=self.address)
-            self.silent_calls = 0
+            self.consecutive_timeouts = 0
             self.task.cancel()
 
     async def run(self) -> None:
@@ -164,19 +167,19 @@
             error = broken
             log.info("Link broke.", peer=self.address, error=repr(broken))
         finally:
-            self.note_break()
+            self.record_break()
             if channel is not None:
                 channel.close()
             self.fail_pending(error)
 
-    def note_break(self) -> None:
+    def record_break(self) -> None:
         """Sets when the next stream may be opened."""
         worked, self.connected = self.connected, False
-        self.silent_at = math.inf
+        self.last_timeout_at = math.inf
         self.backoff_s = (
             0.0
             if worked
-            else min(MAX_BACKOFF_S, max(FIRST_BACKOFF_S, 2 * self.backoff_s))
+            else min(MAX_BACKOFF_S, max(MIN_BACKOFF_S, 2 * self.backoff_s))
         )
         # Peers of one process that went must not come back in step.
         wait = self.backoff_s * random.uniform(0.5, 1.0)
@@ -191,8 +194,8 @@
                     PeerStub(channel).Exchange.open()
                 )
                 await stream.send_request()
-            self.silent_at = 0.0
-            self.silent_calls = 0
+            self.last_timeout_at = 0.0
+            self.consecutive_timeouts = 0
             loop = asyncio.get_running_loop()
             work = [
                 loop.create_task(self.send(stream)),
@@ -222,7 +225,7 @@
         """Takes frames until the peer ends the stream."""
         async for frame in stream:  # type: ignore[attr-defined]
             self.connected = True
-            self.silent_calls = 0
+            self.consecutive_timeouts = 0
             self.receive(frame)
 
     def receive(self, frame: peer_pb2.Frame) -> None:
--- a/src/rattanpier/_internal/peers/server.py
+++ b/src/rattanpier/_internal/peers/server.py
@@ -17,8 +17,10 @@
 
 log = structlog.get_logger(part="peers")
 
-MAX_RUNNING = 5_000  # Calls of one peer under way; more are refused at once.
-MAX_OUTGOING = 10_000  # Replies a peer has not read; then it is cut off.
+MAX_RUNNING_CALLS = (
+    5_000  # Calls of one peer under way; more are refused at once.
+)
+MAX_QUEUED_REPLIES = 10_000  # Replies a peer has not read; then it is cut off.
 
 CallHandler = Callable[[peer_pb2.Call], Awaitable[peer_pb2.Reply]]
 NoticeHandler = Callable[[peer_pb2.Notice], None]
@@ -59,13 +61,13 @@
             await stream.send_initial_metadata()
             async for frame in stream:
                 for notice in frame.notices:
-                    self.take_notice(notice)
-                if outgoing.qsize() > MAX_OUTGOING:
+                    self.handle_notice(notice)
+                if outgoing.qsize() > MAX_QUEUED_REPLIES:
                     log.warning("A peer reads no replies.")
                     return
                 for call in frame.calls:
-                    if len(running) >= MAX_RUNNING:
-                        outgoing.put_nowait(busy(call))
+                    if len(running) >= MAX_RUNNING_CALLS:
+                        outgoing.put_nowait(busy_reply(call))
                         continue
                     task = asyncio.get_running_loop().create_task(
                         self.answer(call, outgoing)
@@ -93,16 +95,16 @@
         kind = call.WhichOneof("body")
         handler = self.calls.get(kind or "")
         if handler is None:
-            reply = failure("unknown_call", f"no handler for {kind!r}")
+            reply = failure_reply("unknown_call", f"no handler for {kind!r}")
         else:
             try:
                 reply = await handler(call)
             except RattanpierError as error:
-                reply = failure(error.code, error.message)
+                reply = failure_reply(error.code, error.message)
         reply.id = call.id
         outgoing.put_nowait(reply)
 
-    def take_notice(self, notice: peer_pb2.Notice) -> None:
+    def handle_notice(self, notice: peer_pb2.Notice) -> None:
         """Hands a notice to its handlers."""
         kind = notice.WhichOneof("body") or ""
         for handler in self.notices.get(kind, []):
@@ -128,14 +130,14 @@
             await self.server.wait_closed()
 
 
-def failure(code: str, message: str) -> peer_pb2.Reply:
+def failure_reply(code: str, message: str) -> peer_pb2.Reply:
     """Returns a reply that says what went wrong."""
     return peer_pb2.Reply(failure=peer_pb2.Failure(code=code, message=message))
 
 
-def busy(call: peer_pb2.Call) -> peer_pb2.Reply:
+def busy_reply(call: peer_pb2.Call) -> peer_pb2.Reply:
     """Returns the reply to a call that is not even tried."""
-    reply = failure("busy", "too many calls are under way")
+    reply = failure_reply("busy", "too many calls are under way")
     reply.id = call.id
     return reply
 
--- a/src/rattanpier/_internal/programs/relay_peers.py
+++ b/src/rattanpier/_internal/programs/relay_peers.py
@@ -8,7 +8,7 @@
 from rattanpier._internal.membership.records import new_incarnation
 from rattanpier._internal.models.member import Member, Role
 from rattanpier._internal.models.relay_settings import RelaySettings
-from rattanpier._internal.peers.hints import Hints
+from rattanpier._internal.peers.datagrams import DatagramNotifier
 from rattanpier._internal.peers.links import Links
 from rattanpier._internal.peers.server import PeerServer
 from rattanpier._internal.relay.broadcast import Broadcaster
@@ -82,7 +82,7 @@
     broadcaster.handlers["store_news"] = gossip.receive_store_news
     await server.start(settings.peers.host, settings.peers.port)
     hints = kernel.add(
-        "hints", Hints(server.take_notice, kernel.find("metrics"))
+        "hints", DatagramNotifier(server.handle_notice, kernel.find("metrics"))
     )
     kernel.services["hints"].stop = hints.stop
     await hints.start(settings.hints.host, settings.hints.port)
--- a/tests/lib/fleet.py
+++ b/tests/lib/fleet.py
@@ -181,7 +181,7 @@
     def notify(self, notice):
         peer = self.fleet.nodes.get(self.peer.name)
         if peer is not None and peer.gate.open.is_set():
-            peer.server.take_notice(notice)
+            peer.server.handle_notice(notice)
 
 
 class NodeLinks:
--- a/tests/lib/network.py
+++ b/tests/lib/network.py
@@ -197,7 +197,7 @@
         return f"{self.members.me.name}/{self.members.me.incarnation}"
 
     def take(self, notice):
-        self.server.take_notice(notice)
+        self.server.handle_notice(notice)
 
     async def start(self):
         await self.members.step()
--- a/tests/unit/test_hints.py
+++ b/tests/unit/test_hints.py
@@ -6,7 +6,7 @@
 
 from rattanpier._internal.exceptions import SettingsError
 from rattanpier._internal.models.member import Member, Role
-from rattanpier._internal.peers.hints import MOST_BYTES, Hints
+from rattanpier._internal.peers.datagrams import MAX_BYTES, DatagramNotifier
 from rattanpier._internal.peers.proto import peer_pb2
 from rattanpier._internal.platform.settings import decode_settings
 from rattanpier._internal.utils.metrics import Metrics
@@ -32,7 +32,7 @@
 @pytest.fixture
 async def peer():
     taken = []
-    hints = Hints(taken.append, Metrics())
+    hints = DatagramNotifier(taken.append, Metrics())
     port = free_port()
     await hints.start("127.0.0.1", port)
     yield hints, make_member(port), taken
@@ -64,7 +64,7 @@
 
 async def test_what_does_not_fit_into_a_packet_is_not_sent(peer):
     hints, member, taken = peer
-    long = make_notice(parts=range(MOST_BYTES))
+    long = make_notice(parts=range(MAX_BYTES))
     hints.send([member], long)
     assert dropped(hints, "long") == 1
     hints.send([member], make_notice())
--- a/tests/unit/test_peers_link.py
+++ b/tests/unit/test_peers_link.py
@@ -97,7 +97,7 @@
 
     listener = await asyncio.start_server(swallow, "127.0.0.1", 0)
     link = links(listener.sockets[0].getsockname()[1])
-    for _ in range(link_module.MAX_SILENT_CALLS + 2):
+    for _ in range(link_module.MAX_CONSECUTIVE_TIMEOUTS + 2):
         with pytest.raises(PeerUnavailableError):
             await asyncio.wait_for(link.call(ping_call(), 0.1), 30)
     # The silent stream was given up and another one opened.
