--- a/src/rattanpier/_internal/membership/exclusions.py
+++ b/src/rattanpier/_internal/membership/exclusions.py
@@ -1,4 +1,7 @@
-"""Workers that get nothing new, as one entry knows them; no network here."""
+"""Workers that one entry excludes from new requests.
+
+This is local state only; `workers` probes and exchanges notices.
+"""
 
 from __future__ import annotations
 
@@ -13,26 +16,29 @@
     Worker,
 )
 
-MAX_SUSPECT_SHARE = 0.5  # Of a pool; more are not left out on suspicion.
+# Share of a pool that may be excluded because workers do not answer.
+MAX_SUSPECT_SHARE = 0.5
 
 
 class ExclusionReason(enum.StrEnum):
-    """Why a worker gets nothing new."""
+    """Why a worker is excluded from new requests."""
 
-    LEAVING = "leaving"  # The platform says so.
-    SILENT = "silent"  # It does not answer.
+    LEAVING = "leaving"  # The platform lists its VM as leaving.
+    SILENT = "silent"  # It does not answer probes or requests.
 
 
 @attrs.define
 class Exclusion:
-    """A worker that gets nothing new; times are monotonic seconds.
+    """The exclusion of one worker; times are monotonic seconds.
 
     Attributes:
-      reason: Why.
-      since: When this entry learned of it.
-      confirmed_at: When it last heard of it.
-      url: Where the worker was then; a new address is a new machine.
-      announced_at: When it last told others.
+      reason: Why the worker is excluded.
+      since: When this entry first recorded the exclusion.
+      confirmed_at: When the exclusion was last confirmed, here or by a peer.
+      url: Base address of the worker at that time. A worker with another
+        address runs on another machine, so the exclusion does not apply.
+      announced_at: When peers were last notified of it, by this entry or by
+        the one that found it.
     """
 
     reason: ExclusionReason
@@ -44,18 +50,19 @@
 
 @attrs.define
 class WorkerExclusions:
-    """A collection of the names of the workers that get nothing new.
+    """A collection of the names of excluded workers.
 
     Attributes:
       configuration: Returns the configuration in force.
-      exclusions: Workers that are leaving or silent, by name.
+      exclusions: Exclusions by worker name. Some may be out of date, or exceed
+        the share of a pool that may be excluded.
     """
 
     configuration: Callable[[], Configuration]
     exclusions: dict[str, Exclusion] = attrs.Factory(dict)
 
     def __contains__(self, name: object) -> bool:
-        """Says whether a worker gets nothing new."""
+        """Returns whether a worker is excluded from new requests."""
         exclusion = self.exclusions.get(str(name))
         if exclusion is None or exclusion.url != self.url_of(str(name)):
             return False
@@ -64,7 +71,7 @@
         return str(name) in self.excluded_silent(self.pool_of(str(name)))
 
     def is_leaving(self, name: str) -> bool:
-        """Says whether the platform told that a worker leaves."""
+        """Returns whether the platform lists a worker as leaving."""
         exclusion = self.exclusions.get(name)
         return (
             exclusion is not None
@@ -73,42 +80,50 @@
         )
 
     def __iter__(self) -> Iterator[str]:
-        """Iterates over the workers that get nothing new."""
+        """Iterates over the names of the excluded workers."""
         return (name for name in self.exclusions if name in self)
 
     def __len__(self) -> int:
-        """Returns how many workers get nothing new."""
+        """Returns the number of excluded workers."""
         return sum(1 for _ in self)
 
     def get(self, name: str) -> Exclusion | None:
-        """Returns what is known of a worker, though it be out of date."""
+        """Returns the exclusion of a worker, even if it is out of date."""
         return self.exclusions.get(name)
 
     def add(
         self, name: str, reason: ExclusionReason, since: float, now: float
     ) -> Exclusion:
-        """Notes that a worker gets nothing new at its present address."""
+        """Excludes a worker at its current address."""
         exclusion = Exclusion(reason, since, now, self.url_of(name))
         self.exclusions[name] = exclusion
         return exclusion
 
     def remove(self, name: str) -> None:
-        """Takes a worker into use again."""
+        """Removes the exclusion of a worker.
+
+        Raises:
+          KeyError: The worker has no exclusion.
+        """
         del self.exclusions[name]
 
     def expire(self, before: float) -> None:
-        """Drops what was last heard of too long ago, or is not in use."""
+        """Removes exclusions confirmed before a time or of unknown workers.
+
+        Args:
+          before: Monotonic seconds.
+        """
         for name, exclusion in list(self.exclusions.items()):
             if exclusion.confirmed_at < before or self.find(name) is None:
                 self.remove(name)
 
     def workers(self) -> Iterator[tuple[str, Worker]]:
-        """Iterates over all workers of the configuration, by name."""
+        """Iterates over names and workers of the whole configuration."""
         for upstream in self.configuration().upstreams.values():
             yield from upstream.workers.items()
 
     def pool_of(self, name: str) -> Upstream | None:
-        """Returns the pool of a worker, or None."""
+        """Returns the pool that a worker belongs to, or None."""
         for upstream in self.configuration().upstreams.values():
             if name in upstream.workers:
                 return upstream
@@ -120,15 +135,15 @@
         return pool.workers[name] if pool else None
 
     def url_of(self, name: str) -> str:
-        """Returns where a worker is by the configuration in force."""
+        """Returns the base address of a worker, or "" if it is unknown."""
         worker = self.find(name)
         return worker.url if worker else ""
 
     def excluded_silent(self, pool: Upstream | None) -> list[str]:
-        """Returns the silent workers of a pool that are left out.
+        """Returns the silent workers of a pool that are excluded.
 
-        Should most of a pool seem silent, the fault may be the observer's:
-        those suspected last stay in use.
+        If most of a pool seems silent, the fault may be on the side of this
+        entry, so the workers suspected last stay in use.
         """
         if pool is None:
             return []
--- a/src/rattanpier/_internal/membership/ring.py
+++ b/src/rattanpier/_internal/membership/ring.py
@@ -1,6 +1,6 @@
-"""A hash ring of members: who probes whom, and who passes notices on to whom.
+"""A hash ring of members: which peers a process probes and notifies.
 
-Each process talks to a few others whose number does not grow with the fleet.
+Each process talks to a bounded number of peers, whatever the fleet's size.
 """
 
 from __future__ import annotations
@@ -10,13 +10,14 @@
 
 from rattanpier._internal.utils.hashing import stable_hash
 
-PROBED_SUCCESSORS = 2  # Successors that each process probes.
-# Together these reach 420 members in at most 13 steps, over 5 links each.
+PROBED_SUCCESSORS = 2  # Probed by each process.
+# Ring distances of the peers that get notices. With these, a notice reaches
+# 420 members in at most 13 hops, over 5 links for each member.
 NEIGHBOUR_OFFSETS = (1, 2, 8, 32, 128)
 
 
 def ring_after(names: Iterable[str], me: str) -> list[str]:
-    """Returns the other names in ring order, beginning behind `me`.
+    """Returns the other names in ring order, starting after `me`.
 
     >>> len(ring_after(["a", "b", "c"], "b"))
     2
@@ -40,12 +41,12 @@
 
 
 def ring_order(names: Iterable[str]) -> list[tuple[int, str]]:
-    """Returns names with their places on the ring, in ring order."""
+    """Returns pairs of ring position and name, in ring order."""
     return sorted((stable_hash(name), name) for name in names)
 
 
 def owners(key: str, ring: list[tuple[int, str]], count: int) -> list[str]:
-    """Returns the names behind a key's place, at most `count`.
+    """Returns up to `count` names that follow a key's ring position.
 
     >>> owners("k", ring_order(["a"]), 2)
     ['a']
--- a/src/rattanpier/_internal/membership/worker_probe.py
+++ b/src/rattanpier/_internal/membership/worker_probe.py
@@ -1,4 +1,4 @@
-"""The probe of a worker, and the addresses it goes by."""
+"""HTTP probes of workers, and their addresses in the platform's list."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 PROBE_TIMEOUT_S = 0.7
 
-# Says whether the worker at a base address answers.
+# Returns whether the worker at a base address answers.
 ProbeWorker = Callable[[str], Awaitable[bool]]
 
 
@@ -26,7 +26,7 @@
 
 
 def http_probe(session: aiohttp.ClientSession) -> ProbeWorker:
-    """Returns the probe by HTTP: any answer will do."""
+    """Returns a probe by HTTP; a response of any status counts as alive."""
 
     async def probe(url: str) -> bool:
         timeout = aiohttp.ClientTimeout(total=PROBE_TIMEOUT_S)
--- a/src/rattanpier/_internal/membership/workers.py
+++ b/src/rattanpier/_internal/membership/workers.py
@@ -1,8 +1,9 @@
-"""Upstream workers that must get nothing new: leaving, or not answering.
+"""Health checks of upstream workers, shared by the entries.
 
-Each worker is probed by two entries, so that an entry's share of the probes
-does not grow with the fleet. What one entry finds narrows its own choice at
-once and is spread to the others by notices. A worker comes back by a probe.
+Workers that leave or do not answer are excluded from new requests. Each worker
+is probed by two entries, so that the number of probes an entry sends does not
+grow with the fleet. An entry applies its own findings at once and sends them
+to its peers by notices. A silent worker is used again after a successful probe.
 """
 
 from __future__ import annotations
@@ -35,33 +36,35 @@
 log = structlog.get_logger(part="workers")
 
 PROBE_INTERVAL_S = 0.8  # Between two probes of one worker by one entry.
-ENTRIES_PER_WORKER = (
-    2  # Entries that probe one worker, and that read the VM list.
-)
-VM_LIST_INTERVAL_S = 1.0  # Between reads of the VM list.
+# Entries that probe one worker, and that read the list of VMs.
+ENTRIES_PER_WORKER = 2
+VM_LIST_INTERVAL_S = 1.0  # Between reads of the list of VMs.
 REMINDER_INTERVAL_S = 10.0  # Between notices that a worker still is down.
-EXCLUSION_TTL_S = 30.0  # A worker of which nobody reminds is tried again.
-MAX_SEQUENCES_PER_ORIGIN = (
-    4  # Notice numbers, for each live process and absence.
-)
+# An exclusion without reminders ends after this time.
+EXCLUSION_TTL_S = 30.0
+# Sequence numbers kept for each live process and each exclusion.
+MAX_SEQUENCES_PER_ORIGIN = 4
 
 ReadVms = Callable[[], Awaitable[list[Vm]]]
 
 
 @attrs.define
 class Workers:
-    """Which workers get nothing new; a collection of their names.
+    """Tracks which workers are excluded; a collection of their names.
 
     Attributes:
       configuration: Returns the configuration in force.
-      probe: Says whether the worker at a base address answers.
+      probe: Returns whether the worker at a base address answers.
       spawn: Runs a task.
-      read_vms: Returns the platform's list, or None if there is none.
-      exclusions: Workers that are leaving or silent.
-      checking: Workers that are being probed out of turn.
-      listed: Workers that were leaving when the list was last read here.
-      sequence: Number of the last notice sent.
-      heard: The latest notice's number, by worker and origin.
+      read_vms: Returns the VMs that the platform lists; None without such a
+        list.
+      exclusions: Workers that are leaving or silent, as this entry knows them.
+      checking: Names of workers with a probe in progress.
+      listed_leaving: Workers listed as leaving when this entry last read the
+        list.
+      sequence: Sequence number of the last notice sent.
+      last_sequences: Highest sequence number applied, by worker and origin;
+        older notices are ignored.
     """
 
     configuration: Callable[[], Configuration]
@@ -78,31 +81,35 @@
     exclusions: WorkerExclusions = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Puts the parts together."""
+        """Creates the collection of exclusions."""
         self.exclusions = WorkerExclusions(self.configuration)
 
-    # The choice of a worker.
+    # Collection of excluded workers.
 
     def __contains__(self, name: object) -> bool:
-        """Says whether a worker gets nothing new."""
+        """Returns whether a worker is excluded from new requests."""
         return name in self.exclusions
 
     def leaving(self) -> list[str]:
-        """Returns the workers that leave; not those that seem silent."""
+        """Returns the workers listed as leaving, without the silent ones."""
         return [name for name in self if self.exclusions.is_leaving(name)]
 
     def __iter__(self) -> Iterator[str]:
-        """Iterates over the workers that get nothing new."""
+        """Iterates over the names of the excluded workers."""
         return iter(self.exclusions)
 
     def __len__(self) -> int:
-        """Returns how many workers get nothing new."""
+        """Returns the number of excluded workers."""
         return len(self.exclusions)
 
-    # What dispatch sees.
+    # Failures seen by dispatch.
 
     def record_failure(self, name: str, error: Exception) -> None:
-        """Takes in that a request to a worker failed."""
+        """Records that a request to a worker failed.
+
+        A failed connection excludes the worker at once; any other network
+        error or a timeout causes a probe.
+        """
         cause = error.__cause__
         if isinstance(cause, aiohttp.ClientConnectorError):
             self.suspect(name)
@@ -110,7 +117,7 @@
             self.check_soon(name)
 
     def check_soon(self, name: str) -> None:
-        """Probes a worker out of turn."""
+        """Probes a worker now, unless a probe is in progress."""
         worker = self.exclusions.find(name)
         if worker is not None and name not in self.checking:
             self.checking.add(name)
@@ -119,9 +126,9 @@
     # Probes.
 
     async def run(self, kernel: Kernel) -> None:
-        """Probes this entry's share of the workers until the end."""
+        """Probes the workers assigned to this entry until shutdown."""
         while not kernel.stopping.is_set():
-            # Workers of which nobody reminded are tried again.
+            # Without reminders an exclusion expires and the worker is used.
             self.exclusions.expire(self.clock.monotonic() - EXCLUSION_TTL_S)
             for name, worker in self.assigned_workers():
                 if name not in self.checking:
@@ -144,9 +151,9 @@
         return ring_order(member.name for member in self.members.entries())
 
     async def check(self, name: str, worker: Worker) -> None:
-        """Probes a worker, twice if need be, and tells what was found."""
+        """Probes a worker, twice if need be, and publishes the result."""
         try:
-            # A second probe, since one answer may be late or lost.
+            # A second probe, since a single answer may be late or lost.
             alive = await self.probe(worker.url) or await self.probe(worker.url)
         finally:
             self.checking.discard(name)
@@ -155,10 +162,10 @@
         else:
             self.suspect(name)
 
-    # The platform's list.
+    # The platform's list of VMs.
 
     async def follow_vms(self, kernel: Kernel) -> None:
-        """Reads the list of VMs until the end, if it is this entry's turn."""
+        """Reads the list of VMs until shutdown, while assigned to do so."""
         assert self.read_vms is not None
         while not kernel.stopping.is_set():
             readers = owners("vms", self.ring_of_entries(), ENTRIES_PER_WORKER)
@@ -170,7 +177,7 @@
             await self.clock.sleep(VM_LIST_INTERVAL_S)
 
     def apply_vms(self, vms: list[Vm]) -> None:
-        """Takes in the platform's list."""
+        """Applies the platform's list of VMs."""
         leaving = {vm.address for vm in vms if vm.state is VmState.LEAVING}
         listed = {
             name
@@ -179,21 +186,22 @@
         }
         for name in sorted(listed):
             self.exclude(name, ExclusionReason.LEAVING)
-        # Only what this entry read itself: a peer may have a newer list.
+        # Only workers that this entry itself saw listed: a peer may have read
+        # a newer list.
         for name in sorted(self.listed_leaving - listed):
             self.readmit(name, ExclusionReason.LEAVING)
         self.listed_leaving = listed
 
-    # Changes, and the others.
+    # Changes, and notices to and from peers.
 
     def suspect(self, name: str) -> None:
-        """Leaves out a worker that does not answer."""
+        """Excludes a worker that does not answer, unless it is leaving."""
         exclusion = self.exclusions.get(name)
         if exclusion is None or exclusion.reason is not ExclusionReason.LEAVING:
             self.exclude(name, ExclusionReason.SILENT)
 
     def exclude(self, name: str, reason: ExclusionReason) -> None:
-        """Leaves out a worker and tells the others, now and then again."""
+        """Excludes a worker and notifies peers, with periodic reminders."""
         now = self.clock.monotonic()
         exclusion = self.exclusions.get(name)
         if (
@@ -203,24 +211,26 @@
         ):
             exclusion = self.exclusions.add(name, reason, now, now)
             self.metrics.count(f"workers.absent.{reason.value}")
-            log.warning("Worker gets nothing new.", worker=name, why=reason)
+            log.warning(
+                "Worker excluded from new requests.", worker=name, why=reason
+            )
         exclusion.confirmed_at = now
         if now - exclusion.announced_at >= REMINDER_INTERVAL_S:
             exclusion.announced_at = now
             self.announce(name, down=True, reason=reason)
 
     def readmit(self, name: str, reason: ExclusionReason) -> None:
-        """Takes a worker into use again and tells the others."""
+        """Removes an exclusion with this reason and notifies peers."""
         exclusion = self.exclusions.get(name)
         if exclusion is None or exclusion.reason is not reason:
             return
         self.exclusions.remove(name)
         self.metrics.count(f"workers.back.{reason.value}")
-        log.info("Worker is back.", worker=name)
+        log.info("Worker in use again.", worker=name)
         self.announce(name, down=False, reason=reason)
 
     def announce(self, name: str, down: bool, reason: ExclusionReason) -> None:
-        """Tells the others of a change."""
+        """Notifies peers of a change."""
         self.sequence += 1
         notice = peer_pb2.WorkerNotice(
             worker=name,
@@ -233,7 +243,7 @@
         self.members.notify_neighbours(peer_pb2.Notice(worker=notice))
 
     def apply_notice(self, notice: peer_pb2.Notice) -> None:
-        """Takes in what a peer found, and passes it on."""
+        """Applies a notice of a peer and forwards it if it is new."""
         body = notice.worker
         known = self.exclusions.find(body.worker) is not None
         heard = self.last_sequences.get((body.worker, body.origin), 0)
@@ -250,14 +260,14 @@
         elif exclusion is None or reason is ExclusionReason.LEAVING:
             since = exclusion.since if exclusion else now
             added = self.exclusions.add(body.worker, reason, since, now)
-            # The origin told the others.
+            # The origin has notified the peers already.
             added.announced_at = now
         else:
             exclusion.confirmed_at = now
         self.members.notify_neighbours(notice)
 
     def forget_old_origins(self) -> None:
-        """Drops numbers of processes that are gone."""
+        """Drops sequence numbers of processes that are no longer live."""
         live = {item.incarnation for item in self.members.live.value.values()}
         origins = len(live) + len(self.exclusions.exclusions)
         if len(self.last_sequences) > MAX_SEQUENCES_PER_ORIGIN * origins:
