--- a/src/rattanpier/_internal/membership/directory.py
+++ b/src/rattanpier/_internal/membership/directory.py
@@ -1,8 +1,8 @@
-"""The directory of members in the table service: reading and writing it.
+"""Reads and writes the directory of members in the table service.
 
-Any process may ask for a change by a row of its own; whoever holds the lease
-row turns what was asked for into the next revision. Readers fetch only the
-changes behind their own revision, so that a read costs the same at any size.
+A process requests a change by a row of its own; the holder of the lease row
+merges the requests into the next revision. Readers fetch only the changes after
+their own revision, so the cost of a read does not depend on the fleet's size.
 """
 
 from __future__ import annotations
@@ -43,15 +43,16 @@
 
 log = structlog.get_logger(part="directory")
 
-MAX_KEPT_CHANGES = 64  # A reader further behind reads the whole directory.
+MAX_KEPT_CHANGES = 64  # A reader further behind does a full read.
 MAX_CANDIDATES = 3  # Processes that watch the directory's lease.
-LEASE_TIMEOUT_S = 4.0  # Unchanged for so long on the watcher's own clock.
-RANK_DELAY_S = 1.5  # The second candidate waits so much longer, and so on.
-MAX_REQUESTS = 200  # Requests taken into one revision.
+# A lease unchanged for this time on the watcher's own clock may be acquired.
+LEASE_TIMEOUT_S = 4.0
+RANK_DELAY_S = 1.5  # Additional wait for each rank after the first.
+MAX_REQUESTS = 200  # Requests merged into one revision.
 
 
 def candidate_rank(names: Iterable[str], me: str) -> int | None:
-    """Returns a process's place among those that watch the lease, or None.
+    """Returns a process's rank among those that watch the lease, or None.
 
     >>> [candidate_rank(["a", "b"], name) for name in ("a", "b")]
     [0, 1]
@@ -64,17 +65,17 @@
     """Returns the whole directory.
 
     Raises:
-      StoreUnavailableError: It can't be read.
+      StoreUnavailableError: The directory can't be read.
     """
     row = await table.get(FULL_KEY)
     return decode(Directory, row.value) if row else Directory()
 
 
 async def read_changes(table: Table, revision: int) -> list[Change]:
-    """Returns the changes behind a revision.
+    """Returns the changes after a revision, in order.
 
     Raises:
-      StoreUnavailableError: They can't be read.
+      StoreUnavailableError: The changes can't be read.
     """
     rows = await table.scan(CHANGE_PREFIX, change_key(revision))
     return [decode(Change, row.value) for row in rows]
@@ -82,12 +83,13 @@
 
 @attrs.define
 class DirectoryWriter:
-    """Holds the lease of the directory, or waits for it to lapse.
+    """Writes the directory while it holds the lease; else watches the lease.
 
     Attributes:
-      watch: The lease row, while another holds it.
-      directory: The directory as last written or read; None: to be read.
-      holding: Whether the lease was this process's at the last look.
+      watch: Watches the lease row while another process holds it.
+      directory: The directory as last written or read; None if it has to be
+        read again.
+      holding: Whether this process held the lease at the last step.
     """
 
     table: Table
@@ -99,15 +101,15 @@
     async def step(
         self, me: Member, rank: int, roster: Roster
     ) -> list[Presence]:
-        """Renews, watches or takes the lease; writes when it is held.
+        """Renews, watches or acquires the lease; writes if it is held.
 
         Args:
           me: This process.
-          rank: Its place among the candidates, from 0.
-          roster: What this process knows of the others.
+          rank: Its rank among the candidates, from 0.
+          roster: The members that this process knows.
 
         Returns:
-          What was written into the directory.
+          The presences written into the directory.
 
         Raises:
           StoreUnavailableError: The table service does not answer.
@@ -123,7 +125,7 @@
         return []
 
     def is_lease_free(self, row: Row | None, rank: int) -> bool:
-        """Says whether the lease is there to be taken."""
+        """Returns whether the lease may be acquired by a candidate."""
         if row is None:
             return True
         unchanged_s = self.watch.unchanged_s(
@@ -134,7 +136,7 @@
     async def acquire_lease(
         self, me: Member, row: Row | None, roster: Roster
     ) -> list[Presence]:
-        """Takes the lease from the version seen, and writes at once."""
+        """Acquires the lease if its row is unchanged, and writes at once."""
         version = row.version if row else ABSENT
         lease = DirectoryLease(incarnation_id(me))
         await self.table.transact(
@@ -142,17 +144,17 @@
                 [Check(LEASE_KEY, version)], [Put(LEASE_KEY, encode(lease))]
             )
         )
-        # Read back: the answer may be lost, and the version is needed.
+        # Read back: the answer may be lost, and the new version is needed.
         present = await self.table.get(LEASE_KEY)
         if present and decode(DirectoryLease, present.value) == lease:
-            log.info("Directory lease taken.", holder=lease.holder)
+            log.info("Directory lease acquired.", holder=lease.holder)
             return await self.write(me, present, roster)
         return []
 
     async def write(
         self, me: Member, lease_row: Row, roster: Roster
     ) -> list[Presence]:
-        """Renews the lease and writes what was asked for."""
+        """Renews the lease and writes the requested changes."""
         self.holding = True
         if self.directory is None:
             self.directory = await read_full(self.table)
@@ -183,13 +185,13 @@
                 ],
             )
         outcome = await self.table.transact(transaction)
-        # After a lost answer or a conflict the next step reads afresh.
+        # After a lost answer or a conflict the next step reads again.
         committed = isinstance(outcome, Committed)
         self.directory = directory if committed else None
         return presences if committed else []
 
     async def find_gone_rows(self, presences: list[Presence]) -> list[Row]:
-        """Returns the member rows whose incarnation is gone."""
+        """Returns the member rows that belong to incarnations now gone."""
         found = []
         for presence in presences:
             if not presence.gone:
@@ -206,9 +208,10 @@
 def unrecorded_presences(
     directory: Directory, roster: Roster, requested: list[Presence]
 ) -> list[Presence]:
-    """Returns what the writer knows by notices and nobody could record.
+    """Returns presences known by notices that nobody could record.
 
-    A process that is cut from the store can find another dead, or rejoin.
+    A process partitioned from the store can find a peer dead, or rejoin, but
+    can't write a request.
     """
     members = {incarnation_id(item): item for item in directory.members}
     requested_ids = {incarnation_id(item.member) for item in requested}
@@ -228,7 +231,7 @@
 
 
 def lease_renewal(me: Member, lease_row: Row) -> Transaction:
-    """Returns the transaction that renews a lease that is still held."""
+    """Returns a transaction that renews the lease if it is still held."""
     lease = DirectoryLease(incarnation_id(me))
     return Transaction(
         [Check(LEASE_KEY, lease_row.version)], [Put(LEASE_KEY, encode(lease))]
@@ -237,17 +240,17 @@
 
 @attrs.define
 class DirectoryReader:
-    """Follows the directory.
+    """Reads the directory incrementally.
 
     Attributes:
-      revision: The last revision taken in; None before the first.
+      revision: The last revision read; None before the first read.
     """
 
     table: Table
     revision: int | None = None
 
     async def read_new(self) -> list[Presence]:
-        """Returns the presences that are new since the last call.
+        """Returns the presences recorded since the last call.
 
         Raises:
           StoreUnavailableError: The directory can't be read.
--- a/src/rattanpier/_internal/membership/draining.py
+++ b/src/rattanpier/_internal/membership/draining.py
@@ -1,8 +1,9 @@
-"""A planned stop: what a process does between SIGTERM and its end.
+"""Graceful shutdown: the steps of a process between SIGTERM and its exit.
 
-The order is: tell the others, outlive the addresses that callers cached, close
-to new requests, finish what is in flight, hand over, go. No step has a limit
-that would cut a request; a step that takes long is only reported.
+The order is: notify peers, serve until the addresses cached by callers expire,
+refuse new requests, finish requests in flight, hand over duties, remove the
+member row. No step has a time limit, since that could abort a request; a step
+that takes long is only logged.
 """
 
 from __future__ import annotations
@@ -24,17 +25,17 @@
 class DrainPhase(enum.IntEnum):
     """When a step of a drain runs; the phases run in this order."""
 
-    ANNOUNCE = 1  # Others learn of it; this process serves as before.
-    OUTLIVE = 2  # Cached addresses run out; new requests are still served.
+    ANNOUNCE = 1  # Peers are notified; this process serves as before.
+    OUTLIVE = 2  # Cached addresses expire; new requests are still served.
     CLOSE = 3  # New requests are refused.
-    FINISH = 4  # Requests in flight end.
-    HAND_OVER = 5  # Nothing runs any more; duties go to others.
+    FINISH = 4  # Requests in flight are completed.
+    HAND_OVER = 5  # No request runs any more; duties go to peers.
     DEREGISTER = 6  # The member row is deleted.
 
 
 @attrs.frozen
 class DrainStep:
-    """A step of a drain, named in the log."""
+    """A step of a drain; its name appears in the log."""
 
     phase: DrainPhase
     name: str
@@ -43,11 +44,12 @@
 
 @attrs.define
 class Drain:
-    """The steps of a planned stop; services add their own.
+    """The steps of a graceful shutdown; services add their own.
 
     Attributes:
-      late_s: Seconds after which a step is reported as late.
-      steps: All steps; those of one phase run together.
+      late_s: Seconds after which a running step is logged as late, and between
+        repetitions of that.
+      steps: All steps; those of one phase run concurrently.
     """
 
     clock: Clock
@@ -71,7 +73,7 @@
         try:
             await step.hook()
         except Exception:
-            # Whatever fails, requests in flight still have to end.
+            # Requests in flight have to be completed even if a step fails.
             log.exception("Drain step failed.", step=step.name)
         finally:
             late.cancel()
@@ -79,7 +81,7 @@
         log.info("Drain step ended.", step=step.name, seconds=round(took, 2))
 
     async def report_late(self, step: DrainStep) -> None:
-        """Reports a step that takes long, again and again."""
+        """Logs periodically that a step takes long."""
         while True:
             await self.clock.sleep(self.late_s)
             log.warning("Drain step is late.", step=step.name)
@@ -92,13 +94,13 @@
     outlive_s: Callable[[], float],
     remove: Hook,
 ) -> None:
-    """Adds the steps that every process has.
+    """Adds the steps that each process has.
 
     Args:
       drain: The drain.
-      clock: For the wait.
-      leave: Tells the others that this process is leaving.
-      outlive_s: Returns the seconds to serve on after that.
+      clock: Clock for the wait.
+      leave: Notifies peers that this process is leaving.
+      outlive_s: Returns the seconds to continue serving after that.
       remove: Deletes the member row.
     """
     drain.add(DrainPhase.ANNOUNCE, "announce", leave)
--- a/src/rattanpier/_internal/membership/duties.py
+++ b/src/rattanpier/_internal/membership/duties.py
@@ -1,4 +1,4 @@
-"""Which control process has a duty that only one is to have."""
+"""Assigns duties to control processes, one process for each duty."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 def control_for(duty: str, live: Mapping[str, Member]) -> Member | None:
     """Returns the first control process in a duty's rendezvous order.
 
-    Processes that see different members may name different ones, so whoever
-    acts by this needs a lease besides.
+    Processes that see different members may return different ones, so the
+    process that carries out the duty needs a lease as well.
 
     Args:
       duty: Name of the duty.
--- a/src/rattanpier/_internal/membership/gone_reports.py
+++ b/src/rattanpier/_internal/membership/gone_reports.py
@@ -1,4 +1,4 @@
-"""What others say of members that are gone, and whether it is believed."""
+"""Verifies reports of peers that a member is gone."""
 
 from __future__ import annotations
 
@@ -16,23 +16,23 @@
 from rattanpier._internal.utils.metrics import Metrics
 
 VERIFY_TIMEOUT_S = 1.0
-REPEAT_WINDOW_S = 10.0  # The same said again within this time is not news.
-MAX_REPORTS = 1_000  # Reports.
+REPEAT_WINDOW_S = 10.0  # Repeated reports within this time are ignored.
+MAX_REPORTS = 1_000  # Reports remembered to detect repetitions.
 
 
 @attrs.define
 class GoneReports:
-    """Takes in reports that a member is gone.
+    """Applies reports that a member is gone.
 
-    A member that still answers here is kept: when the network between two
-    groups is cut, each declares the other gone, and only the other.
+    A member that still answers this process is kept: in a network partition
+    each side declares the other side gone, and must keep its own members.
 
     Attributes:
-      prober: Asks a reported member; None in a process without peers.
-      spawn: Runs a task; None until this process runs, and till then every
-        report is believed.
-      reported_at: Monotonic seconds of the last report, by "name/incarnation", the
-        oldest first.
+      prober: Probes a reported member; None in a process without peers.
+      spawn: Runs a task; None until this process runs. Until then every
+        report is accepted without a probe.
+      reported_at: Monotonic seconds of the last report, by
+        "name/incarnation", the oldest first.
     """
 
     roster: Roster
@@ -45,10 +45,10 @@
     )
 
     def apply_report(self, identity: str) -> bool:
-        """Takes in that others say of a "name/incarnation" that it is gone.
+        """Applies a report that a "name/incarnation" is gone.
 
         Returns:
-          True if it was news.
+          True if the report was new.
         """
         if identity in self.roster.departed or self.is_repeat(identity):
             return False
@@ -66,19 +66,19 @@
         return True
 
     def is_repeat(self, identity: str) -> bool:
-        """Says whether the same was reported a short time ago."""
+        """Returns whether the same was reported a short time ago."""
         reported_at = self.reported_at.get(identity, float("-inf"))
         return self.clock.monotonic() - reported_at < REPEAT_WINDOW_S
 
     def record_report(self, identity: str) -> None:
-        """Notes the time of a report, and forgets the oldest ones."""
+        """Records the time of a report and drops the oldest reports."""
         self.reported_at[identity] = self.clock.monotonic()
         self.reported_at.move_to_end(identity)
         while len(self.reported_at) > MAX_REPORTS:
             self.reported_at.popitem(last=False)
 
     async def verify(self, member: Member) -> None:
-        """Takes a member out unless it answers this process."""
+        """Removes a member unless it answers this process."""
         assert self.prober is not None
         found = await self.prober.ping(member, VERIFY_TIMEOUT_S)
         if found is Probe.ALIVE:
--- a/src/rattanpier/_internal/membership/members.py
+++ b/src/rattanpier/_internal/membership/members.py
@@ -1,7 +1,8 @@
-"""Who is alive: the directory in the store, notices and probes together.
+"""Membership of one process: the directory in the store, notices and probes.
 
-The store holds who belongs to the system. Who died is found by probes and
-spread by notices, so that it goes on without the store.
+The store records which processes belong to the system. Failed processes are
+detected by probes and announced by notices, so detection works while the store
+is down.
 """
 
 from __future__ import annotations
@@ -61,17 +62,15 @@
 
 log = structlog.get_logger(part="members")
 
-ROW_WRITES_PER_S = 20.0  # Of all processes together.
+ROW_WRITES_PER_S = 20.0  # Budget of all processes together.
 MIN_REFRESH_S = 2.0
-ROW_STALE_PERIODS = 3
-MAINTAIN_INTERVAL_S = (
-    1.0  # Between looks at the directory's lease, and of its holder.
-)
+ROW_STALE_PERIODS = 3  # Refresh periods after which a row is stale.
+MAINTAIN_INTERVAL_S = 1.0  # Between checks or renewals of the lease.
 READ_INTERVAL_S = 2.0  # Between reads of the directory.
-UNRECORDED_TIMEOUT_S = (
-    3.0  # Not in the directory for so long: watch its lease too.
-)
-MAX_ANSWER_AGE_S = 3.0  # A peer answered so lately: not cut off.
+# A process that is not in the directory after this time watches the lease too.
+UNRECORDED_TIMEOUT_S = 3.0
+# A process that a peer answered within this time is not partitioned.
+MAX_ANSWER_AGE_S = 3.0
 MAX_REMOVE_ATTEMPTS = 3
 
 
@@ -80,16 +79,16 @@
     """Membership as one process sees it.
 
     Attributes:
-      me: This process; its incarnation changes when it was declared gone.
-      links: To peers; None in a process without peers.
-      rejoined: Emits this process's member after such a change.
-      announced: This process as last told to the others, or None.
-      announced_at: When its incarnation was, in monotonic seconds.
+      me: This process; its incarnation changes when it rejoins.
+      links: Links to peers; None in a process without peers.
+      rejoined: Emits this process's member after each change of incarnation.
+      announced: This process as last announced to peers, or None.
+      announced_at: Monotonic seconds at which its incarnation was announced.
       recorded: Whether the directory has this incarnation.
-      yielded: Whether another process has this one's name.
+      yielded: Whether this process gave up its name to another one.
       must_rejoin: Whether this process was declared gone.
-      rejoin_backoff: When it may come back then.
-      next_refresh: Monotonic seconds at which the own row is due.
+      rejoin_backoff: Limits how often this process rejoins.
+      next_refresh: Monotonic seconds at which the own row is refreshed next.
     """
 
     me: Member
@@ -114,7 +113,7 @@
     prober: Prober | None = attrs.field(init=False, default=None)
 
     def __attrs_post_init__(self) -> None:
-        """Puts the parts together."""
+        """Creates the components and connects them."""
         self.reader = DirectoryReader(self.table)
         self.writer = DirectoryWriter(self.table, self.clock)
         self.requests = DirectoryRequests(self.table)
@@ -127,7 +126,7 @@
         self.roster.apply_presence(Presence(self.me))
 
     def build_prober(self, links: Links) -> Prober:
-        """Returns what probes peers, and tells what it finds."""
+        """Returns the prober of peers, connected to this membership."""
         return Prober(
             me=lambda: self.me,
             roster=self.roster,
@@ -165,10 +164,10 @@
         """Returns the other live members."""
         return self.roster.others(self.me.name)
 
-    # Work over time.
+    # Periodic work.
 
     async def run(self, kernel: Kernel) -> None:
-        """Keeps membership going until the end."""
+        """Runs the periodic work of membership until shutdown."""
         if self.prober is not None:
             self.gone_reports.spawn = kernel.spawn
         work = [
@@ -186,7 +185,7 @@
     async def repeat(
         self, kernel: Kernel, step: Callable, period_s: float
     ) -> None:
-        """Runs a step again and again; the store may fail meanwhile."""
+        """Runs a step periodically, also while the store is down."""
         while not kernel.stopping.is_set():
             try:
                 await step()
@@ -195,7 +194,7 @@
             await self.clock.sleep(period_s)
 
     async def step(self) -> None:
-        """Does at once what is done over time, apart from probes."""
+        """Does the periodic work once, without probes."""
         try:
             await self.read_directory()
             await self.maintain()
@@ -204,7 +203,7 @@
             log.warning("The directory can't be read.")
 
     async def maintain(self) -> None:
-        """Announces and refreshes this process; writes the directory."""
+        """Announces and refreshes this process; steps the directory writer."""
         self.roster.apply_presence(Presence(self.me))
         self.notifier.close_stale_links()
         self.announce()
@@ -225,18 +224,18 @@
         return max(MIN_REFRESH_S, len(self.roster.known) / ROW_WRITES_PER_S)
 
     def rank(self) -> int | None:
-        """Returns the place among the directory's candidates, or None."""
+        """Returns the rank among the candidates for the lease, or None."""
         if self.writer.holding:
             return 0
         rank = candidate_rank(self.roster.known, self.me.name)
         if rank is not None or self.recorded:
             return rank
-        # All candidates known may be dead when all processes started anew.
+        # After a restart of all processes every known candidate may be dead.
         unrecorded_s = self.clock.monotonic() - self.announced_at
         return MAX_CANDIDATES if unrecorded_s > UNRECORDED_TIMEOUT_S else None
 
     async def read_directory(self) -> None:
-        """Takes in what is new in the directory."""
+        """Applies new presences from the directory."""
         presences = await self.reader.read_new()
         if not self.recorded:
             presences += await read_requests(self.table)
@@ -244,7 +243,7 @@
             self.apply_presence(presence)
 
     def apply_presence(self, presence: Presence) -> bool:
-        """Takes in a presence; says whether it was news."""
+        """Applies a presence; returns whether it was new."""
         if presence.member.name == self.me.name:
             return self.apply_own_presence(presence)
         if presence.gone:
@@ -254,7 +253,7 @@
         return self.roster.apply_presence(presence)
 
     def apply_own_presence(self, presence: Presence) -> bool:
-        """Takes in what others say of this process."""
+        """Applies what peers report about this process."""
         if presence.member.incarnation != self.me.incarnation:
             return False
         if presence.gone:
@@ -266,7 +265,7 @@
     # This process.
 
     def announce(self) -> None:
-        """Tells the others of this process once it can be reached."""
+        """Announces this process to peers once it is reachable."""
         me = self.me
         if me == self.announced or not me.is_reachable:
             return
@@ -282,16 +281,16 @@
         self.requests.add(Presence(me))
         notice = joined_notice(me)
         if rejoined:
-            # Told to all: whoever finds the old incarnation gone by a probe
-            # has to know the new one already.
+            # Sent to all peers: one that finds the old incarnation gone by a
+            # probe has to know the new incarnation already.
             self.notifier.send(notice, self.others())
         else:
             self.notify_neighbours(notice)
 
     def announce_to(self, peer: Member) -> None:
-        """Tells a peer again whose notice was lost.
+        """Announces this process again to a peer that lost the notice.
 
-        While the store is down nothing else tells it of this process.
+        While the store is down the peer has no other source.
         """
         if self.announced != self.me or self.yielded:
             return
@@ -300,7 +299,7 @@
             self.notifier.send(joined_notice(self.me), [peer])
 
     async def refresh(self) -> None:
-        """Writes the own row, unless it says that this process is gone."""
+        """Refreshes the own row, unless it shows that this process is gone."""
         if self.yielded:
             return
         row = await read_row(self.table, self.me)
@@ -313,20 +312,21 @@
                 self.yield_name(owner)
 
     def yield_name(self, owner: Member) -> None:
-        """Leaves the name to the process that has it now."""
+        """Gives up the name to the process that has it now."""
         self.yielded = True
         self.metrics.count("members.name_taken")
-        log.error("Another process has this name.", other=owner.incarnation)
+        log.error("Name is in use by another process.", other=owner.incarnation)
 
     def record_self_gone(self) -> None:
-        """Takes in that this process was declared gone."""
+        """Records that this process was declared gone."""
         self.must_rejoin = True
 
     def rejoin(self) -> None:
-        """Comes back under a new incarnation; old claims stay without one.
+        """Rejoins as a new incarnation; claims of the old one have no live holder.
 
-        A process that no peer answers does not: it would be declared gone
-        again. One that is declared gone again and again waits longer.
+        A process that no peer answers does not rejoin, since it would be
+        declared gone again. One that is declared gone repeatedly waits longer
+        each time.
         """
         now = self.clock.monotonic()
         partitioned = (
@@ -342,23 +342,24 @@
         self.me = attrs.evolve(self.me, incarnation=new_incarnation())
         self.roster.apply_presence(Presence(self.me))
         self.metrics.count("members.rejoined")
-        log.warning("Declared gone; rejoined.", old=old)
+        log.warning("Declared gone; rejoined as a new incarnation.", old=old)
         self.rejoined.on_next(self.me)
         self.announce()
 
     async def leave(self) -> None:
-        """Tells the others that this process is leaving."""
+        """Notifies peers that this process is leaving."""
         self.me = attrs.evolve(self.me, state=MemberState.LEAVING)
         self.roster.apply_presence(Presence(self.me))
         self.announced = self.me
         self.requests.add(Presence(self.me))
-        # Told to all, not only to neighbours: callers ask any of them.
+        # Sent to all peers, not only to neighbours: callers may ask any of
+        # them for the list of entries.
         self.notifier.send(leaving_notice(self.me), self.others())
         self.next_refresh = float("-inf")
         await self.step()
 
     async def remove(self) -> None:
-        """Tells the others that this process is gone, and the store."""
+        """Notifies peers and the store that this process is gone."""
         gone = Presence(self.me, gone=True)
         self.notify_neighbours(departed_notice(self.me))
         self.requests.add(gone)
@@ -368,7 +369,9 @@
                 row = await read_row(self.table, self.me)
                 await remove_row(self.table, self.me, row)
             except StoreUnavailableError:
-                log.warning("The store is down; probes will find this end.")
+                log.warning(
+                    "Store unavailable; peers will detect the exit by probes."
+                )
             if not self.requests.pending:
                 return
             await self.clock.sleep(MAINTAIN_INTERVAL_S)
@@ -376,14 +379,14 @@
     # Peers.
 
     def declare_gone(self, member: Member) -> None:
-        """Takes a member out after a confirmed failure, and spreads it."""
+        """Removes a member after a confirmed failure and notifies peers."""
         if not self.roster.apply_departure(incarnation_id(member)):
             return
         self.metrics.count("members.declared_gone")
-        log.warning("Declared gone.", member=incarnation_id(member))
+        log.warning("Member declared gone.", member=incarnation_id(member))
         self.requests.add(Presence(member, gone=True))
         self.notify_neighbours(departed_notice(member))
-        # The one that is declared gone hears of it if it is not.
+        # The member is notified too: if it is alive after all, it rejoins.
         self.notifier.send(departed_notice(member), [member])
 
     def notify_neighbours(self, notice: peer_pb2.Notice) -> None:
--- a/src/rattanpier/_internal/membership/notices.py
+++ b/src/rattanpier/_internal/membership/notices.py
@@ -1,4 +1,4 @@
-"""Notices of membership, and to whom they are sent."""
+"""Builds notices about membership and sends them to peers."""
 
 from __future__ import annotations
 
@@ -45,8 +45,9 @@
 
     Attributes:
       me: Returns this process.
-      roster: The members that are known.
-      links: To peers; None in a process without peers, which sends nothing.
+      roster: The members that this process knows.
+      links: Links to peers; None in a process without peers, which sends
+        nothing.
     """
 
     me: Callable[[], Member]
@@ -67,7 +68,7 @@
             self.links.to(member).notify(notice)
 
     def close_stale_links(self) -> None:
-        """Ends links to processes that are gone."""
+        """Closes links to processes that are no longer known."""
         if self.links is None:
             return
         known = self.roster.known.values()
--- a/src/rattanpier/_internal/membership/own_row.py
+++ b/src/rattanpier/_internal/membership/own_row.py
@@ -1,4 +1,4 @@
-"""The row by which a process keeps its name in the table service."""
+"""The row that reserves a process's name in the table service."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class RowOwned:
-    """The row is this process's, or there to be taken."""
+    """The row belongs to this process, or may be written by it."""
 
 
 @attrs.frozen
@@ -28,10 +28,10 @@
 
 @attrs.frozen
 class NameTaken:
-    """A newer process has the name; this one was thawed late.
+    """A newer process has the name, as after a long freeze of this one.
 
     Attributes:
-      owner: The process that has it.
+      owner: The process that has the name.
     """
 
     owner: Member
@@ -50,7 +50,7 @@
 
 
 def classify_row(row: Row | None, me: Member, recorded: bool) -> RowState:
-    """Says what the row under this process's name tells.
+    """Classifies the row under this process's name.
 
     Args:
       row: The row as read.
@@ -69,7 +69,7 @@
 
 
 async def write_row(table: Table, me: Member, row: Row | None) -> None:
-    """Writes the own row over the version that was read."""
+    """Writes the own row if its version is still the one read."""
     key = member_key(me.name)
     version = row.version if row else ABSENT
     await table.transact(
@@ -78,7 +78,7 @@
 
 
 async def remove_row(table: Table, me: Member, row: Row | None) -> None:
-    """Deletes the row that was read if it still is the own one."""
+    """Deletes the row that was read if it belongs to this incarnation."""
     if row is None or decode(Member, row.value).incarnation != me.incarnation:
         return
     key = member_key(me.name)
--- a/src/rattanpier/_internal/membership/probing.py
+++ b/src/rattanpier/_internal/membership/probing.py
@@ -1,9 +1,10 @@
-"""Finds dead and frozen peers by direct and indirect probes.
+"""Detects dead and frozen peers by direct and indirect probes.
 
 A process probes its two successors on the ring. One that does not answer is
-probed again, by this process and through others at the same time; it is
-declared gone only if another confirms it, or its VM refuses the connection,
-or nobody else can be asked and its row in the table service stands still.
+probed again, directly and through other members at the same time. It is
+declared gone only if another member confirms that, or its VM refuses the
+connection, or no other member can be asked and its row in the table service is
+stale.
 """
 
 from __future__ import annotations
@@ -36,16 +37,16 @@
 PROBE_INTERVAL_S = 1.0  # Between two probes of one successor.
 PING_TIMEOUT_S = 1.5
 INDIRECT_TIMEOUT_S = 2.0
-MAX_HELPERS = 3
+MAX_HELPERS = 3  # Members asked for an indirect probe.
 
 
 class Probe(enum.Enum):
-    """What a probe found."""
+    """The result of a probe."""
 
     ALIVE = "alive"
-    REPLACED = "replaced"  # Another incarnation answers there.
-    REFUSED = "refused"  # Its VM says that nothing listens there.
-    SILENT = "silent"
+    REPLACED = "replaced"  # Another incarnation answers at its address.
+    REFUSED = "refused"  # Its VM refuses the connection.
+    SILENT = "silent"  # No answer in time.
     SELF_GONE = "self_gone"  # Alive, and says that this process is gone.
 
 
@@ -56,12 +57,13 @@
     Attributes:
       me: Returns this process.
       on_gone: Called with a member that is declared gone.
-      on_self_gone: Called when a peer says that this process is gone.
+      on_self_gone: Called when a peer reports that this process is gone.
       on_unknown: Called with a peer that does not know this process.
-      row_stale_s: Returns how long a row may stand still.
-      probing: Names that are being probed.
-      last_answer: When a peer last answered a probe.
-      row_watches: Rows watched while nobody else can be asked.
+      row_stale_s: Returns the seconds after which an unchanged row is stale.
+      directory_revision: Returns the revision that this process has read.
+      probing: Names of members with a probe in progress.
+      last_answer: Monotonic seconds of the last answer by a peer.
+      row_watches: Watched rows, by name, while no other member can be asked.
     """
 
     me: Callable[[], Member]
@@ -80,7 +82,7 @@
     row_watches: dict[str, RowWatch] = attrs.Factory(dict)
 
     async def probe_successors(self) -> None:
-        """Probes each successor that is not being probed already."""
+        """Probes each successor that has no probe in progress."""
         names = successors(self.roster.known, self.me().name)
         targets = [name for name in names if name not in self.probing]
         await asyncio.gather(*(self.probe(name) for name in targets))
@@ -128,11 +130,12 @@
         return Probe.ALIVE
 
     async def confirm(self, member: Member) -> Probe:
-        """Probes a member again, directly and through others.
+        """Probes a member again, directly and through other members.
 
         Returns:
-          ALIVE if anybody reached it, REFUSED if it is confirmed to be gone,
-          else SILENT: nothing is known, and the next round asks again.
+          ALIVE if any probe reached it, REPLACED if another incarnation
+          answered, REFUSED if it is confirmed to be gone, else SILENT: the
+          state is unknown, and the next round probes again.
         """
         direct, *indirect = await asyncio.gather(
             self.ping(member, INDIRECT_TIMEOUT_S),
@@ -153,7 +156,7 @@
         return Probe.SILENT
 
     def helpers(self, member: Member) -> list[Member]:
-        """Returns the members through which another is probed."""
+        """Returns the members asked to probe another one indirectly."""
         known = self.roster.known
         names = neighbours(
             (name for name in known if name != member.name), self.me().name
@@ -163,7 +166,7 @@
     async def probe_through(
         self, helper: Member, member: Member
     ) -> bool | None:
-        """Returns what a helper found, or None if it does not answer."""
+        """Returns whether a helper reached a member; None without an answer."""
         request = peer_pb2.ProbeRequest(
             address=f"{member.peer_host}:{member.peer_port}",
             member=member.name,
@@ -179,11 +182,11 @@
         return reply.probe.alive
 
     async def is_row_stale(self, member: Member) -> bool:
-        """Says whether a member stopped to refresh its row."""
+        """Returns whether a member has stopped refreshing its row."""
         try:
             row = await self.table.get(member_key(member.name))
         except StoreUnavailableError:
-            # Cut from all others and from the store: nobody is judged.
+            # Partitioned from all peers and the store: no member is judged.
             self.row_watches.pop(member.name, None)
             return False
         version = row.version if row else 0
@@ -191,7 +194,7 @@
         unchanged_s = watch.unchanged_s(version, self.clock.monotonic())
         return unchanged_s >= self.row_stale_s()
 
-    # For peers.
+    # Calls by peers.
 
     async def serve_ping(self, call: peer_pb2.Call) -> peer_pb2.Reply:
         """Answers a direct probe."""
@@ -208,7 +211,7 @@
         )
 
     async def serve_probe(self, call: peer_pb2.Call) -> peer_pb2.Reply:
-        """Probes a member for another process."""
+        """Probes a member on behalf of a peer."""
         request = call.probe
         identity = f"{request.member}/{request.incarnation}"
         member = self.roster.known.get(request.member)
--- a/src/rattanpier/_internal/membership/records.py
+++ b/src/rattanpier/_internal/membership/records.py
@@ -1,4 +1,4 @@
-"""Rows of the directory: who belongs to the system."""
+"""Rows of the directory of members, and how changes are applied to it."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 @attrs.frozen
 class Presence:
-    """What became of one incarnation of a member.
+    """The state of one incarnation of a member.
 
     Attributes:
       member: The member, with its state.
-      gone: True once it was declared gone, or went.
+      gone: Whether it was declared gone or has exited.
     """
 
     member: Member
@@ -28,7 +28,7 @@
 
     @property
     def rank(self) -> int:
-        """Order of the states: an incarnation only moves to higher ones."""
+        """Order of the states; an incarnation only moves to higher ones."""
         if self.gone:
             return 2
         return int(self.member.state is MemberState.LEAVING)
@@ -36,7 +36,7 @@
 
 @attrs.frozen
 class DirectoryLease:
-    """Who writes the directory.
+    """The lease of the directory's writer.
 
     Attributes:
       holder: "name/incarnation" of the writer.
@@ -47,7 +47,7 @@
 
 @attrs.frozen
 class Change:
-    """What a revision of the directory changed."""
+    """The changes of one revision of the directory."""
 
     revision: int
     presences: list[Presence]
@@ -62,12 +62,12 @@
 
 
 def change_key(revision: int) -> str:
-    """Returns the key of a revision's change."""
+    """Returns the key of the row with a revision's changes."""
     return f"{CHANGE_PREFIX}{revision:012d}"
 
 
 def request_key(presence: Presence) -> str:
-    """Returns the key under which a presence waits for the writer."""
+    """Returns the key of a request to record a presence."""
     member = presence.member
     state = "gone" if presence.gone else member.state.value
     return f"{REQUEST_PREFIX}{member.name}/{member.incarnation}/{state}"
@@ -79,17 +79,17 @@
 
 
 def new_incarnation() -> str:
-    """Returns a name for a start of a process that no other has."""
+    """Returns a unique id for an incarnation of a process."""
     return uuid.uuid4().hex[:12]
 
 
 def apply_presences(
     directory: Directory, presences: list[Presence]
 ) -> tuple[Directory, Change]:
-    """Returns the next revision and what it changed.
+    """Returns the next revision of the directory and its changes.
 
-    A member is dropped only by the "gone" of its own incarnation, and never
-    goes back from leaving to live.
+    A member is removed only by a "gone" presence of its own incarnation, and
+    never changes back from leaving to live.
     """
     members = {member.name: member for member in directory.members}
     applied = []
@@ -102,7 +102,7 @@
             if same:
                 del members[presence.member.name]
         elif known is None or (
-            # Whoever leaves never takes the place of a newer process.
+            # A leaving process never replaces a newer one of its name.
             presence.rank > Presence(known).rank if same else not presence.rank
         ):
             members[presence.member.name] = presence.member
--- a/src/rattanpier/_internal/membership/requests.py
+++ b/src/rattanpier/_internal/membership/requests.py
@@ -1,4 +1,4 @@
-"""Requests for changes of the directory, until its writer takes them in."""
+"""Requests for changes of the directory, which its writer applies."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 async def read_requests(table: Table) -> list[Presence]:
-    """Returns what was asked for and is not in the directory yet.
+    """Returns requested presences that are not in the directory yet.
 
     Raises:
-      StoreUnavailableError: It can't be read.
+      StoreUnavailableError: The requests can't be read.
     """
     rows = await scan_all(table, REQUEST_PREFIX)
     return [decode(Presence, row.value) for row in rows]
@@ -32,7 +32,7 @@
 async def write_requests(
     table: Table, presences: list[Presence]
 ) -> WriteOutcome:
-    """Asks for changes; repeating it is harmless."""
+    """Writes requests for changes; the write is idempotent."""
     puts = [
         Put(request_key(presence), encode(presence)) for presence in presences
     ]
@@ -41,21 +41,21 @@
 
 @attrs.define
 class DirectoryRequests:
-    """What one process has to ask the directory's writer for.
+    """Requests of one process to the directory's writer.
 
     Attributes:
-      pending: Presences that the store does not have yet, by request key.
+      pending: Presences not yet written to the store, by request key.
     """
 
     table: Table
     pending: dict[str, Presence] = attrs.Factory(dict)
 
     def add(self, presence: Presence) -> None:
-        """Sees to it that the directory gets a presence."""
+        """Adds a request to record a presence."""
         self.pending[request_key(presence)] = presence
 
     async def write(self) -> None:
-        """Writes what waits; what is not surely written keeps waiting."""
+        """Writes pending requests; those not confirmed stay pending."""
         pending = dict(self.pending)
         if not pending:
             return
--- a/src/rattanpier/_internal/membership/roster.py
+++ b/src/rattanpier/_internal/membership/roster.py
@@ -1,4 +1,4 @@
-"""What one process knows of the others; pure state, no network."""
+"""The members that one process knows; local state without network access."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 )
 from rattanpier._internal.models.member import Member, MemberState, Role
 
-MAX_DEPARTED = 2_000  # Incarnations remembered as gone.
+MAX_DEPARTED = 2_000  # Incarnations recorded as gone.
 
 
 @attrs.define
@@ -21,8 +21,8 @@
     """Members by name, and the incarnations that are gone.
 
     Attributes:
-      known: Members that are alive as far as is known.
-      departed: Ids of incarnations that went, the oldest first.
+      known: Members believed to be alive, by name.
+      departed: Ids of incarnations that are gone, the oldest first.
       live: Emits `known` whenever it changes.
     """
 
@@ -35,7 +35,7 @@
     )
 
     def apply_presence(self, presence: Presence) -> bool:
-        """Takes in a presence; says whether it was news."""
+        """Applies a presence; returns whether it was new."""
         if presence.gone:
             return self.apply_departure(incarnation_id(presence.member))
         member = presence.member
@@ -45,9 +45,9 @@
         if known is not None:
             if known.incarnation != member.incarnation:
                 if presence.rank:
-                    # Whoever leaves is older than the one that is there.
+                    # A leaving incarnation is older than the known one.
                     return False
-                # A process that came again is not the one that was there.
+                # A restarted process replaces its previous incarnation.
                 self.record_departed(incarnation_id(known))
             elif presence.rank < Presence(known).rank or known == member:
                 return False
@@ -56,7 +56,7 @@
         return True
 
     def apply_departure(self, identity: str) -> bool:
-        """Takes in that an incarnation is gone; says whether it was news."""
+        """Records an incarnation as gone; returns whether that was new."""
         if identity in self.departed:
             return False
         self.record_departed(identity)
@@ -68,17 +68,17 @@
         return True
 
     def record_departed(self, identity: str) -> None:
-        """Remembers an incarnation as gone."""
+        """Adds an incarnation to those recorded as gone."""
         self.departed[identity] = None
         while len(self.departed) > MAX_DEPARTED:
             self.departed.popitem(last=False)
 
     def publish(self) -> None:
-        """Emits the members."""
+        """Emits the current members."""
         self.live.on_next(dict(self.known))
 
     def alive(self, identity: str) -> bool:
-        """Says whether "name/incarnation" may still be running."""
+        """Returns whether "name/incarnation" may still be running."""
         known = self.known.get(identity.split("/")[0])
         return known is not None and incarnation_id(known) == identity
 
@@ -93,6 +93,6 @@
         ]
 
     def others(self, name: str) -> list[Member]:
-        """Returns the live members apart from the one of a name."""
+        """Returns the live members except the one with a name."""
         live = self.live.value.values()
         return [member for member in live if member.name != name]
--- a/src/rattanpier/_internal/membership/serving.py
+++ b/src/rattanpier/_internal/membership/serving.py
@@ -1,4 +1,4 @@
-"""What a process answers to its peers about membership."""
+"""Handlers for calls and notices of peers about membership."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def serve_peers(members: Members, server: PeerServer) -> None:
-    """Adds the handlers for peers' calls and notices."""
+    """Registers the handlers for peers' calls and notices."""
     assert members.prober is not None
     server.on_call("ping", members.prober.serve_ping)
     server.on_call("probe", members.prober.serve_probe)
@@ -23,13 +23,13 @@
 
 
 def apply_joined(members: Members, notice: peer_pb2.Notice) -> None:
-    """Takes in that a member joined; passes news on."""
+    """Applies that a member joined; forwards the notice if it is new."""
     if members.apply_presence(Presence(decode(Member, notice.joined.member))):
         members.notify_neighbours(notice)
 
 
 def apply_leaving(members: Members, notice: peer_pb2.Notice) -> None:
-    """Takes in that a member leaves, before the directory says so."""
+    """Applies that a member is leaving, before the directory has it."""
     known = members.roster.known.get(notice.leaving.member)
     if known is None or known.incarnation != notice.leaving.incarnation:
         return
@@ -41,10 +41,10 @@
 
 
 def apply_departed(members: Members, notice: peer_pb2.Notice) -> None:
-    """Takes in that a member is gone; passes news on."""
+    """Applies that a member is gone; forwards the notice if it is new."""
     identity = f"{notice.departed.member}/{notice.departed.incarnation}"
     if identity == incarnation_id(members.me):
         members.record_self_gone()
     elif members.gone_reports.apply_report(identity):
-        # Passed on at once: others ask for themselves.
+        # Forwarded at once: each peer verifies the report itself.
         members.notify_neighbours(notice)
