--- a/src/rattanpier/_internal/membership/members.py
+++ b/src/rattanpier/_internal/membership/members.py
@@ -322,7 +322,7 @@
         self.must_rejoin = True
 
     def rejoin(self) -> None:
-        """Rejoins as a new incarnation; claims of the old one have no live holder.
+        """Rejoins as a new incarnation; old claims have no live holder then.
 
         A process that no peer answers does not rejoin, since it would be
         declared gone again. One that is declared gone repeatedly waits longer
