--- a/src/rattanpier/_internal/peers/datagrams.py
+++ b/src/rattanpier/_internal/peers/datagrams.py
@@ -1,10 +1,10 @@
-"""Notices that may be lost, a datagram each, to many peers at once.
+"""Sends notices to many peers as UDP datagrams, without acknowledgement.
 
-A message over a stream costs its two ends 0.7 ms of processor time together, a
-datagram 0.25 ms (`benchmarks/hints.py`, on a busy machine). Entries before many
-engines hear of a hundred hints a second. At 43 a second an entry took 4.0 % of
-a core over streams, 1.9 % by datagrams and 1.6 % without hints (24 entries that
-serve nobody, under a profiler).
+A datagram costs less processor time than a message over a stream: 0.25 ms
+instead of 0.7 ms, for both ends together (`benchmarks/hints.py`, on a busy
+machine). Entries with many engines receive a hundred notices per second. At 43
+per second an entry used 4.0 % of a core with streams, 1.9 % with datagrams and
+1.6 % without notices (24 entries without callers, under a profiler).
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
 
 log = structlog.get_logger(part="peers")
 
-# What fits into one packet on any link; longer hints are not sent.
+# Fits into one packet on any link; longer notices are not sent.
 MAX_BYTES = 1200
-# Not yet taken by the kernel; further hints are dropped. A burst to 400 peers
-# fits, and it leaves a link of 5 Mbit/s within a tenth of a second.
+# Limit for bytes not yet accepted by the kernel; further notices are dropped. A
+# burst to 400 peers fits, and a link of 5 Mbit/s sends it within 0.1 s.
 MAX_BUFFERED_BYTES = 65536
 
 
 class DatagramNotifier(asyncio.DatagramProtocol):
-    """Sends hints, and hands those that come to a handler.
+    """Sends notices, and passes received ones to a handler.
 
     Attributes:
-      handler: Handles a notice.
-      metrics: Counts hints that were not sent or could not be read.
-      transport: None until it is open.
+      handler: Handles a received notice.
+      metrics: Counts received notices, and those dropped by reason.
+      transport: The UDP transport; None until it is open.
     """
 
     def __init__(
@@ -45,18 +45,18 @@
         self.transport: asyncio.DatagramTransport | None = None
 
     async def start(self, host: str, port: int) -> None:
-        """Listens."""
+        """Starts to listen on a UDP port."""
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(
             lambda: self, local_addr=(host, port)
         )
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:
-        """Keeps the transport."""
+        """Stores the transport."""
         self.transport = transport
 
     def send(self, members: Iterable[Member], notice: peer_pb2.Notice) -> None:
-        """Sends a hint to some peers."""
+        """Sends a notice to members, except those without a hint port."""
         packed = notice.SerializeToString()
         if self.transport is None or len(packed) > MAX_BYTES:
             self.record_dropped("long")
@@ -70,26 +70,26 @@
                 self.transport.sendto(packed, address)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Takes a hint in; one that can't be read is left out."""
+        """Handles a received notice; an unreadable one is dropped."""
         try:
             notice = peer_pb2.Notice.FromString(data)
         except DecodeError as error:
             self.record_dropped("unreadable")
-            log.warning("Hint left out.", peer=addr[0], error=str(error))
+            log.warning("Datagram unreadable.", peer=addr[0], error=str(error))
             return
         self.metrics.count("peers.hint_taken")
         self.handler(notice)
 
     def error_received(self, exc: OSError) -> None:
-        """Counts a hint that a peer's VM refused: no process listens there."""
+        """Counts a notice refused by a peer's VM: no process listens there."""
         self.record_dropped("refused")
-        log.debug("Hint refused.", error=repr(exc))
+        log.debug("Datagram refused.", error=repr(exc))
 
     def record_dropped(self, reason: str) -> None:
-        """Counts a hint that reaches nobody, or that nobody can read."""
+        """Counts a notice that was not sent, was refused or is unreadable."""
         self.metrics.count(f"peers.hint_dropped.{reason}")
 
     async def stop(self) -> None:
-        """Stops listening."""
+        """Closes the transport."""
         if self.transport is not None:
             self.transport.close()
--- a/src/rattanpier/_internal/peers/link.py
+++ b/src/rattanpier/_internal/peers/link.py
@@ -1,8 +1,8 @@
 """A stream to one peer, over which calls are batched into frames.
 
-A stream that breaks fails its calls at once and is opened again after a
-bounded wait. A peer that takes frames and never answers is given a new stream
-after a few calls without a reply, since its old one may be half open.
+When a stream breaks, its calls fail at once and it is opened again after a
+bounded backoff. After a few calls without a reply the stream is replaced, since
+it may be half open.
 """
 
 from __future__ import annotations
@@ -33,8 +33,8 @@
 MIN_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 1.0
 MAX_PENDING = 10_000  # Calls without a reply.
-MAX_NOTICES = 1_000  # Notices not yet sent; further ones are dropped.
-MAX_CONSECUTIVE_TIMEOUTS = 3  # Timeouts in a row before the stream is replaced.
+MAX_NOTICES = 1_000  # Notices not yet sent; further notices are dropped.
+MAX_CONSECUTIVE_TIMEOUTS = 3  # Then the stream is replaced.
 BROKEN = (
     OSError,
     GRPCError,
@@ -45,18 +45,18 @@
 
 
 class Link:
-    """Calls one peer.
+    """Sends calls and notices to one peer.
 
     Attributes:
-      host: IP number of the peer.
-      port: Its port.
+      host: IP address of the peer.
+      port: Port of the peer.
       member: Own member name, sent in the first frame.
       pending: Futures of calls without a reply, by call id.
-      connected: Whether the present stream has been answered.
-      consecutive_timeouts: Timeouts since the last frame from the peer; of calls
-        that overlap only one is counted.
-      last_timeout_at: Monotonic time of the last timeout that was counted on the
-        present stream, 0 if none was; infinite while there is no stream.
+      connected: Whether the peer has answered on the current stream.
+      consecutive_timeouts: Timeouts since the last frame from the peer;
+        overlapping calls count as one.
+      last_timeout_at: Monotonic time of the last timeout counted on the
+        current stream, 0 if there was none; infinite without a stream.
       backoff_s: Wait before the next stream; 0 after one that worked.
       retry_at: Monotonic time before which no stream is opened.
     """
@@ -116,7 +116,7 @@
         return reply
 
     def notify(self, notice: peer_pb2.Notice) -> None:
-        """Sends a notice that may be lost."""
+        """Sends a notice without acknowledgement; it may be lost."""
         if len(self.frame.notices) >= MAX_NOTICES:
             return
         self.ensure_running()
@@ -125,7 +125,7 @@
 
     @property
     def address(self) -> str:
-        """The peer's address, for messages."""
+        """The peer's address, for log and error messages."""
         return f"{self.host}:{self.port}"
 
     def ensure_running(self) -> None:
@@ -135,13 +135,13 @@
             self.task = asyncio.get_running_loop().create_task(self.run())
 
     def record_timeout(self, sent_at: float) -> None:
-        """Counts a call without a reply; replaces a silent stream.
+        """Counts a call without a reply; replaces a stream without replies.
 
-        Nothing is counted before a stream is open; else calls given up
-        meanwhile would end it again and again before it ever is.
-        A busy peer lets all calls of one moment run into their timeouts.
-        Taken one by one they would end its stream, with every other call on
-        it, and a new stream costs a busy peer more still.
+        Nothing is counted before a stream is open; otherwise calls that time
+        out while it is being opened would cancel it again and again.
+        At a busy peer all calls of one moment time out together. Counted one
+        by one they would end its stream and every other call on it, and a new
+        stream would load the busy peer further.
         """
         if sent_at < self.last_timeout_at:
             return
@@ -151,12 +151,14 @@
             self.consecutive_timeouts >= MAX_CONSECUTIVE_TIMEOUTS
             and self.task is not None
         ):
-            log.info("Link is silent.", peer=self.address)
+            log.info(
+                "Peer does not reply; replacing the stream.", peer=self.address
+            )
             self.consecutive_timeouts = 0
             self.task.cancel()
 
     async def run(self) -> None:
-        """Keeps one stream until it breaks; then fails what is pending."""
+        """Runs one stream until it breaks, then fails the pending calls."""
         error: Exception | None = None
         channel: Channel | None = None
         try:
@@ -165,7 +167,7 @@
             await self.exchange(channel)
         except BROKEN as broken:
             error = broken
-            log.info("Link broke.", peer=self.address, error=repr(broken))
+            log.info("Stream broke.", peer=self.address, error=repr(broken))
         finally:
             self.record_break()
             if channel is not None:
@@ -173,7 +175,7 @@
             self.fail_pending(error)
 
     def record_break(self) -> None:
-        """Sets when the next stream may be opened."""
+        """Sets the backoff before the next stream is opened."""
         worked, self.connected = self.connected, False
         self.last_timeout_at = math.inf
         self.backoff_s = (
@@ -181,7 +183,7 @@
             if worked
             else min(MAX_BACKOFF_S, max(MIN_BACKOFF_S, 2 * self.backoff_s))
         )
-        # Peers of one process that went must not come back in step.
+        # Jitter: peers of a process that stopped must not reconnect together.
         wait = self.backoff_s * random.uniform(0.5, 1.0)
         self.retry_at = time.monotonic() + wait
 
@@ -202,7 +204,7 @@
                 loop.create_task(self.receive_all(stream)),
             ]
             try:
-                # Whichever fails first ends the other.
+                # The first that fails ends the other.
                 await asyncio.wait(work, return_when=asyncio.FIRST_COMPLETED)
             finally:
                 for task in work:
@@ -222,14 +224,14 @@
             await stream.send_message(frame)  # type: ignore[attr-defined]
 
     async def receive_all(self, stream: object) -> None:
-        """Takes frames until the peer ends the stream."""
+        """Receives frames until the peer ends the stream."""
         async for frame in stream:  # type: ignore[attr-defined]
             self.connected = True
             self.consecutive_timeouts = 0
             self.receive(frame)
 
     def receive(self, frame: peer_pb2.Frame) -> None:
-        """Hands replies to their callers."""
+        """Passes replies to their callers."""
         for reply in frame.replies:
             future = self.pending.pop(reply.id, None)
             if future is not None and not future.done():
@@ -248,7 +250,7 @@
                 future.set_exception(kind(f"link to {self.address} broke"))
 
     async def close(self) -> None:
-        """Ends the stream."""
+        """Closes the stream; pending calls fail."""
         if self.task is not None:
             self.task.cancel()
             await asyncio.gather(self.task, return_exceptions=True)
--- a/src/rattanpier/_internal/peers/links.py
+++ b/src/rattanpier/_internal/peers/links.py
@@ -1,4 +1,4 @@
-"""The links of one process, one for each peer it talks to."""
+"""The links of one process, one for each peer."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @attrs.define(eq=False, repr=False)
 class Links:
-    """Opens links when they are first used.
+    """Links that are opened on first use.
 
     Attributes:
       member: Own member name.
@@ -32,14 +32,14 @@
         return self.links[address]
 
     def retain(self, addresses: set[tuple[str, int]]) -> None:
-        """Ends the links to all other addresses; their calls fail."""
+        """Closes the links to all other addresses; their calls fail."""
         for address in [key for key in self.links if key not in addresses]:
             link = self.links.pop(address)
             if link.task is not None:
                 link.task.cancel()
 
     async def close(self) -> None:
-        """Ends all links, also those that are opened meanwhile."""
+        """Closes all links, including those opened while it runs."""
         while self.links:
             _, link = self.links.popitem()
             await link.close()
--- a/src/rattanpier/_internal/peers/server.py
+++ b/src/rattanpier/_internal/peers/server.py
@@ -1,4 +1,4 @@
-"""The serving side of the streams between processes."""
+"""The server side of the streams between processes."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 
 log = structlog.get_logger(part="peers")
 
-MAX_RUNNING_CALLS = (
-    5_000  # Calls of one peer under way; more are refused at once.
-)
-MAX_QUEUED_REPLIES = 10_000  # Replies a peer has not read; then it is cut off.
+# Calls of one peer that run at once; further calls are refused as busy.
+MAX_RUNNING_CALLS = 5_000
+# Replies that a peer has not read; beyond this its stream is closed.
+MAX_QUEUED_REPLIES = 10_000
 
 CallHandler = Callable[[peer_pb2.Call], Awaitable[peer_pb2.Reply]]
 NoticeHandler = Callable[[peer_pb2.Notice], None]
 
 
 class PeerServer(PeerBase):
-    """Answers peers; other services add handlers by message kind.
+    """Serves peers; other services add handlers by message kind.
 
     Attributes:
       calls: Handler for each kind of call, by its field name.
@@ -63,7 +63,9 @@
                 for notice in frame.notices:
                     self.handle_notice(notice)
                 if outgoing.qsize() > MAX_QUEUED_REPLIES:
-                    log.warning("A peer reads no replies.")
+                    log.warning(
+                        "Peer does not read replies; closing the stream."
+                    )
                     return
                 for call in frame.calls:
                     if len(running) >= MAX_RUNNING_CALLS:
@@ -75,7 +77,7 @@
                     running.add(task)
                     task.add_done_callback(running.discard)
         except asyncio.CancelledError:
-            # The peer has to hear of it, or its calls wait for nothing.
+            # Cancel the stream, so that the peer's calls fail at once.
             with contextlib.suppress(Exception):
                 await stream.cancel()
             raise
@@ -91,7 +93,7 @@
         call: peer_pb2.Call,
         outgoing: asyncio.Queue[peer_pb2.Reply],
     ) -> None:
-        """Carries out one call and queues its reply."""
+        """Runs the handler of one call and queues the reply."""
         kind = call.WhichOneof("body")
         handler = self.calls.get(kind or "")
         if handler is None:
@@ -105,19 +107,21 @@
         outgoing.put_nowait(reply)
 
     def handle_notice(self, notice: peer_pb2.Notice) -> None:
-        """Hands a notice to its handlers."""
+        """Passes a notice to its handlers."""
         kind = notice.WhichOneof("body") or ""
         for handler in self.notices.get(kind, []):
             try:
                 handler(notice)
             except UnreadableError as error:
-                # Notices may get lost; the stream's calls go on.
-                log.warning("Notice left out.", kind=kind, error=error.message)
+                # Notices may be lost; the calls on the stream continue.
+                log.warning(
+                    "Notice unreadable.", kind=kind, error=error.message
+                )
 
     async def start(
         self, host: str, port: int, tls: ssl.SSLContext | None = None
     ) -> None:
-        """Listens; `port` is set to the port taken."""
+        """Starts to listen and sets `port` to the bound port."""
         self.server = Server([self])
         await self.server.start(host, port, ssl=tls)
         sockets = self.server._server.sockets  # noqa: SLF001
@@ -131,12 +135,12 @@
 
 
 def failure_reply(code: str, message: str) -> peer_pb2.Reply:
-    """Returns a reply that says what went wrong."""
+    """Returns a reply that reports a failure."""
     return peer_pb2.Reply(failure=peer_pb2.Failure(code=code, message=message))
 
 
 def busy_reply(call: peer_pb2.Call) -> peer_pb2.Reply:
-    """Returns the reply to a call that is not even tried."""
+    """Returns the reply to a call that is refused without being run."""
     reply = failure_reply("busy", "too many calls are under way")
     reply.id = call.id
     return reply
@@ -146,7 +150,7 @@
     stream: Stream[peer_pb2.Frame, peer_pb2.Frame],
     outgoing: asyncio.Queue[peer_pb2.Reply],
 ) -> None:
-    """Sends replies, as many to a frame as are ready."""
+    """Sends replies, batching all that are ready into one frame."""
     while True:
         replies = [await outgoing.get()]
         while not outgoing.empty():
--- a/src/rattanpier/_internal/peers/tls.py
+++ b/src/rattanpier/_internal/peers/tls.py
@@ -1,4 +1,4 @@
-"""TLS contexts from settings: mutual between peers, plain towards callers."""
+"""TLS contexts from settings: mutual TLS for peers, server TLS for callers."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 def peer_context(
     listen: ListenSettings, protocol: int
 ) -> ssl.SSLContext | None:
-    """Returns a context that asks the other side for a certificate."""
+    """Returns a context that requires a certificate of the other side."""
     if not is_set(listen, "peers"):
         return None
     if not listen.authority:
@@ -59,8 +59,9 @@
             "give the authority that all peers' certificates have",
         )
     context = ssl.SSLContext(protocol)
-    # The authority is the system's own: whoever it certified is a peer. VMs
-    # get their numbers when they start, so certificates don't name them.
+    # The authority is used for this system only, so each certificate it issued
+    # belongs to a peer. IP addresses of VMs are assigned at start, so the
+    # certificates don't contain them.
     context.check_hostname = False
     context.verify_mode = ssl.CERT_REQUIRED
     context.minimum_version = ssl.TLSVersion.TLSv1_3
@@ -71,10 +72,10 @@
 
 
 def is_set(listen: ListenSettings, section: str) -> bool:
-    """Says whether TLS is set.
+    """Returns whether TLS is set.
 
     Raises:
-      SettingsError: Only a part of it is set.
+      SettingsError: Only some of the TLS settings are set.
     """
     if bool(listen.certificate) != bool(listen.key):
         raise SettingsError(
@@ -92,7 +93,7 @@
 def load_pair(
     context: ssl.SSLContext, listen: ListenSettings, section: str
 ) -> None:
-    """Loads certificate and key."""
+    """Loads the certificate and its private key."""
     check_file(listen.certificate, section, "certificate")
     check_file(listen.key, section, "key")
     try:
@@ -108,7 +109,7 @@
 def load_authority(
     context: ssl.SSLContext, listen: ListenSettings, section: str
 ) -> None:
-    """Loads the authority that the other side's certificate must have."""
+    """Loads the authority that must have issued the peer's certificate."""
     check_file(listen.authority, section, "authority")
     try:
         context.load_verify_locations(listen.authority)
