--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -33,9 +33,9 @@
 MESSAGE_OVERHEAD = 40 + 40 + 9 + 5 + 4
 STORE_OVERHEAD = 500  # Headers of a request and its response.
 SETTLE_S = 12.0
-FAULTS = 5
-LIMIT_S = 60.0
-PINGS = 2000
+FAULT_COUNT = 5
+DETECTION_LIMIT_S = 60.0
+PING_COUNT = 2000
 
 
 @attrs.frozen
@@ -96,7 +96,7 @@
 async def measure_detection(network, nodes, fault, rng):
     """Seconds until each other node knows of a fault; the slowest counts."""
     found = []
-    for _ in range(FAULTS):
+    for _ in range(FAULT_COUNT):
         await network.clock.advance(rng.uniform(0, 2))
         victim = rng.choice([node for node in nodes if not node.dead])
         identity = victim.identity
@@ -108,7 +108,7 @@
         started = network.clock.monotonic()
         while any(node.members.alive(identity) for node in rest):
             await network.clock.advance(0.1)
-            assert network.clock.monotonic() - started < LIMIT_S
+            assert network.clock.monotonic() - started < DETECTION_LIMIT_S
         found.append(network.clock.monotonic() - started)
         if fault == "freeze":
             victim.thaw()
@@ -129,12 +129,12 @@
     request = peer_pb2.PingRequest(sender="entry-1", incarnation="0" * 12)
     await link.call(peer_pb2.Call(ping=request), 5)
     started = time.process_time()
-    for _ in range(PINGS):
+    for _ in range(PING_COUNT):
         await link.call(peer_pb2.Call(ping=request), 5)
     used = time.process_time() - started
     await link.close()
     await server.stop()
-    return 1000 * used / PINGS
+    return 1000 * used / PING_COUNT
 
 
 def measure_memory(size):
--- a/tests/failure/test_membership.py
+++ b/tests/failure/test_membership.py
@@ -12,7 +12,7 @@
 from tests.lib.cluster import Cluster, wait_for
 
 NAMES = ("entry-1", "entry-2", "entry-3", "entry-4")
-COME_BACK = ("claim_unavailable", "not_current")
+RETRY_CODES = ("claim_unavailable", "not_current")
 
 
 @pytest.fixture
@@ -24,27 +24,27 @@
         )
         await cluster.apply(configuration_text([url], fleet_size=4))
         await asyncio.gather(*(cluster.start_entry(name) for name in NAMES))
-        await listed(cluster, NAMES, NAMES)
+        await wait_until_listed(cluster, NAMES, NAMES)
         yield cluster
 
 
-async def entries(cluster, name):
+async def listed_entries(cluster, name):
     url = f"{cluster.urls[name]}/v1/entries"
     async with cluster.session.get(url) as response:
         return {entry["name"] for entry in (await response.json())["entries"]}
 
 
-async def listed(cluster, by, names):
+async def wait_until_listed(cluster, by, names):
     """Waits until each of `by` lists exactly these entries."""
 
     async def probe():
-        found = [await entries(cluster, name) for name in by]
+        found = [await listed_entries(cluster, name) for name in by]
         return all(entries == set(names) for entries in found)
 
     await wait_for(probe, 40)
 
 
-async def answered(cluster, name, key):
+async def answer_after_retries(cluster, name, key):
     """What a caller gets that comes back as told: (whole answers, faults).
 
     Just after an outage an entry may not know yet that the store is back, and
@@ -59,7 +59,7 @@
             caller = Caller(session, [url], ledger, random.Random(0))
             caller.cache, caller.cached_until = [url], float("inf")
             await caller.request(key, 5, tries=400)
-        told = [[f"{key}: {code}"] for code in COME_BACK]
+        told = [[f"{key}: {code}"] for code in RETRY_CODES]
         return None if ledger.lost in told else ledger
 
     ledger = await wait_for(probe, 40)
@@ -67,16 +67,18 @@
 
 
 @pytest.mark.parametrize("store", ["none", "down"])
-async def test_a_killed_and_a_frozen_entry_are_listed_by_none(cluster, store):
+async def test_killed_and_frozen_entries_are_unlisted_by_all(cluster, store):
     await cluster.set_faults("table", fault=store)
     await cluster.processes["entry-1"].kill()
     cluster.processes["entry-2"].send(signal.SIGSTOP)
-    await listed(cluster, NAMES[2:], NAMES[2:])
+    await wait_until_listed(cluster, NAMES[2:], NAMES[2:])
     cluster.processes["entry-2"].send(signal.SIGCONT)
-    await listed(cluster, NAMES[1:], NAMES[1:])
+    await wait_until_listed(cluster, NAMES[1:], NAMES[1:])
     await cluster.set_faults("table", fault="none")
     for name in NAMES[1:]:
-        whole, faults = await answered(cluster, name, f"after-{name}")
+        whole, faults = await answer_after_retries(
+            cluster, name, f"after-{name}"
+        )
         assert not faults, "; ".join(faults)
         assert whole == 1
     runs = await cluster.runs("engine")
@@ -85,9 +87,9 @@
     assert "rejoined" in cluster.processes["entry-2"].log()
 
 
-async def test_a_store_outage_alone_declares_nobody_gone(cluster):
+async def test_store_outage_alone_declares_no_entry_gone(cluster):
     await cluster.set_faults("table", fault="down")
     await asyncio.sleep(8)
     for name in NAMES:
-        assert await entries(cluster, name) == set(NAMES)
+        assert await listed_entries(cluster, name) == set(NAMES)
         assert "gone" not in cluster.processes[name].log()
--- a/tests/lib/fleet.py
+++ b/tests/lib/fleet.py
@@ -43,7 +43,7 @@
 TABLE_S = 0.003
 PEER_S = 0.001
 TIMEOUT_S = 2.0
-LAPSE_S = 3.0
+DETECTION_S = 3.0
 RUN_S = 0.05
 DOMAINS = ("a", "b", "c")
 
@@ -129,7 +129,7 @@
             return Uncertain("no answer")
         draw -= faults.dropped
         if draw < faults.delayed:
-            self.fleet.spawn(self.late(transaction))
+            self.fleet.spawn(self.apply_late(transaction))
             await asyncio.sleep(TIMEOUT_S)
             return Uncertain("no answer")
         outcome = await self.fleet.table.transact(transaction)
@@ -138,7 +138,7 @@
         await asyncio.sleep(TABLE_S)
         return outcome
 
-    async def late(self, transaction):
+    async def apply_late(self, transaction):
         await asyncio.sleep(TIMEOUT_S + self.fleet.rng.uniform(0, 6))
         await self.fleet.table.transact(transaction)
 
@@ -153,7 +153,7 @@
 
     async def call(self, call, timeout_s):
         call = peer_pb2.Call.FromString(call.SerializeToString())
-        work = self.fleet.spawn(self.carry(call))
+        work = self.fleet.spawn(self.deliver(call))
         try:
             reply = await asyncio.wait_for(asyncio.shield(work), timeout_s)
         except TimeoutError as error:
@@ -164,7 +164,7 @@
             raise PeerUnavailableError("failed")
         return reply
 
-    async def carry(self, call):
+    async def deliver(self, call):
         await asyncio.sleep(PEER_S)
         peer = self.fleet.nodes.get(self.peer.name)
         if peer is None or peer.member.incarnation != self.peer.incarnation:
@@ -205,7 +205,7 @@
         live = {
             node.member.name: node.members.me
             for node in self.fleet.nodes.values()
-            if node.seems_alive()
+            if node.is_believed_alive()
         }
         live[self.me.name] = self.me
         if live != self.live.value:
@@ -270,14 +270,14 @@
             self.members.look()
             await self.clock.sleep(0.25)
 
-    def seems_alive(self):
+    def is_believed_alive(self):
         if self.table.cut:
-            return self.fleet.now() - self.frozen_at < LAPSE_S
+            return self.fleet.now() - self.frozen_at < DETECTION_S
         if self.gate.open.is_set():
             return True
         if self.fleet.faults.down or self.fleet.faults.silent:
             return True
-        return self.fleet.now() - self.frozen_at < LAPSE_S
+        return self.fleet.now() - self.frozen_at < DETECTION_S
 
     def freeze(self):
         self.frozen_at = self.fleet.now()
@@ -431,9 +431,9 @@
     false_not_run: int = 0
 
 
-async def call_until_told(fleet, key, idempotent, patience_s=60.0):
+async def call_until_answered(fleet, key, idempotent, limit_s=60.0):
     """A caller: asks again by its key through any entry until it is told."""
-    end = fleet.now() + patience_s
+    end = fleet.now() + limit_s
     while fleet.now() < end:
         nodes = fleet.working()
         if not nodes:
@@ -454,7 +454,7 @@
     return None
 
 
-def count_up(fleet, answers, idempotent):
+def count_results(fleet, answers, idempotent):
     """Compares what callers got with what ran and what is billed."""
     bills = fleet.bills()
     count = Count(asked=len(answers))
@@ -479,7 +479,7 @@
     answers = {}
 
     async def one(key):
-        answers[key] = await call_until_told(fleet, key, idempotent)
+        answers[key] = await call_until_answered(fleet, key, idempotent)
 
     callers = []
     for number in range(requests):
@@ -491,4 +491,4 @@
     await asyncio.gather(*callers)
     await fault
     await asyncio.sleep(30.0)  # What is late arrives, what is kept is flushed.
-    return count_up(fleet, answers, idempotent)
+    return count_results(fleet, answers, idempotent)
--- a/tests/unit/test_hints.py
+++ b/tests/unit/test_hints.py
@@ -25,73 +25,73 @@
     return peer_pb2.Notice(prompt_sent=told)
 
 
-def dropped(hints, reason):
-    return hints.metrics.counts[f"peers.hint_dropped.{reason}"]
+def dropped(notifier, reason):
+    return notifier.metrics.counts[f"peers.hint_dropped.{reason}"]
 
 
 @pytest.fixture
 async def peer():
-    taken = []
-    hints = DatagramNotifier(taken.append, Metrics())
+    received = []
+    notifier = DatagramNotifier(received.append, Metrics())
     port = free_port()
-    await hints.start("127.0.0.1", port)
-    yield hints, make_member(port), taken
-    await hints.stop()
+    await notifier.start("127.0.0.1", port)
+    yield notifier, make_member(port), received
+    await notifier.stop()
 
 
-async def test_a_hint_reaches_each_peer(peer):
-    hints, member, taken = peer
-    hints.send([member, member], make_notice())
-    await until(lambda: len(taken) == 2)
-    assert taken[0] == make_notice()
+async def test_notice_reaches_each_peer(peer):
+    notifier, member, received = peer
+    notifier.send([member, member], make_notice())
+    await until(lambda: len(received) == 2)
+    assert received[0] == make_notice()
 
 
-async def test_one_that_takes_no_hints_is_left_out(peer):
-    hints, member, taken = peer
-    hints.send([make_member(0), member], make_notice())
-    await until(lambda: taken)
-    assert taken == [make_notice()]
+async def test_peer_without_a_hint_port_is_skipped(peer):
+    notifier, member, received = peer
+    notifier.send([make_member(0), member], make_notice())
+    await until(lambda: received)
+    assert received == [make_notice()]
 
 
-async def test_a_peer_that_is_gone_costs_the_others_nothing(peer):
-    hints, member, taken = peer
+async def test_stopped_peer_does_not_affect_delivery_to_others(peer):
+    notifier, member, received = peer
     gone = make_member(free_port())
     for _ in range(3):
-        hints.send([gone, member], make_notice())
+        notifier.send([gone, member], make_notice())
         await asyncio.sleep(0.01)
-    await until(lambda: len(taken) == 3)
+    await until(lambda: len(received) == 3)
 
 
-async def test_what_does_not_fit_into_a_packet_is_not_sent(peer):
-    hints, member, taken = peer
+async def test_notice_larger_than_a_packet_is_not_sent(peer):
+    notifier, member, received = peer
     long = make_notice(parts=range(MAX_BYTES))
-    hints.send([member], long)
-    assert dropped(hints, "long") == 1
-    hints.send([member], make_notice())
-    await until(lambda: taken)
-    assert taken == [make_notice()]
+    notifier.send([member], long)
+    assert dropped(notifier, "long") == 1
+    notifier.send([member], make_notice())
+    await until(lambda: received)
+    assert received == [make_notice()]
 
 
 @pytest.mark.parametrize("data", [b"\xff", b"\x5a\xff", b"no hint at all"])
-async def test_bytes_that_are_no_hint_are_left_out(peer, data):
-    hints, member, taken = peer
-    hints.transport.sendto(data, (member.peer_host, member.peer_port))
-    hints.send([member], make_notice())
-    await until(lambda: make_notice() in taken)
+async def test_unreadable_datagrams_are_dropped(peer, data):
+    notifier, member, received = peer
+    notifier.transport.sendto(data, (member.peer_host, member.peer_port))
+    notifier.send([member], make_notice())
+    await until(lambda: make_notice() in received)
 
 
-async def test_a_kernel_that_takes_nothing_costs_hints_only(peer):
-    hints, member, _ = peer
-    hints.transport.get_write_buffer_size = lambda: 10**6
-    hints.send([member] * 400, make_notice())
-    assert dropped(hints, "full") == 1
+async def test_notices_are_dropped_while_the_send_buffer_is_full(peer):
+    notifier, member, _ = peer
+    notifier.transport.get_write_buffer_size = lambda: 10**6
+    notifier.send([member] * 400, make_notice())
+    assert dropped(notifier, "full") == 1
 
 
 def make_settings(**more):
     return decode_settings(settings_document("127.0.0.1:1") | more, "f")
 
 
-def test_datagrams_pass_on_the_ports_between_nodes():
+def test_datagrams_use_a_port_of_the_configured_range():
     assert make_settings(portRange=[7340, 7355]).hints.port == 7340
     settings = make_settings()
     assert settings.hints.port == settings.peers.port
@@ -100,6 +100,6 @@
 @pytest.mark.parametrize(
     "ports", [["a", "b"], [0, 5], [70000], "7340", [True], {"first": 1}]
 )
-def test_ports_that_are_none_are_named(ports):
+def test_invalid_port_range_is_named_in_the_error(ports):
     with pytest.raises(SettingsError, match="portRange"):
         make_settings(portRange=ports)
--- a/tests/unit/test_links.py
+++ b/tests/unit/test_links.py
@@ -25,7 +25,7 @@
             self.links.links["127.0.0.1", self.opens] = late
 
 
-async def test_links_opened_while_all_end_are_ended_too():
+async def test_links_opened_during_close_are_closed_too():
     links = Links("me")
     first = SlowLink(links, opens=3)
     links.links["127.0.0.1", 9] = first
@@ -34,7 +34,7 @@
     assert links.links == {}
 
 
-async def test_a_link_that_was_never_used_ends():
+async def test_unused_links_are_closed():
     links = Links("me")
     links.to(member(1))
     links.to(member(2))
--- a/tests/unit/test_membership.py
+++ b/tests/unit/test_membership.py
@@ -36,7 +36,7 @@
     return {node.name for node in nodes}
 
 
-async def test_a_killed_member_is_gone_for_all_and_from_the_store(network):
+async def test_killed_member_is_removed_by_all_members_and_the_store(network):
     nodes = await start_fleet(network, 8)
     old = nodes[3].identity
     await nodes[3].kill()
@@ -48,7 +48,9 @@
     assert "n3/" not in network.table.rows["directory/full"].value
 
 
-async def test_a_frozen_member_is_gone_and_rejoins_as_another(network):
+async def test_frozen_member_is_removed_and_rejoins_as_a_new_incarnation(
+    network,
+):
     nodes = await start_fleet(network, 8)
     old = nodes[3].identity
     nodes[3].freeze()
@@ -64,7 +66,7 @@
 
 
 @pytest.mark.parametrize("size", [3, 8])
-async def test_lost_notices_of_a_return_are_made_good_without_the_store(
+async def test_lost_joined_notices_are_repeated_while_the_store_is_down(
     network, size
 ):
     nodes = await start_fleet(network, size)
@@ -82,7 +84,7 @@
     assert all(node.sees == names(nodes) for node in nodes)
 
 
-async def test_two_neighbours_killed_at_once_and_then_two_more(network):
+async def test_pairs_of_ring_neighbours_killed_at_once_are_removed(network):
     nodes = await start_fleet(network, 10)
     for pair in (nodes[0:2], nodes[4:6]):
         for node in pair:
@@ -92,7 +94,7 @@
         assert all(node.sees == names(nodes) for node in nodes)
 
 
-async def test_all_but_one_killed_at_once(network):
+async def test_last_member_removes_all_others_killed_at_once(network):
     nodes = await start_fleet(network, 6)
     for node in nodes[1:]:
         await node.kill()
@@ -100,7 +102,7 @@
     assert nodes[0].sees == {"n0"}
 
 
-async def test_deaths_are_found_while_the_store_is_down(network):
+async def test_failed_members_are_detected_while_the_store_is_down(network):
     nodes = await start_fleet(network, 8)
     network.store_down = True
     await nodes[1].kill()
@@ -119,7 +121,7 @@
     assert '"n1"' not in directory
 
 
-async def test_a_store_outage_alone_changes_nothing(network):
+async def test_store_outage_alone_removes_no_member(network):
     nodes = await start_fleet(network, 8)
     before = {node.identity for node in nodes}
     network.store_down = True
@@ -131,7 +133,7 @@
     assert {node.identity for node in nodes} == before
 
 
-async def test_a_member_cut_from_all_peers_declares_nobody_gone(network):
+async def test_member_partitioned_from_all_peers_declares_none_gone(network):
     nodes = await start_fleet(network, 8)
     alone = nodes[3]
     network.cut_off(alone)
@@ -148,7 +150,7 @@
     assert alone.metrics.counts["members.rejoined"] == 1
 
 
-async def test_a_member_cut_from_the_store_stays(network):
+async def test_member_partitioned_from_the_store_stays_a_member(network):
     nodes = await start_fleet(network, 8)
     network.no_store.add(nodes[3].name)
     await network.clock.advance(120)
@@ -163,7 +165,7 @@
     assert nodes[3].sees == late.sees
 
 
-async def test_a_member_cut_from_peers_and_store_comes_back(network):
+async def test_member_partitioned_from_peers_and_store_recovers(network):
     nodes = await start_fleet(network, 8)
     alone = nodes[3]
     network.cut_off(alone)
@@ -176,7 +178,7 @@
     assert all(node.sees == names(nodes) for node in nodes)
 
 
-async def test_a_cut_between_two_members_only_harms_nobody(network):
+async def test_partition_between_two_members_removes_neither(network):
     nodes = await start_fleet(network, 8)
     for one in nodes:
         for other in nodes:
@@ -186,7 +188,7 @@
     assert sum(n.metrics.counts["members.declared_gone"] for n in nodes) == 0
 
 
-async def test_two_halves_cut_from_each_other_stay_whole(network):
+async def test_both_halves_of_a_partition_keep_their_members(network):
     nodes = await start_fleet(network, 8)
     halves = nodes[:4], nodes[4:]
     network.cuts = {
@@ -211,7 +213,9 @@
 
 
 @pytest.mark.parametrize("fault", ["kill", "freeze"])
-async def test_the_writer_of_the_directory_fails_with_a_member(network, fault):
+async def test_directory_is_updated_after_its_writer_fails_with_a_member(
+    network, fault
+):
     nodes = await start_fleet(network, 8)
     lease = network.table.rows["directory/lease"].value
     writer = next(node for node in nodes if f'"{node.identity}"' in lease)
@@ -232,7 +236,9 @@
     assert late.sees == names([*rest, late])
 
 
-async def test_two_members_alone_need_the_store_to_judge_a_silent_one(network):
+async def test_one_of_two_members_needs_the_store_to_remove_a_silent_peer(
+    network,
+):
     one, other = await start_fleet(network, 2)
     other.freeze()
     network.no_store.add(one.name)
@@ -243,7 +249,7 @@
     assert one.sees == {"n0"}
 
 
-async def test_a_name_taken_by_a_new_process_is_not_taken_back(network):
+async def test_thawed_process_does_not_reclaim_a_reused_name(network):
     nodes = await start_fleet(network, 4)
     old = nodes[1]
     old.freeze()
@@ -257,7 +263,7 @@
     assert old.metrics.counts["members.name_taken"] == 1
 
 
-async def test_all_start_anew_at_once(network):
+async def test_fleet_recovers_after_all_members_restart_at_once(network):
     nodes = await start_fleet(network, 8)
     for node in nodes:
         await node.kill()
@@ -266,7 +272,7 @@
     assert all(node.sees == names(again) for node in again)
 
 
-async def test_a_leaving_member_is_listed_by_none_at_once(network):
+async def test_leaving_member_is_unlisted_by_all_members_at_once(network):
     nodes = await start_fleet(network, 8)
     network.store_down = True
     await nodes[2].members.leave()
@@ -278,7 +284,7 @@
     assert all(nodes[2].name not in node.lists for node in nodes)
 
 
-async def test_work_of_a_node_does_not_grow_with_the_fleet(network):
+async def test_messages_per_node_do_not_grow_with_the_fleet(network):
     figures = []
     for size in (8, 32):
         fleet = Network()
@@ -293,7 +299,7 @@
     assert small == pytest.approx(large, rel=0.1)
 
 
-async def test_a_late_leaving_does_not_replace_the_new_process(network):
+async def test_late_leaving_presence_does_not_replace_a_newer_process(network):
     nodes = await start_fleet(network, 4)
     old = nodes[1]
     await old.members.leave()
--- a/tests/unit/test_membership_workers.py
+++ b/tests/unit/test_membership_workers.py
@@ -15,7 +15,7 @@
 from tests.lib.network import Network
 
 POOL = 4
-LEAVES_S = 3.0
+DETECT_S = 3.0
 
 
 class Fleet:
@@ -64,10 +64,10 @@
     def fail(self, number):
         self.alive[f"http://10.0.1.{number}:80"] = False
 
-    def mend(self, number):
+    def recover(self, number):
         self.alive[f"http://10.0.1.{number}:80"] = True
 
-    def absent(self):
+    def excluded(self):
         """What each entry leaves out."""
         return [sorted(node.workers) for node in self.nodes]
 
@@ -80,60 +80,64 @@
     await fleet.network.stop()
 
 
-async def test_a_silent_worker_is_left_out_by_all_and_comes_back(fleet):
+async def test_silent_worker_is_excluded_by_all_entries_until_it_answers(fleet):
     fleet.fail(1)
-    await fleet.network.clock.advance(LEAVES_S)
-    assert fleet.absent() == [["w1"]] * 12
+    await fleet.network.clock.advance(DETECT_S)
+    assert fleet.excluded() == [["w1"]] * 12
     await fleet.network.clock.advance(10 * EXCLUSION_TTL_S)
-    assert fleet.absent() == [["w1"]] * 12
-    fleet.mend(1)
-    await fleet.network.clock.advance(LEAVES_S)
-    assert fleet.absent() == [[]] * 12
+    assert fleet.excluded() == [["w1"]] * 12
+    fleet.recover(1)
+    await fleet.network.clock.advance(DETECT_S)
+    assert fleet.excluded() == [[]] * 12
 
 
-async def test_a_leaving_worker_is_left_out_though_it_answers(fleet):
+async def test_leaving_worker_is_excluded_although_it_answers_probes(fleet):
     fleet.vms = [Vm("10.0.1.2", VmState.LEAVING), Vm("10.0.1.1")]
-    await fleet.network.clock.advance(LEAVES_S)
-    assert fleet.absent() == [["w2"]] * 12
+    await fleet.network.clock.advance(DETECT_S)
+    assert fleet.excluded() == [["w2"]] * 12
     await fleet.network.clock.advance(4 * EXCLUSION_TTL_S)
-    assert fleet.absent() == [["w2"]] * 12
+    assert fleet.excluded() == [["w2"]] * 12
     fleet.vms = []
-    await fleet.network.clock.advance(LEAVES_S)
-    assert fleet.absent() == [[]] * 12
+    await fleet.network.clock.advance(DETECT_S)
+    assert fleet.excluded() == [[]] * 12
 
 
-async def test_a_refused_connection_narrows_at_once_and_spreads(fleet):
+async def test_refused_connection_excludes_a_worker_on_all_entries_at_once(
+    fleet,
+):
     fleet.fail(3)
     error = UpstreamError("can't connect", True)
     error.__cause__ = aiohttp.ClientConnectorError(None, OSError())
     fleet.nodes[7].workers.record_failure("w3", error)
     assert "w3" in fleet.nodes[7].workers
     await fleet.network.clock.advance(0.1)
-    assert fleet.absent() == [["w3"]] * 12
+    assert fleet.excluded() == [["w3"]] * 12
 
 
-async def test_a_refusal_of_a_full_worker_narrows_nothing(fleet):
+async def test_refusal_by_a_full_worker_does_not_exclude_it(fleet):
     fleet.nodes[7].workers.record_failure("w3", UpstreamError("full", True))
     await fleet.network.clock.advance(0.1)
-    assert fleet.absent() == [[]] * 12
+    assert fleet.excluded() == [[]] * 12
 
 
-async def test_half_of_a_pool_stays_in_use(fleet):
+async def test_half_of_a_silent_pool_stays_in_use(fleet):
     for number in range(POOL):
         fleet.fail(number)
-    await fleet.network.clock.advance(LEAVES_S)
-    assert all(len(names) == POOL // 2 for names in fleet.absent())
+    await fleet.network.clock.advance(DETECT_S)
+    assert all(len(names) == POOL // 2 for names in fleet.excluded())
 
 
-async def test_a_whole_pool_that_is_leaving_is_left_out(fleet):
+async def test_pool_whose_workers_all_leave_is_excluded(fleet):
     fleet.vms = [
         Vm(f"10.0.1.{number}:80", VmState.LEAVING) for number in range(POOL)
     ]
-    await fleet.network.clock.advance(LEAVES_S)
-    assert all(len(names) == POOL for names in fleet.absent())
+    await fleet.network.clock.advance(DETECT_S)
+    assert all(len(names) == POOL for names in fleet.excluded())
 
 
-async def test_its_probers_die_with_a_worker(fleet):
+async def test_silent_worker_is_excluded_when_its_probing_entries_die_too(
+    fleet,
+):
     share = {
         node.name: {name for name, _ in node.workers.assigned_workers()}
         for node in fleet.nodes
@@ -148,21 +152,21 @@
     assert all(sorted(node.workers) == ["w1"] for node in rest)
 
 
-async def test_a_lost_comeback_expires(fleet):
+async def test_exclusion_expires_when_the_recovery_notice_is_lost(fleet):
     alone = next(
         node for node in fleet.nodes if not node.workers.assigned_workers()
     )
     fleet.fail(1)
-    await fleet.network.clock.advance(LEAVES_S)
+    await fleet.network.clock.advance(DETECT_S)
     alone.server.notices["worker"] = []
-    fleet.mend(1)
-    await fleet.network.clock.advance(LEAVES_S)
+    fleet.recover(1)
+    await fleet.network.clock.advance(DETECT_S)
     assert sorted(alone.workers) == ["w1"]
     await fleet.network.clock.advance(EXCLUSION_TTL_S)
-    assert fleet.absent() == [[]] * 12
+    assert fleet.excluded() == [[]] * 12
 
 
-async def test_probes_of_a_worker_do_not_grow_with_the_fleet(fleet):
+async def test_probes_per_worker_do_not_grow_with_the_fleet(fleet):
     fleet.probes = 0
     await fleet.network.clock.advance(40)
     assert fleet.probes == pytest.approx(POOL * 2 * 40 / 0.8, rel=0.1)
--- a/tests/unit/test_peers_link.py
+++ b/tests/unit/test_peers_link.py
@@ -46,14 +46,14 @@
         await link.close()
 
 
-async def test_a_port_without_a_process_is_refused(links):
+async def test_call_to_a_closed_port_is_refused(links):
     server = await start_server()
     await server.stop()
     with pytest.raises(PeerRefusedError):
         await links(server.port).call(ping_call(), 5)
 
 
-async def test_calls_of_a_broken_stream_fail_at_once(links):
+async def test_pending_calls_fail_at_once_when_the_stream_breaks(links):
     hold = asyncio.Event()
     server = await start_server(hold=hold)
     link = links(server.port)
@@ -72,7 +72,7 @@
     await stopping
 
 
-async def test_a_link_comes_back_with_its_peer(links):
+async def test_link_reconnects_after_its_peer_restarts(links):
     server = await start_server()
     link = links(server.port)
     await link.call(ping_call(), 5)
@@ -87,7 +87,7 @@
     await again.stop()
 
 
-async def test_a_half_open_peer_does_not_hold_callers(links):
+async def test_half_open_stream_is_replaced_after_timeouts(links):
     accepted = []
 
     async def swallow(reader, writer):
@@ -108,23 +108,23 @@
         writer.close()
 
 
-async def test_a_slow_peer_keeps_its_stream_and_the_calls_on_it(links):
+async def test_timeouts_of_overlapping_calls_do_not_end_the_stream(links):
     hold = asyncio.Event()
     server = await start_server(hold=hold)
     link = links(server.port)
-    patient = asyncio.create_task(link.call(ping_call(), 60))
-    hasty = [
+    long_call = asyncio.create_task(link.call(ping_call(), 60))
+    short_calls = [
         asyncio.create_task(link.call(ping_call(), 0.2)) for _ in range(200)
     ]
-    ended = await asyncio.gather(*hasty, return_exceptions=True)
+    ended = await asyncio.gather(*short_calls, return_exceptions=True)
     assert all(isinstance(error, PeerUnavailableError) for error in ended)
     hold.set()
     # Two hundred calls at the same time are one sign of silence, not many.
-    assert (await patient).ping.state == "live"
+    assert (await long_call).ping.state == "live"
     await server.stop()
 
 
-async def test_hasty_calls_do_not_keep_a_link_from_coming_back(links):
+async def test_short_timeouts_do_not_prevent_a_reconnect(links):
     server = await start_server()
     await server.stop()
     link = links(server.port)
@@ -145,7 +145,7 @@
     await again.stop()
 
 
-async def test_queues_of_a_silent_peer_are_bounded(links, monkeypatch):
+async def test_pending_calls_and_notices_are_bounded(links, monkeypatch):
     monkeypatch.setattr(link_module, "MAX_PENDING", 10)
     monkeypatch.setattr(link_module, "MAX_NOTICES", 10)
     hold = asyncio.Event()
--- a/tests/unit/test_peers_tls.py
+++ b/tests/unit/test_peers_tls.py
@@ -60,19 +60,21 @@
         await link.close()
 
 
-async def test_peers_of_one_authority_talk(server, authority):
+async def test_peers_with_certificates_of_one_authority_connect(
+    server, authority
+):
     context = peer_client_context(listen(authority, "client"))
     reply = await ping(server.port, context)
     assert reply.ping.state == "live"
 
 
-async def test_a_peer_in_plain_text_is_refused(server):
+async def test_plain_text_peer_is_refused(server):
     with pytest.raises(PeerUnavailableError):
         await ping(server.port, None)
     assert server.pings == 0
 
 
-async def test_a_peer_without_a_certificate_is_refused(server, authority):
+async def test_peer_without_a_certificate_is_refused(server, authority):
     context = ssl.create_default_context(cafile=str(authority.path))
     context.check_hostname = False
     context.set_alpn_protocols(["h2"])
@@ -81,7 +83,7 @@
     assert server.pings == 0
 
 
-async def test_a_peer_of_another_authority_is_refused(server, tmp_path):
+async def test_peer_certified_by_another_authority_is_refused(server, tmp_path):
     other = listen(Authority(tmp_path, "other"), "stranger")
     context = peer_client_context(other)
     context.verify_mode = ssl.CERT_NONE
@@ -90,7 +92,9 @@
     assert server.pings == 0
 
 
-async def test_a_server_of_another_authority_is_not_trusted(server, tmp_path):
+async def test_server_certified_by_another_authority_is_not_trusted(
+    server, tmp_path
+):
     context = peer_client_context(
         listen(Authority(tmp_path, "other"), "client")
     )
@@ -99,7 +103,7 @@
     assert server.pings == 0
 
 
-async def test_callers_by_tls(authority, tmp_path):
+async def test_callers_connect_by_tls(authority, tmp_path):
     certificate, key = authority.issue("callers")
     app = web.Application()
 
@@ -129,7 +133,9 @@
         ({"key": "OTHER"}, "can't be used together"),
     ],
 )
-def test_settings_errors_are_clear(authority, change, message):
+def test_settings_error_names_the_invalid_tls_setting(
+    authority, change, message
+):
     fields = {
         name: authority.issue("other")[1] if value == "OTHER" else value
         for name, value in change.items()
