--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,12 +1,12 @@
-"""What membership costs a node, at four sizes, and how fast it finds faults.
+"""Measures the cost of membership for a node and the time to detect faults.
 
 Run: python -m benchmarks.membership [--sizes 8,50,150,420] [--seconds 20]
 
-The fleet runs in one process on a controlled clock. Messages are encoded for
-real; each is given the overhead of its frame and packet, each call of the
-store that of its HTTP headers. Processor time of the fleet includes the fakes
-and the turning of the clock, so it is an upper bound; a probe over a real link
-on loopback is measured besides.
+Four fleet sizes run by default, each in one process on a controlled clock.
+Messages are really encoded; the overhead of frame and packet is added to each
+message, that of HTTP headers to each call of the store. Processor time includes
+the test doubles and advancing the clock, so it is an upper bound. A probe over
+a real link on loopback is measured separately.
 """
 
 import asyncio
@@ -40,7 +40,7 @@
 
 @attrs.frozen
 class Cost:
-    """Per node and second."""
+    """Cost for each node and second."""
 
     messages: float
     message_bytes: float
@@ -51,7 +51,7 @@
 
 
 def totals(nodes):
-    """Sums over all nodes."""
+    """Returns the sums of the counters over all nodes."""
     return (
         sum(node.traffic.messages for node in nodes),
         sum(node.traffic.bytes for node in nodes),
@@ -62,7 +62,7 @@
 
 
 async def start_fleet(size):
-    """Starts a fleet and waits until it is quiet."""
+    """Starts a fleet and waits until membership is stable."""
     network = Network()
     nodes = [
         await network.start(f"entry-{number}", Role.ENTRY)
@@ -73,7 +73,7 @@
 
 
 async def measure_cost(network, nodes, seconds):
-    """Measures a quiet fleet."""
+    """Measures the cost of a stable fleet."""
     before = totals(nodes)
     started = time.process_time()
     await network.clock.advance(seconds)
@@ -94,7 +94,7 @@
 
 
 async def measure_detection(network, nodes, fault, rng):
-    """Seconds until each other node knows of a fault; the slowest counts."""
+    """Returns, for each fault, the seconds until all other nodes know of it."""
     found = []
     for _ in range(FAULT_COUNT):
         await network.clock.advance(rng.uniform(0, 2))
@@ -117,7 +117,10 @@
 
 
 async def measure_ping():
-    """Processor milliseconds of a probe, both sides, over a real link."""
+    """Returns the processor time of a probe over a real link, in ms.
+
+    Both sides are included.
+    """
     server = PeerServer()
 
     async def ping(_call):
@@ -138,7 +141,7 @@
 
 
 def measure_memory(size):
-    """Bytes that one node's roster of a fleet takes."""
+    """Returns the memory of one node's roster of a fleet, in bytes."""
     gc.collect()
     tracemalloc.start()
     roster = Roster()
@@ -160,7 +163,7 @@
 
 
 async def run(sizes, seconds, seed):
-    """Measures and prints one line a size."""
+    """Measures and prints one line for each size."""
     print(f"probe over a real link: {await measure_ping():.3f} ms (both sides)")
     for size in sizes:
         network, nodes = await start_fleet(size)
--- a/tests/failure/test_membership.py
+++ b/tests/failure/test_membership.py
@@ -1,4 +1,4 @@
-"""Dead and frozen entries, as callers see them, with real processes."""
+"""Dead and frozen entries as seen by callers, with real processes."""
 
 import asyncio
 import random
@@ -45,11 +45,11 @@
 
 
 async def answer_after_retries(cluster, name, key):
-    """What a caller gets that comes back as told: (whole answers, faults).
+    """Returns (complete answers, faults) of a caller that retries as told.
 
-    Just after an outage an entry may not know yet that the store is back, and
-    can't tell what became of the key elsewhere: it says when to come back.
-    Nothing else is excused.
+    Just after an outage an entry may not know yet that the store is available
+    and can't determine the state of the key on other entries, so it answers
+    with a time to retry. No other fault is excused.
     """
 
     async def probe():
@@ -83,7 +83,7 @@
         assert whole == 1
     runs = await cluster.runs("engine")
     assert len(runs) == 3
-    # The one that was frozen came back as another incarnation.
+    # The frozen entry rejoined as a new incarnation.
     assert "rejoined" in cluster.processes["entry-2"].log()
 
 
--- a/tests/lib/fleet.py
+++ b/tests/lib/fleet.py
@@ -1,7 +1,8 @@
-"""Entries' claims in one process, in virtual time, with faults between.
+"""Simulates the claims of several entries in one process, with faults.
 
-Each node sees the table, its peers and the clock through a gate that a freeze
-closes. What ran, what was released and what is billed is counted here.
+Time is virtual. Each node accesses the table, its peers and the clock through a
+gate, which is closed while the node is frozen. Executions, released answers and
+bills are counted.
 """
 
 import asyncio
@@ -49,7 +50,7 @@
 
 
 class Gate:
-    """Lets a node's work through unless it is frozen or killed."""
+    """Blocks a node's work while it is frozen or killed."""
 
     def __init__(self):
         self.open = asyncio.Event()
@@ -72,13 +73,13 @@
 
 @attrs.define
 class TableFaults:
-    """`down`: refuses; `silent`: never answers; else shares of writes."""
+    """Faults: `down` refuses, `silent` never answers; shares of writes."""
 
     down: bool = False
     silent: bool = False
-    lost: float = 0.0  # Takes effect, the answer is lost.
-    dropped: float = 0.0  # Has no effect, no answer either.
-    delayed: float = 0.0  # Takes effect seconds after it was given up.
+    lost: float = 0.0  # Takes effect, but the answer is lost.
+    dropped: float = 0.0  # Has no effect and gets no answer.
+    delayed: float = 0.0  # Takes effect seconds after its timeout.
     delay_s: float = 0.0
 
 
@@ -88,7 +89,7 @@
     def __init__(self, fleet, gate):
         self.fleet = fleet
         self.gate = gate
-        self.cut = False  # This node alone can't reach the table.
+        self.cut = False  # Only this node can't reach the table.
 
     async def get(self, key):
         return await self.read(lambda: self.fleet.table.get(key))
@@ -194,7 +195,7 @@
 
 
 class NodeMembers:
-    """Who is alive, as one node sees it; nobody is found dead in an outage."""
+    """The live members as one node sees them; outages remove none."""
 
     def __init__(self, fleet, me):
         self.fleet = fleet
@@ -225,7 +226,7 @@
 
 
 class Node:
-    """One entry: its claims, and a small stand-in for the rest of it."""
+    """One entry: its claims, and a minimal replacement for the rest."""
 
     def __init__(self, fleet, name, number):
         self.fleet = fleet
@@ -296,7 +297,7 @@
         self.gate.killed = True
 
     async def answer(self, key, idempotent=True):
-        """One request, as an entry treats it; returns what a caller gets."""
+        """Handles one request as an entry does; returns the caller's result."""
         self.asks += 1
         holder = f"{self.member.name}/{self.member.incarnation}/{self.asks}"
         ask = Ask("desk", key, holder, idempotent, "digest")
@@ -331,12 +332,12 @@
 
 
 class FleetOfNodes:
-    """Some nodes before one table.
+    """Nodes that share one table.
 
     Attributes:
       runs: Dispatches by key.
-      released: Whole answers given to callers, by key.
-      false_not_run: Keys refused as "not run" that had run.
+      released: Complete answers given to callers, by key.
+      false_not_run: Keys refused as "not run" although they had run.
     """
 
     def __init__(
@@ -376,7 +377,7 @@
         return [node for node in self.nodes.values() if node.gate.open.is_set()]
 
     def owner_of(self, key):
-        """Returns the node that believes it owns a key's shard."""
+        """Returns the node that considers itself owner of a key's shard."""
         for node in self.nodes.values():
             shard = node.claims.shard_of("desk", key)
             owner = node.claims.ownership.owners.get(shard)
@@ -395,13 +396,13 @@
                 if not owner.not_serving
             )
             if len(owned) == self.sizes.claim_shards:
-                await asyncio.sleep(1.0)  # Until each node read the rows.
+                await asyncio.sleep(1.0)  # Until each node has read the rows.
                 return
             await asyncio.sleep(0.1)
         raise AssertionError("shards have no owner")
 
     def bills(self):
-        """Returns the bills in the table by key, folded here by hand."""
+        """Returns the number of bills by key, computed from the log rows."""
         found = collections.Counter()
         claims = {}
         for row in self.table.rows.values():
@@ -421,7 +422,7 @@
 
 @attrs.define
 class Count:
-    """What came of some requests."""
+    """Results of a number of requests."""
 
     asked: int = 0
     lost: int = 0
@@ -432,7 +433,7 @@
 
 
 async def call_until_answered(fleet, key, idempotent, limit_s=60.0):
-    """A caller: asks again by its key through any entry until it is told."""
+    """Repeats a request with its key through any entry until answered."""
     end = fleet.now() + limit_s
     while fleet.now() < end:
         nodes = fleet.working()
@@ -455,7 +456,7 @@
 
 
 def count_results(fleet, answers, idempotent):
-    """Compares what callers got with what ran and what is billed."""
+    """Compares callers' answers with executions and bills."""
     bills = fleet.bills()
     count = Count(asked=len(answers))
     count.false_not_run = len(fleet.false_not_run)
@@ -485,10 +486,12 @@
     for number in range(requests):
         callers.append(fleet.spawn(one(f"k{number}")))
         if number % 5 == 0:
-            # The same key at the same time, through another entry.
+            # The same key concurrently, possibly through another entry.
             callers.append(fleet.spawn(one(f"k{number}")))
         await asyncio.sleep(gap_s)
     await asyncio.gather(*callers)
     await fault
-    await asyncio.sleep(30.0)  # What is late arrives, what is kept is flushed.
+    await asyncio.sleep(
+        30.0
+    )  # Late writes arrive and kept records are flushed.
     return count_results(fleet, answers, idempotent)
--- a/tests/unit/test_hints.py
+++ b/tests/unit/test_hints.py
@@ -1,4 +1,4 @@
-"""Hints between processes: many at once, lost without harm."""
+"""Notices as datagrams: delivery to many peers and harmless losses."""
 
 import asyncio
 
--- a/tests/unit/test_links.py
+++ b/tests/unit/test_links.py
@@ -1,4 +1,4 @@
-"""Links of a process that stops."""
+"""Links of a process that shuts down."""
 
 import attrs
 
@@ -12,7 +12,7 @@
 
 @attrs.define
 class SlowLink:
-    """A link during whose end another one is opened."""
+    """A link during whose close another link is opened."""
 
     links: Links
     opens: int
--- a/tests/unit/test_membership.py
+++ b/tests/unit/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership on a controlled clock: dead, frozen and cut-off members."""
+"""Membership on a controlled clock: dead, frozen and partitioned members."""
 
 import pytest
 
@@ -140,7 +140,7 @@
     await network.clock.advance(60)
     rest = without(nodes, alone)
     assert all(node.sees == names(rest) for node in rest)
-    # It sees what the store tells, and judges nobody by its own probes.
+    # It follows the directory and removes nobody because of its own probes.
     assert alone.metrics.counts["members.declared_gone"] == 0
     assert alone.sees == names(nodes)
     assert alone.metrics.counts["members.rejoined"] == 0
@@ -200,7 +200,7 @@
         await network.clock.advance(1)
         for half in halves:
             assert all(names(half) <= node.sees for node in half)
-    # The other half is listed again only for a while after each rejoin.
+    # The other half is listed again only for some time after each rejoin.
     assert all(node.metrics.counts["members.rejoined"] < 10 for node in nodes)
     await nodes[1].kill()
     await network.clock.advance(DETECT_S)
--- a/tests/unit/test_membership_workers.py
+++ b/tests/unit/test_membership_workers.py
@@ -1,4 +1,4 @@
-"""Workers that get nothing new, on a controlled clock."""
+"""Workers excluded from new requests, on a controlled clock."""
 
 import aiohttp
 import pytest
@@ -19,7 +19,7 @@
 
 
 class Fleet:
-    """Entries with a pool of workers, whose answers tests set."""
+    """Entries with a pool of workers whose answers are set by tests."""
 
     def __init__(self):
         self.network = Network()
@@ -68,7 +68,7 @@
         self.alive[f"http://10.0.1.{number}:80"] = True
 
     def excluded(self):
-        """What each entry leaves out."""
+        """Returns the workers that each entry excludes."""
         return [sorted(node.workers) for node in self.nodes]
 
 
--- a/tests/unit/test_peers_link.py
+++ b/tests/unit/test_peers_link.py
@@ -1,4 +1,4 @@
-"""A link under bad peers: frozen, half open, gone and back."""
+"""A link to faulty peers: frozen, half open, stopped and restarted."""
 
 import asyncio
 
@@ -100,7 +100,7 @@
     for _ in range(link_module.MAX_CONSECUTIVE_TIMEOUTS + 2):
         with pytest.raises(PeerUnavailableError):
             await asyncio.wait_for(link.call(ping_call(), 0.1), 30)
-    # The silent stream was given up and another one opened.
+    # The stream without replies was replaced by a new one.
     assert len(accepted) == 2
     assert link.pending == {}
     listener.close()
@@ -119,7 +119,7 @@
     ended = await asyncio.gather(*short_calls, return_exceptions=True)
     assert all(isinstance(error, PeerUnavailableError) for error in ended)
     hold.set()
-    # Two hundred calls at the same time are one sign of silence, not many.
+    # The timeouts of 200 simultaneous calls count as one.
     assert (await long_call).ping.state == "live"
     await server.stop()
 
@@ -134,7 +134,7 @@
     assert link.backoff_s == link_module.MAX_BACKOFF_S
     again = await start_server(server.port)
     replies = []
-    # Each is given up before a stream is opened again.
+    # Each call times out before the stream is open again.
     for _ in range(100):
         try:
             replies.append(await link.call(ping_call(), 0.1))
--- a/tests/unit/test_peers_tls.py
+++ b/tests/unit/test_peers_tls.py
@@ -1,4 +1,4 @@
-"""Mutual TLS between processes, and TLS towards callers."""
+"""Mutual TLS between processes, and TLS for callers."""
 
 import ssl
 
