--- a/src/rattanpier/_internal/membership/workers.py
+++ b/src/rattanpier/_internal/membership/workers.py
@@ -246,8 +246,8 @@
         """Applies a notice of a peer and forwards it if it is new."""
         body = notice.worker
         known = self.exclusions.find(body.worker) is not None
-        heard = self.last_sequences.get((body.worker, body.origin), 0)
-        if not known or body.sequence <= heard:
+        last_sequence = self.last_sequences.get((body.worker, body.origin), 0)
+        if not known or body.sequence <= last_sequence:
             return
         self.last_sequences[body.worker, body.origin] = body.sequence
         self.forget_old_origins()
