--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,12 +1,12 @@
-"""What membership costs a node, at four sizes, and how fast it finds faults.
+"""Measures the cost of membership for a node and the time to detect faults.
 
 Run: python -m benchmarks.membership [--sizes 8,50,150,420] [--seconds 20]
 
-The fleet runs in one process on a controlled clock. Messages are encoded for
-real; each is given the overhead of its frame and packet, each call of the
-store that of its HTTP headers. Processor time of the fleet includes the fakes
-and the turning of the clock, so it is an upper bound; a probe over a real link
-on loopback is measured besides.
+Four fleet sizes run by default, each in one process on a controlled clock.
+Messages are really encoded; the overhead of frame and packet is added to each
+message, that of HTTP headers to each call of the store. Processor time includes
+the test doubles and advancing the clock, so it is an upper bound. A probe over
+a real link on loopback is measured separately.
 """
 
 import asyncio
@@ -33,14 +33,14 @@
 MESSAGE_OVERHEAD = 40 + 40 + 9 + 5 + 4
 STORE_OVERHEAD = 500  # Headers of a request and its response.
 SETTLE_S = 12.0
-FAULTS = 5
-LIMIT_S = 60.0
-PINGS = 2000
+FAULT_COUNT = 5
+DETECTION_LIMIT_S = 60.0
+PING_COUNT = 2000
 
 
 @attrs.frozen
 class Cost:
-    """Per node and second."""
+    """Cost for each node and second."""
 
     messages: float
     message_bytes: float
@@ -51,7 +51,7 @@
 
 
 def totals(nodes):
-    """Sums over all nodes."""
+    """Returns the sums of the counters over all nodes."""
     return (
         sum(node.traffic.messages for node in nodes),
         sum(node.traffic.bytes for node in nodes),
@@ -62,7 +62,7 @@
 
 
 async def start_fleet(size):
-    """Starts a fleet and waits until it is quiet."""
+    """Starts a fleet and waits until membership is stable."""
     network = Network()
     nodes = [
         await network.start(f"entry-{number}", Role.ENTRY)
@@ -73,7 +73,7 @@
 
 
 async def measure_cost(network, nodes, seconds):
-    """Measures a quiet fleet."""
+    """Measures the cost of a stable fleet."""
     before = totals(nodes)
     started = time.process_time()
     await network.clock.advance(seconds)
@@ -94,9 +94,9 @@
 
 
 async def measure_detection(network, nodes, fault, rng):
-    """Seconds until each other node knows of a fault; the slowest counts."""
+    """Returns, for each fault, the seconds until all other nodes know of it."""
     found = []
-    for _ in range(FAULTS):
+    for _ in range(FAULT_COUNT):
         await network.clock.advance(rng.uniform(0, 2))
         victim = rng.choice([node for node in nodes if not node.dead])
         identity = victim.identity
@@ -108,7 +108,7 @@
         started = network.clock.monotonic()
         while any(node.members.alive(identity) for node in rest):
             await network.clock.advance(0.1)
-            assert network.clock.monotonic() - started < LIMIT_S
+            assert network.clock.monotonic() - started < DETECTION_LIMIT_S
         found.append(network.clock.monotonic() - started)
         if fault == "freeze":
             victim.thaw()
@@ -117,7 +117,10 @@
 
 
 async def measure_ping():
-    """Processor milliseconds of a probe, both sides, over a real link."""
+    """Returns the processor time of a probe over a real link, in ms.
+
+    Both sides are included.
+    """
     server = PeerServer()
 
     async def ping(_call):
@@ -129,16 +132,16 @@
     request = peer_pb2.PingRequest(sender="entry-1", incarnation="0" * 12)
     await link.call(peer_pb2.Call(ping=request), 5)
     started = time.process_time()
-    for _ in range(PINGS):
+    for _ in range(PING_COUNT):
         await link.call(peer_pb2.Call(ping=request), 5)
     used = time.process_time() - started
     await link.close()
     await server.stop()
-    return 1000 * used / PINGS
+    return 1000 * used / PING_COUNT
 
 
 def measure_memory(size):
-    """Bytes that one node's roster of a fleet takes."""
+    """Returns the memory of one node's roster of a fleet, in bytes."""
     gc.collect()
     tracemalloc.start()
     roster = Roster()
@@ -153,14 +156,14 @@
             peer_host=f"10.0.{number // 256}.{number % 256}",
             peer_port=7000,
         )
-        roster.learn(Presence(member))
+        roster.apply_presence(Presence(member))
     used, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return used
 
 
 async def run(sizes, seconds, seed):
-    """Measures and prints one line a size."""
+    """Measures and prints one line for each size."""
     print(f"probe over a real link: {await measure_ping():.3f} ms (both sides)")
     for size in sizes:
         network, nodes = await start_fleet(size)
--- a/src/rattanpier/_internal/membership/members.py
+++ b/src/rattanpier/_internal/membership/members.py
@@ -1,7 +1,8 @@
-"""Who is alive: the directory in the store, notices and probes together.
+"""Membership of one process: the directory in the store, notices and probes.
 
-The store holds who belongs to the system. Who died is found by probes and
-spread by notices, so that it goes on without the store.
+The store records which processes belong to the system. Failed processes are
+detected by probes and announced by notices, so detection works while the store
+is down.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 from rattanpier._internal.exceptions import StoreUnavailableError
 from rattanpier._internal.kernel import Kernel
 from rattanpier._internal.membership.directory import (
-    CANDIDATES,
+    MAX_CANDIDATES,
     DirectoryReader,
     DirectoryWriter,
     candidate_rank,
@@ -32,19 +33,22 @@
     NameTaken,
     RowMissing,
     RowOwned,
-    judge_row,
+    classify_row,
     read_row,
     remove_row,
     write_row,
 )
-from rattanpier._internal.membership.probing import PROBE_S, Prober
+from rattanpier._internal.membership.probing import PROBE_INTERVAL_S, Prober
 from rattanpier._internal.membership.records import (
     Presence,
     incarnation_id,
     new_incarnation,
 )
-from rattanpier._internal.membership.rejoining import RejoinPause
-from rattanpier._internal.membership.requests import Requests, read_requests
+from rattanpier._internal.membership.rejoining import RejoinBackoff
+from rattanpier._internal.membership.requests import (
+    DirectoryRequests,
+    read_requests,
+)
 from rattanpier._internal.membership.roster import Roster
 from rattanpier._internal.models.member import (
     Member,
@@ -58,14 +62,16 @@
 
 log = structlog.get_logger(part="members")
 
-ROW_WRITES_PER_S = 20.0  # Of all processes together.
+ROW_WRITES_PER_S = 20.0  # Budget of all processes together.
 MIN_REFRESH_S = 2.0
-ROW_LAPSE_PERIODS = 3
-DUTY_S = 1.0  # Between looks at the directory's lease, and of its holder.
-FOLLOW_S = 2.0  # Between reads of the directory.
-UNRECORDED_S = 3.0  # Not in the directory for so long: watch its lease too.
-ANSWER_FRESH_S = 3.0  # A peer answered so lately: not cut off.
-REMOVE_TRIES = 3
+ROW_STALE_PERIODS = 3  # Refresh periods after which a row is stale.
+MAINTAIN_INTERVAL_S = 1.0  # Between checks or renewals of the lease.
+READ_INTERVAL_S = 2.0  # Between reads of the directory.
+# A process that is not in the directory after this time watches the lease too.
+UNRECORDED_TIMEOUT_S = 3.0
+# A process that a peer answered within this time is not partitioned.
+MAX_ANSWER_AGE_S = 3.0
+MAX_REMOVE_ATTEMPTS = 3
 
 
 @attrs.define
@@ -73,16 +79,16 @@
     """Membership as one process sees it.
 
     Attributes:
-      me: This process; its incarnation changes when it was declared gone.
-      links: To peers; None in a process without peers.
-      rejoined: Emits this process's member after such a change.
-      announced: This process as last told to the others, or None.
-      announced_at: When its incarnation was, in monotonic seconds.
+      me: This process; its incarnation changes when it rejoins.
+      links: Links to peers; None in a process without peers.
+      rejoined: Emits this process's member after each change of incarnation.
+      announced: This process as last announced to peers, or None.
+      announced_at: Monotonic seconds at which its incarnation was announced.
       recorded: Whether the directory has this incarnation.
-      yielded: Whether another process has this one's name.
+      yielded: Whether this process gave up its name to another one.
       must_rejoin: Whether this process was declared gone.
-      rejoin_pause: When it may come back then.
-      next_refresh: Monotonic seconds at which the own row is due.
+      rejoin_backoff: Limits how often this process rejoins.
+      next_refresh: Monotonic seconds at which the own row is refreshed next.
     """
 
     me: Member
@@ -97,30 +103,30 @@
     recorded: bool = False
     yielded: bool = False
     must_rejoin: bool = False
-    rejoin_pause: RejoinPause = attrs.Factory(RejoinPause)
+    rejoin_backoff: RejoinBackoff = attrs.Factory(RejoinBackoff)
     next_refresh: float = float("-inf")
     reader: DirectoryReader = attrs.field(init=False)
     writer: DirectoryWriter = attrs.field(init=False)
-    requests: Requests = attrs.field(init=False)
+    requests: DirectoryRequests = attrs.field(init=False)
     notifier: Notifier = attrs.field(init=False)
     gone_reports: GoneReports = attrs.field(init=False)
     prober: Prober | None = attrs.field(init=False, default=None)
 
     def __attrs_post_init__(self) -> None:
-        """Puts the parts together."""
+        """Creates the components and connects them."""
         self.reader = DirectoryReader(self.table)
         self.writer = DirectoryWriter(self.table, self.clock)
-        self.requests = Requests(self.table)
+        self.requests = DirectoryRequests(self.table)
         self.notifier = Notifier(lambda: self.me, self.roster, self.links)
         if self.links is not None:
             self.prober = self.build_prober(self.links)
         self.gone_reports = GoneReports(
             self.roster, self.clock, self.metrics, self.prober
         )
-        self.roster.learn(Presence(self.me))
+        self.roster.apply_presence(Presence(self.me))
 
     def build_prober(self, links: Links) -> Prober:
-        """Returns what probes peers, and tells what it finds."""
+        """Returns the prober of peers, connected to this membership."""
         return Prober(
             me=lambda: self.me,
             roster=self.roster,
@@ -129,9 +135,9 @@
             clock=self.clock,
             metrics=self.metrics,
             on_gone=self.declare_gone,
-            on_self_gone=self.note_self_gone,
+            on_self_gone=self.record_self_gone,
             on_unknown=self.announce_to,
-            row_lapse_s=lambda: ROW_LAPSE_PERIODS * self.refresh_s,
+            row_stale_s=lambda: ROW_STALE_PERIODS * self.refresh_s,
             directory_revision=lambda: self.reader.revision or 0,
         )
 
@@ -158,15 +164,18 @@
         """Returns the other live members."""
         return self.roster.others(self.me.name)
 
-    # Work over time.
+    # Periodic work.
 
     async def run(self, kernel: Kernel) -> None:
-        """Keeps membership going until the end."""
+        """Runs the periodic work of membership until shutdown."""
         if self.prober is not None:
             self.gone_reports.spawn = kernel.spawn
-        work = [(self.duty, DUTY_S), (self.follow, FOLLOW_S)]
+        work = [
+            (self.maintain, MAINTAIN_INTERVAL_S),
+            (self.read_directory, READ_INTERVAL_S),
+        ]
         if self.prober is not None:
-            work.append((self.prober.round, PROBE_S))
+            work.append((self.prober.probe_successors, PROBE_INTERVAL_S))
         loops = [
             kernel.spawn(self.repeat(kernel, step, period_s))
             for step, period_s in work
@@ -176,7 +185,7 @@
     async def repeat(
         self, kernel: Kernel, step: Callable, period_s: float
     ) -> None:
-        """Runs a step again and again; the store may fail meanwhile."""
+        """Runs a step periodically, also while the store is down."""
         while not kernel.stopping.is_set():
             try:
                 await step()
@@ -185,18 +194,18 @@
             await self.clock.sleep(period_s)
 
     async def step(self) -> None:
-        """Does at once what is done over time, apart from probes."""
+        """Does the periodic work once, without probes."""
         try:
-            await self.follow()
-            await self.duty()
-            await self.follow()
+            await self.read_directory()
+            await self.maintain()
+            await self.read_directory()
         except StoreUnavailableError:
             log.warning("The directory can't be read.")
 
-    async def duty(self) -> None:
-        """Announces and refreshes this process; writes the directory."""
-        self.roster.learn(Presence(self.me))
-        self.notifier.close_links()
+    async def maintain(self) -> None:
+        """Announces and refreshes this process; steps the directory writer."""
+        self.roster.apply_presence(Presence(self.me))
+        self.notifier.close_stale_links()
         self.announce()
         await self.requests.write()
         if self.must_rejoin:
@@ -207,7 +216,7 @@
         rank = self.rank()
         if self.announced and rank is not None:
             for presence in await self.writer.step(self.me, rank, self.roster):
-                self.take(presence)
+                self.apply_presence(presence)
 
     @property
     def refresh_s(self) -> float:
@@ -215,38 +224,40 @@
         return max(MIN_REFRESH_S, len(self.roster.known) / ROW_WRITES_PER_S)
 
     def rank(self) -> int | None:
-        """Returns the place among the directory's candidates, or None."""
+        """Returns the rank among the candidates for the lease, or None."""
         if self.writer.holding:
             return 0
         rank = candidate_rank(self.roster.known, self.me.name)
         if rank is not None or self.recorded:
             return rank
-        # All candidates known may be dead when all processes started anew.
+        # After a restart of all processes every known candidate may be dead.
         unrecorded_s = self.clock.monotonic() - self.announced_at
-        return CANDIDATES if unrecorded_s > UNRECORDED_S else None
+        return MAX_CANDIDATES if unrecorded_s > UNRECORDED_TIMEOUT_S else None
 
-    async def follow(self) -> None:
-        """Takes in what is new in the directory."""
-        presences = await self.reader.news()
+    async def read_directory(self) -> None:
+        """Applies new presences from the directory."""
+        presences = await self.reader.read_new()
         if not self.recorded:
             presences += await read_requests(self.table)
         for presence in presences:
-            self.take(presence)
+            self.apply_presence(presence)
 
-    def take(self, presence: Presence) -> bool:
-        """Takes in a presence; says whether it was news."""
+    def apply_presence(self, presence: Presence) -> bool:
+        """Applies a presence; returns whether it was new."""
         if presence.member.name == self.me.name:
-            return self.take_own(presence)
+            return self.apply_own_presence(presence)
         if presence.gone:
-            return self.gone_reports.take(incarnation_id(presence.member))
-        return self.roster.learn(presence)
+            return self.gone_reports.apply_report(
+                incarnation_id(presence.member)
+            )
+        return self.roster.apply_presence(presence)
 
-    def take_own(self, presence: Presence) -> bool:
-        """Takes in what others say of this process."""
+    def apply_own_presence(self, presence: Presence) -> bool:
+        """Applies what peers report about this process."""
         if presence.member.incarnation != self.me.incarnation:
             return False
         if presence.gone:
-            self.note_self_gone()
+            self.record_self_gone()
         else:
             self.recorded = True
         return False
@@ -254,7 +265,7 @@
     # This process.
 
     def announce(self) -> None:
-        """Tells the others of this process once it can be reached."""
+        """Announces this process to peers once it is reachable."""
         me = self.me
         if me == self.announced or not me.is_reachable:
             return
@@ -270,16 +281,16 @@
         self.requests.add(Presence(me))
         notice = joined_notice(me)
         if rejoined:
-            # Told to all: whoever finds the old incarnation gone by a probe
-            # has to know the new one already.
+            # Sent to all peers: one that finds the old incarnation gone by a
+            # probe has to know the new incarnation already.
             self.notifier.send(notice, self.others())
         else:
-            self.spread(notice)
+            self.notify_neighbours(notice)
 
     def announce_to(self, peer: Member) -> None:
-        """Tells a peer again whose notice was lost.
+        """Announces this process again to a peer that lost the notice.
 
-        While the store is down nothing else tells it of this process.
+        While the store is down the peer has no other source.
         """
         if self.announced != self.me or self.yielded:
             return
@@ -288,92 +299,96 @@
             self.notifier.send(joined_notice(self.me), [peer])
 
     async def refresh(self) -> None:
-        """Writes the own row, unless it says that this process is gone."""
+        """Refreshes the own row, unless it shows that this process is gone."""
         if self.yielded:
             return
         row = await read_row(self.table, self.me)
-        match judge_row(row, self.me, self.recorded):
+        match classify_row(row, self.me, self.recorded):
             case RowOwned():
                 await write_row(self.table, self.me, row)
             case RowMissing():
-                self.note_self_gone()
+                self.record_self_gone()
             case NameTaken(owner):
-                self.give_way(owner)
+                self.yield_name(owner)
 
-    def give_way(self, owner: Member) -> None:
-        """Leaves the name to the process that has it now."""
+    def yield_name(self, owner: Member) -> None:
+        """Gives up the name to the process that has it now."""
         self.yielded = True
         self.metrics.count("members.name_taken")
-        log.error("Another process has this name.", other=owner.incarnation)
+        log.error("Name is in use by another process.", other=owner.incarnation)
 
-    def note_self_gone(self) -> None:
-        """Takes in that this process was declared gone."""
+    def record_self_gone(self) -> None:
+        """Records that this process was declared gone."""
         self.must_rejoin = True
 
     def rejoin(self) -> None:
-        """Comes back under a new incarnation; old claims stay without one.
+        """Rejoins as a new incarnation; old claims have no live holder then.
 
-        A process that no peer answers does not: it would be declared gone
-        again. One that is declared gone again and again waits longer.
+        A process that no peer answers does not rejoin, since it would be
+        declared gone again. One that is declared gone repeatedly waits longer
+        each time.
         """
         now = self.clock.monotonic()
-        cut_off = (
+        partitioned = (
             self.prober is not None
             and self.others()
-            and now - self.prober.last_answer > ANSWER_FRESH_S
+            and now - self.prober.last_answer > MAX_ANSWER_AGE_S
         )
-        if self.yielded or cut_off or not self.rejoin_pause.is_over(now):
+        if self.yielded or partitioned or not self.rejoin_backoff.is_over(now):
             return
         self.must_rejoin = False
-        self.rejoin_pause.begin(now)
+        self.rejoin_backoff.record_rejoin(now)
         old = incarnation_id(self.me)
         self.me = attrs.evolve(self.me, incarnation=new_incarnation())
-        self.roster.learn(Presence(self.me))
+        self.roster.apply_presence(Presence(self.me))
         self.metrics.count("members.rejoined")
-        log.warning("Declared gone; rejoined.", old=old)
+        log.warning("Declared gone; rejoined as a new incarnation.", old=old)
         self.rejoined.on_next(self.me)
         self.announce()
 
     async def leave(self) -> None:
-        """Tells the others that this process is leaving."""
+        """Notifies peers that this process is leaving."""
         self.me = attrs.evolve(self.me, state=MemberState.LEAVING)
-        self.roster.learn(Presence(self.me))
+        self.roster.apply_presence(Presence(self.me))
         self.announced = self.me
         self.requests.add(Presence(self.me))
-        # Told to all, not only to neighbours: callers ask any of them.
+        # Sent to all peers, not only to neighbours: callers may ask any of
+        # them for the list of entries.
         self.notifier.send(leaving_notice(self.me), self.others())
         self.next_refresh = float("-inf")
         await self.step()
 
     async def remove(self) -> None:
-        """Tells the others that this process is gone, and the store."""
+        """Notifies peers and the store that this process is gone."""
         gone = Presence(self.me, gone=True)
-        self.spread(departed_notice(self.me))
+        self.notify_neighbours(departed_notice(self.me))
         self.requests.add(gone)
-        for _ in range(REMOVE_TRIES):
+        for _ in range(MAX_REMOVE_ATTEMPTS):
             try:
                 await self.requests.write()
                 row = await read_row(self.table, self.me)
                 await remove_row(self.table, self.me, row)
             except StoreUnavailableError:
-                log.warning("The store is down; probes will find this end.")
-            if not self.requests.waiting:
+                log.warning(
+                    "Store unavailable; peers will detect the exit by probes."
+                )
+            if not self.requests.pending:
                 return
-            await self.clock.sleep(DUTY_S)
+            await self.clock.sleep(MAINTAIN_INTERVAL_S)
 
     # Peers.
 
     def declare_gone(self, member: Member) -> None:
-        """Takes a member out after a confirmed failure, and spreads it."""
-        if not self.roster.depart(incarnation_id(member)):
+        """Removes a member after a confirmed failure and notifies peers."""
+        if not self.roster.apply_departure(incarnation_id(member)):
             return
         self.metrics.count("members.declared_gone")
-        log.warning("Declared gone.", member=incarnation_id(member))
+        log.warning("Member declared gone.", member=incarnation_id(member))
         self.requests.add(Presence(member, gone=True))
-        self.spread(departed_notice(member))
-        # The one that is declared gone hears of it if it is not.
+        self.notify_neighbours(departed_notice(member))
+        # The member is notified too: if it is alive after all, it rejoins.
         self.notifier.send(departed_notice(member), [member])
 
-    def spread(self, notice: peer_pb2.Notice) -> None:
+    def notify_neighbours(self, notice: peer_pb2.Notice) -> None:
         """Sends a notice to the neighbours on the ring."""
-        self.notifier.spread(notice)
+        self.notifier.notify_neighbours(notice)
--- a/src/rattanpier/_internal/membership/notices.py
+++ b/src/rattanpier/_internal/membership/notices.py
@@ -1,4 +1,4 @@
-"""Notices of membership, and to whom they are sent."""
+"""Builds notices about membership and sends them to peers."""
 
 from __future__ import annotations
 
@@ -45,15 +45,16 @@
 
     Attributes:
       me: Returns this process.
-      roster: The members that are known.
-      links: To peers; None in a process without peers, which sends nothing.
+      roster: The members that this process knows.
+      links: Links to peers; None in a process without peers, which sends
+        nothing.
     """
 
     me: Callable[[], Member]
     roster: Roster
     links: Links | None
 
-    def spread(self, notice: peer_pb2.Notice) -> None:
+    def notify_neighbours(self, notice: peer_pb2.Notice) -> None:
         """Sends a notice to the neighbours on the ring."""
         known = self.roster.known
         names = neighbours(known, self.me().name)
@@ -66,9 +67,9 @@
         for member in targets:
             self.links.to(member).notify(notice)
 
-    def close_links(self) -> None:
-        """Ends links to processes that are gone."""
+    def close_stale_links(self) -> None:
+        """Closes links to processes that are no longer known."""
         if self.links is None:
             return
         known = self.roster.known.values()
-        self.links.keep({(item.peer_host, item.peer_port) for item in known})
+        self.links.retain({(item.peer_host, item.peer_port) for item in known})
--- a/src/rattanpier/_internal/membership/requests.py
+++ b/src/rattanpier/_internal/membership/requests.py
@@ -1,4 +1,4 @@
-"""Requests for changes of the directory, until its writer takes them in."""
+"""Requests for changes of the directory, which its writer applies."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 async def read_requests(table: Table) -> list[Presence]:
-    """Returns what was asked for and is not in the directory yet.
+    """Returns requested presences that are not in the directory yet.
 
     Raises:
-      StoreUnavailableError: It can't be read.
+      StoreUnavailableError: The requests can't be read.
     """
     rows = await scan_all(table, REQUEST_PREFIX)
     return [decode(Presence, row.value) for row in rows]
@@ -32,7 +32,7 @@
 async def write_requests(
     table: Table, presences: list[Presence]
 ) -> WriteOutcome:
-    """Asks for changes; repeating it is harmless."""
+    """Writes requests for changes; the write is idempotent."""
     puts = [
         Put(request_key(presence), encode(presence)) for presence in presences
     ]
@@ -40,27 +40,27 @@
 
 
 @attrs.define
-class Requests:
-    """What one process has to ask the directory's writer for.
+class DirectoryRequests:
+    """Requests of one process to the directory's writer.
 
     Attributes:
-      waiting: Presences that the store does not have yet, by request key.
+      pending: Presences not yet written to the store, by request key.
     """
 
     table: Table
-    waiting: dict[str, Presence] = attrs.Factory(dict)
+    pending: dict[str, Presence] = attrs.Factory(dict)
 
     def add(self, presence: Presence) -> None:
-        """Sees to it that the directory gets a presence."""
-        self.waiting[request_key(presence)] = presence
+        """Adds a request to record a presence."""
+        self.pending[request_key(presence)] = presence
 
     async def write(self) -> None:
-        """Writes what waits; what is not surely written keeps waiting."""
-        waiting = dict(self.waiting)
-        if not waiting:
+        """Writes pending requests; those not confirmed stay pending."""
+        pending = dict(self.pending)
+        if not pending:
             return
-        outcome = await write_requests(self.table, list(waiting.values()))
+        outcome = await write_requests(self.table, list(pending.values()))
         if isinstance(outcome, Committed):
-            for key, presence in waiting.items():
-                if self.waiting.get(key) == presence:
-                    del self.waiting[key]
+            for key, presence in pending.items():
+                if self.pending.get(key) == presence:
+                    del self.pending[key]
--- a/src/rattanpier/_internal/peers/server.py
+++ b/src/rattanpier/_internal/peers/server.py
@@ -1,4 +1,4 @@
-"""The serving side of the streams between processes."""
+"""The server side of the streams between processes."""
 
 from __future__ import annotations
 
@@ -17,15 +17,17 @@
 
 log = structlog.get_logger(part="peers")
 
-MAX_RUNNING = 5_000  # Calls of one peer under way; more are refused at once.
-MAX_OUTGOING = 10_000  # Replies a peer has not read; then it is cut off.
+# Calls of one peer that run at once; further calls are refused as busy.
+MAX_RUNNING_CALLS = 5_000
+# Replies that a peer has not read; beyond this its stream is closed.
+MAX_QUEUED_REPLIES = 10_000
 
 CallHandler = Callable[[peer_pb2.Call], Awaitable[peer_pb2.Reply]]
 NoticeHandler = Callable[[peer_pb2.Notice], None]
 
 
 class PeerServer(PeerBase):
-    """Answers peers; other services add handlers by message kind.
+    """Serves peers; other services add handlers by message kind.
 
     Attributes:
       calls: Handler for each kind of call, by its field name.
@@ -59,13 +61,15 @@
             await stream.send_initial_metadata()
             async for frame in stream:
                 for notice in frame.notices:
-                    self.take_notice(notice)
-                if outgoing.qsize() > MAX_OUTGOING:
-                    log.warning("A peer reads no replies.")
+                    self.handle_notice(notice)
+                if outgoing.qsize() > MAX_QUEUED_REPLIES:
+                    log.warning(
+                        "Peer does not read replies; closing the stream."
+                    )
                     return
                 for call in frame.calls:
-                    if len(running) >= MAX_RUNNING:
-                        outgoing.put_nowait(busy(call))
+                    if len(running) >= MAX_RUNNING_CALLS:
+                        outgoing.put_nowait(busy_reply(call))
                         continue
                     task = asyncio.get_running_loop().create_task(
                         self.answer(call, outgoing)
@@ -73,7 +77,7 @@
                     running.add(task)
                     task.add_done_callback(running.discard)
         except asyncio.CancelledError:
-            # The peer has to hear of it, or its calls wait for nothing.
+            # Cancel the stream, so that the peer's calls fail at once.
             with contextlib.suppress(Exception):
                 await stream.cancel()
             raise
@@ -89,33 +93,35 @@
         call: peer_pb2.Call,
         outgoing: asyncio.Queue[peer_pb2.Reply],
     ) -> None:
-        """Carries out one call and queues its reply."""
+        """Runs the handler of one call and queues the reply."""
         kind = call.WhichOneof("body")
         handler = self.calls.get(kind or "")
         if handler is None:
-            reply = failure("unknown_call", f"no handler for {kind!r}")
+            reply = failure_reply("unknown_call", f"no handler for {kind!r}")
         else:
             try:
                 reply = await handler(call)
             except RattanpierError as error:
-                reply = failure(error.code, error.message)
+                reply = failure_reply(error.code, error.message)
         reply.id = call.id
         outgoing.put_nowait(reply)
 
-    def take_notice(self, notice: peer_pb2.Notice) -> None:
-        """Hands a notice to its handlers."""
+    def handle_notice(self, notice: peer_pb2.Notice) -> None:
+        """Passes a notice to its handlers."""
         kind = notice.WhichOneof("body") or ""
         for handler in self.notices.get(kind, []):
             try:
                 handler(notice)
             except UnreadableError as error:
-                # Notices may get lost; the stream's calls go on.
-                log.warning("Notice left out.", kind=kind, error=error.message)
+                # Notices may be lost; the calls on the stream continue.
+                log.warning(
+                    "Notice unreadable.", kind=kind, error=error.message
+                )
 
     async def start(
         self, host: str, port: int, tls: ssl.SSLContext | None = None
     ) -> None:
-        """Listens; `port` is set to the port taken."""
+        """Starts to listen and sets `port` to the bound port."""
         self.server = Server([self])
         await self.server.start(host, port, ssl=tls)
         sockets = self.server._server.sockets  # noqa: SLF001
@@ -128,14 +134,14 @@
             await self.server.wait_closed()
 
 
-def failure(code: str, message: str) -> peer_pb2.Reply:
-    """Returns a reply that says what went wrong."""
+def failure_reply(code: str, message: str) -> peer_pb2.Reply:
+    """Returns a reply that reports a failure."""
     return peer_pb2.Reply(failure=peer_pb2.Failure(code=code, message=message))
 
 
-def busy(call: peer_pb2.Call) -> peer_pb2.Reply:
-    """Returns the reply to a call that is not even tried."""
-    reply = failure("busy", "too many calls are under way")
+def busy_reply(call: peer_pb2.Call) -> peer_pb2.Reply:
+    """Returns the reply to a call that is refused without being run."""
+    reply = failure_reply("busy", "too many calls are under way")
     reply.id = call.id
     return reply
 
@@ -144,7 +150,7 @@
     stream: Stream[peer_pb2.Frame, peer_pb2.Frame],
     outgoing: asyncio.Queue[peer_pb2.Reply],
 ) -> None:
-    """Sends replies, as many to a frame as are ready."""
+    """Sends replies, batching all that are ready into one frame."""
     while True:
         replies = [await outgoing.get()]
         while not outgoing.empty():
