--- a/src/rattanpier/_internal/programs/common.py
+++ b/src/rattanpier/_internal/programs/common.py
@@ -143,14 +143,16 @@
     follower = kernel.find("follower")
     drain = kernel.add("drain", Drain(clock, settings.edge.drain_limit_s))
 
-    def outlive_s() -> float:
+    def serve_after_leave_s() -> float:
         if members.me.role is not Role.ENTRY:
             return 0.0
         # Callers got this address until the last peer learned of the leave.
         cached = follower.configuration.fleet.entries_ttl_s
         return cached + settings.edge.drain_s
 
-    add_leaving_steps(drain, clock, members.leave, outlive_s, members.remove)
+    add_leaving_steps(
+        drain, clock, members.leave, serve_after_leave_s, members.remove
+    )
 
 
 def add_brakes(kernel: Kernel, members: Members) -> Brakes:
