--- a/src/rattanpier/_internal/programs/entry.py
+++ b/src/rattanpier/_internal/programs/entry.py
@@ -93,12 +93,12 @@
 ) -> None:
     """Lets claims be held by the new incarnation after a rejoin."""
 
-    def take_over(me: Member) -> None:
+    def apply_incarnation(me: Member) -> None:
         claims.me = me
         chat.runner.holder = incarnation_id(me)
         services.runner.holder = incarnation_id(me)
 
-    members.rejoined.subscribe(take_over)
+    members.rejoined.subscribe(apply_incarnation)
 
 
 def add_workers(
@@ -149,13 +149,13 @@
 
 
 def add_detached_drain(
-    kernel: Kernel, gate: Gate, keeper: ClaimManager
+    kernel: Kernel, gate: Gate, claim_manager: ClaimManager
 ) -> None:
     """Lets a planned stop wait for requests whose caller went away."""
 
     async def finish() -> None:
         await gate.idle.wait()
-        await keeper.drain()
+        await claim_manager.drain()
 
     kernel.find("drain").add(
         DrainPhase.FINISH, "requests without a caller", finish
@@ -202,7 +202,7 @@
     follower = kernel.find("follower")
     clock = kernel.find("clock")
     metrics = kernel.find("metrics")
-    keeper = ClaimManager(claims, clock, metrics, kernel.spawn)
+    claim_manager = ClaimManager(claims, clock, metrics, kernel.spawn)
     dispatcher = UpstreamDispatcher(
         session=kernel.find("http"),
         unpooled_session=add_fresh_session(kernel),
@@ -212,7 +212,7 @@
         domain=settings.node.domain,
         rng=random.Random(settings.node.name),
         spawn=kernel.spawn,
-        confirm=keeper.confirm,
+        confirm=claim_manager.confirm,
         budget=RetryBudget(clock),
         placement=Placement(settings.node.name),
         quarantine=add_quarantine(kernel, settings),
@@ -223,7 +223,7 @@
         configuration=lambda: follower.configuration,
         claims=claims,
         dispatcher=dispatcher,
-        keeper=keeper,
+        keeper=claim_manager,
         clock=clock,
         metrics=metrics,
         holder=f"{claims.me.name}/{claims.me.incarnation}",
@@ -231,9 +231,9 @@
         braked=kernel.find("brakes"),
         policy=add_cascade(kernel),
     )
-    add_gates(kernel, runner)
+    add_admission(kernel, runner)
     collector = add_collector(kernel, runner.attempts)
-    pass_ratings_on(kernel, collector)
+    forward_ratings(kernel, collector)
     tokens = SessionTokens(settings.secrets.session_key)
     pins = SessionPins(
         kernel.find("table"), clock, metrics, lambda: follower.configuration
@@ -254,30 +254,30 @@
     return quarantine
 
 
-def add_gates(kernel: Kernel, runner: Runner) -> None:
+def add_admission(kernel: Kernel, runner: Runner) -> None:
     """Adds admission and lets it learn from the runner's attempts."""
     members = kernel.find("members")
-    gates = PoolAdmission(
+    pool_admission = PoolAdmission(
         runner.configuration,
         lambda: len(members.entries()),
         kernel.find("clock"),
         kernel.find("metrics"),
     )
-    runner.admit = gates.admit
-    runner.attempts.subscribe(gates.record_result)
-    kernel.add("gates", gates)
-    kernel.spawn(gates.admission.run())
+    runner.admit = pool_admission.admit
+    runner.attempts.subscribe(pool_admission.record_result)
+    kernel.add("gates", pool_admission)
+    kernel.spawn(pool_admission.admission.run())
 
 
-def pass_ratings_on(kernel: Kernel, collector: Collector) -> None:
+def forward_ratings(kernel: Kernel, collector: Collector) -> None:
     """Lets ratings count as evidence of roll-outs, where there are any."""
     if "ratings" not in kernel.services:
         return
 
-    def take(news: RatingUpdate) -> None:
-        collector.record_rating(news.workspace, news.version, news.good)
+    def record_rating(update: RatingUpdate) -> None:
+        collector.record_rating(update.workspace, update.version, update.good)
 
-    kernel.find("ratings").updates.subscribe(take)
+    kernel.find("ratings").updates.subscribe(record_rating)
 
 
 def make_service_handler(
