--- a/src/rattanpier/_internal/programs/relay.py
+++ b/src/rattanpier/_internal/programs/relay.py
@@ -23,7 +23,7 @@
     add_store,
     make_state,
 )
-from rattanpier._internal.programs.relay_workers import add_worker_news
+from rattanpier._internal.programs.relay_workers import add_worker_updates
 from rattanpier._internal.relay.drain import DrainState
 from rattanpier._internal.relay.edge import CallerDialect, RelayEdge
 from rattanpier._internal.relay.shared_state import SharedState
@@ -32,10 +32,10 @@
 
 log = structlog.get_logger(part="main")
 
-TICK_S = 0.1  # Of what has to be looked at again and again.
-CLOSE_PAUSE_S = 0.05
+DROP_MISSING_INTERVAL_S = 0.1  # Of what has to be looked at again and again.
+CLOSE_DELAY_S = 0.05
 # Closing is done with before SIGKILL: peers that are cut off answer no close.
-CLOSE_LIMIT_S = 0.4
+CLOSE_TIMEOUT_S = 0.4
 
 
 async def build_relay(
@@ -84,20 +84,20 @@
     entry = RelayEntry(
         kernel, settings, state, fleet, drain, metrics, edge, gossip
     )
-    gossip.refresh_own_state = renewal(entry)
+    gossip.refresh_own_state = own_state_refresher(entry)
     add_followers(entry)
     add_own_rows(entry)
-    add_worker_news(entry)
+    add_worker_updates(entry)
     kernel.spawn(gossip.run())
-    kernel.spawn(every(TICK_S, state.drop_missing))
+    kernel.spawn(call_periodically(DROP_MISSING_INTERVAL_S, state.drop_missing))
     await listen(entry, listener)
     return entry
 
 
-def renewal(entry: RelayEntry) -> Callable[[], bool]:
+def own_state_refresher(entry: RelayEntry) -> Callable[[], bool]:
     """Returns what brings an entry's own news up to date."""
 
-    def renew() -> bool:
+    def refresh() -> bool:
         leaving = entry.drain.leaving
         state = MemberState.LEAVING if leaving else MemberState.LIVE
         me = entry.fleet.me
@@ -107,14 +107,16 @@
             store=entry.state.health.available,
         )
 
-    return renew
+    return refresh
 
 
-async def every(seconds: float, act: Callable[[], None]) -> None:
+async def call_periodically(
+    interval_s: float, callback: Callable[[], None]
+) -> None:
     """Calls something again and again."""
     while True:
-        act()
-        await asyncio.sleep(seconds)
+        callback()
+        await asyncio.sleep(interval_s)
 
 
 async def run_relay(
@@ -142,20 +144,20 @@
         store=str(settings.store.address),
     )
     await stop.wait()
-    await leave(entry)
+    await shut_down(entry)
 
 
-async def leave(entry: RelayEntry) -> None:
+async def shut_down(entry: RelayEntry) -> None:
     """Takes the entry out of the list, ends what runs, and stops."""
     log.info("Stopping.", running=entry.drain.running)
     entry.drain.begin()
     await entry.gossip.round()
     await entry.drain.wait_until_exit()
     try:
-        async with asyncio.timeout(CLOSE_LIMIT_S):
+        async with asyncio.timeout(CLOSE_TIMEOUT_S):
             await close(entry)
     except TimeoutError:
-        log.info("Closing took too long.", limit_s=CLOSE_LIMIT_S)
+        log.info("Closing took too long.", limit_s=CLOSE_TIMEOUT_S)
     log.info("Stopped.", running=entry.drain.running)
 
 
@@ -164,7 +166,7 @@
     for listener in entry.listeners:
         listener.stop_accepting()
     # What reached the listener just before is answered or closed unread.
-    await asyncio.sleep(CLOSE_PAUSE_S)
+    await asyncio.sleep(CLOSE_DELAY_S)
     for listener in entry.listeners:
         await listener.close()
     await entry.kernel.stop()
--- a/src/rattanpier/_internal/programs/relay_workers.py
+++ b/src/rattanpier/_internal/programs/relay_workers.py
@@ -18,21 +18,21 @@
 from rattanpier._internal.retries.liveness_checks import LivenessChecks
 
 
-def add_worker_news(entry: RelayEntry) -> None:
+def add_worker_updates(entry: RelayEntry) -> None:
     """Adds what asks workers, and what entries tell each other of them."""
     session = add_report_session(entry.kernel)
-    read_report = reports.report_reader(session, word_hearer(entry))
-    add_second_looks(entry, session, read_report)
+    read_report = reports.report_reader(session, report_recorder(entry))
+    add_liveness_checks(entry, session, read_report)
     add_queue_watch(entry, read_report)
-    add_prompt_news(entry)
+    add_prompt_updates(entry)
 
 
-def word_hearer(entry: RelayEntry) -> HearWords:
+def report_recorder(entry: RelayEntry) -> HearWords:
     """Returns what takes in the words of workers that are asked for a load."""
     limits = entry.edge.dispatcher.limits
     directory = entry.state.directory
 
-    def hear(
+    def record_report(
         worker: RegisteredWorker, rate_per_s: float | None, leaving: bool
     ) -> None:
         if rate_per_s is not None:
@@ -41,7 +41,7 @@
         if leaving:
             directory.record_leaving(worker)
 
-    return hear
+    return record_report
 
 
 def add_report_session(kernel: Kernel) -> aiohttp.ClientSession:
@@ -51,19 +51,19 @@
     return kernel.add("reports", session, stop=session.close)
 
 
-def add_second_looks(
+def add_liveness_checks(
     entry: RelayEntry, session: aiohttp.ClientSession, read_report: ReadReport
 ) -> None:
     """Adds the looks at workers that are said to have ended."""
     dispatcher = entry.edge.dispatcher
 
-    def look_at(incarnation: str) -> None:
+    def check_incarnation(incarnation: str) -> None:
         for worker in entry.state.directory.workers.values():
             if worker.incarnation == incarnation:
                 dispatcher.ends.start_check(worker)
 
-    dispatcher.quarantine.on_peer_crash = look_at
-    looks = LivenessChecks(
+    dispatcher.quarantine.on_peer_crash = check_incarnation
+    checks = LivenessChecks(
         dispatcher.quarantine,
         entry.state.directory,
         entry.fleet,
@@ -71,13 +71,13 @@
         identifier(session, entry.state.health_path_of, read_report),
         dispatcher.ends.record_alive,
     )
-    entry.kernel.spawn(looks.run())
+    entry.kernel.spawn(checks.run())
 
 
 def add_queue_watch(entry: RelayEntry, read_report: ReadReport) -> None:
     """Adds what reads the engines' queues, and hears of them."""
     state = entry.state
-    rests = entry.edge.dispatcher.rests
+    backoffs = entry.edge.dispatcher.rests
     queues = QueueWatch(
         fleet=entry.fleet,
         directory=state.directory,
@@ -90,7 +90,7 @@
         on_restart=lambda worker: state.notify_deregistered([worker]),
         open_workers=state.domains.open_workers,
         in_backoff=lambda worker: (
-            rests.available_in_s(worker.incarnation) > 0.0
+            backoffs.available_in_s(worker.incarnation) > 0.0
         ),
     )
     state.deregistered.subscribe(
@@ -102,7 +102,7 @@
         entry.kernel.spawn(queues.run())
 
 
-def add_prompt_news(entry: RelayEntry) -> None:
+def add_prompt_updates(entry: RelayEntry) -> None:
     """Adds what tells of long prompts, and hears of them."""
     dispatcher = entry.edge.dispatcher
     prompts = PromptUpdates(
