--- a/src/rattanpier/_internal/programs/relay_dispatch.py
+++ b/src/rattanpier/_internal/programs/relay_dispatch.py
@@ -45,8 +45,8 @@
 ) -> Dispatcher:
     """Returns what answers requests."""
     loads = Loads(clock)
-    pace = ModelTimings(clock)
-    state.tables.subscribe(lambda table: take_prices(pace, table))
+    timings = ModelTimings(clock)
+    state.tables.subscribe(lambda table: apply_prices(timings, table))
     pool = ConnectionPool()
     health = Health(clock, settings.policy)
     dialect = WorkerDialect(upstream.encode_request, upstream.decode_answer)
@@ -55,7 +55,7 @@
     shares = SharedRates(fleet, clock)
     warm_ups = make_warm_ups(settings, state, shares)
     limits = make_rate_limits(state, shares)
-    rests = Backoffs(clock, random.Random(settings.name))
+    backoffs = Backoffs(clock, random.Random(settings.name))
 
     def forget(worker: str) -> None:
         loads.forget(worker)
@@ -63,23 +63,23 @@
         health.forget(worker)
         limits.forget(worker)
 
-    def hear(
+    def record_answer_head(
         worker: RegisteredWorker, head: AnswerHead, asked_at: float
     ) -> None:
         limits.record_answer(worker, head.rate_per_s, asked_at)
         if head.leaving:
             state.directory.record_leaving(worker)
         if head.rest_s:
-            rests.record_backoff(worker.incarnation, head.rest_s)
+            backoffs.record_backoff(worker.incarnation, head.rest_s)
 
-    def opens_in_s(worker: RegisteredWorker) -> float:
+    def available_in_s(worker: RegisteredWorker) -> float:
         return max(
             warm_ups.available_in_s(worker),
             limits.any_entry_available_in_s(worker),
-            rests.available_in_s(worker.incarnation),
+            backoffs.available_in_s(worker.incarnation),
         )
 
-    def note_begun(worker: RegisteredWorker) -> None:
+    def record_request_started(worker: RegisteredWorker) -> None:
         warm_ups.record_send(worker)
         limits.record_send(worker)
 
@@ -104,7 +104,7 @@
             eligibility.RATE_LIMITED, lambda _, some: limits.open_workers(some)
         ),
         Condition(
-            eligibility.RESTING, lambda _, some: rests.open_workers(some)
+            eligibility.RESTING, lambda _, some: backoffs.open_workers(some)
         ),
         Condition(eligibility.AVOIDED, lambda _, some: health.usable(some)),
         Condition(
@@ -126,17 +126,17 @@
             loads,
             settings.domain,
             random.Random(settings.name),
-            pace,
+            timings,
             ModelGroups(clock),
             settings.policy,
         ),
-        sender=Sender(pool, dialect, loads, hear),
+        sender=Sender(pool, dialect, loads, record_answer_head),
         ends=ends,
         conditions=conditions,
-        available_in_s=opens_in_s,
-        on_request_started=note_begun,
+        available_in_s=available_in_s,
+        on_request_started=record_request_started,
         limits=limits,
-        rests=rests,
+        rests=backoffs,
         quarantine=quarantine,
         rollouts=state.rollouts,
         budgets=ServiceRetryBudgets(settings.bounds, fleet.size, clock),
@@ -176,8 +176,8 @@
     return warm_ups
 
 
-def take_prices(pace: ModelTimings, table: RouteTable) -> None:
+def apply_prices(timings: ModelTimings, table: RouteTable) -> None:
     """Takes in what the models of a table cost."""
     for service in table.services.values():
         if service.engine is not None:
-            pace.apply_prices(service.engine.models)
+            timings.apply_prices(service.engine.models)
