--- a/src/rattanpier/_internal/programs/relay_listen.py
+++ b/src/rattanpier/_internal/programs/relay_listen.py
@@ -74,7 +74,7 @@
     """
     settings = entry.settings
     await open_address(entry, settings.callers, entry.edge.handle, listener)
-    entry.kernel.spawn(begin(entry))
+    entry.kernel.spawn(admit_when_ready(entry))
     await open_address(entry, settings.readiness, readiness_handler(entry))
     await open_address(entry, settings.directory, directory_handler(entry))
     if settings.metrics is not None:
@@ -82,10 +82,10 @@
     entry.listening = True
 
 
-async def begin(entry: RelayEntry) -> None:
+async def admit_when_ready(entry: RelayEntry) -> None:
     """Lets requests in once they can be served, or the store seems away."""
-    until = time.monotonic() + START_WAIT_S
-    while not entry.state.ready() and time.monotonic() < until:
+    deadline = time.monotonic() + START_WAIT_S
+    while not entry.state.ready() and time.monotonic() < deadline:
         await asyncio.sleep(READY_POLL_S)
     entry.edge.startup_done.set()
 
@@ -124,8 +124,8 @@
     """Returns the handler that tells callers which entries to use."""
 
     async def handle(request: BaseRequest) -> Response:
-        question = caller.decode_question(request.query)
-        answer = directory_answer(entry, question)
+        query = caller.decode_question(request.query)
+        answer = directory_answer(entry, query)
         if answer is None:
             return Response(status=503)
         return json_response(answer)
@@ -134,14 +134,14 @@
 
 
 def directory_answer(
-    entry: RelayEntry, question: DirectoryQuery
+    entry: RelayEntry, query: DirectoryQuery
 ) -> dict[str, object] | None:
     """Returns the entries to use, None if this one knows of none."""
     members = entry.fleet.entries()
     table = entry.state.table
-    regions = frozenset() if table is None else table.regions_of(question.host)
+    regions = frozenset() if table is None else table.regions_of(query.host)
     if regions:
-        members = in_reach(members, regions | {question.region})
+        members = members_in_regions(members, regions | {query.region})
     addresses = [member.caller_url for member in members]
     if not addresses:
         return None
@@ -149,7 +149,7 @@
     return caller.directory_body(addresses, ttl_s)
 
 
-def in_reach(
+def members_in_regions(
     members: Sequence[Member], regions: frozenset[str]
 ) -> Sequence[Member]:
     """Returns the entries in some regions, or all where there is none.
@@ -157,8 +157,8 @@
     A request whose body may not leave its regions is sent to an entry there, or
     in the caller's own region.
     """
-    near = [member for member in members if member.region in regions]
-    return near or members
+    in_regions = [member for member in members if member.region in regions]
+    return in_regions or members
 
 
 def metrics_handler(entry: RelayEntry) -> Handler:
