--- a/src/rattanpier/_internal/programs/relay_store.py
+++ b/src/rattanpier/_internal/programs/relay_store.py
@@ -58,10 +58,8 @@
 
 def make_directory(clock: Clock, settings: RelaySettings) -> WorkerDirectory:
     """Returns a directory without workers."""
-    lasting_s = REGISTRATION_TTL_HEARTBEATS * settings.heartbeat_s
-    return WorkerDirectory(
-        clock, deregistrations=Deregistrations(clock, lasting_s)
-    )
+    ttl_s = REGISTRATION_TTL_HEARTBEATS * settings.heartbeat_s
+    return WorkerDirectory(clock, deregistrations=Deregistrations(clock, ttl_s))
 
 
 def make_state(kernel: Kernel, settings: RelaySettings) -> RelayState:
@@ -85,7 +83,7 @@
     kernel = entry.kernel
     health = entry.state.health
     quarantine = entry.edge.dispatcher.quarantine
-    held = QuarantineRows(
+    quarantine_rows = QuarantineRows(
         kernel.find("store"),
         quarantine,
         entry.fleet,
@@ -93,17 +91,17 @@
         kernel.find("clock"),
         lambda: health.available,
     )
-    quarantine.on_change = held.changed.put_nowait
+    quarantine.on_change = quarantine_rows.changed.put_nowait
     rows = EntryRows(
         kernel.find("store"),
         kernel.find("own_table"),
         entry.fleet,
         kernel.find("clock"),
         lambda: health.available,
-        held.apply_row,
+        quarantine_rows.apply_row,
     )
     kernel.spawn(rows.run())
-    kernel.spawn(held.run())
+    kernel.spawn(quarantine_rows.run())
     driver = make_driver(entry)
     restorer = RowRestorer(
         kernel.find("store"),
@@ -113,7 +111,7 @@
         kernel.find("clock"),
         lambda: health.available,
         lambda era: entry.gossip.broadcast(StateUpdate(restored=era)),
-        (rows.lost, held.find_lost_rows, driver.find_lost_rows),
+        (rows.lost, quarantine_rows.find_lost_rows, driver.find_lost_rows),
     )
     kernel.spawn(driver.run())
     kernel.spawn(restorer.run())
@@ -129,7 +127,8 @@
         routes,
         rollouts.status_row,
         lambda order: routes.answer_counts.total_running_old(
-            order, [news.member.incarnation for news in fleet.live()]
+            order,
+            [entry_state.member.incarnation for entry_state in fleet.live()],
         ),
         fleet.drives,
         entry.state.health,
@@ -148,25 +147,25 @@
         lambda: state.health.available,
     )
 
-    def take_operator_page(page: Page, after_outage: bool) -> None:
+    def apply_operator_page(page: Page, after_outage: bool) -> None:
         writer.apply_page(page)
         state.apply_operator_page(page, after_outage)
 
-    follow = {
-        rollouts.ORDERS: take_operator_page,
+    page_handlers = {
+        rollouts.ORDERS: apply_operator_page,
         registrations.TABLE: state.apply_worker_page,
     }
     store = CheckpointedStore(
         kernel.find("store"), rollouts.ORDERS, kernel.find("own_table")
     )
-    for table, take in follow.items():
+    for table, on_page in page_handlers.items():
         follower = TableFollower(
             store=store,
             clock=kernel.find("clock"),
             health=state.health,
             store_clock=kernel.find("store_clock"),
             table=table,
-            on_page=take,
+            on_page=on_page,
             rank=lambda: watch_rank(entry.fleet),
             publish=entry.gossip.broadcast_store_news,
             history=kernel.find("history"),
