--- a/src/rattanpier/_internal/programs/common.py
+++ b/src/rattanpier/_internal/programs/common.py
@@ -1,4 +1,7 @@
-"""What the programs of the system share."""
+"""Services and the run loop that all processes of the system share.
+
+Each `add_*` function builds one service and registers it with the kernel.
+"""
 
 from __future__ import annotations
 
@@ -39,7 +42,7 @@
 
 
 async def add_base(kernel: Kernel, settings: Settings) -> None:
-    """Adds the services that every process has."""
+    """Adds the services of every process and reads the configuration once."""
     clock = kernel.add("clock", SystemClock())
     kernel.add("settings", settings)
     kernel.add("metrics", Metrics(settings.metrics.host, settings.metrics.port))
@@ -69,7 +72,7 @@
 def make_objects(
     platform: PlatformSettings, session: aiohttp.ClientSession, table: Table
 ) -> Objects:
-    """Returns the object store, or rows of the table where there is none."""
+    """Returns the object store; without one, objects are rows of the table."""
     if not platform.objects_url:
         return TableObjects(table)
     return HttpObjects(session, platform.objects_url, platform.timeout_s)
@@ -78,7 +81,7 @@
 async def add_membership(
     kernel: Kernel, settings: Settings, role: Role, caller_url: str
 ) -> Members:
-    """Listens for peers and joins the others."""
+    """Starts the server for peers and joins the cluster."""
     server = kernel.find("peer_server")
     await server.start(
         settings.peers.host,
@@ -112,7 +115,10 @@
 
 
 async def add_currency(kernel: Kernel, members: Members) -> Currency:
-    """Adds what keeps the node current, and answers peers about it."""
+    """Adds the service that keeps the node's configuration current.
+
+    It also answers the peers' calls about the configuration.
+    """
     follower = kernel.find("follower")
     links = kernel.find("links")
     metrics = kernel.find("metrics")
@@ -138,7 +144,7 @@
 
 
 def add_drain(kernel: Kernel, settings: Settings, members: Members) -> None:
-    """Adds the planned stop."""
+    """Adds graceful shutdown and the steps that all processes have."""
     clock = kernel.find("clock")
     follower = kernel.find("follower")
     drain = kernel.add("drain", Drain(clock, settings.edge.drain_limit_s))
@@ -146,7 +152,8 @@
     def serve_after_leave_s() -> float:
         if members.me.role is not Role.ENTRY:
             return 0.0
-        # Callers got this address until the last peer learned of the leave.
+        # Peers hand out this address until the last one has learned of the
+        # leave; callers then cache it for the TTL.
         cached = follower.configuration.fleet.entries_ttl_s
         return cached + settings.edge.drain_s
 
@@ -156,7 +163,7 @@
 
 
 def add_brakes(kernel: Kernel, members: Members) -> Brakes:
-    """Adds the brakes and takes the peers' notices."""
+    """Adds the brakes and subscribes them to the notices of peers."""
     brakes = Brakes(
         configuration=kernel.find("follower").current,
         own_name=members.me.name,
