--- a/src/rattanpier/_internal/programs/control.py
+++ b/src/rattanpier/_internal/programs/control.py
@@ -1,4 +1,4 @@
-"""Puts a control process together."""
+"""Builds a control process from its services."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def add_inforce(kernel: Kernel) -> InForceTracker:
-    """Adds what spreads accepted revisions."""
+    """Adds the tracker that propagates accepted revisions to the nodes."""
     clock = kernel.find("clock")
     inforce = InForceTracker(
         table=kernel.find("table"),
@@ -54,7 +54,7 @@
 def add_operators(
     kernel: Kernel, settings: Settings, inforce: InForceTracker
 ) -> HttpServer:
-    """Adds the operators' interface."""
+    """Adds the HTTP interface for operators."""
     changes = kernel.add(
         "changes",
         Changes(
