--- a/src/rattanpier/_internal/programs/entry.py
+++ b/src/rattanpier/_internal/programs/entry.py
@@ -1,4 +1,4 @@
-"""Puts an entry together."""
+"""Builds an entry from its services."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
 
 
 def add_trace(kernel: Kernel, settings: Settings, handler: ChatHandler) -> None:
-    """Records what comes in and what is decided, if the settings say so."""
+    """Adds the recorder of requests and decisions if a trace path is set."""
     if not settings.trace_path:
         return
     recorder = open_recorder(settings.trace_path, settings.node)
@@ -91,7 +91,7 @@
     chat: ChatHandler,
     services: ServiceHandler,
 ) -> None:
-    """Lets claims be held by the new incarnation after a rejoin."""
+    """Makes the new incarnation the holder of claims after a rejoin."""
 
     def apply_incarnation(me: Member) -> None:
         claims.me = me
@@ -104,7 +104,7 @@
 def add_workers(
     kernel: Kernel, settings: Settings, dispatcher: UpstreamDispatcher
 ) -> Workers:
-    """Adds what keeps new work from workers that leave or don't answer."""
+    """Adds the service that excludes leaving and unresponsive workers."""
     follower = kernel.find("follower")
     session = kernel.find("http")
     vms_url = settings.platform.vms_url
@@ -129,7 +129,7 @@
 
 
 def add_gate(kernel: Kernel) -> Gate:
-    """Adds the gate of the caller edge and its steps of a drain."""
+    """Adds the gate for callers' requests and its steps of the drain."""
     gate = kernel.add("gate", Gate(kernel.find("metrics")))
     drain = kernel.find("drain")
 
@@ -151,7 +151,7 @@
 def add_detached_drain(
     kernel: Kernel, gate: Gate, claim_manager: ClaimManager
 ) -> None:
-    """Lets a planned stop wait for requests whose caller went away."""
+    """Makes the drain wait for requests whose caller has disconnected."""
 
     async def finish() -> None:
         await gate.idle.wait()
@@ -188,7 +188,7 @@
 
 
 def add_fresh_session(kernel: Kernel) -> aiohttp.ClientSession:
-    """Adds the session that opens a connection for each request."""
+    """Adds the HTTP session that opens a new connection for each request."""
     session = aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(limit=0, force_close=True)
     )
@@ -242,7 +242,10 @@
 
 
 def add_quarantine(kernel: Kernel, settings: Settings) -> Quarantine:
-    """Adds what keeps requests that end their workers from further ones."""
+    """Adds the quarantine, which keeps requests that crash workers from others.
+
+    It is shared with the neighbour entries.
+    """
     quarantine = Quarantine(kernel.find("clock"))
     entries = kernel.find("members").entries
     links = kernel.find("links")
@@ -255,7 +258,7 @@
 
 
 def add_admission(kernel: Kernel, runner: Runner) -> None:
-    """Adds admission and lets it learn from the runner's attempts."""
+    """Adds admission and subscribes it to the results of attempts."""
     members = kernel.find("members")
     pool_admission = PoolAdmission(
         runner.configuration,
@@ -270,7 +273,7 @@
 
 
 def forward_ratings(kernel: Kernel, collector: Collector) -> None:
-    """Lets ratings count as evidence of roll-outs, where there are any."""
+    """Forwards ratings, if there are any, to the evidence of roll-outs."""
     if "ratings" not in kernel.services:
         return
 
