--- a/src/rattanpier/_internal/programs/relay.py
+++ b/src/rattanpier/_internal/programs/relay.py
@@ -1,4 +1,4 @@
-"""Puts an entry of the relay together."""
+"""Builds, runs and shuts down an entry of the relay."""
 
 from __future__ import annotations
 
@@ -32,9 +32,11 @@
 
 log = structlog.get_logger(part="main")
 
-DROP_MISSING_INTERVAL_S = 0.1  # Of what has to be looked at again and again.
+# Interval of the checks for waiting times that have passed.
+DROP_MISSING_INTERVAL_S = 0.1
 CLOSE_DELAY_S = 0.05
-# Closing is done with before SIGKILL: peers that are cut off answer no close.
+# Partitioned peers don't answer a close; the timeout lets the process exit
+# before SIGKILL.
 CLOSE_TIMEOUT_S = 0.4
 
 
@@ -44,8 +46,8 @@
     """Starts an entry.
 
     Args:
-      settings: Of the entry.
-      listener: Listens for callers already; None: it is to be opened.
+      settings: Settings of the entry.
+      listener: Socket that already listens for callers; None opens one.
     """
     kernel = Kernel()
     clock = kernel.add("clock", SystemClock())
@@ -95,7 +97,7 @@
 
 
 def own_state_refresher(entry: RelayEntry) -> Callable[[], bool]:
-    """Returns what brings an entry's own news up to date."""
+    """Returns the function that updates the entry's own published state."""
 
     def refresh() -> bool:
         leaving = entry.drain.leaving
@@ -113,7 +115,7 @@
 async def call_periodically(
     interval_s: float, callback: Callable[[], None]
 ) -> None:
-    """Calls something again and again."""
+    """Calls a function forever, with a pause after each call."""
     while True:
         callback()
         await asyncio.sleep(interval_s)
@@ -127,9 +129,9 @@
     """Runs an entry until SIGTERM, then drains and stops it.
 
     Args:
-      settings: Of the entry.
-      reload: Reads the settings again; called at SIGHUP.
-      listener: Listens for callers already; None: it is to be opened.
+      settings: Settings of the entry.
+      reload: Reads the settings again; called with the entry on SIGHUP.
+      listener: Socket that already listens for callers; None opens one.
     """
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
@@ -148,7 +150,7 @@
 
 
 async def shut_down(entry: RelayEntry) -> None:
-    """Takes the entry out of the list, ends what runs, and stops."""
+    """Announces the leave, waits for running requests and stops the entry."""
     log.info("Stopping.", running=entry.drain.running)
     entry.drain.begin()
     await entry.gossip.round()
@@ -162,10 +164,10 @@
 
 
 async def close(entry: RelayEntry) -> None:
-    """Stops listening, ends the connections, and stops all services."""
+    """Stops accepting, closes the connections and stops all services."""
     for listener in entry.listeners:
         listener.stop_accepting()
-    # What reached the listener just before is answered or closed unread.
+    # Connections that arrived just before are answered or closed unread.
     await asyncio.sleep(CLOSE_DELAY_S)
     for listener in entry.listeners:
         await listener.close()
