--- a/src/rattanpier/_internal/programs/relay_dispatch.py
+++ b/src/rattanpier/_internal/programs/relay_dispatch.py
@@ -1,4 +1,4 @@
-"""Puts together what answers the requests of an entry."""
+"""Builds the dispatcher, which answers the requests of a relay entry."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     clock: SystemClock,
     metrics: Metrics,
 ) -> Dispatcher:
-    """Returns what answers requests."""
+    """Returns the dispatcher with its conditions for choosing workers."""
     loads = Loads(clock)
     timings = ModelTimings(clock)
     state.tables.subscribe(lambda table: apply_prices(timings, table))
@@ -84,8 +84,9 @@
         limits.record_send(worker)
 
     state.deregistered.subscribe(forget)
-    # What must hold goes before what is preferred: avoidance leaves half of the
-    # workers that come to it, and would else make up for those left out.
+    # Requirements precede preferences: avoidance keeps at least half of the
+    # workers that reach it. If it ran first, workers that a later requirement
+    # excludes would count towards that half.
     conditions = (
         Condition(eligibility.ENDED, lambda _, some: ends.running(some)),
         Condition(
@@ -145,7 +146,7 @@
 
 
 def make_rate_limits(state: RelayState, shares: SharedRates) -> RateLimits:
-    """Returns what bounds the sends to workers that name a limit."""
+    """Returns the rate limits of workers that announce one."""
 
     def registered(worker: str, incarnation: str) -> bool:
         found = state.directory.workers.get(worker)
@@ -157,7 +158,7 @@
 def make_warm_ups(
     settings: RelaySettings, state: RelayState, shares: SharedRates
 ) -> WarmUps:
-    """Returns what bounds the sends to workers that warm up."""
+    """Returns the limits on requests to workers that are warming up."""
     bounds = settings.bounds
     warm_ups = WarmUps(
         shares,
@@ -177,7 +178,7 @@
 
 
 def apply_prices(timings: ModelTimings, table: RouteTable) -> None:
-    """Takes in what the models of a table cost."""
+    """Applies the prices of the models in a route table."""
     for service in table.services.values():
         if service.engine is not None:
             timings.apply_prices(service.engine.models)
