--- a/src/rattanpier/_internal/programs/relay_listen.py
+++ b/src/rattanpier/_internal/programs/relay_listen.py
@@ -1,4 +1,4 @@
-"""An entry of the relay and the addresses on which it is found."""
+"""A relay entry and the HTTP listeners on its addresses."""
 
 from __future__ import annotations
 
@@ -26,25 +26,25 @@
 from rattanpier._internal.utils.http_listener import Handler, HttpListener
 from rattanpier._internal.utils.metrics import Metrics
 
-# How long callers may keep the list. The shorter, the sooner they leave an
-# entry that is gone; asking costs an entry well under a millisecond.
+# TTL of the list of entries that callers cache. A short TTL makes them leave a
+# terminated entry soon; a query costs an entry well under a millisecond.
 LIST_TTL_S = 1.0
-# Callers reuse connections for most of the operators' idle time, which may
-# change while they are open: they are kept for much longer than usual ones.
+# Callers reuse connections for most of the idle time that operators set. It may
+# change while connections are open, so they are kept much longer than usual.
 KEEPALIVE_S = 90.0
 MAX_LINE_BYTES = 65536
-# Within this time of a start routes and workers are known, also where a long
-# manifest comes over a slow link; after it requests are refused until they are.
+# Routes and workers are known within this time after a start, even if a long
+# manifest arrives over a slow link. Later, requests are refused until they are.
 START_WAIT_S = 1.5
 READY_POLL_S = 0.005
 
 
 @attrs.define(eq=False, repr=False)
 class RelayEntry:
-    """The parts of one entry that other parts need by name.
+    """The components of one entry that other modules access.
 
     Attributes:
-      listening: Callers' connections are taken.
+      listening: Whether connections of callers are accepted.
     """
 
     kernel: Kernel
@@ -59,18 +59,18 @@
     listening: bool = False
 
     def ready(self) -> bool:
-        """Says whether callers may come."""
+        """Returns whether callers may send requests."""
         return self.listening and self.state.ready() and not self.drain.leaving
 
 
 async def listen(
     entry: RelayEntry, listener: socket.socket | None = None
 ) -> None:
-    """Opens the addresses that callers and the platform know.
+    """Opens the listeners for callers and for the platform.
 
     Args:
       entry: The entry.
-      listener: Listens for callers already; None: it is to be opened.
+      listener: Socket that already listens for callers; None opens one.
     """
     settings = entry.settings
     await open_address(entry, settings.callers, entry.edge.handle, listener)
@@ -83,7 +83,10 @@
 
 
 async def admit_when_ready(entry: RelayEntry) -> None:
-    """Lets requests in once they can be served, or the store seems away."""
+    """Admits requests once they can be served or `START_WAIT_S` has passed.
+
+    After that time the store is presumably unavailable.
+    """
     deadline = time.monotonic() + START_WAIT_S
     while not entry.state.ready() and time.monotonic() < deadline:
         await asyncio.sleep(READY_POLL_S)
@@ -96,7 +99,7 @@
     handler: Handler,
     listener: socket.socket | None = None,
 ) -> None:
-    """Listens on one address, unless something does already."""
+    """Listens on one address, with the given socket if there is one."""
     opened = await http_listener.listen(
         handler,
         address,
@@ -121,7 +124,7 @@
 
 
 def directory_handler(entry: RelayEntry) -> Handler:
-    """Returns the handler that tells callers which entries to use."""
+    """Returns the handler of callers' queries for the entries to use."""
 
     async def handle(request: BaseRequest) -> Response:
         query = caller.decode_question(request.query)
@@ -136,7 +139,7 @@
 def directory_answer(
     entry: RelayEntry, query: DirectoryQuery
 ) -> dict[str, object] | None:
-    """Returns the entries to use, None if this one knows of none."""
+    """Returns the body with the entries to use, None if none is known."""
     members = entry.fleet.entries()
     table = entry.state.table
     regions = frozenset() if table is None else table.regions_of(query.host)
@@ -152,7 +155,7 @@
 def members_in_regions(
     members: Sequence[Member], regions: frozenset[str]
 ) -> Sequence[Member]:
-    """Returns the entries in some regions, or all where there is none.
+    """Returns the entries in the given regions, or all if there are none.
 
     A request whose body may not leave its regions is sent to an entry there, or
     in the caller's own region.
@@ -165,7 +168,7 @@
     """Returns the handler of the metrics address."""
 
     async def handle(request: BaseRequest) -> Response:
-        # Only here: an import that a start need not wait for.
+        # Imported here so that it does not delay the start.
         from rattanpier._internal.relay.exposition import render
 
         entry.metrics.gauge("relay.running", entry.drain.running)
