--- a/src/rattanpier/_internal/programs/relay_peers.py
+++ b/src/rattanpier/_internal/programs/relay_peers.py
@@ -1,4 +1,4 @@
-"""Puts together how the entries of the relay talk to each other."""
+"""Builds the communication between the entries of the relay."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def make_fleet(settings: RelaySettings, clock: SystemClock) -> Fleet:
-    """Returns the fleet as an entry knows it at its start."""
+    """Returns the fleet at the start of an entry, with only itself known."""
     member = Member(
         name=settings.name,
         incarnation=new_incarnation(),
@@ -44,7 +44,7 @@
     shared_state: SharedState,
     clock: SystemClock,
 ) -> Gossip:
-    """Listens for peers and returns what talks to them."""
+    """Starts the servers for peers and returns the gossip service."""
     server = kernel.add("peer_server", PeerServer())
     kernel.services["peer_server"].stop = server.stop
     links = kernel.add("links", Links(settings.name))
