--- a/src/rattanpier/_internal/programs/relay_store.py
+++ b/src/rattanpier/_internal/programs/relay_store.py
@@ -1,4 +1,4 @@
-"""Puts together what an entry reads from the platform's store, and writes."""
+"""Builds the services that read and write the platform's store."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def add_store(kernel: Kernel, settings: RelaySettings) -> None:
-    """Adds the store, and what is known of it."""
+    """Adds the client of the store and the services that track its state."""
     clock = kernel.find("clock")
     session = aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(limit=KEPT_CONNECTIONS)
@@ -57,13 +57,13 @@
 
 
 def make_directory(clock: Clock, settings: RelaySettings) -> WorkerDirectory:
-    """Returns a directory without workers."""
+    """Returns an empty worker directory."""
     ttl_s = REGISTRATION_TTL_HEARTBEATS * settings.heartbeat_s
     return WorkerDirectory(clock, deregistrations=Deregistrations(clock, ttl_s))
 
 
 def make_state(kernel: Kernel, settings: RelaySettings) -> RelayState:
-    """Returns an entry's beliefs before it has read anything."""
+    """Returns the state of an entry that has not yet read the store."""
     clock = kernel.find("clock")
     metrics = kernel.find("metrics")
     bounds = settings.bounds
@@ -79,7 +79,7 @@
 
 
 def add_own_rows(entry: RelayEntry) -> None:
-    """Adds what keeps rows in the system's own table, but the checkpoint."""
+    """Adds the writers of the system's own table, except the checkpoint's."""
     kernel = entry.kernel
     health = entry.state.health
     quarantine = entry.edge.dispatcher.quarantine
@@ -118,7 +118,7 @@
 
 
 def make_driver(entry: RelayEntry) -> RolloutDriver:
-    """Returns what takes roll-outs further."""
+    """Returns the driver that advances roll-outs."""
     kernel, fleet, routes = entry.kernel, entry.fleet, entry.state.rollouts
     return RolloutDriver(
         kernel.find("store"),
@@ -136,7 +136,7 @@
 
 
 def add_followers(entry: RelayEntry) -> None:
-    """Adds what follows the operators' table, and the workers'."""
+    """Adds the followers of the operators' and the workers' tables."""
     kernel, state = entry.kernel, entry.state
     writer = CheckpointWriter(
         rollouts.ORDERS,
