--- a/src/rattanpier/_internal/programs/relay_workers.py
+++ b/src/rattanpier/_internal/programs/relay_workers.py
@@ -1,4 +1,4 @@
-"""Puts together what an entry learns of workers beside its own requests."""
+"""Builds the services that learn about workers other than by requests."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def add_worker_updates(entry: RelayEntry) -> None:
-    """Adds what asks workers, and what entries tell each other of them."""
+    """Adds queries to workers and the updates that entries share about them."""
     session = add_report_session(entry.kernel)
     read_report = reports.report_reader(session, report_recorder(entry))
     add_liveness_checks(entry, session, read_report)
@@ -28,7 +28,7 @@
 
 
 def report_recorder(entry: RelayEntry) -> HearWords:
-    """Returns what takes in the words of workers that are asked for a load."""
+    """Returns the callback that records the load reports of workers."""
     limits = entry.edge.dispatcher.limits
     directory = entry.state.directory
 
@@ -36,7 +36,7 @@
         worker: RegisteredWorker, rate_per_s: float | None, leaving: bool
     ) -> None:
         if rate_per_s is not None:
-            # The report is of some time ago: it narrows only.
+            # The report may be out of date, so it may only lower the limit.
             limits.record_answer(worker, rate_per_s, -math.inf)
         if leaving:
             directory.record_leaving(worker)
@@ -45,8 +45,8 @@
 
 
 def add_report_session(kernel: Kernel) -> aiohttp.ClientSession:
-    """Adds a session of its own: questions to workers hold up no store call."""
-    connector = aiohttp.TCPConnector(limit=0)  # One connection a worker.
+    """Adds a separate session, so that queries don't delay store calls."""
+    connector = aiohttp.TCPConnector(limit=0)  # One connection per worker.
     session = aiohttp.ClientSession(connector=connector)
     return kernel.add("reports", session, stop=session.close)
 
@@ -54,7 +54,7 @@
 def add_liveness_checks(
     entry: RelayEntry, session: aiohttp.ClientSession, read_report: ReadReport
 ) -> None:
-    """Adds the looks at workers that are said to have ended."""
+    """Adds liveness checks of workers that were reported as terminated."""
     dispatcher = entry.edge.dispatcher
 
     def check_incarnation(incarnation: str) -> None:
@@ -75,7 +75,7 @@
 
 
 def add_queue_watch(entry: RelayEntry, read_report: ReadReport) -> None:
-    """Adds what reads the engines' queues, and hears of them."""
+    """Adds the reader of engine queues and the handlers of peers' updates."""
     state = entry.state
     backoffs = entry.edge.dispatcher.rests
     queues = QueueWatch(
@@ -103,7 +103,7 @@
 
 
 def add_prompt_updates(entry: RelayEntry) -> None:
-    """Adds what tells of long prompts, and hears of them."""
+    """Adds publishing and receiving of updates about long prompts."""
     dispatcher = entry.edge.dispatcher
     prompts = PromptUpdates(
         fleet=entry.fleet,
