--- a/src/rattanpier/_internal/programs/entry.py
+++ b/src/rattanpier/_internal/programs/entry.py
@@ -1,4 +1,4 @@
-"""Puts an entry together."""
+"""Builds an entry from its services."""
 
 from __future__ import annotations
 
@@ -73,7 +73,7 @@
 
 
 def add_trace(kernel: Kernel, settings: Settings, handler: ChatHandler) -> None:
-    """Records what comes in and what is decided, if the settings say so."""
+    """Adds the recorder of requests and decisions if a trace path is set."""
     if not settings.trace_path:
         return
     recorder = open_recorder(settings.trace_path, settings.node)
@@ -91,20 +91,20 @@
     chat: ChatHandler,
     services: ServiceHandler,
 ) -> None:
-    """Lets claims be held by the new incarnation after a rejoin."""
+    """Makes the new incarnation the holder of claims after a rejoin."""
 
-    def take_over(me: Member) -> None:
+    def apply_incarnation(me: Member) -> None:
         claims.me = me
         chat.runner.holder = incarnation_id(me)
         services.runner.holder = incarnation_id(me)
 
-    members.rejoined.subscribe(take_over)
+    members.rejoined.subscribe(apply_incarnation)
 
 
 def add_workers(
     kernel: Kernel, settings: Settings, dispatcher: UpstreamDispatcher
 ) -> Workers:
-    """Adds what keeps new work from workers that leave or don't answer."""
+    """Adds the service that excludes leaving and unresponsive workers."""
     follower = kernel.find("follower")
     session = kernel.find("http")
     vms_url = settings.platform.vms_url
@@ -129,7 +129,7 @@
 
 
 def add_gate(kernel: Kernel) -> Gate:
-    """Adds the gate of the caller edge and its steps of a drain."""
+    """Adds the gate for callers' requests and its steps of the drain."""
     gate = kernel.add("gate", Gate(kernel.find("metrics")))
     drain = kernel.find("drain")
 
@@ -149,13 +149,13 @@
 
 
 def add_detached_drain(
-    kernel: Kernel, gate: Gate, keeper: ClaimManager
+    kernel: Kernel, gate: Gate, claim_manager: ClaimManager
 ) -> None:
-    """Lets a planned stop wait for requests whose caller went away."""
+    """Makes the drain wait for requests whose caller has disconnected."""
 
     async def finish() -> None:
         await gate.idle.wait()
-        await keeper.drain()
+        await claim_manager.drain()
 
     kernel.find("drain").add(
         DrainPhase.FINISH, "requests without a caller", finish
@@ -188,7 +188,7 @@
 
 
 def add_fresh_session(kernel: Kernel) -> aiohttp.ClientSession:
-    """Adds the session that opens a connection for each request."""
+    """Adds the HTTP session that opens a new connection for each request."""
     session = aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(limit=0, force_close=True)
     )
@@ -202,7 +202,7 @@
     follower = kernel.find("follower")
     clock = kernel.find("clock")
     metrics = kernel.find("metrics")
-    keeper = ClaimManager(claims, clock, metrics, kernel.spawn)
+    claim_manager = ClaimManager(claims, clock, metrics, kernel.spawn)
     dispatcher = UpstreamDispatcher(
         session=kernel.find("http"),
         unpooled_session=add_fresh_session(kernel),
@@ -212,7 +212,7 @@
         domain=settings.node.domain,
         rng=random.Random(settings.node.name),
         spawn=kernel.spawn,
-        confirm=keeper.confirm,
+        confirm=claim_manager.confirm,
         budget=RetryBudget(clock),
         placement=Placement(settings.node.name),
         quarantine=add_quarantine(kernel, settings),
@@ -223,7 +223,7 @@
         configuration=lambda: follower.configuration,
         claims=claims,
         dispatcher=dispatcher,
-        keeper=keeper,
+        keeper=claim_manager,
         clock=clock,
         metrics=metrics,
         holder=f"{claims.me.name}/{claims.me.incarnation}",
@@ -231,9 +231,9 @@
         braked=kernel.find("brakes"),
         policy=add_cascade(kernel),
     )
-    add_gates(kernel, runner)
+    add_admission(kernel, runner)
     collector = add_collector(kernel, runner.attempts)
-    pass_ratings_on(kernel, collector)
+    forward_ratings(kernel, collector)
     tokens = SessionTokens(settings.secrets.session_key)
     pins = SessionPins(
         kernel.find("table"), clock, metrics, lambda: follower.configuration
@@ -242,7 +242,10 @@
 
 
 def add_quarantine(kernel: Kernel, settings: Settings) -> Quarantine:
-    """Adds what keeps requests that end their workers from further ones."""
+    """Adds the quarantine, which keeps requests that crash workers from others.
+
+    It is shared with the neighbour entries.
+    """
     quarantine = Quarantine(kernel.find("clock"))
     entries = kernel.find("members").entries
     links = kernel.find("links")
@@ -254,30 +257,30 @@
     return quarantine
 
 
-def add_gates(kernel: Kernel, runner: Runner) -> None:
-    """Adds admission and lets it learn from the runner's attempts."""
+def add_admission(kernel: Kernel, runner: Runner) -> None:
+    """Adds admission and subscribes it to the results of attempts."""
     members = kernel.find("members")
-    gates = PoolAdmission(
+    pool_admission = PoolAdmission(
         runner.configuration,
         lambda: len(members.entries()),
         kernel.find("clock"),
         kernel.find("metrics"),
     )
-    runner.admit = gates.admit
-    runner.attempts.subscribe(gates.record_result)
-    kernel.add("gates", gates)
-    kernel.spawn(gates.admission.run())
+    runner.admit = pool_admission.admit
+    runner.attempts.subscribe(pool_admission.record_result)
+    kernel.add("gates", pool_admission)
+    kernel.spawn(pool_admission.admission.run())
 
 
-def pass_ratings_on(kernel: Kernel, collector: Collector) -> None:
-    """Lets ratings count as evidence of roll-outs, where there are any."""
+def forward_ratings(kernel: Kernel, collector: Collector) -> None:
+    """Forwards ratings, if there are any, to the evidence of roll-outs."""
     if "ratings" not in kernel.services:
         return
 
-    def take(news: RatingUpdate) -> None:
-        collector.record_rating(news.workspace, news.version, news.good)
+    def record_rating(update: RatingUpdate) -> None:
+        collector.record_rating(update.workspace, update.version, update.good)
 
-    kernel.find("ratings").updates.subscribe(take)
+    kernel.find("ratings").updates.subscribe(record_rating)
 
 
 def make_service_handler(
--- a/src/rattanpier/_internal/programs/relay.py
+++ b/src/rattanpier/_internal/programs/relay.py
@@ -1,4 +1,4 @@
-"""Puts an entry of the relay together."""
+"""Builds, runs and shuts down an entry of the relay."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     add_store,
     make_state,
 )
-from rattanpier._internal.programs.relay_workers import add_worker_news
+from rattanpier._internal.programs.relay_workers import add_worker_updates
 from rattanpier._internal.relay.drain import DrainState
 from rattanpier._internal.relay.edge import CallerDialect, RelayEdge
 from rattanpier._internal.relay.shared_state import SharedState
@@ -32,10 +32,12 @@
 
 log = structlog.get_logger(part="main")
 
-TICK_S = 0.1  # Of what has to be looked at again and again.
-CLOSE_PAUSE_S = 0.05
-# Closing is done with before SIGKILL: peers that are cut off answer no close.
-CLOSE_LIMIT_S = 0.4
+# Interval of the checks for waiting times that have passed.
+DROP_MISSING_INTERVAL_S = 0.1
+CLOSE_DELAY_S = 0.05
+# Partitioned peers don't answer a close; the timeout lets the process exit
+# before SIGKILL.
+CLOSE_TIMEOUT_S = 0.4
 
 
 async def build_relay(
@@ -44,8 +46,8 @@
     """Starts an entry.
 
     Args:
-      settings: Of the entry.
-      listener: Listens for callers already; None: it is to be opened.
+      settings: Settings of the entry.
+      listener: Socket that already listens for callers; None opens one.
     """
     kernel = Kernel()
     clock = kernel.add("clock", SystemClock())
@@ -84,20 +86,20 @@
     entry = RelayEntry(
         kernel, settings, state, fleet, drain, metrics, edge, gossip
     )
-    gossip.refresh_own_state = renewal(entry)
+    gossip.refresh_own_state = own_state_refresher(entry)
     add_followers(entry)
     add_own_rows(entry)
-    add_worker_news(entry)
+    add_worker_updates(entry)
     kernel.spawn(gossip.run())
-    kernel.spawn(every(TICK_S, state.drop_missing))
+    kernel.spawn(call_periodically(DROP_MISSING_INTERVAL_S, state.drop_missing))
     await listen(entry, listener)
     return entry
 
 
-def renewal(entry: RelayEntry) -> Callable[[], bool]:
-    """Returns what brings an entry's own news up to date."""
+def own_state_refresher(entry: RelayEntry) -> Callable[[], bool]:
+    """Returns the function that updates the entry's own published state."""
 
-    def renew() -> bool:
+    def refresh() -> bool:
         leaving = entry.drain.leaving
         state = MemberState.LEAVING if leaving else MemberState.LIVE
         me = entry.fleet.me
@@ -107,14 +109,16 @@
             store=entry.state.health.available,
         )
 
-    return renew
+    return refresh
 
 
-async def every(seconds: float, act: Callable[[], None]) -> None:
-    """Calls something again and again."""
+async def call_periodically(
+    interval_s: float, callback: Callable[[], None]
+) -> None:
+    """Calls a function forever, with a pause after each call."""
     while True:
-        act()
-        await asyncio.sleep(seconds)
+        callback()
+        await asyncio.sleep(interval_s)
 
 
 async def run_relay(
@@ -125,9 +129,9 @@
     """Runs an entry until SIGTERM, then drains and stops it.
 
     Args:
-      settings: Of the entry.
-      reload: Reads the settings again; called at SIGHUP.
-      listener: Listens for callers already; None: it is to be opened.
+      settings: Settings of the entry.
+      reload: Reads the settings again; called with the entry on SIGHUP.
+      listener: Socket that already listens for callers; None opens one.
     """
     loop = asyncio.get_running_loop()
     stop = asyncio.Event()
@@ -142,29 +146,29 @@
         store=str(settings.store.address),
     )
     await stop.wait()
-    await leave(entry)
+    await shut_down(entry)
 
 
-async def leave(entry: RelayEntry) -> None:
-    """Takes the entry out of the list, ends what runs, and stops."""
+async def shut_down(entry: RelayEntry) -> None:
+    """Announces the leave, waits for running requests and stops the entry."""
     log.info("Stopping.", running=entry.drain.running)
     entry.drain.begin()
     await entry.gossip.round()
     await entry.drain.wait_until_exit()
     try:
-        async with asyncio.timeout(CLOSE_LIMIT_S):
+        async with asyncio.timeout(CLOSE_TIMEOUT_S):
             await close(entry)
     except TimeoutError:
-        log.info("Closing took too long.", limit_s=CLOSE_LIMIT_S)
+        log.info("Closing took too long.", limit_s=CLOSE_TIMEOUT_S)
     log.info("Stopped.", running=entry.drain.running)
 
 
 async def close(entry: RelayEntry) -> None:
-    """Stops listening, ends the connections, and stops all services."""
+    """Stops accepting, closes the connections and stops all services."""
     for listener in entry.listeners:
         listener.stop_accepting()
-    # What reached the listener just before is answered or closed unread.
-    await asyncio.sleep(CLOSE_PAUSE_S)
+    # Connections that arrived just before are answered or closed unread.
+    await asyncio.sleep(CLOSE_DELAY_S)
     for listener in entry.listeners:
         await listener.close()
     await entry.kernel.stop()
