--- a/src/rattanpier/_internal/platform/caller.py
+++ b/src/rattanpier/_internal/platform/caller.py
@@ -27,7 +27,7 @@
 LAST_EVENT_ID = "Last-Event-Id"
 
 # Set by the system alone, or meant for it alone: none is passed on.
-NOT_PASSED_ON = frozenset(
+NOT_FORWARDED = frozenset(
     {
         "authorization",
         "x-deadline-ms",
@@ -107,7 +107,7 @@
     return headers
 
 
-def decode_question(query: Mapping[str, str]) -> DirectoryQuery:
+def decode_directory_query(query: Mapping[str, str]) -> DirectoryQuery:
     """Returns what a caller asks the directory."""
     return DirectoryQuery(query.get("name", ""), query.get("region", ""))
 
--- a/src/rattanpier/_internal/platform/feeds.py
+++ b/src/rattanpier/_internal/platform/feeds.py
@@ -23,15 +23,15 @@
 log = structlog.get_logger(part="platform")
 
 OperatorItem = RouteTable | RolloutOrder | DomainOrder
-OperatorNews = Callable[[Page], Iterator[OperatorItem]]
-WorkerNews = Callable[
+OperatorRowDecoder = Callable[[Page], Iterator[OperatorItem]]
+WorkerRowDecoder = Callable[
     [Page], Iterator[RegisteredWorker | FeedRow | UnreadableRow]
 ]
 
 
-def operator_news(
+def operator_row_decoder(
     metrics: Metrics, table_version: Callable[[], int] = lambda: -1
-) -> OperatorNews:
+) -> OperatorRowDecoder:
     """Returns what decodes operators' rows; unreadable ones are left out.
 
     Args:
@@ -54,12 +54,12 @@
                 elif rollouts.is_order(row):
                     yield rollouts.decode_order(row)
             except UnreadableError as error:
-                note_unreadable(metrics, "operators", row, error)
+                record_unreadable(metrics, "operators", row, error)
 
     return decode
 
 
-def worker_news(metrics: Metrics) -> WorkerNews:
+def worker_row_decoder(metrics: Metrics) -> WorkerRowDecoder:
     """Returns what decodes workers' rows; removed ones stay rows."""
 
     def decode(
@@ -72,13 +72,13 @@
             try:
                 yield registrations.decode_worker(row)
             except UnreadableError as error:
-                note_unreadable(metrics, registrations.TABLE, row, error)
+                record_unreadable(metrics, registrations.TABLE, row, error)
                 yield UnreadableRow(row.key)
 
     return decode
 
 
-def note_unreadable(
+def record_unreadable(
     metrics: Metrics, table: str, row: FeedRow, error: UnreadableError
 ) -> None:
     """Tells of a row that names nothing."""
--- a/src/rattanpier/_internal/platform/identity.py
+++ b/src/rattanpier/_internal/platform/identity.py
@@ -11,14 +11,14 @@
 
 SERVED_BY = "X-Served-By"
 
-Identify = Callable[[RegisteredWorker, float], Awaitable[bool]]
+CheckIdentity = Callable[[RegisteredWorker, float], Awaitable[bool]]
 
 
-def identifier(
+def identity_checker(
     session: aiohttp.ClientSession,
     health_path_of: Callable[[str], str],
     read_report: ReadReport,
-) -> Identify:
+) -> CheckIdentity:
     """Returns what asks whether a registered incarnation answers.
 
     Args:
@@ -34,7 +34,7 @@
 
     async def answers(worker: RegisteredWorker, limit_s: float) -> bool:
         path = health_path_of(worker.service)
-        if not path or not await names_itself(worker, path, limit_s):
+        if not path or not await matches_id(worker, path, limit_s):
             return False
         if worker.born is None:
             return True
@@ -42,7 +42,7 @@
         report = await read_report(worker, limit_s)
         return report is not None and report.born == worker.born
 
-    async def names_itself(
+    async def matches_id(
         worker: RegisteredWorker, path: str, limit_s: float
     ) -> bool:
         timeout = aiohttp.ClientTimeout(total=limit_s)
--- a/src/rattanpier/_internal/platform/manifest.py
+++ b/src/rattanpier/_internal/platform/manifest.py
@@ -23,7 +23,7 @@
 
 KEY = "config"
 MS = 1000.0
-NO_TIMEOUT_S = 60.0  # Where the operator states none.
+DEFAULT_TIMEOUT_S = 60.0  # Where the operator states none.
 DEFAULT_PRIORITY = 5
 
 # Operators may state more than an entry needs.
@@ -155,8 +155,10 @@
       UnreadableError: It can't be read.
     """
     document = parse_json(value)
-    told = document.get("version") if isinstance(document, dict) else None
-    if isinstance(told, int) and told <= version:
+    stated_version = (
+        document.get("version") if isinstance(document, dict) else None
+    )
+    if isinstance(stated_version, int) and stated_version <= version:
         return None
     return decode_document(document)
 
@@ -192,8 +194,8 @@
         idempotent=route.kind == "safe",
         streaming=route.kind == "streaming",
         resumable=bool(route.resumable),
-        timeout_s=seconds(route.timeout_ms, NO_TIMEOUT_S),
-        objective_s=seconds(route.objective_ms, NO_TIMEOUT_S),
+        timeout_s=seconds(route.timeout_ms, DEFAULT_TIMEOUT_S),
+        objective_s=seconds(route.objective_ms, DEFAULT_TIMEOUT_S),
         event_gap_s=seconds(route.event_gap_ms, 0.0),
         max_workers=max(1, route.max_workers or 1),
         priority=number(route.priority, DEFAULT_PRIORITY),
@@ -256,12 +258,12 @@
 
 def to_limits(limits: ManifestLimits) -> CallerLimits:
     """Returns the limits for callers."""
-    usual = CallerLimits()
+    defaults = CallerLimits()
     return CallerLimits(
-        header_bytes=number(limits.header_bytes, usual.header_bytes),
-        body_bytes=number(limits.body_bytes, usual.body_bytes),
-        header_s=seconds(limits.header_ms, usual.header_s),
-        idle_s=seconds(limits.idle_ms, usual.idle_s),
+        header_bytes=number(limits.header_bytes, defaults.header_bytes),
+        body_bytes=number(limits.body_bytes, defaults.body_bytes),
+        header_s=seconds(limits.header_ms, defaults.header_s),
+        idle_s=seconds(limits.idle_ms, defaults.idle_s),
     )
 
 
--- a/src/rattanpier/_internal/platform/registrations.py
+++ b/src/rattanpier/_internal/platform/registrations.py
@@ -15,7 +15,7 @@
 
 TABLE = "servers"
 READY, DRAINING = "ready", "draining"
-MOST_PORT = 65535
+MAX_PORT = 65535
 MS = 1000.0
 
 # Workers may tell more than an entry needs.
@@ -101,6 +101,6 @@
     if not (port.isascii() and port.isdecimal()):
         raise UnreadableError(f"address is {address!r}: no port")
     number = int(port)
-    if not 1 <= number <= MOST_PORT:
+    if not 1 <= number <= MAX_PORT:
         raise UnreadableError(f"address is {address!r}: no port")
     return host, number
--- a/src/rattanpier/_internal/platform/reports.py
+++ b/src/rattanpier/_internal/platform/reports.py
@@ -23,19 +23,19 @@
 
 
 # Told of a worker, the rate that it names, if any, and whether it leaves.
-HearWords = Callable[[RegisteredWorker, float | None, bool], None]
+OnWorkerStatus = Callable[[RegisteredWorker, float | None, bool], None]
 
 
 def report_reader(
     session: aiohttp.ClientSession,
-    hear: HearWords = lambda _worker, _rate_per_s, _leaving: None,
+    on_status: OnWorkerStatus = lambda _worker, _rate_per_s, _leaving: None,
 ) -> ReadReport:
     """Returns what asks one worker within some seconds; None: no answer.
 
     Args:
       session: For the questions.
-      hear: Told where a worker's answer says how it is. That it says nothing is
-        no word: only answers to requests are sure to bear one.
+      on_status: Told where a worker's answer says how it is. That it says
+        nothing is no word: only answers to requests are sure to bear one.
     """
 
     async def read(
@@ -45,12 +45,12 @@
         url = f"http://{worker.host}:{worker.port}{PATH}"
         try:
             async with session.get(url, timeout=timeout) as response:
-                hear_words(worker, response.headers, hear)
+                publish_status(worker, response.headers, on_status)
                 if response.status != 200:
                     return None
                 report = decode_report(await response.read())
                 if report is not None and report.leaving:
-                    hear(worker, None, True)
+                    on_status(worker, None, True)
                 return report
         except (aiohttp.ClientError, TimeoutError):
             # A worker that does not answer is judged by its requests.
@@ -59,13 +59,13 @@
     return read
 
 
-def hear_words(
+def publish_status(
     worker: RegisteredWorker,
     headers: CIMultiDictProxy[str],
-    hear: HearWords,
+    on_status: OnWorkerStatus,
 ) -> None:
     """Tells what a worker's answer says of it."""
     rate_per_s = decode_rate_limit(headers.getall(RATE_LIMIT, []))
     leaving = any(map(read_leaving, headers.getall(LEAVING, [])))
     if rate_per_s is not None or leaving:
-        hear(worker, rate_per_s, leaving)
+        on_status(worker, rate_per_s, leaving)
--- a/src/rattanpier/_internal/platform/rows.py
+++ b/src/rattanpier/_internal/platform/rows.py
@@ -38,7 +38,7 @@
 # The store answers in some ms; past this the call was lost or it is away.
 CALL_TIMEOUT_S = 1.0
 SLOW_CALL_TIMEOUT_S = 5.0  # A store that answers late is better than none.
-KEPT_CONNECTIONS = 8  # A feed for each table, and calls beside them.
+MAX_CONNECTIONS = 8  # A feed for each table, and calls beside them.
 STATUS_GONE = 410
 REFUSED = frozenset({429, 503})  # Nothing was done.
 
@@ -50,13 +50,13 @@
     Attributes:
       session: For its connections.
       base: Address, as `http://IP:PORT`.
-      note_era: Called with the era that an answer tells, 0 if none; returns
+      record_era: Called with the era that an answer tells, 0 if none; returns
         the newest one known.
     """
 
     session: aiohttp.ClientSession
     base: str
-    note_era: Callable[[int], int] = lambda era: era
+    record_era: Callable[[int], int] = lambda era: era
 
     async def scan(self, table: str) -> Page:
         """Returns all rows of a table and the revision that they are as of.
@@ -117,9 +117,9 @@
 
         One that tells none is taken to be of the newest era known.
         """
-        told = read_era(response.headers.get(ERA))
-        newest = self.note_era(told)
-        return told or newest
+        stated = read_era(response.headers.get(ERA))
+        newest = self.record_era(stated)
+        return stated or newest
 
     async def read(
         self, call: str, query: dict[str, str], timeout_s: float
@@ -160,7 +160,7 @@
         may have held for another row.
         """
         read_in = max((check.revision.era for check in checks), default=0)
-        if read_in and read_in < self.note_era(0):
+        if read_in and read_in < self.record_era(0):
             return Conflict(",".join(check.key for check in checks))
         body = {
             # Despite its name a list of rows with the versions they must have.
--- a/src/rattanpier/_internal/platform/settings.py
+++ b/src/rattanpier/_internal/platform/settings.py
@@ -48,7 +48,7 @@
     Raises:
       SettingsError: A field is missing or can't be used.
     """
-    read = Reader(document, path)
+    read = SettingsReader(document, path)
     host = read.text("ip")
     peers = read.address("listen", "admin")
     return RelaySettings(
@@ -75,49 +75,52 @@
     )
 
 
-def decode_store(read: Reader) -> StoreSettings:
+def decode_store(read: SettingsReader) -> StoreSettings:
     """Returns what the settings say of the store."""
     address = read.address("platform", "address")
-    usual = StoreSettings(address)
+    defaults = StoreSettings(address)
     return StoreSettings(
         address,
-        history_s=read.number(usual.history_s, "platform", "historyS"),
-        row_bytes=int(read.number(usual.row_bytes, "platform", "rowBytes")),
+        history_s=read.number(defaults.history_s, "platform", "historyS"),
+        row_bytes=int(read.number(defaults.row_bytes, "platform", "rowBytes")),
     )
 
 
-def decode_bounds(read: Reader) -> Bounds:
+def decode_bounds(read: SettingsReader) -> Bounds:
     """Returns the promises that the settings state."""
-    usual = Bounds()
+    defaults = Bounds()
     return Bounds(
-        drain_s=read.number(usual.drain_s * MS, "bounds", "drainMs") / MS,
-        grace_s=read.number(usual.grace_s, "bounds", "graceS"),
-        contact_s=read.number(usual.contact_s * MS, "bounds", "contactMs") / MS,
+        drain_s=read.number(defaults.drain_s * MS, "bounds", "drainMs") / MS,
+        grace_s=read.number(defaults.grace_s, "bounds", "graceS"),
+        contact_s=read.number(defaults.contact_s * MS, "bounds", "contactMs")
+        / MS,
         retry_ratio=read.number(
-            usual.retry_ratio, "bounds", "retryBudgetRatio"
+            defaults.retry_ratio, "bounds", "retryBudgetRatio"
         ),
         retry_window_s=read.number(
-            usual.retry_window_s, "bounds", "budgetWindowS"
+            defaults.retry_window_s, "bounds", "budgetWindowS"
         ),
-        retry_slack=read.number(usual.retry_slack, "bounds", "budgetSlack"),
+        retry_slack=read.number(defaults.retry_slack, "bounds", "budgetSlack"),
         exposure_ratio=read.number(
-            usual.exposure_ratio, "bounds", "exposureRatio"
+            defaults.exposure_ratio, "bounds", "exposureRatio"
         ),
         exposure_slack=read.number(
-            usual.exposure_slack, "bounds", "exposureTolerance"
+            defaults.exposure_slack, "bounds", "exposureTolerance"
         ),
         warm_up_ratio=read.number(
-            usual.warm_up_ratio, "bounds", "coldOvershoot"
+            defaults.warm_up_ratio, "bounds", "coldOvershoot"
         ),
         warm_up_slack=read.number(
-            usual.warm_up_slack, "bounds", "coldTolerance"
+            defaults.warm_up_slack, "bounds", "coldTolerance"
+        ),
+        session_s=read.number(defaults.session_s, "bounds", "sessionTtlS"),
+        address_ttl_s=read.number(
+            defaults.address_ttl_s, "bounds", "ttl_max_s"
         ),
-        session_s=read.number(usual.session_s, "bounds", "sessionTtlS"),
-        address_ttl_s=read.number(usual.address_ttl_s, "bounds", "ttl_max_s"),
     )
 
 
-class Reader:
+class SettingsReader:
     """Reads fields of a document and says which one is wrong."""
 
     def __init__(self, document: dict[str, Any], path: str) -> None:
--- a/src/rattanpier/_internal/platform/upstream.py
+++ b/src/rattanpier/_internal/platform/upstream.py
@@ -36,35 +36,35 @@
 # Workers may tell more than an entry needs.
 converter = strict_converter(forbid_extra_keys=False)
 HIGHEST_PRIORITY_VALUE = 9
-TURNED_AWAY = frozenset({429, 503})
+BACKOFF_STATUSES = frozenset({429, 503})
 MISDIRECTED = 421  # It promises as well that nothing was run.
 # A worker that names a limit is in need, also where it can't be read.
 UNREADABLE_RATE_PER_S = 1.0
-UNREADABLE_REST_S = 1.0
-TEXTS_KEPT = 256  # Texts of headers that are logged once.
+UNREADABLE_BACKOFF_S = 1.0
+TEXT_CACHE_SIZE = 256  # Texts of headers that are logged once.
 
 
 def encode_request(
-    request: RelayRequest, sending: UpstreamRequest
+    request: RelayRequest, upstream_request: UpstreamRequest
 ) -> WireRequest:
     """Returns a request as it goes to one worker."""
     replaced = set()
     own: list[Header] = [
-        ("X-Deadline-Ms", str(max(1, int(sending.left_s * 1000)))),
+        ("X-Deadline-Ms", str(max(1, int(upstream_request.left_s * 1000)))),
         # Another worker at this address answers 421 and runs nothing.
-        ("X-Expected-Instance", sending.worker.id),
+        ("X-Expected-Instance", upstream_request.worker.id),
     ]
     if request.workspace is not None:
         own.append(("X-Tenant", request.workspace.name))
-    if sending.urgency is not None:
-        urgency = min(HIGHEST_PRIORITY_VALUE, max(0, sending.urgency))
+    if upstream_request.urgency is not None:
+        urgency = min(HIGHEST_PRIORITY_VALUE, max(0, upstream_request.urgency))
         own.append(("X-Request-Priority", str(urgency)))
-    if sending.model:
+    if upstream_request.model:
         replaced.add(MODEL)
-        own.append(("X-Model", sending.model))
-    if sending.after_event is not None:
+        own.append(("X-Model", upstream_request.model))
+    if upstream_request.after_event is not None:
         replaced.add(LAST_EVENT_ID)
-        own.append(("Last-Event-Id", str(sending.after_event)))
+        own.append(("Last-Event-Id", str(upstream_request.after_event)))
     passed = [
         header
         for header in request.headers
@@ -90,7 +90,7 @@
         retry_after_s=decode_number(head.get(RETRY_AFTER)),
         keep_alive_s=decode_keep_alive(head.get("keep-alive")),
         rate_per_s=decode_rate_limit(head.get_all(RATE_LIMIT)),
-        rest_s=decode_rest(head),
+        rest_s=decode_backoff(head),
         leaving=any(map(read_leaving, head.get_all(LEAVING))),
     )
 
@@ -166,7 +166,7 @@
     return min(map(read_rate, texts), default=None)
 
 
-@functools.lru_cache(TEXTS_KEPT)
+@functools.lru_cache(TEXT_CACHE_SIZE)
 def read_rate(text: str) -> float:
     """Returns the rate that a text names."""
     rate = decode_number(text)
@@ -176,28 +176,28 @@
     return max(0.0, rate)
 
 
-def decode_rest(head: WireHead) -> float:
+def decode_backoff(head: WireHead) -> float:
     """Returns the seconds for which a worker wants nothing from this entry."""
-    if head.status not in TURNED_AWAY:
+    if head.status not in BACKOFF_STATUSES:
         return 0.0
-    return max(map(read_rest, head.get_all(RETRY_AFTER)), default=0.0)
+    return max(map(read_backoff, head.get_all(RETRY_AFTER)), default=0.0)
 
 
-@functools.lru_cache(TEXTS_KEPT)
-def read_rest(text: str) -> float:
+@functools.lru_cache(TEXT_CACHE_SIZE)
+def read_backoff(text: str) -> float:
     """Returns the seconds that a text asks for.
 
-    >>> read_rest("2.5"), read_rest("-1")
+    >>> read_backoff("2.5"), read_backoff("-1")
     (2.5, 0.0)
     """
     rest_s = decode_number(text)
     if rest_s is None:
         log.warning("Time of rest can't be read.", text=text)
-        return UNREADABLE_REST_S
+        return UNREADABLE_BACKOFF_S
     return max(0.0, rest_s)
 
 
-@functools.lru_cache(TEXTS_KEPT)
+@functools.lru_cache(TEXT_CACHE_SIZE)
 def read_leaving(text: str) -> bool:
     """Says whether a text means that a worker leaves.
 
--- a/src/rattanpier/_internal/programs/relay.py
+++ b/src/rattanpier/_internal/programs/relay.py
@@ -58,7 +58,7 @@
     edge = RelayEdge(
         dispatcher,
         CallerDialect(
-            caller.decode_headers, caller.NOT_PASSED_ON, caller.refusal_headers
+            caller.decode_headers, caller.NOT_FORWARDED, caller.refusal_headers
         ),
         lambda: state.table,
         drain,
--- a/src/rattanpier/_internal/programs/relay_listen.py
+++ b/src/rattanpier/_internal/programs/relay_listen.py
@@ -124,7 +124,7 @@
     """Returns the handler that tells callers which entries to use."""
 
     async def handle(request: BaseRequest) -> Response:
-        question = caller.decode_question(request.query)
+        question = caller.decode_directory_query(request.query)
         answer = directory_answer(entry, question)
         if answer is None:
             return Response(status=503)
--- a/src/rattanpier/_internal/programs/relay_store.py
+++ b/src/rattanpier/_internal/programs/relay_store.py
@@ -9,7 +9,7 @@
 from rattanpier._internal.models.relay_settings import RelaySettings
 from rattanpier._internal.platform import feeds, registrations, rollouts
 from rattanpier._internal.platform.rows import (
-    KEPT_CONNECTIONS,
+    MAX_CONNECTIONS,
     PlatformStore,
 )
 from rattanpier._internal.programs.relay_listen import RelayEntry
@@ -41,7 +41,7 @@
     """Adds the store, and what is known of it."""
     clock = kernel.find("clock")
     session = aiohttp.ClientSession(
-        connector=aiohttp.TCPConnector(limit=KEPT_CONNECTIONS)
+        connector=aiohttp.TCPConnector(limit=MAX_CONNECTIONS)
     )
     kernel.add("http", session, stop=session.close)
     history = kernel.add("history", StoreHistory(clock, kernel.find("metrics")))
@@ -74,8 +74,8 @@
         make_directory(clock, settings),
         Rollouts(exposure, bounds.session_s, clock, settings.policy),
         kernel.find("store_health"),
-        feeds.operator_news(metrics, lambda: state.table_version),
-        feeds.worker_news(metrics),
+        feeds.operator_row_decoder(metrics, lambda: state.table_version),
+        feeds.worker_row_decoder(metrics),
     )
     return state
 
--- a/src/rattanpier/_internal/programs/relay_workers.py
+++ b/src/rattanpier/_internal/programs/relay_workers.py
@@ -10,8 +10,8 @@
 from rattanpier._internal.kernel import Kernel
 from rattanpier._internal.models.worker import RegisteredWorker
 from rattanpier._internal.platform import reports
-from rattanpier._internal.platform.identity import identifier
-from rattanpier._internal.platform.reports import HearWords, ReadReport
+from rattanpier._internal.platform.identity import identity_checker
+from rattanpier._internal.platform.reports import OnWorkerStatus, ReadReport
 from rattanpier._internal.programs.relay_listen import RelayEntry
 from rattanpier._internal.relay.prompt_updates import PromptUpdates
 from rattanpier._internal.relay.queue_watch import QueueWatch
@@ -27,7 +27,7 @@
     add_prompt_news(entry)
 
 
-def word_hearer(entry: RelayEntry) -> HearWords:
+def word_hearer(entry: RelayEntry) -> OnWorkerStatus:
     """Returns what takes in the words of workers that are asked for a load."""
     limits = entry.edge.dispatcher.limits
     directory = entry.state.directory
@@ -68,7 +68,7 @@
         entry.state.directory,
         entry.fleet,
         dispatcher.clock,
-        identifier(session, entry.state.health_path_of, read_report),
+        identity_checker(session, entry.state.health_path_of, read_report),
         dispatcher.ends.record_alive,
     )
     entry.kernel.spawn(looks.run())
@@ -114,6 +114,6 @@
         rng=random.Random(entry.settings.name),
     )
     server = entry.kernel.find("peer_server")
-    server.on_notice("prompt_sent", prompts.apply_notice)
+    server.on_status("prompt_sent", prompts.apply_notice)
     if entry.settings.policy.prompt_news:
         dispatcher.publish_prompt = prompts.publish
--- a/tests/placement/test_backoffs.py
+++ b/tests/placement/test_backoffs.py
@@ -12,8 +12,8 @@
     Backoffs,
 )
 from rattanpier._internal.platform.upstream import (
-    UNREADABLE_REST_S,
-    decode_rest,
+    UNREADABLE_BACKOFF_S,
+    decode_backoff,
 )
 from rattanpier._internal.relay.connection import WireHead
 from tests.lib.clock import ManualClock
@@ -86,14 +86,14 @@
         (429, ["0.25"], 0.25),
         (503, ["1", "4"], 4.0),
         (503, ["-5"], 0.0),
-        (503, [""], UNREADABLE_REST_S),
-        (503, ["nan"], UNREADABLE_REST_S),
-        (503, ["inf"], UNREADABLE_REST_S),
-        (503, ["Fri, 01 Jan 2027 00:00:00 GMT"], UNREADABLE_REST_S),
+        (503, [""], UNREADABLE_BACKOFF_S),
+        (503, ["nan"], UNREADABLE_BACKOFF_S),
+        (503, ["inf"], UNREADABLE_BACKOFF_S),
+        (503, ["Fri, 01 Jan 2027 00:00:00 GMT"], UNREADABLE_BACKOFF_S),
         (503, ["31536000"], 31536000.0),
         (200, ["3"], 0.0),
     ],
 )
 def test_malformed_retry_after_is_read_safely(status, texts, found):
     headers = tuple(("retry-after", text) for text in texts)
-    assert decode_rest(WireHead(status, headers, True)) == found
+    assert decode_backoff(WireHead(status, headers, True)) == found
--- a/tests/relay/test_rows.py
+++ b/tests/relay/test_rows.py
@@ -96,8 +96,8 @@
         WorkerDirectory(clock),
         rollouts,
         StoreHealth(clock, 1.2),
-        feeds.operator_news(metrics),
-        feeds.worker_news(metrics),
+        feeds.operator_row_decoder(metrics),
+        feeds.worker_row_decoder(metrics),
     )
 
 
@@ -266,7 +266,7 @@
         row("fields", {**VALID, **fields}, 2),
         row("good", VALID, 3),
     ]
-    found = list(feeds.worker_news(metrics)(page(*rows)))
+    found = list(feeds.worker_row_decoder(metrics)(page(*rows)))
     assert len(found) == 3
     for item in found:
         assert isinstance(item, RegisteredWorker | UnreadableRow)
@@ -286,7 +286,7 @@
         FeedRow(manifest.KEY, b"\xff", at(3)),
         row(manifest.KEY, manifest_document(), 4),
     ]
-    found = list(feeds.operator_news(Metrics())(page(*rows)))
+    found = list(feeds.operator_row_decoder(Metrics())(page(*rows)))
     assert isinstance(found[-1], RouteTable)
 
 
--- a/tests/retries/test_liveness_checks.py
+++ b/tests/retries/test_liveness_checks.py
@@ -7,7 +7,7 @@
 import pytest
 
 from rattanpier._internal.models.worker_crash import QuarantineUpdate
-from rattanpier._internal.platform.identity import identifier
+from rattanpier._internal.platform.identity import identity_checker
 from rattanpier._internal.platform.reports import report_reader
 from rattanpier._internal.relay.directory import WorkerDirectory
 from rattanpier._internal.retries import liveness_checks as module
@@ -161,7 +161,7 @@
     await server.start()
     host, _, port = server.address.partition(":")
     worker = make_worker("w1", host=host, port=int(port), born=born)
-    answers = identifier(
+    answers = identity_checker(
         http_session, lambda _service: path, report_reader(http_session)
     )
     assert await answers(worker, 1.0) is alive
