--- a/src/rattanpier/_internal/platform/__init__.py
+++ b/src/rattanpier/_internal/platform/__init__.py
@@ -1,5 +1,5 @@
-"""Translates between the product and the users' platform, and no more.
+"""Adapters between the router and the platform that it runs on.
 
-The platform's names for fields, headers and calls stand here alone. Each is
-decoded once, into types of the product whose fields say what they hold.
+Only this package uses the platform's names for fields, headers and calls. Each
+is decoded once, into types of the router with descriptive field names.
 """
--- a/src/rattanpier/_internal/platform/caller.py
+++ b/src/rattanpier/_internal/platform/caller.py
@@ -1,4 +1,4 @@
-"""The callers' dialect: headers of a request and of a refusal."""
+"""Headers of callers' requests and of responses to them."""
 
 from __future__ import annotations
 
@@ -18,15 +18,16 @@
 SCHEME = "bearer"
 MODEL = "X-Model"
 ANY_MODEL = "*"
-MAX_ADDRESSES = 64  # More are not taken from a directory answer.
+MAX_ADDRESSES = 64  # Callers ignore further addresses of a response.
 TOKENS = "X-Token-Usage"
-# Despite its name a list of the prompt's parts: ID:TOKENS,...
+# Despite its name, a list of the prompt's parts: ID:TOKENS,...
 PARTS = "X-Prefix-Hash"
 LENGTH_HINT = "X-Length-Hint"
 SESSION = "Session"
 LAST_EVENT_ID = "Last-Event-Id"
 
-# Set by the system alone, or meant for it alone: none is passed on.
+# Headers that only the router may set, or that are meant only for it; they are
+# not forwarded to workers.
 NOT_FORWARDED = frozenset(
     {
         "authorization",
@@ -48,7 +49,7 @@
 
 
 def decode_headers(headers: Mapping[str, str]) -> CallerHeaders:
-    """Returns what a caller's headers say; what can't be read is left out."""
+    """Returns the decoded headers of a caller; invalid values are ignored."""
     scheme, _, key = headers.get(AUTHORIZATION, "").partition(" ")
     deadline_ms = whole_number(headers.get(DEADLINE_MS))
     return CallerHeaders(
@@ -63,7 +64,7 @@
 
 
 def decode_prompt(headers: Mapping[str, str]) -> Prompt:
-    """Returns what the headers say of a prompt."""
+    """Returns the description of the prompt in the headers."""
     tokens, _, output = headers.get(TOKENS, "").partition(",")
     return Prompt(
         tokens=whole_number(tokens) or 0,
@@ -74,7 +75,7 @@
 
 
 def decode_parts(text: str) -> Iterable[PromptPart]:
-    """Yields the parts of a prompt.
+    """Yields the parts of a prompt; malformed parts are skipped.
 
     >>> list(decode_parts("5c:800, 91:410"))[1]
     PromptPart(id='91', tokens=410)
@@ -86,7 +87,7 @@
 
 
 def whole_number(text: str | None) -> int | None:
-    """Returns a number that is not negative, or None.
+    """Returns the integer part of a non-negative number, or None.
 
     >>> whole_number(" 12"), whole_number("1.9"), whole_number("x")
     (12, 1, None)
@@ -100,7 +101,12 @@
 def refusal_headers(
     attempt_id: str, retry_after_s: float | None
 ) -> list[Header]:
-    """Returns the headers of an answer that the system makes itself."""
+    """Returns the headers of a response that the router generates itself.
+
+    Args:
+      attempt_id: Id from the caller's request, empty if it had none.
+      retry_after_s: Seconds after which the caller may retry, if known.
+    """
     headers = [(ATTEMPT_ID, attempt_id)] if attempt_id else []
     if retry_after_s is not None:
         headers.append(("Retry-After", f"{retry_after_s:.2f}"))
@@ -108,15 +114,15 @@
 
 
 def decode_directory_query(query: Mapping[str, str]) -> DirectoryQuery:
-    """Returns what a caller asks the directory."""
+    """Returns a caller's query for the directory of entries."""
     return DirectoryQuery(query.get("name", ""), query.get("region", ""))
 
 
 def directory_body(addresses: list[str], ttl_s: float) -> dict[str, object]:
-    """Returns the answer that tells callers which entries to use.
+    """Returns the response body that lists the entries to use.
 
     Args:
-      addresses: As IP:PORT; callers take at most 64.
-      ttl_s: Seconds that they may keep it.
+      addresses: As IP:PORT; callers use at most 64.
+      ttl_s: Seconds for which callers may cache the response.
     """
     return {"addresses": addresses[:MAX_ADDRESSES], "ttlS": ttl_s}
--- a/src/rattanpier/_internal/platform/drained_domains.py
+++ b/src/rattanpier/_internal/platform/drained_domains.py
@@ -1,4 +1,4 @@
-"""Orders of the operators to drain failure domains."""
+"""Decodes operators' orders to drain failure domains."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 
 def is_order(row: FeedRow) -> bool:
-    """Says whether a row of the operators' table drains a failure domain."""
+    """Returns whether a row of the operators' table drains a domain."""
     return row.key.startswith(ORDER_PREFIX)
 
 
 def decode_order(row: FeedRow) -> DomainOrder:
-    """Returns the order that a row is, or the end of one that it was.
+    """Returns the order in a row; a deleted row ends the order.
 
-    The key says all. The value is not looked at: an order whose value got
-    spoiled is obeyed like any other.
+    Only the key matters. The value is ignored, so that an order whose value is
+    corrupt still takes effect.
 
     Raises:
-      UnreadableError: The key names no domain.
+      UnreadableError: The key doesn't name a domain.
     """
     domain = row.key.removeprefix(ORDER_PREFIX)
     if not domain:
--- a/src/rattanpier/_internal/platform/early_listener.py
+++ b/src/rattanpier/_internal/platform/early_listener.py
@@ -1,10 +1,11 @@
-"""Opens the callers' address before the entry's modules are loaded.
+"""Opens the listening socket for callers before the entry's modules load.
 
-Loading them takes most of a start. Callers that come meanwhile wait in the
-socket's backlog, and are answered; where no process listens they use up their
-retries, and after a loss of all entries there is no other to turn to.
+Imports take most of the startup time. Callers that connect meanwhile wait in
+the socket's backlog and are served afterwards. Without a listening socket they
+would use up their retries, and after a failure of all entries there is no other
+entry to fail over to.
 
-Loads nothing but a few modules of the standard library.
+Imports only a few modules of the standard library, so that it runs at once.
 """
 
 from __future__ import annotations
@@ -18,11 +19,11 @@
 def open_early(path: str) -> socket.socket | None:
     """Returns a listening socket for callers.
 
-    None if the settings do not say where, or the address is taken: what reads
-    them later says what is wrong.
+    Returns None if the settings don't give an address, or it is in use; the
+    regular startup reports the error later.
 
     Args:
-      path: Of the settings file.
+      path: Path of the settings file.
     """
     try:
         with open(path, encoding="utf-8") as file:
--- a/src/rattanpier/_internal/platform/feeds.py
+++ b/src/rattanpier/_internal/platform/feeds.py
@@ -1,4 +1,4 @@
-"""Pages of the platform's tables, decoded row by row."""
+"""Decodes pages of the platform's tables row by row."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
 def operator_row_decoder(
     metrics: Metrics, table_version: Callable[[], int] = lambda: -1
 ) -> OperatorRowDecoder:
-    """Returns what decodes operators' rows; unreadable ones are left out.
+    """Returns a decoder of operators' rows that skips unreadable rows.
 
     Args:
-      metrics: Counts what can't be read.
-      table_version: Returns the version of the table in force; an older one
-        is left out.
+      metrics: Counts unreadable rows.
+      table_version: Returns the version of the route table in force; tables
+        that are not newer are skipped.
     """
 
     def decode(page: Page) -> Iterator[OperatorItem]:
@@ -60,7 +60,7 @@
 
 
 def worker_row_decoder(metrics: Metrics) -> WorkerRowDecoder:
-    """Returns what decodes workers' rows; removed ones stay rows."""
+    """Returns a decoder of workers' rows; deleted rows are passed through."""
 
     def decode(
         page: Page,
@@ -81,7 +81,7 @@
 def record_unreadable(
     metrics: Metrics, table: str, row: FeedRow, error: UnreadableError
 ) -> None:
-    """Tells of a row that names nothing."""
+    """Counts and logs a row that can't be decoded."""
     metrics.count("relay.row_unreadable")
     log.error(
         "Row can't be read.",
--- a/src/rattanpier/_internal/platform/identity.py
+++ b/src/rattanpier/_internal/platform/identity.py
@@ -1,4 +1,4 @@
-"""Asks workers which incarnation they are."""
+"""Checks which incarnation of a worker answers at its address."""
 
 from __future__ import annotations
 
@@ -19,17 +19,18 @@
     health_path_of: Callable[[str], str],
     read_report: ReadReport,
 ) -> CheckIdentity:
-    """Returns what asks whether a registered incarnation answers.
+    """Returns a check whether a registered incarnation answers.
 
     Args:
-      session: For the questions.
-      health_path_of: Returns where the workers of a service answer.
-      read_report: Asks a worker for its load, and for its start.
+      session: Session for the requests.
+      health_path_of: Returns the health path of a service's workers, empty if
+        there is none.
+      read_report: Requests a worker's report of its load and start time.
 
     Returns:
-      A function of a worker and some seconds. True only if the worker named
-      itself by the id, and by the start where its registration tells one;
-      False says nothing.
+      A function of a worker and a timeout in seconds. True only if the worker
+      answered with its id and, where its registration has a start time, with
+      the same start time. False is inconclusive.
     """
 
     async def answers(worker: RegisteredWorker, limit_s: float) -> bool:
@@ -38,7 +39,8 @@
             return False
         if worker.born is None:
             return True
-        # It may have started again under its id; only its report tells.
+        # The worker may have restarted under its id; only its report shows
+        # the start time.
         report = await read_report(worker, limit_s)
         return report is not None and report.born == worker.born
 
@@ -49,10 +51,11 @@
         url = f"http://{worker.host}:{worker.port}{path}"
         try:
             async with session.get(url, timeout=timeout) as response:
-                # Also one that is full or sick is alive.
+                # An overloaded or unhealthy worker is alive too, so the status
+                # doesn't matter.
                 return response.headers.get(SERVED_BY) == worker.id
         except (aiohttp.ClientError, TimeoutError):
-            # It is looked at again; that it ended stands until then.
+            # The check is repeated; the worker counts as terminated until then.
             return False
 
     return answers
--- a/src/rattanpier/_internal/platform/manifest.py
+++ b/src/rattanpier/_internal/platform/manifest.py
@@ -1,4 +1,4 @@
-"""The operators' manifest, decoded into a route table."""
+"""Decodes the operators' manifest into a route table."""
 
 from __future__ import annotations
 
@@ -23,16 +23,16 @@
 
 KEY = "config"
 MS = 1000.0
-DEFAULT_TIMEOUT_S = 60.0  # Where the operator states none.
+DEFAULT_TIMEOUT_S = 60.0  # For routes without a timeout.
 DEFAULT_PRIORITY = 5
 
-# Operators may state more than an entry needs.
+# Operators may set fields that an entry doesn't need.
 converter = strict_converter(forbid_extra_keys=False)
 
 
 @attrs.frozen
 class ManifestShare:
-    """One service of several that a route's requests are split over."""
+    """A service and its share of a route's requests."""
 
     service: str
     weight: float
@@ -43,10 +43,10 @@
     """A route; times are in ms.
 
     Attributes:
-      kind: What may be repeated: `safe`, `unsafe` or `streaming`.
-      shares: Given in place of `service` where there are several.
+      kind: `safe` (requests may be repeated), `unsafe` or `streaming`.
+      shares: Replaces `service` where there are several services.
       sizes: Models that may answer, smallest first.
-      regions: Where it may be answered.
+      regions: Regions in which requests may be answered.
     """
 
     name: str
@@ -82,7 +82,7 @@
 
 @attrs.frozen
 class ManifestEngine:
-    """What a service's model engines have in common."""
+    """Properties shared by all model engines of a service."""
 
     slots: int | None = None
     kv_tokens: int | None = attrs.field(default=None, alias="kvCapacity")
@@ -94,8 +94,9 @@
     """A service.
 
     Attributes:
-      cold_start_s: Seconds for which a worker bears less after its start.
-      cold_per_s: Requests a second that it bears meanwhile; 0: as many as ever.
+      cold_start_s: Seconds of warm-up after a worker's start.
+      cold_per_s: Requests per second that a worker can serve during warm-up;
+        0 means no limit.
     """
 
     name: str
@@ -132,7 +133,7 @@
 
 @attrs.frozen
 class Manifest:
-    """All that operators decided, as they write it."""
+    """The manifest in the form in which operators write it."""
 
     version: int
     routes: list[ManifestRoute] | None = None
@@ -144,15 +145,15 @@
 def decode_manifest(value: bytes, version: int) -> RouteTable | None:
     """Returns the route table that a manifest holds, if it is newer.
 
-    One that came from a peer before is not decoded again: a long one holds up
-    the first requests of a slow VM.
+    A manifest that a peer has already sent is not decoded again: decoding a
+    long one delays the first requests on a slow VM.
 
     Args:
-      value: The manifest.
-      version: Of the table that is known.
+      value: The manifest as JSON.
+      version: Version of the table that is already known.
 
     Raises:
-      UnreadableError: It can't be read.
+      UnreadableError: The manifest can't be decoded.
     """
     document = parse_json(value)
     stated_version = (
@@ -167,7 +168,7 @@
     """Returns the route table that a manifest's JSON document holds.
 
     Raises:
-      UnreadableError: It can't be read.
+      UnreadableError: The document doesn't match the schema.
     """
     manifest = structure(converter, Manifest, document)
     tenants = manifest.tenants or []
@@ -185,7 +186,7 @@
 
 
 def to_route(route: ManifestRoute) -> Route:
-    """Returns one route."""
+    """Returns a route of the manifest in the router's own form."""
     return Route(
         name=route.name,
         host=route.host.lower(),
@@ -206,7 +207,7 @@
 
 
 def to_shares(route: ManifestRoute) -> tuple[ServiceShare, ...]:
-    """Returns the services of a route; one alone has all of it."""
+    """Returns a route's services; a single service gets all requests."""
     if route.shares:
         return tuple(
             ServiceShare(share.service, share.weight) for share in route.shares
@@ -215,7 +216,7 @@
 
 
 def to_service(service: ManifestService) -> Service:
-    """Returns one service."""
+    """Returns a service of the manifest in the router's own form."""
     engine = service.engine
     return Service(
         name=service.name,
@@ -227,14 +228,14 @@
 
 
 def to_warm_up(service: ManifestService) -> WarmUp | None:
-    """Returns what workers bear after a start, None if as much as ever."""
+    """Returns the limit during workers' warm-up, None if there is none."""
     if not service.cold_per_s:
         return None
     return WarmUp(service.cold_start_s or 0.0, service.cold_per_s)
 
 
 def to_engine(engine: ManifestEngine) -> EngineSpec:
-    """Returns what a service's model engines have in common."""
+    """Returns the properties shared by a service's model engines."""
     return EngineSpec(
         slots=engine.slots or 1,
         kv_tokens=engine.kv_tokens or 0,
@@ -257,7 +258,7 @@
 
 
 def to_limits(limits: ManifestLimits) -> CallerLimits:
-    """Returns the limits for callers."""
+    """Returns the limits for callers, with defaults for missing ones."""
     defaults = CallerLimits()
     return CallerLimits(
         header_bytes=number(limits.header_bytes, defaults.header_bytes),
@@ -268,10 +269,10 @@
 
 
 def seconds(milliseconds: float | None, default: float) -> float:
-    """Returns seconds, or a default where nothing is stated."""
+    """Converts milliseconds to seconds; None gives the default."""
     return default if milliseconds is None else milliseconds / MS
 
 
 def number(value: int | None, default: int) -> int:
-    """Returns a number, or a default where nothing is stated."""
+    """Returns the value, or the default if it is None."""
     return default if value is None else value
--- a/src/rattanpier/_internal/platform/registrations.py
+++ b/src/rattanpier/_internal/platform/registrations.py
@@ -1,4 +1,4 @@
-"""Workers' registrations in the platform's store."""
+"""Decodes workers' registrations in the platform's store."""
 
 from __future__ import annotations
 
@@ -18,20 +18,20 @@
 MAX_PORT = 65535
 MS = 1000.0
 
-# Workers may tell more than an entry needs.
+# Workers may send fields that an entry doesn't need.
 converter = strict_converter(forbid_extra_keys=False)
 
 
 @attrs.frozen
 class Registration:
-    """What a worker writes about itself.
+    """A worker's registration as the worker writes it.
 
     Attributes:
-      address: IP number and port.
-      version: Of its software.
-      cold_remaining_ms: How much longer it bears less than usual.
-      sequence: Raised with each renewal; anew from each start.
-      born: When it started, in Unix ms; older workers do not tell it.
+      address: IPv4 address and port.
+      version: Version of the worker's software.
+      cold_remaining_ms: Remaining warm-up time with reduced capacity, in ms.
+      sequence: Increases with each renewal; restarts with each incarnation.
+      born: Start time in Unix ms; None for older workers, which don't send it.
     """
 
     service: str
@@ -48,12 +48,12 @@
 def decode_worker(row: FeedRow) -> RegisteredWorker:
     """Returns the worker that a row registers.
 
-    Whether its service is one that is routed to is not looked at here: a
-    worker of another service is never asked for.
+    Doesn't check whether any route uses the service: workers of other services
+    are never looked up.
 
     Raises:
-      UnreadableError: Another writer's row, or one that got spoiled: a field
-        is missing, has another type, or a value that means nothing.
+      UnreadableError: Another program wrote the row, or it is corrupt: a field
+        is missing, has a wrong type or an invalid value.
     """
     entry = structure(converter, Registration, parse_json(row.value))
     host, port = split_address(entry.address)
@@ -84,20 +84,20 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Returns the IP number and the port of an address.
+    """Splits an address into the IPv4 address and the port.
 
     >>> split_address("10.0.0.1:80")
     ('10.0.0.1', 80)
 
     Raises:
-      UnreadableError: It is none.
+      UnreadableError: The address is invalid.
     """
     host, _, port = address.rpartition(":")
     try:
         ipaddress.IPv4Address(host)
     except ValueError as error:
         raise UnreadableError(f"address is {address!r}: {error}") from error
-    # Other alphabets' digits are decimal as well, but no port.
+    # str.isdecimal() also accepts non-ASCII digits, which are invalid here.
     if not (port.isascii() and port.isdecimal()):
         raise UnreadableError(f"address is {address!r}: no port")
     number = int(port)
--- a/src/rattanpier/_internal/platform/reports.py
+++ b/src/rattanpier/_internal/platform/reports.py
@@ -1,4 +1,4 @@
-"""Reads the load that workers report."""
+"""Requests load reports from workers."""
 
 from __future__ import annotations
 
@@ -22,7 +22,8 @@
 ReadReport = Callable[[RegisteredWorker, float], Awaitable[ReportedLoad | None]]
 
 
-# Told of a worker, the rate that it names, if any, and whether it leaves.
+# Called with a worker, its rate limit in requests per second, if any, and
+# whether it is leaving.
 OnWorkerStatus = Callable[[RegisteredWorker, float | None, bool], None]
 
 
@@ -30,12 +31,16 @@
     session: aiohttp.ClientSession,
     on_status: OnWorkerStatus = lambda _worker, _rate_per_s, _leaving: None,
 ) -> ReadReport:
-    """Returns what asks one worker within some seconds; None: no answer.
+    """Returns a reader of one worker's report, with a timeout in seconds.
 
     Args:
-      session: For the questions.
-      on_status: Told where a worker's answer says how it is. That it says
-        nothing is no word: only answers to requests are sure to bear one.
+      session: Session for the requests.
+      on_status: Called if a response carries a rate limit or says that the
+        worker is leaving. Missing headers don't withdraw an earlier status:
+        only responses to callers' requests are sure to carry them.
+
+    Returns:
+      A function that returns None if the worker sent no valid report.
     """
 
     async def read(
@@ -53,7 +58,7 @@
                     on_status(worker, None, True)
                 return report
         except (aiohttp.ClientError, TimeoutError):
-            # A worker that does not answer is judged by its requests.
+            # Failures of a worker are detected from its requests instead.
             return None
 
     return read
@@ -64,7 +69,7 @@
     headers: CIMultiDictProxy[str],
     on_status: OnWorkerStatus,
 ) -> None:
-    """Tells what a worker's answer says of it."""
+    """Calls `on_status` if the headers carry a status of the worker."""
     rate_per_s = decode_rate_limit(headers.getall(RATE_LIMIT, []))
     leaving = any(map(read_leaving, headers.getall(LEAVING, [])))
     if rate_per_s is not None or leaving:
--- a/src/rattanpier/_internal/platform/rollouts.py
+++ b/src/rattanpier/_internal/platform/rollouts.py
@@ -1,4 +1,4 @@
-"""Roll-out orders of the operators, and what they read of their course."""
+"""Decodes operators' roll-out orders and encodes their status."""
 
 from __future__ import annotations
 
@@ -17,24 +17,24 @@
 ORDERS = "op"
 ORDER_PREFIX = "rollout/"
 STATUS = "status"
-# The operators know three states; the steps in between are the entries' own.
+# Operators see three states; all intermediate phases are internal to entries.
 STATES = {
     RolloutPhase.COMPLETED: "completed",
     RolloutPhase.ROLLED_BACK: "rolled_back",
 }
 IN_PROGRESS = "in_progress"
 
-# Operators may state more than an entry needs.
+# Operators may set fields that an entry doesn't need.
 converter = strict_converter(forbid_extra_keys=False)
 
 
 @attrs.frozen
 class OrderRow:
-    """What operators write to have a service moved to a version.
+    """An operator's order to roll out a version of a service.
 
     Attributes:
-      version: To be moved to.
-      deadline_s: Seconds from the order, by when it is to be done.
+      version: Target version.
+      deadline_s: Seconds from the order to its deadline.
     """
 
     service: str
@@ -43,7 +43,7 @@
 
 
 def is_order(row: FeedRow) -> bool:
-    """Says whether a row of the operators' table is a roll-out order."""
+    """Returns whether a row of the operators' table is a roll-out order."""
     return row.key.startswith(ORDER_PREFIX)
 
 
@@ -51,7 +51,7 @@
     """Returns the order that a row holds.
 
     Raises:
-      UnreadableError: The row can't be read.
+      UnreadableError: The row can't be decoded.
     """
     order = structure(converter, OrderRow, parse_json(row.value))
     return RolloutOrder(
@@ -64,7 +64,7 @@
 
 
 def status_row(service: str, version: str, phase: RolloutPhase) -> RowPut:
-    """Returns the row that tells the operators how far an order went."""
+    """Returns the row that shows operators the state of an order."""
     state = STATES.get(phase, IN_PROGRESS)
     value = json.dumps({"service": service, "to": version, "state": state})
     return RowPut(STATUS, f"{ORDER_PREFIX}{service}", value.encode())
--- a/src/rattanpier/_internal/platform/rows.py
+++ b/src/rattanpier/_internal/platform/rows.py
@@ -33,25 +33,26 @@
 log = structlog.get_logger(part="store")
 
 PATH = "/rattanpier"
-ERA = "Store-Era"  # Which history of the store an answer is of.
-PAGE_ROWS = 500  # The most that the store returns at once.
-# The store answers in some ms; past this the call was lost or it is away.
+ERA = "Store-Era"  # Identifies the history of the store.
+PAGE_ROWS = 500  # The store's maximum per response.
+# The store answers within milliseconds; after this time the call was lost or
+# the store is down.
 CALL_TIMEOUT_S = 1.0
-SLOW_CALL_TIMEOUT_S = 5.0  # A store that answers late is better than none.
-MAX_CONNECTIONS = 8  # A feed for each table, and calls beside them.
+SLOW_CALL_TIMEOUT_S = 5.0  # A late answer is better than none.
+MAX_CONNECTIONS = 8  # One feed per table, and other calls.
 STATUS_GONE = 410
-REFUSED = frozenset({429, 503})  # Nothing was done.
+REFUSED = frozenset({429, 503})  # The store did nothing.
 
 
 @attrs.define(eq=False, repr=False)
 class PlatformStore:
-    """Calls the store.
+    """Client of the platform's store.
 
     Attributes:
-      session: For its connections.
+      session: HTTP session for the calls.
       base: Address, as `http://IP:PORT`.
-      record_era: Called with the era that an answer tells, 0 if none; returns
-        the newest one known.
+      record_era: Called with the era of a response, 0 if it names none;
+        returns the newest known era.
     """
 
     session: aiohttp.ClientSession
@@ -59,18 +60,19 @@
     record_era: Callable[[int], int] = lambda era: era
 
     async def scan(self, table: str) -> Page:
-        """Returns all rows of a table and the revision that they are as of.
+        """Returns all rows of a table and the revision that they reflect.
 
         Raises:
-          StoreUnavailableError: No answer in time, or the store came back from
-            a copy between two parts of the table.
+          StoreUnavailableError: No response in time, or the store was restored
+            from a backup between two pages of the table.
         """
         rows: list[FeedRow] = []
         query = {"table": table, "part": "", "limit": str(PAGE_ROWS)}
         first: dict[str, Any] | None = None
         while True:
             page = await self.read("rows-get", query, SLOW_CALL_TIMEOUT_S)
-            # Later pages may be newer; the feed then repeats what they had.
+            # Later pages may be newer; the feed from the first page's
+            # revision then repeats their changes.
             first = first or page
             if page["era"] != first["era"]:
                 raise StoreUnavailableError(f"history of {table} was lost")
@@ -82,13 +84,18 @@
             query["from"] = page["rows"][-1]["key"] + "\0"
 
     async def changes(self, table: str, since: Revision, wait_s: float) -> Page:
-        """Waits for changes of a table behind a revision.
+        """Waits for changes of a table after a revision.
 
-        They follow it only if the answer is of the same era.
+        They continue that revision only if the response has the same era.
+
+        Args:
+          table: Name of the table.
+          since: Revision that is already known.
+          wait_s: Seconds for which the store may wait for a change.
 
         Raises:
-          HistoryGoneError: They are no longer known; scan the table.
-          StoreUnavailableError: No answer in time.
+          HistoryGoneError: The store no longer has the changes; scan the table.
+          StoreUnavailableError: No response in time.
         """
         query = {
             "table": table,
@@ -102,7 +109,7 @@
     def call(
         self, method: str, name: str, timeout_s: float, **content: Any
     ) -> AbstractAsyncContextManager[aiohttp.ClientResponse]:
-        """Begins a call; its answer has to come within some seconds."""
+        """Starts a call that has to complete within `timeout_s` seconds."""
         return self.session.request(
             method,
             f"{self.base}{PATH}/{name}",
@@ -113,9 +120,9 @@
         )
 
     def era_of(self, response: aiohttp.ClientResponse) -> int:
-        """Returns the era of an answer, after taking it in.
+        """Records and returns the era of a response.
 
-        One that tells none is taken to be of the newest era known.
+        A response without an era is assumed to have the newest known era.
         """
         stated = read_era(response.headers.get(ERA))
         newest = self.record_era(stated)
@@ -124,11 +131,11 @@
     async def read(
         self, call: str, query: dict[str, str], timeout_s: float
     ) -> dict[str, Any]:
-        """Carries out a read; adds the era of the answer to what it holds.
+        """Executes a read and adds the era to the decoded response.
 
         Raises:
-          HistoryGoneError: The store no longer has what was asked for.
-          StoreUnavailableError: No answer, or a refusal.
+          HistoryGoneError: The store no longer has the requested history.
+          StoreUnavailableError: No valid response, or a refusal.
         """
         try:
             async with self.call(
@@ -153,17 +160,17 @@
         puts: Sequence[RowPut],
         removed: Sequence[RowCheck] = (),
     ) -> WrittenAt | Conflict | NotRun | Uncertain:
-        """Writes some rows if all checks hold, else nothing.
+        """Writes and removes rows if all checks hold, else changes nothing.
 
-        Versions are given out again in a new era, so that a condition that was
-        read in an earlier one is not sent. One that met a new era on its way
-        may have held for another row.
+        A new era assigns the same versions again, so a check that was read in
+        an earlier era is not sent. If the era changes during the call, a check
+        may have matched a different row, so a success is returned as uncertain.
         """
         read_in = max((check.revision.era for check in checks), default=0)
         if read_in and read_in < self.record_era(0):
             return Conflict(",".join(check.key for check in checks))
         body = {
-            # Despite its name a list of rows with the versions they must have.
+            # Despite its name, a list of rows with their required versions.
             "expectedRevision": [encode_check(check) for check in checks],
             "puts": [encode_put(put) for put in puts],
             "remove": [
@@ -189,7 +196,7 @@
 async def decode_outcome(
     response: aiohttp.ClientResponse, era: int
 ) -> WrittenAt | Conflict | NotRun | Uncertain:
-    """Returns what an answer to a transaction says."""
+    """Returns the outcome in the response to a transaction."""
     if response.status in REFUSED:
         return NotRun(f"store answered {response.status}")
     if response.status not in (200, 412):
@@ -202,7 +209,7 @@
 
 
 def read_era(text: str | None) -> int:
-    """Returns the era that an answer tells, 0 if it tells none.
+    """Returns the era in a header, 0 if it is missing or invalid.
 
     >>> read_era("3"), read_era(None)
     (3, 0)
@@ -217,12 +224,12 @@
 
 
 def revision_of(answer: dict[str, Any]) -> Revision:
-    """Returns the revision that an answer to a read is as of."""
+    """Returns the revision that the response to a read reflects."""
     return Revision(answer["era"], answer["ver"])
 
 
 def decode_row(row: dict[str, Any], era: int) -> FeedRow:
-    """Returns a row; a removed one has no value."""
+    """Returns a decoded row; a deleted row has an empty value."""
     deleted = bool(row.get("deleted"))
     value = b"" if deleted else base64.b64decode(row.get("value") or "")
     revision = Revision(era, row.get("ver", 0))
@@ -230,7 +237,7 @@
 
 
 def encode_check(check: RowCheck) -> dict[str, Any]:
-    """Returns a condition as the store takes it; version 0: no such row."""
+    """Encodes a check; version 0 requires that the row doesn't exist."""
     return {
         "table": check.table,
         "part": "",
@@ -240,6 +247,6 @@
 
 
 def encode_put(put: RowPut) -> dict[str, Any]:
-    """Returns a row to write as the store takes it."""
+    """Encodes a row to write."""
     value = base64.b64encode(put.value).decode()
     return {"table": put.table, "part": "", "key": put.key, "value": value}
--- a/src/rattanpier/_internal/platform/settings.py
+++ b/src/rattanpier/_internal/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, decoded into the entry's own settings."""
+"""Decodes the platform's settings file into the entry's settings."""
 
 from __future__ import annotations
 
@@ -22,11 +22,12 @@
     """Reads and checks a settings file.
 
     Args:
-      path: Of the file.
-      metrics_port: Port of the metrics address; 0 serves none.
+      path: Path of the file.
+      metrics_port: Port for metrics; 0 disables them.
 
     Raises:
-      SettingsError: It names the file, the field and what would be right.
+      SettingsError: The file is unreadable or invalid. The message names the
+        file, the field and the expected value.
     """
     try:
         document = json.loads(pathlib.Path(path).read_text())
@@ -46,7 +47,7 @@
     """Returns the settings that a document holds.
 
     Raises:
-      SettingsError: A field is missing or can't be used.
+      SettingsError: A field is missing or invalid.
     """
     read = SettingsReader(document, path)
     host = read.text("ip")
@@ -57,12 +58,12 @@
         domain=read.text("zone"),
         region=read.text("region"),
         regions=read.texts("zones"),
-        # The platform's names for what an entry listens on.
+        # The platform's names of the listening addresses differ from ours.
         callers=read.address("listen", "frontend"),
         readiness=read.address("listen", "readiness"),
         directory=read.address("listen", "registry"),
         peers=peers,
-        # Datagrams pass on the ports between the system's own nodes only.
+        # The platform lets datagrams through only on the ports between nodes.
         hints=Address(host, read.first_port(peers.port, "portRange")),
         seeds=tuple(
             parse_address(seed, path, "seeds")
@@ -76,7 +77,7 @@
 
 
 def decode_store(read: SettingsReader) -> StoreSettings:
-    """Returns what the settings say of the store."""
+    """Returns the settings of the store."""
     address = read.address("platform", "address")
     defaults = StoreSettings(address)
     return StoreSettings(
@@ -87,7 +88,7 @@
 
 
 def decode_bounds(read: SettingsReader) -> Bounds:
-    """Returns the promises that the settings state."""
+    """Returns the bounds that an entry guarantees."""
     defaults = Bounds()
     return Bounds(
         drain_s=read.number(defaults.drain_s * MS, "bounds", "drainMs") / MS,
@@ -121,7 +122,7 @@
 
 
 class SettingsReader:
-    """Reads fields of a document and says which one is wrong."""
+    """Reads fields of a document; errors name the invalid field."""
 
     def __init__(self, document: dict[str, Any], path: str) -> None:
         self.document = document
@@ -135,7 +136,7 @@
         return value
 
     def text(self, *names: str) -> str:
-        """Returns a text that has to be there."""
+        """Returns a required string that is not empty."""
         value = self.find(*names)
         if not isinstance(value, str) or not value:
             raise SettingsError(
@@ -145,7 +146,7 @@
         return value
 
     def number(self, default: float, *names: str) -> float:
-        """Returns a number, or a default where it is missing."""
+        """Returns a non-negative number, or the default if it is missing."""
         value = self.find(*names)
         if value is None:
             return default
@@ -162,7 +163,7 @@
         return float(value)
 
     def texts(self, *names: str) -> dict[str, str]:
-        """Returns a table of texts, empty where it is missing."""
+        """Returns an object of strings, empty if it is missing."""
         value = self.find(*names)
         if value is None:
             return {}
@@ -177,7 +178,7 @@
         return dict(value)
 
     def first_port(self, default: int, *names: str) -> int:
-        """Returns the first of a range of ports, or a default without one."""
+        """Returns the first port of a range, or the default without one."""
         value = self.find(*names)
         if value is None or value == []:
             return default
@@ -190,18 +191,18 @@
         return ports[0]
 
     def address(self, *names: str) -> Address:
-        """Returns an address that has to be there."""
+        """Returns a required address."""
         return parse_address(self.text(*names), self.path, ".".join(names))
 
 
 def parse_address(text: Any, path: str, field: str) -> Address:
-    """Returns an address.
+    """Parses an address of the form IP:PORT.
 
     >>> parse_address("10.0.0.1:80", "f", "listen.frontend")
     Address(host='10.0.0.1', port=80)
 
     Raises:
-      SettingsError: It is none.
+      SettingsError: The address is invalid.
     """
     host, colon, port = str(text).rpartition(":")
     if not colon or not host or not port.isdigit():
--- a/src/rattanpier/_internal/platform/settings_path.py
+++ b/src/rattanpier/_internal/platform/settings_path.py
@@ -1,4 +1,4 @@
-"""Where the platform puts the settings file of a process."""
+"""Locates the settings file that the platform provides to a process."""
 
 from __future__ import annotations
 
--- a/src/rattanpier/_internal/platform/upstream.py
+++ b/src/rattanpier/_internal/platform/upstream.py
@@ -1,4 +1,4 @@
-"""The workers' dialect: headers of a request sent on, and of its answer."""
+"""Headers of requests to workers and of their responses."""
 
 from __future__ import annotations
 
@@ -33,25 +33,25 @@
 RETRY_AFTER = "retry-after"
 MODEL = "x-model"
 LAST_EVENT_ID = "last-event-id"
-# Workers may tell more than an entry needs.
+# Workers may send fields that an entry doesn't need.
 converter = strict_converter(forbid_extra_keys=False)
 HIGHEST_PRIORITY_VALUE = 9
 BACKOFF_STATUSES = frozenset({429, 503})
-MISDIRECTED = 421  # It promises as well that nothing was run.
-# A worker that names a limit is in need, also where it can't be read.
+MISDIRECTED = 421  # Also guarantees that nothing was executed.
+# A worker that sends a limit needs relief, even if the value is invalid.
 UNREADABLE_RATE_PER_S = 1.0
 UNREADABLE_BACKOFF_S = 1.0
-TEXT_CACHE_SIZE = 256  # Texts of headers that are logged once.
+TEXT_CACHE_SIZE = 256  # Header values that are logged only once.
 
 
 def encode_request(
     request: RelayRequest, upstream_request: UpstreamRequest
 ) -> WireRequest:
-    """Returns a request as it goes to one worker."""
+    """Returns a request in the form in which one worker receives it."""
     replaced = set()
     own: list[Header] = [
         ("X-Deadline-Ms", str(max(1, int(upstream_request.left_s * 1000)))),
-        # Another worker at this address answers 421 and runs nothing.
+        # Another worker at this address answers 421 and executes nothing.
         ("X-Expected-Instance", upstream_request.worker.id),
     ]
     if request.workspace is not None:
@@ -76,7 +76,7 @@
 
 
 def decode_answer(head: WireHead) -> AnswerHead:
-    """Returns what the head of a worker's answer says."""
+    """Returns the decoded head of a worker's response."""
     return AnswerHead(
         status=head.status,
         headers=head.headers,
@@ -96,7 +96,7 @@
 
 
 def decode_load(text: str | None) -> ReportedLoad | None:
-    """Returns a load report.
+    """Returns the load in a header, None if it is invalid.
 
     >>> decode_load("3,0,8")
     ReportedLoad(running=3, waiting=0, slots=8, born=None, leaving=False)
@@ -110,7 +110,7 @@
 
 @attrs.frozen
 class LoadReport:
-    """What a worker reports of itself, as far as entries use it."""
+    """The fields of a worker's load report that entries use."""
 
     active: int
     queued: int
@@ -119,7 +119,7 @@
 
 
 def decode_report(body: bytes) -> ReportedLoad | None:
-    """Returns the load that a worker reports, None if it can't be read.
+    """Returns the load in a worker's report, None if it is invalid.
 
     >>> decode_report(b'{"queued": 2, "active": 5, "born": 7}')
     ReportedLoad(running=5, waiting=2, slots=0, born=7, leaving=False)
@@ -137,7 +137,7 @@
 
 
 def decode_number(text: str | None) -> float | None:
-    """Returns a number, or None.
+    """Returns a finite number, or None.
 
     >>> decode_number("1.5"), decode_number("nan"), decode_number(None)
     (1.5, None, None)
@@ -150,13 +150,13 @@
 
 
 def decode_rate_limit(texts: Sequence[str]) -> float | None:
-    """Returns the requests a second that a worker takes from all entries.
+    """Returns a worker's rate limit over all entries, in requests per second.
 
     Args:
-      texts: Values of the header; of several the least counts.
+      texts: Values of the header; the lowest applies.
 
     Returns:
-      None where it names no limit.
+      None if the worker sent no limit.
 
     >>> decode_rate_limit(["2.5"]), decode_rate_limit([])
     (2.5, None)
@@ -168,16 +168,16 @@
 
 @functools.lru_cache(TEXT_CACHE_SIZE)
 def read_rate(text: str) -> float:
-    """Returns the rate that a text names."""
+    """Returns the rate in a header; invalid values give a low default."""
     rate = decode_number(text)
     if rate is None:
-        log.warning("Rate limit can't be read.", text=text)
+        log.warning("Server-Limit header can't be parsed.", text=text)
         return UNREADABLE_RATE_PER_S
     return max(0.0, rate)
 
 
 def decode_backoff(head: WireHead) -> float:
-    """Returns the seconds for which a worker wants nothing from this entry."""
+    """Returns the seconds for which this entry must not send requests."""
     if head.status not in BACKOFF_STATUSES:
         return 0.0
     return max(map(read_backoff, head.get_all(RETRY_AFTER)), default=0.0)
@@ -185,34 +185,34 @@
 
 @functools.lru_cache(TEXT_CACHE_SIZE)
 def read_backoff(text: str) -> float:
-    """Returns the seconds that a text asks for.
+    """Returns the seconds in a header; invalid values give a default.
 
     >>> read_backoff("2.5"), read_backoff("-1")
     (2.5, 0.0)
     """
     rest_s = decode_number(text)
     if rest_s is None:
-        log.warning("Time of rest can't be read.", text=text)
+        log.warning("Retry-After header can't be parsed.", text=text)
         return UNREADABLE_BACKOFF_S
     return max(0.0, rest_s)
 
 
 @functools.lru_cache(TEXT_CACHE_SIZE)
 def read_leaving(text: str) -> bool:
-    """Says whether a text means that a worker leaves.
+    """Returns whether a header value says that a worker is leaving.
 
-    Whatever is not a plain no counts: a worker that stays names nothing.
+    Any value other than 0 counts: a worker that stays doesn't send the header.
 
     >>> read_leaving("1"), read_leaving("0")
     (True, False)
     """
     if text.strip() not in ("0", "1"):
-        log.warning("Word of leaving can't be read.", text=text)
+        log.warning("Server-Leaving header can't be parsed.", text=text)
     return text.strip() != "0"
 
 
 def decode_keep_alive(text: str | None) -> float | None:
-    """Returns the seconds that a worker keeps an idle connection.
+    """Returns the seconds for which a worker keeps an idle connection.
 
     >>> decode_keep_alive("timeout=5, max=9"), decode_keep_alive(None)
     (5.0, None)
