--- a/src/rattanpier/_internal/platform/feeds.py
+++ b/src/rattanpier/_internal/platform/feeds.py
@@ -1,4 +1,4 @@
-"""Pages of the platform's tables, decoded row by row."""
+"""Decodes pages of the platform's tables row by row."""
 
 from __future__ import annotations
 
@@ -23,21 +23,21 @@
 log = structlog.get_logger(part="platform")
 
 OperatorItem = RouteTable | RolloutOrder | DomainOrder
-OperatorNews = Callable[[Page], Iterator[OperatorItem]]
-WorkerNews = Callable[
+OperatorRowDecoder = Callable[[Page], Iterator[OperatorItem]]
+WorkerRowDecoder = Callable[
     [Page], Iterator[RegisteredWorker | FeedRow | UnreadableRow]
 ]
 
 
-def operator_news(
+def operator_row_decoder(
     metrics: Metrics, table_version: Callable[[], int] = lambda: -1
-) -> OperatorNews:
-    """Returns what decodes operators' rows; unreadable ones are left out.
+) -> OperatorRowDecoder:
+    """Returns a decoder of operators' rows that skips unreadable rows.
 
     Args:
-      metrics: Counts what can't be read.
-      table_version: Returns the version of the table in force; an older one
-        is left out.
+      metrics: Counts unreadable rows.
+      table_version: Returns the version of the route table in force; tables
+        that are not newer are skipped.
     """
 
     def decode(page: Page) -> Iterator[OperatorItem]:
@@ -54,13 +54,13 @@
                 elif rollouts.is_order(row):
                     yield rollouts.decode_order(row)
             except UnreadableError as error:
-                note_unreadable(metrics, "operators", row, error)
+                record_unreadable(metrics, "operators", row, error)
 
     return decode
 
 
-def worker_news(metrics: Metrics) -> WorkerNews:
-    """Returns what decodes workers' rows; removed ones stay rows."""
+def worker_row_decoder(metrics: Metrics) -> WorkerRowDecoder:
+    """Returns a decoder of workers' rows; deleted rows are passed through."""
 
     def decode(
         page: Page,
@@ -72,16 +72,16 @@
             try:
                 yield registrations.decode_worker(row)
             except UnreadableError as error:
-                note_unreadable(metrics, registrations.TABLE, row, error)
+                record_unreadable(metrics, registrations.TABLE, row, error)
                 yield UnreadableRow(row.key)
 
     return decode
 
 
-def note_unreadable(
+def record_unreadable(
     metrics: Metrics, table: str, row: FeedRow, error: UnreadableError
 ) -> None:
-    """Tells of a row that names nothing."""
+    """Counts and logs a row that can't be decoded."""
     metrics.count("relay.row_unreadable")
     log.error(
         "Row can't be read.",
--- a/src/rattanpier/_internal/programs/relay_listen.py
+++ b/src/rattanpier/_internal/programs/relay_listen.py
@@ -127,7 +127,7 @@
     """Returns the handler of callers' queries for the entries to use."""
 
     async def handle(request: BaseRequest) -> Response:
-        query = caller.decode_question(request.query)
+        query = caller.decode_directory_query(request.query)
         answer = directory_answer(entry, query)
         if answer is None:
             return Response(status=503)
