--- a/src/rattanpier/_internal/orders/lease.py
+++ b/src/rattanpier/_internal/orders/lease.py
@@ -31,11 +31,11 @@
 SKEW_S = 1.0  # Clocks that run at slightly unlike rates.
 # The longest an order may be under way, from the check of the lease until it
 # takes effect at the engine or never does.
-UNDER_WAY_S = 3.0
+MAX_IN_FLIGHT_S = 3.0
 
 
 @attrs.define
-class Held:
+class HeldLease:
     """A lease that this process holds.
 
     Attributes:
@@ -64,39 +64,39 @@
     me: Member
     table: Table
     clock: Clock
-    held: dict[str, Held] = attrs.Factory(dict)
+    held: dict[str, HeldLease] = attrs.Factory(dict)
     seen: dict[str, RowWatch] = attrs.Factory(dict)
 
-    def valid(self, upstream: str) -> Held | None:
+    def valid(self, upstream: str) -> HeldLease | None:
         """Returns a lease that surely holds now, or None."""
         held = self.held.get(upstream)
         if held is None or self.clock.monotonic() >= held.valid_until:
             return None
         return held
 
-    async def keep(self, upstream: str) -> None:
+    async def renew_or_acquire(self, upstream: str) -> None:
         """Renews or takes a lease, if it is time to."""
         held = self.held.get(upstream)
         now = self.clock.monotonic()
         try:
             if held is None:
-                await self.take(upstream)
+                await self.acquire(upstream)
             elif held.valid_until - now < TERM_S - RENEW_S:
                 await self.write(upstream, held.lease, held.version)
         except StoreUnavailableError:
             return
 
-    async def take(self, upstream: str) -> None:
+    async def acquire(self, upstream: str) -> None:
         """Takes a lease that lapsed, as far as this process can tell."""
         row = await self.table.get(lease_key(upstream))
-        if row is not None and not self.lapsed(upstream, row):
+        if row is not None and not self.has_expired(upstream, row):
             return
         present = decode(OrdersLease, row.value) if row else None
         epoch = present.epoch + 1 if present else 1
         lease = OrdersLease(self.me.name, self.me.incarnation, epoch)
         await self.write(upstream, lease, row.version if row else ABSENT)
 
-    def lapsed(self, upstream: str, row: Row) -> bool:
+    def has_expired(self, upstream: str, row: Row) -> bool:
         """Says whether a row stood unchanged for longer than its term."""
         watch = self.seen.setdefault(upstream, RowWatch())
         unchanged_s = watch.unchanged_s(row.version, self.clock.monotonic())
@@ -120,6 +120,8 @@
             self.held.pop(upstream, None)
             return
         before = self.held.get(upstream)
-        clear_at = before.clear_at if before else asked + UNDER_WAY_S
+        clear_at = before.clear_at if before else asked + MAX_IN_FLIGHT_S
         valid_until = asked + TERM_S
-        self.held[upstream] = Held(wanted, row.version, valid_until, clear_at)
+        self.held[upstream] = HeldLease(
+            wanted, row.version, valid_until, clear_at
+        )
--- a/src/rattanpier/_internal/orders/keeper.py
+++ b/src/rattanpier/_internal/orders/reconciler.py
@@ -24,7 +24,7 @@
 )
 from rattanpier._internal.models.member import Member
 from rattanpier._internal.orders.client import EngineOrders, HttpEngineOrders
-from rattanpier._internal.orders.lease import UNDER_WAY_S, Leases
+from rattanpier._internal.orders.lease import MAX_IN_FLIGHT_S, Leases
 from rattanpier._internal.orders.records import Order
 from rattanpier._internal.utils.clock import Clock
 from rattanpier._internal.utils.metrics import Metrics
@@ -35,7 +35,7 @@
 
 
 @attrs.define
-class OrderKeeper:
+class OrderReconciler:
     """Gives orders to the workers of some upstreams."""
 
     me: Member
@@ -56,14 +56,14 @@
         """Looks at each upstream of this process once."""
         for name, upstream in self.follower.configuration.upstreams.items():
             if takes_orders(upstream) and self.is_mine(name):
-                await self.leases.keep(name)
+                await self.leases.renew_or_acquire(name)
                 for worker in list(upstream.workers.values()):
                     await self.repair(name, upstream, worker)
 
     def is_mine(self, upstream: str) -> bool:
         """Says whether this process is to give an upstream's orders."""
-        keeper = control_for(f"orders/{upstream}", self.members.live.value)
-        return keeper is not None and keeper.name == self.me.name
+        owner = control_for(f"orders/{upstream}", self.members.live.value)
+        return owner is not None and owner.name == self.me.name
 
     async def repair(
         self, name: str, upstream: Upstream, worker: Worker
@@ -92,7 +92,7 @@
         if upstream.checks_fencing:
             return True
         now = self.clock.monotonic()
-        return held.clear_at <= now < held.valid_until - UNDER_WAY_S
+        return held.clear_at <= now < held.valid_until - MAX_IN_FLIGHT_S
 
 
 def takes_orders(upstream: Upstream) -> bool:
@@ -100,11 +100,11 @@
     return upstream.kind is UpstreamKind.ENGINE and upstream.takes_orders
 
 
-def add_order_keeper(kernel: Kernel) -> OrderKeeper:
+def add_order_reconciler(kernel: Kernel) -> OrderReconciler:
     """Adds the orders to a control process."""
     members = kernel.find("members")
     clock = kernel.find("clock")
-    keeper = OrderKeeper(
+    reconciler = OrderReconciler(
         me=members.me,
         clock=clock,
         follower=kernel.find("follower"),
@@ -113,5 +113,5 @@
         engines=HttpEngineOrders(kernel.find("http")),
         metrics=kernel.find("metrics"),
     )
-    kernel.spawn(keeper.run(kernel))
-    return kernel.add("orders", keeper)
+    kernel.spawn(reconciler.run(kernel))
+    return kernel.add("orders", reconciler)
--- a/src/rattanpier/_internal/programs/control.py
+++ b/src/rattanpier/_internal/programs/control.py
@@ -12,7 +12,7 @@
 from rattanpier._internal.models.settings import Settings
 from rattanpier._internal.operators.app import OperatorApp
 from rattanpier._internal.operators.changes import Changes
-from rattanpier._internal.orders.keeper import add_order_keeper
+from rattanpier._internal.orders.reconciler import add_order_reconciler
 from rattanpier._internal.programs.common import add_base, add_membership
 from rattanpier._internal.rollout.services import add_driver
 
@@ -32,7 +32,7 @@
     kernel.spawn(inforce.run(kernel))
     kernel.spawn(inforce.watch_members(kernel))
     add_driver(kernel)
-    add_order_keeper(kernel)
+    add_order_reconciler(kernel)
     return kernel
 
 
--- a/tests/failure/test_orders.py
+++ b/tests/failure/test_orders.py
@@ -7,8 +7,8 @@
 from rattanpier._internal.configuration.follow import Follower
 from rattanpier._internal.models.configuration import Upstream, UpstreamKind
 from rattanpier._internal.models.member import Member, Role
-from rattanpier._internal.orders.keeper import OrderKeeper
-from rattanpier._internal.orders.lease import TERM_S, UNDER_WAY_S, Leases
+from rattanpier._internal.orders.lease import MAX_IN_FLIGHT_S, TERM_S, Leases
+from rattanpier._internal.orders.reconciler import OrderReconciler
 from rattanpier._internal.standin.orders import OrderDesk
 from rattanpier._internal.standin.table import MemoryTable
 from rattanpier._internal.utils.metrics import Metrics
@@ -50,16 +50,16 @@
         self.table = MemoryTable()
         self.fencing = fencing
         self.desk = OrderDesk({SMALL: 0.9}, checks_fencing=fencing)
-        self.keepers = {}
+        self.reconcilers = {}
         for name in ("control-a", "control-b"):
-            self.keepers[name] = self.make_keeper(name)
-        self.announce(self.keepers)
+            self.reconcilers[name] = self.make_reconciler(name)
+        self.announce(self.reconcilers)
         self.want(OLD)
 
-    def make_keeper(self, name):
+    def make_reconciler(self, name):
         me = Member(name, "i1", Role.CONTROL, "a", "r", "", name, 1)
         table = FaultyTable(self.table)
-        return OrderKeeper(
+        return OrderReconciler(
             me=me,
             clock=self.clock,
             follower=Follower(table, self.clock),
@@ -70,9 +70,9 @@
         )
 
     def announce(self, names):
-        live = {name: self.keepers[name].me for name in names}
+        live = {name: self.reconcilers[name].me for name in names}
         for name in names:
-            self.keepers[name].members.live.on_next(live)
+            self.reconcilers[name].members.live.on_next(live)
 
     def want(self, versions, names=("control-a", "control-b")):
         """Puts a configuration in force on some processes."""
@@ -87,7 +87,7 @@
             takes_orders=True,
         )
         for name in names:
-            self.keepers[name].follower.current.on_next(
+            self.reconcilers[name].follower.current.on_next(
                 attrs.evolve(base, upstreams={"pool": pool})
             )
 
@@ -95,13 +95,13 @@
         for _ in range(seconds):
             self.clock.now += 1.0
             for name in names:
-                await self.keepers[name].step()
+                await self.reconcilers[name].step()
 
     async def start(self):
         """Lets one process own the orders; returns first and second."""
-        await self.steps(8, self.keepers)
-        first = next(n for n, k in self.keepers.items() if k.leases.held)
-        second = next(n for n in self.keepers if n != first)
+        await self.steps(8, self.reconcilers)
+        first = next(n for n, k in self.reconcilers.items() if k.leases.held)
+        second = next(n for n in self.reconcilers if n != first)
         return first, second
 
     async def replace(self, first, second):
@@ -122,7 +122,7 @@
     fleet = Fleet(fencing)
     await fleet.start()
     fleet.want(NEW)
-    await fleet.steps(3, fleet.keepers)
+    await fleet.steps(3, fleet.reconcilers)
     assert fleet.desk.state().versions == sorted(NEW)
     assert len(fleet.desk.taken) == 1
 
@@ -146,7 +146,7 @@
     fleet = Fleet(fencing)
     first, second = await fleet.start()
     fleet.want([LARGE], [first])
-    wire = fleet.keepers[first].engines
+    wire = fleet.reconcilers[first].engines
     read = wire.read
 
     async def slow_read(worker):
@@ -170,7 +170,7 @@
     async def freeze():
         await fleet.replace(first, second)
 
-    fleet.keepers[first].engines.before_send = freeze
+    fleet.reconcilers[first].engines.before_send = freeze
     await fleet.steps(1, [first])
     if fencing:
         assert [o.versions for o in fleet.desk.refused] == [[LARGE]]
@@ -183,7 +183,7 @@
     """It is under way as long as it may be, while the owner changes."""
     fleet = Fleet(fencing)
     first, second = await fleet.start()
-    wire = fleet.keepers[first].engines
+    wire = fleet.reconcilers[first].engines
     wire.holding = True
     fleet.want([LARGE], [first])
     await fleet.steps(1, [first])
@@ -195,7 +195,7 @@
         await fleet.steps(1, [second])
     if not fencing:
         # Nothing was sent while the old order could still arrive.
-        assert fleet.clock.now - sent > UNDER_WAY_S + TERM_S
+        assert fleet.clock.now - sent > MAX_IN_FLIGHT_S + TERM_S
     fleet.desk.take(wire.held[0])
     await fleet.steps(2, [second])
     assert fleet.desk.state().versions == sorted(NEW)
@@ -206,7 +206,7 @@
 async def test_repeated_and_reordered_orders_of_one_owner(fencing):
     fleet = Fleet(fencing)
     first, _ = await fleet.start()
-    wire = fleet.keepers[first].engines
+    wire = fleet.reconcilers[first].engines
     wire.holding = True
     for versions in ([LARGE], NEW, [LARGE], NEW):
         fleet.want(versions, [first])
@@ -222,12 +222,12 @@
 async def test_no_orders_once_the_lease_lapsed_in_a_store_outage(fencing):
     fleet = Fleet(fencing)
     first, _ = await fleet.start()
-    fleet.keepers[first].leases.table.down = True
+    fleet.reconcilers[first].leases.table.down = True
     await fleet.steps(int(TERM_S) + 1, [first])
     fleet.want(NEW, [first])
     await fleet.steps(5, [first])
     assert fleet.desk.taken == []
-    fleet.keepers[first].leases.table.down = False
+    fleet.reconcilers[first].leases.table.down = False
     await fleet.steps(5, [first])
     assert fleet.desk.state().versions == sorted(NEW)
 
@@ -237,10 +237,10 @@
     """An engine that checks numbers may still be sent one."""
     fleet = Fleet(fencing)
     first, _ = await fleet.start()
-    leases = fleet.keepers[first].leases
+    leases = fleet.reconcilers[first].leases
     leases.table.down = True
     left = leases.held["pool"].valid_until - fleet.clock.now
-    await fleet.steps(int(left - UNDER_WAY_S) + 1, [first])
+    await fleet.steps(int(left - MAX_IN_FLIGHT_S) + 1, [first])
     fleet.want(NEW, [first])
     await fleet.steps(1, [first])
     assert leases.valid("pool") is not None
@@ -251,9 +251,9 @@
 async def test_lost_answer_of_a_renewal_keeps_the_lease(fencing):
     fleet = Fleet(fencing)
     first, _ = await fleet.start()
-    fleet.keepers[first].leases.table.lose_answers = 2
+    fleet.reconcilers[first].leases.table.lose_answers = 2
     await fleet.steps(6, [first])
     fleet.want(NEW, [first])
     await fleet.steps(3, [first])
     assert fleet.desk.state().versions == sorted(NEW)
-    assert fleet.keepers[first].leases.held["pool"].lease.epoch == 1
+    assert fleet.reconcilers[first].leases.held["pool"].lease.epoch == 1
--- a/tests/functional/test_operators.py
+++ b/tests/functional/test_operators.py
@@ -35,7 +35,7 @@
         return response.status, await response.json()
 
 
-async def test_an_operators_day(system):
+async def test_operator_changes_take_effect_and_are_reported(system):
     cluster, operator = system
     stranger = Operator(cluster, operator.url, DESK_KEY)
     assert (await stranger.call("GET", "status"))[0] == 401
