--- a/src/rattanpier/_internal/orders/__init__.py
+++ b/src/rattanpier/_internal/orders/__init__.py
@@ -1,1 +1,1 @@
-"""Orders to engines: which versions each worker is to serve."""
+"""Orders that tell engine workers which versions to serve."""
--- a/src/rattanpier/_internal/orders/client.py
+++ b/src/rattanpier/_internal/orders/client.py
@@ -1,4 +1,4 @@
-"""Orders over HTTP."""
+"""HTTP client that sends orders to workers and reads their state."""
 
 from __future__ import annotations
 
@@ -15,26 +15,29 @@
 
 
 class EngineOrders(Protocol):
-    """What the program asks of a worker that takes orders."""
+    """Interface to workers that accept orders."""
 
     async def read(self, worker: Worker) -> WorkerState | None:
-        """Returns the worker's state; None if it is not known."""
+        """Returns the worker's state, or None if it can't be read."""
         ...
 
     async def send(self, worker: Worker, order: Order) -> None:
-        """Sends an order; what becomes of it is read back later."""
+        """Sends an order without reporting its result.
+
+        The caller reads the worker's state later to see the effect.
+        """
         ...
 
 
 class HttpEngineOrders:
-    """Client of workers that take orders over HTTP."""
+    """HTTP client of workers that accept orders."""
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
         self.session = session
         self.timeout = aiohttp.ClientTimeout(total=TIMEOUT_S)
 
     async def read(self, worker: Worker) -> WorkerState | None:
-        """Returns the worker's state; None if it is not known."""
+        """Returns the worker's state, or None if it can't be read."""
         try:
             async with self.session.get(
                 worker.url + PATH, timeout=self.timeout
@@ -46,7 +49,10 @@
             return None
 
     async def send(self, worker: Worker, order: Order) -> None:
-        """Sends an order; what becomes of it is read back later."""
+        """Sends an order without reporting its result.
+
+        The caller reads the worker's state later to see the effect.
+        """
         try:
             async with self.session.post(
                 worker.url + PATH, data=encode(order), timeout=self.timeout
--- a/src/rattanpier/_internal/orders/lease.py
+++ b/src/rattanpier/_internal/orders/lease.py
@@ -1,8 +1,9 @@
-"""The lease on giving orders to an upstream's workers.
+"""Lease that allows one process to send orders to an upstream's workers.
 
-Its holder counts the term from before the write that renewed it; others count
-from when they saw the row unchanged first, and longer. So the holder gives up
-before anybody takes over, whatever their clocks show, as long as they run at
+The holder measures the term from before the write that renewed the lease.
+Other processes measure it from when they first saw the row's current version,
+and wait `SKEW_S` longer. The holder's lease therefore expires before another
+process acquires it, regardless of clock offsets, as long as the clocks run at
 about the same rate.
 """
 
@@ -28,9 +29,9 @@
 
 TERM_S = 6.0
 RENEW_S = 2.0
-SKEW_S = 1.0  # Clocks that run at slightly unlike rates.
-# The longest an order may be under way, from the check of the lease until it
-# takes effect at the engine or never does.
+SKEW_S = 1.0  # Allows for clocks that run at slightly different rates.
+# Maximum time from the check of the lease until an order takes effect at the
+# engine or is lost.
 MAX_IN_FLIGHT_S = 3.0
 
 
@@ -39,11 +40,12 @@
     """A lease that this process holds.
 
     Attributes:
-      lease: As this process wrote it last.
-      version: Version of its row.
-      valid_until: Monotonic time at which it may have lapsed.
-      clear_at: Monotonic time from when no order of an earlier owner can
-        still be under way.
+      lease: Lease as this process last wrote it.
+      version: Version of the lease's row.
+      valid_until: Monotonic time in seconds at which the lease may have
+        expired.
+      clear_at: Monotonic time in seconds from which no order of an earlier
+        owner can still be in flight.
     """
 
     lease: OrdersLease
@@ -54,11 +56,11 @@
 
 @attrs.define
 class Leases:
-    """The leases of one process, and the others' rows as it saw them.
+    """Leases that a process holds, and its observations of other leases.
 
     Attributes:
-      held: By upstream.
-      seen: Rows of others, by upstream.
+      held: Leases of this process, by upstream.
+      seen: Observed lease rows of other processes, by upstream.
     """
 
     me: Member
@@ -68,14 +70,17 @@
     seen: dict[str, RowWatch] = attrs.Factory(dict)
 
     def valid(self, upstream: str) -> HeldLease | None:
-        """Returns a lease that surely holds now, or None."""
+        """Returns the lease if it is certain to be valid now, else None."""
         held = self.held.get(upstream)
         if held is None or self.clock.monotonic() >= held.valid_until:
             return None
         return held
 
     async def renew_or_acquire(self, upstream: str) -> None:
-        """Renews or takes a lease, if it is time to."""
+        """Renews a held lease when due, or tries to acquire it.
+
+        If the store is unavailable, the lease stays as it is.
+        """
         held = self.held.get(upstream)
         now = self.clock.monotonic()
         try:
@@ -87,7 +92,7 @@
             return
 
     async def acquire(self, upstream: str) -> None:
-        """Takes a lease that lapsed, as far as this process can tell."""
+        """Acquires a lease that is free or that this process saw expire."""
         row = await self.table.get(lease_key(upstream))
         if row is not None and not self.has_expired(upstream, row):
             return
@@ -97,7 +102,7 @@
         await self.write(upstream, lease, row.version if row else ABSENT)
 
     def has_expired(self, upstream: str, row: Row) -> bool:
-        """Says whether a row stood unchanged for longer than its term."""
+        """Returns whether a row was unchanged for `TERM_S` plus `SKEW_S`."""
         watch = self.seen.setdefault(upstream, RowWatch())
         unchanged_s = watch.unchanged_s(row.version, self.clock.monotonic())
         return unchanged_s > TERM_S + SKEW_S
@@ -105,7 +110,11 @@
     async def write(
         self, upstream: str, lease: OrdersLease, version: int
     ) -> None:
-        """Writes a lease over a row version and notes what became of it."""
+        """Writes a lease if its row has `version`, and records the result.
+
+        Raises:
+          StoreUnavailableError: The row could not be read back.
+        """
         key = lease_key(upstream)
         wanted = attrs.evolve(lease, renewal=lease.renewal + 1)
         asked = self.clock.monotonic()
@@ -114,7 +123,8 @@
         )
         if isinstance(outcome, NotRun):
             return
-        # Read back: the answer may be lost, and the version is needed.
+        # Read the row back: the reply to the write may have been lost, and
+        # the next renewal needs the row's version.
         row = await self.table.get(key)
         if row is None or decode(OrdersLease, row.value) != wanted:
             self.held.pop(upstream, None)
--- a/src/rattanpier/_internal/orders/reconciler.py
+++ b/src/rattanpier/_internal/orders/reconciler.py
@@ -1,11 +1,12 @@
-"""Keeps workers at the versions that the configuration wants of them.
-
-One control process for each upstream reads each worker back and orders what
-differs. Engines that check fencing numbers refuse an earlier owner by
-themselves. For the others the sender checks its lease right before sending,
-and the next owner waits until nothing of the earlier one is under way. What
-slips through all the same, a sender frozen between the check and the send, is
-found when the worker is read back, and repaired.
+"""Reconciles the versions that workers serve with the configuration.
+
+For each upstream, one control process reads the state of each worker and
+sends an order if it differs from the configuration. Engines that check
+fencing numbers reject orders of an earlier owner themselves. For other
+engines, the sender checks its lease right before sending, and the next owner
+waits until no order of the earlier owner can be in flight. A sender that is
+suspended between the check and the send can still deliver a stale order; the
+next read of the worker detects this and the order is corrected.
 """
 
 from __future__ import annotations
@@ -36,7 +37,7 @@
 
 @attrs.define
 class OrderReconciler:
-    """Gives orders to the workers of some upstreams."""
+    """Sends orders to the workers of the upstreams that this process owns."""
 
     me: Member
     clock: Clock
@@ -47,13 +48,13 @@
     metrics: Metrics
 
     async def run(self, kernel: Kernel) -> None:
-        """Steps until the end."""
+        """Runs a step every `STEP_S` seconds until the kernel stops."""
         while not kernel.stopping.is_set():
             await self.step()
             await self.clock.sleep(STEP_S)
 
     async def step(self) -> None:
-        """Looks at each upstream of this process once."""
+        """Reconciles each upstream that this process owns once."""
         for name, upstream in self.follower.configuration.upstreams.items():
             if takes_orders(upstream) and self.is_mine(name):
                 await self.leases.renew_or_acquire(name)
@@ -61,21 +62,21 @@
                     await self.repair(name, upstream, worker)
 
     def is_mine(self, upstream: str) -> bool:
-        """Says whether this process is to give an upstream's orders."""
+        """Returns whether this process is to send an upstream's orders."""
         owner = control_for(f"orders/{upstream}", self.members.live.value)
         return owner is not None and owner.name == self.me.name
 
     async def repair(
         self, name: str, upstream: Upstream, worker: Worker
     ) -> None:
-        """Reads a worker back and orders what differs."""
+        """Reads a worker's state and sends an order if it differs."""
         if not self.may_order(name, upstream):
             return
         state = await self.engines.read(worker)
         wanted = sorted(worker.versions)
         if state is None or state.versions == wanted:
             return
-        # Asked again: reading may have taken long.
+        # The lease may have expired while the state was read.
         if not self.may_order(name, upstream):
             self.metrics.count("orders.refused.lease")
             return
@@ -85,7 +86,11 @@
         await self.engines.send(worker, order)
 
     def may_order(self, name: str, upstream: Upstream) -> bool:
-        """Says whether an order sent now can do no harm."""
+        """Returns whether it is safe to send an order now.
+
+        Without fencing, an order sent now must take effect or be lost before
+        the lease expires, and orders of earlier owners must be finished.
+        """
         held = self.leases.valid(name)
         if held is None:
             return False
@@ -96,12 +101,12 @@
 
 
 def takes_orders(upstream: Upstream) -> bool:
-    """Says whether an upstream's workers are told what to serve."""
+    """Returns whether an upstream's workers accept orders."""
     return upstream.kind is UpstreamKind.ENGINE and upstream.takes_orders
 
 
 def add_order_reconciler(kernel: Kernel) -> OrderReconciler:
-    """Adds the orders to a control process."""
+    """Adds an order reconciler to a control process and starts it."""
     members = kernel.find("members")
     clock = kernel.find("clock")
     reconciler = OrderReconciler(
--- a/src/rattanpier/_internal/orders/records.py
+++ b/src/rattanpier/_internal/orders/records.py
@@ -1,4 +1,4 @@
-"""What orders say, and what is kept of who may give them."""
+"""Messages of the order protocol and the stored lease of its sender."""
 
 from __future__ import annotations
 
@@ -9,7 +9,9 @@
 
 @attrs.frozen
 class Order:
-    """The wanted end, so that repeating an order is harmless.
+    """Versions a worker is to serve.
+
+    It states the desired result, so that orders are idempotent.
 
     Attributes:
       versions: Versions that the worker is to serve, sorted.
@@ -22,11 +24,11 @@
 
 @attrs.frozen
 class WorkerState:
-    """What a worker says of itself.
+    """State that a worker reports.
 
     Attributes:
       versions: Versions that it serves, sorted.
-      epoch: Highest fencing number it has seen; 0 if it does not check any.
+      epoch: Highest fencing number received; 0 if it checks none.
     """
 
     versions: list[str]
@@ -35,13 +37,13 @@
 
 @attrs.frozen
 class OrdersLease:
-    """Who may give orders to an upstream's workers.
+    """Lease that allows a member to send orders to an upstream's workers.
 
     Attributes:
-      owner: Member name.
-      incarnation: Start of that process.
-      epoch: Rises with each owner: the fencing number.
-      renewal: Rises with each renewal.
+      owner: Member name of the holder.
+      incarnation: Incarnation of the holder's process.
+      epoch: Fencing number; increases with each change of owner.
+      renewal: Increases with each renewal.
     """
 
     owner: str
@@ -51,5 +53,5 @@
 
 
 def lease_key(upstream: str) -> str:
-    """Returns the key of an upstream's lease."""
+    """Returns the row key of an upstream's lease."""
     return f"{PREFIX}{upstream}/lease"
