--- a/src/rattanpier/_internal/store/http_objects.py
+++ b/src/rattanpier/_internal/store/http_objects.py
@@ -1,4 +1,4 @@
-"""Objects of the platform's object store, over HTTP."""
+"""HTTP client of the platform's object store."""
 
 from __future__ import annotations
 
@@ -17,9 +17,9 @@
     """Implements `rattanpier._internal.store.objects.Objects`.
 
     Attributes:
-      session: For calls.
-      url: Base address of the object store.
-      timeout_s: Seconds until a call is given up.
+      session: HTTP session used for requests.
+      url: Base URL of the object store.
+      timeout_s: Request timeout in seconds.
     """
 
     session: aiohttp.ClientSession
@@ -30,30 +30,36 @@
         """Writes an object.
 
         Raises:
-          StoreUnavailableError: It is not certain that it was written.
+          StoreUnavailableError: The write failed or its result is unknown.
         """
         await self.call("PUT", name, text)
 
     async def get(self, name: str) -> str | None:
-        """Returns an object's text, or None.
+        """Returns an object's text, or None if it does not exist.
 
         Raises:
-          StoreUnavailableError: The store did not answer.
+          StoreUnavailableError: The object could not be read.
         """
         return await self.call("GET", name)
 
     async def delete(self, name: str) -> None:
-        """Deletes an object, also one that is not there.
+        """Deletes an object; succeeds if it does not exist.
 
         Raises:
-          StoreUnavailableError: It is not certain that it was deleted.
+          StoreUnavailableError: The deletion failed or its result is unknown.
         """
         await self.call("DELETE", name)
 
     async def call(
         self, method: str, name: str, text: str | None = None
     ) -> str | None:
-        """Makes one call; None if the object does not exist."""
+        """Sends a request and returns the response text.
+
+        Returns None if the object does not exist.
+
+        Raises:
+          StoreUnavailableError: The request failed or timed out.
+        """
         timeout = aiohttp.ClientTimeout(total=self.timeout_s)
         try:
             async with self.session.request(
--- a/src/rattanpier/_internal/store/objects.py
+++ b/src/rattanpier/_internal/store/objects.py
@@ -1,4 +1,4 @@
-"""Objects: texts that are written once under a name and read as a whole."""
+"""Storage of immutable text objects, written once and read as a whole."""
 
 from __future__ import annotations
 
@@ -21,21 +21,21 @@
 
 
 class Objects(Protocol):
-    """What the program asks of an object store.
+    """Interface to an object store.
 
-    A name is written once; writing the same text again is harmless.
+    Each name is written once; writing the same text again is idempotent.
     """
 
     async def put(self, name: str, text: str) -> None:
         """Writes an object.
 
         Raises:
-          StoreUnavailableError: It is not certain that it was written.
+          StoreUnavailableError: The write failed or its result is unknown.
         """
         ...
 
     async def get(self, name: str) -> str | None:
-        """Returns an object's text, or None.
+        """Returns an object's text, or None if it does not exist.
 
         Raises:
           StoreUnavailableError: The store did not answer.
@@ -49,9 +49,9 @@
 
 @attrs.define
 class TableObjects:
-    """Objects kept in rows of the table service, a part to a row.
+    """Objects stored in the table service, one row for each part.
 
-    For sites without an object store; the parts cost writes.
+    For sites without an object store; each part costs a write.
     """
 
     table: Table
@@ -60,23 +60,27 @@
         """Writes an object.
 
         Raises:
-          StoreUnavailableError: It is not certain that it was written.
+          StoreUnavailableError: The write failed or its result is unknown.
         """
         parts = range(0, len(text), PART_CHARACTERS)
         for number, start in enumerate(parts):
             part = text[start : start + PART_CHARACTERS]
             await self.write(f"{OBJECT_PREFIX}{name}/{number:06d}", part)
-        # Without this row the object does not exist yet.
+        # Written last: readers ignore the object until this row exists.
         await self.write(f"{OBJECT_PREFIX}{name}/{LAST_PART}", str(len(parts)))
 
     async def write(self, key: str, text: str) -> None:
-        """Writes a row."""
+        """Writes a row.
+
+        Raises:
+          StoreUnavailableError: The write was not confirmed.
+        """
         outcome = await self.table.transact(Transaction(puts=[Put(key, text)]))
         if not isinstance(outcome, Committed):
             raise StoreUnavailableError(f"{key} was not written")
 
     async def get(self, name: str) -> str | None:
-        """Returns an object's text, or None.
+        """Returns an object's text, or None if it does not exist.
 
         Raises:
           StoreUnavailableError: The store did not answer.
@@ -88,7 +92,7 @@
         return "".join(row.value for row in rows[:count])
 
     async def delete(self, name: str) -> None:
-        """Deletes an object, its last row first."""
+        """Deletes the rows of an object, the last row first."""
         rows = await scan_all(self.table, f"{OBJECT_PREFIX}{name}/")
         if rows:
             keys = [row.key for row in reversed(rows)]
--- a/src/rattanpier/_internal/store/ratings.py
+++ b/src/rattanpier/_internal/store/ratings.py
@@ -1,7 +1,7 @@
-"""The platform's answer-rating service.
+"""Client of the platform's answer-rating service.
 
-An answer is handed in, and its rating is asked for later. Handing in costs
-money whether or not the service's own answer arrives.
+Answers are submitted, and their ratings are fetched later. Each submission
+costs money, whether or not the service's reply arrives.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
     """An answer to be rated.
 
     Attributes:
-      client: Who hands it in and will ask for the rating.
-      id: Unique among the client's items.
-      workspace: Who pays.
-      version: Version that answered.
-      prompt: What was asked.
-      answer: The generated text.
+      client: Client that submits the item and fetches its rating.
+      id: Id, unique among the client's items.
+      workspace: Workspace that pays for the rating.
+      version: Version that generated the answer.
+      prompt: Prompt of the request.
+      answer: Generated text.
     """
 
     client: str
@@ -42,11 +42,11 @@
 
 @attrs.frozen
 class RatingResult:
-    """A rating.
+    """The rating of one item.
 
     Attributes:
-      number: Rises with each result of a client, from 1.
-      id: The item's.
+      number: Sequence number of the client's results, from 1.
+      id: Id of the rated item.
       good: True if the answer was rated good.
     """
 
@@ -57,16 +57,16 @@
 
 @attrs.frozen
 class RatingPage:
-    """The rating service's answer to a question for results."""
+    """Response of the rating service to a query for results."""
 
     results: list[RatingResult]
 
 
 class Ratings(Protocol):
-    """What the program asks of the rating service."""
+    """Interface to the rating service."""
 
     async def hand_in(self, items: Sequence[RatingItem]) -> None:
-        """Hands in answers."""
+        """Submits answers for rating."""
         ...
 
     async def results(self, client: str, after: int) -> list[RatingResult]:
@@ -75,11 +75,11 @@
 
 
 class HttpRatings:
-    """Client of a rating service over HTTP.
+    """HTTP client of a rating service.
 
     Attributes:
-      url: Base address, by IP number.
-      timeout_s: Seconds until a call without an answer is given up.
+      url: Base URL, with an IP address as host.
+      timeout_s: Request timeout in seconds.
     """
 
     def __init__(
@@ -93,10 +93,13 @@
         self.timeout = aiohttp.ClientTimeout(total=timeout_s)
 
     async def hand_in(self, items: Sequence[RatingItem]) -> None:
-        """Hands in answers; nothing is repeated, as each costs money.
+        """Submits answers for rating.
+
+        Failed calls are not retried, since each submission costs money.
 
         Raises:
-          PlatformUnavailableError: No answer in time; it may have been taken.
+          PlatformUnavailableError: The call failed; the service may still have
+            accepted the answers.
         """
         try:
             async with self.session.post(
@@ -112,7 +115,8 @@
         """Returns ratings numbered above `after`, in order.
 
         Raises:
-          PlatformUnavailableError: No answer in time, or none of use.
+          PlatformUnavailableError: The call failed, or its response can't be
+            read.
         """
         query = {"client": client, "after": str(after)}
         try:
@@ -128,7 +132,7 @@
 
 
 def check_status(response: aiohttp.ClientResponse) -> None:
-    """Raises PlatformUnavailableError unless a call was carried out."""
+    """Raises PlatformUnavailableError unless the call succeeded."""
     if response.status not in (200, 202):
         raise PlatformUnavailableError(
             f"rating service answered {response.status}"
@@ -136,5 +140,5 @@
 
 
 def unavailable(error: Exception) -> PlatformUnavailableError:
-    """Returns the error for a call without an answer of use."""
+    """Returns the exception for a call without a usable response."""
     return PlatformUnavailableError(f"rating service: {error!r}")
--- a/src/rattanpier/_internal/store/row_watch.py
+++ b/src/rattanpier/_internal/store/row_watch.py
@@ -1,7 +1,7 @@
-"""How long a row has stood unchanged, by the watcher's own clock.
+"""Measures how long a row has been unchanged, by the local clock.
 
-Clocks of different VMs are never compared: whoever waits for a row's holder
-to stop counts from when it saw the row's version first.
+Clocks of different VMs are never compared: a process that waits for the
+holder of a row to stop counts from when it first saw the row's version.
 """
 
 from __future__ import annotations
@@ -11,25 +11,25 @@
 
 @attrs.define
 class RowWatch:
-    """One row as it was last seen.
+    """A row as last observed.
 
     Attributes:
-      version: Its version; None before it was seen.
-      since: Monotonic seconds at which that version was seen first.
+      version: Observed version; None before the first observation.
+      since: Monotonic time in seconds when that version was first observed.
     """
 
     version: int | None = None
     since: float = 0.0
 
     def unchanged_s(self, version: int, now: float) -> float:
-        """Takes in a look at the row.
+        """Records an observation of the row.
 
         Args:
-          version: The version seen now.
-          now: Monotonic seconds.
+          version: Observed version.
+          now: Monotonic time in seconds.
 
         Returns:
-          Seconds for which this version has been seen.
+          Seconds since this version was first observed.
 
         >>> watch = RowWatch()
         >>> watch.unchanged_s(4, 1.0), watch.unchanged_s(4, 3.0)
--- a/src/rattanpier/_internal/store/table.py
+++ b/src/rattanpier/_internal/store/table.py
@@ -1,7 +1,7 @@
-"""The platform's transactional table service.
+"""Client of the platform's transactional table service.
 
-Reads raise `StoreUnavailableError`. Writes return an outcome, because a write
-whose answer was lost is neither a success nor a failure.
+Failed reads raise `StoreUnavailableError`. Writes return an outcome instead,
+since a write whose reply was lost may or may not have taken effect.
 """
 
 from __future__ import annotations
@@ -22,8 +22,8 @@
 )
 from rattanpier._internal.utils.codec import decode, encode
 
-ABSENT = 0  # The version of a row that does not exist.
-SCAN_LIMIT = 500  # Rows in one page of a scan.
+ABSENT = 0  # Version of a row that does not exist.
+SCAN_LIMIT = 500  # Maximum number of rows in one page of a scan.
 
 
 @attrs.frozen
@@ -31,8 +31,8 @@
     """A row as read.
 
     Attributes:
-      key: Its key; rows are ordered by it.
-      version: Rises with each write of the row; `ABSENT` is never used.
+      key: Key; rows are ordered by it.
+      version: Increases with each write of the row; never `ABSENT`.
       value: JSON text.
     """
 
@@ -43,7 +43,7 @@
 
 @attrs.frozen
 class Check:
-    """A condition: the row has this version (`ABSENT`: does not exist)."""
+    """Condition that a row has a version (`ABSENT`: does not exist)."""
 
     key: str
     version: int
@@ -59,7 +59,7 @@
 
 @attrs.frozen
 class Transaction:
-    """Takes effect as a whole if every check holds, else not at all."""
+    """Writes and deletions applied atomically if every check holds."""
 
     checks: Sequence[Check] = ()
     puts: Sequence[Put] = ()
@@ -68,7 +68,7 @@
 
 @attrs.frozen
 class TransactionReply:
-    """The table service's answer to a transaction."""
+    """Response of the table service to a transaction."""
 
     committed: bool
     conflict: str = ""
@@ -76,35 +76,35 @@
 
 @attrs.frozen
 class RowPage:
-    """The table service's answer to a read."""
+    """Response of the table service to a read."""
 
     rows: list[Row]
 
 
 class Table(Protocol):
-    """What the program asks of the table service."""
+    """Interface to the table service."""
 
     async def get(self, key: str) -> Row | None:
-        """Returns a row, or None."""
+        """Returns a row, or None if it does not exist."""
         ...
 
     async def scan(
         self, prefix: str, after: str = "", limit: int = SCAN_LIMIT
     ) -> list[Row]:
-        """Returns rows in key order, behind `after`."""
+        """Returns up to `limit` rows of a prefix with keys after `after`."""
         ...
 
     async def transact(self, transaction: Transaction) -> WriteOutcome:
-        """Carries out a transaction."""
+        """Executes a transaction and returns its outcome."""
         ...
 
 
 class HttpTable:
-    """Client of a table service over HTTP.
+    """HTTP client of a table service.
 
     Attributes:
-      url: Base address, by IP number.
-      timeout_s: Seconds until a call without an answer is given up.
+      url: Base URL, with an IP address as host.
+      timeout_s: Request timeout in seconds.
     """
 
     def __init__(
@@ -118,10 +118,10 @@
         self.timeout_s = timeout_s
 
     async def get(self, key: str) -> Row | None:
-        """Returns a row, or None.
+        """Returns a row, or None if it does not exist.
 
         Raises:
-          StoreUnavailableError: No answer in time.
+          StoreUnavailableError: The read failed or timed out.
         """
         rows = await self.read("/v1/row", {"key": key})
         return rows[0] if rows else None
@@ -129,16 +129,20 @@
     async def scan(
         self, prefix: str, after: str = "", limit: int = SCAN_LIMIT
     ) -> list[Row]:
-        """Returns up to `limit` rows of a prefix in key order.
+        """Returns up to `limit` rows of a prefix with keys after `after`.
 
         Raises:
-          StoreUnavailableError: No answer in time.
+          StoreUnavailableError: The read failed or timed out.
         """
         query = {"prefix": prefix, "after": after, "limit": str(limit)}
         return await self.read("/v1/rows", query)
 
     async def read(self, path: str, query: dict[str, str]) -> list[Row]:
-        """Carries out a read and returns its rows."""
+        """Sends a read request and returns its rows.
+
+        Raises:
+          StoreUnavailableError: The read failed or timed out.
+        """
         timeout = aiohttp.ClientTimeout(total=self.timeout_s)
         try:
             async with self.session.get(
@@ -155,7 +159,7 @@
             ) from error
 
     async def transact(self, transaction: Transaction) -> WriteOutcome:
-        """Carries out a transaction and tells what is known of it."""
+        """Executes a transaction and returns what is known of its outcome."""
         timeout = aiohttp.ClientTimeout(total=self.timeout_s)
         try:
             async with self.session.post(
@@ -164,7 +168,7 @@
                 timeout=timeout,
             ) as response:
                 if response.status == 503:
-                    # The service refuses before it does anything.
+                    # The service sends 503 before it executes anything.
                     return NotRun("table service refused")
                 if response.status != 200:
                     return Uncertain(f"answered {response.status}")
@@ -179,7 +183,11 @@
 
 
 async def scan_all(table: Table, prefix: str, after: str = "") -> list[Row]:
-    """Returns every row of a prefix behind `after`, page by page."""
+    """Returns all rows of a prefix with keys after `after`.
+
+    Raises:
+      StoreUnavailableError: A page could not be read.
+    """
     rows: list[Row] = []
     while True:
         page = await table.scan(prefix, rows[-1].key if rows else after)
--- a/src/rattanpier/_internal/store/vms.py
+++ b/src/rattanpier/_internal/store/vms.py
@@ -1,4 +1,7 @@
-"""The platform's list of live and leaving VMs; it lags."""
+"""Client of the platform's list of live and leaving VMs.
+
+The list lags behind the actual state of the VMs.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +15,7 @@
 
 
 class VmState(enum.StrEnum):
-    """What the platform says of a VM."""
+    """State of a VM as the platform reports it."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -20,10 +23,10 @@
 
 @attrs.frozen
 class Vm:
-    """One VM.
+    """A VM, or one process on it, in the platform's list.
 
     Attributes:
-      address: Its IP number, or IP number and port of one process on it.
+      address: IP address of the VM, or IP address and port of a process.
       state: Live or leaving.
     """
 
@@ -33,18 +36,18 @@
 
 @attrs.frozen
 class VmList:
-    """The platform's answer."""
+    """Response of the platform to a query for the list."""
 
     vms: list[Vm]
 
 
 @attrs.define
 class HttpVms:
-    """Client of the list; it is fetched only when it changed.
+    """HTTP client of the VM list; the list is sent only after a change.
 
     Attributes:
-      etag: The entity tag of the last answer.
-      vms: The last answer.
+      etag: Entity tag of the last response.
+      vms: VMs of the last response.
     """
 
     session: aiohttp.ClientSession
@@ -54,10 +57,10 @@
     vms: list[Vm] = attrs.Factory(list)
 
     async def read(self) -> list[Vm]:
-        """Returns the VMs as the platform knows them.
+        """Returns the VMs that the platform lists.
 
         Raises:
-          PlatformUnavailableError: No answer in time.
+          PlatformUnavailableError: The request failed or timed out.
         """
         headers = {"If-None-Match": self.etag} if self.etag else {}
         try:
