--- a/src/rattanpier/_internal/operators/app.py
+++ b/src/rattanpier/_internal/operators/app.py
@@ -1,4 +1,4 @@
-"""The operators' interface over HTTP, served by each control process."""
+"""HTTP API for operators, served by each control process."""
 
 from __future__ import annotations
 
@@ -34,16 +34,16 @@
 from rattanpier._internal.store.table import Table
 from rattanpier._internal.utils.codec import encode
 
-HISTORY_LIMIT = 20  # Changes shown unless another number is asked for.
+HISTORY_LIMIT = 20  # Default number of changes in the history.
 MAX_BODY_BYTES = 8 * MEBIBYTE
 
 
 @attrs.define
 class OperatorApp:
-    """Routes of the operators' interface.
+    """Route handlers of the operator API.
 
     Attributes:
-      key_digests: Digests of the operators' keys.
+      key_digests: SHA-256 digests of the operators' keys, in hexadecimal.
     """
 
     changes: Changes
@@ -52,13 +52,13 @@
     key_digests: list[str]
 
     async def apply(self, request: web.Request) -> web.Response:
-        """`POST /operator/config?base=N`: the body is the whole text."""
+        """Handles `POST /operator/config?base=N` with the text as body."""
         base = number_of(request.query.get("base"), "base", int)
         text = (await request.read()).decode("utf-8", "replace")
         return answer(await self.changes.replace(text, base, order_of(request)))
 
     async def show(self, request: web.Request) -> web.Response:
-        """`GET /operator/config[?revision=N]`: an accepted text."""
+        """Handles `GET /operator/config[?revision=N]`."""
         head = await read_head(self.table)
         wanted = number_of(
             request.query.get("revision", str(head)), "revision", int
@@ -69,7 +69,7 @@
         return web.json_response(text=encode(found))
 
     async def history(self, request: web.Request) -> web.Response:
-        """`GET /operator/history[?limit=N]`: changes, newest first."""
+        """Handles `GET /operator/history[?limit=N]`; newest changes first."""
         limit = number_of(
             request.query.get("limit", str(HISTORY_LIMIT)), "limit", int
         )
@@ -83,13 +83,13 @@
         return web.json_response(text=encode(items))
 
     async def before(self, revision: Revision) -> Revision | None:
-        """Returns the revision before another, or None."""
+        """Returns the preceding revision, or None for the first one."""
         if revision.revision <= 1:
             return None
         return await read_revision(self.table, revision.revision - 1)
 
     async def change(self, request: web.Request) -> web.Response:
-        """`GET /operator/changes/ID?revision=N`: what became of a change."""
+        """Handles `GET /operator/changes/ID?revision=N`; resolves a change."""
         revision = number_of(request.query.get("revision"), "revision", int)
         order = attrs.evolve(
             order_of(request), change=request.match_info["change"]
@@ -97,17 +97,17 @@
         return answer(await self.changes.decide(revision, order))
 
     async def withdraw(self, request: web.Request) -> web.Response:
-        """`POST /operator/versions/NAME/withdraw`."""
+        """Handles `POST /operator/versions/NAME/withdraw`."""
         name = request.match_info["name"]
         return answer(await self.changes.withdraw(name, order_of(request)))
 
     async def drain(self, request: web.Request) -> web.Response:
-        """`POST /operator/upstreams/NAME/drain`."""
+        """Handles `POST /operator/upstreams/NAME/drain`."""
         name = request.match_info["name"]
         return answer(await self.changes.drain(name, order_of(request)))
 
     async def rollout(self, request: web.Request) -> web.Response:
-        """`POST /operator/rollouts/NAME/start`, `widen` or `halt`."""
+        """Handles `POST /operator/rollouts/NAME/start`, `widen` and `halt`."""
         name, order = request.match_info["name"], order_of(request)
         match request.match_info["action"]:
             case "halt":
@@ -126,7 +126,7 @@
         return answer(await self.changes.widen(name, fields, order))
 
     async def rollout_status(self, request: web.Request) -> web.Response:
-        """`GET /operator/rollouts/NAME`."""
+        """Handles `GET /operator/rollouts/NAME`."""
         name = request.match_info["name"]
         rollout = self.changes.present.rollouts.get(name)
         if rollout is None:
@@ -145,7 +145,7 @@
         return web.json_response(body)
 
     async def status(self, _request: web.Request) -> web.Response:
-        """`GET /operator/status`: revision, brakes and members."""
+        """Handles `GET /operator/status`: revision, brakes and members."""
         try:
             progress = await self.inforce.status()
             reachable = True
@@ -171,7 +171,7 @@
         )
 
     def app(self) -> web.Application:
-        """Returns the aiohttp application."""
+        """Returns the aiohttp application of the operator API."""
         app = web.Application(
             client_max_size=MAX_BODY_BYTES,
             middlewares=[require_key(self.key_digests), report_errors],
@@ -190,12 +190,12 @@
 
 
 def answer(report: ChangeReport) -> web.Response:
-    """Returns the answer to a change."""
+    """Returns the response to a change."""
     return web.json_response(
         text=encode(report), status=HTTP_STATUS[report.outcome]
     )
 
 
 def not_found(message: str) -> web.Response:
-    """Returns the answer for something that does not exist."""
+    """Returns a 404 response."""
     return web.json_response(error_body("not_found", message), status=404)
--- a/src/rattanpier/_internal/operators/changes.py
+++ b/src/rattanpier/_internal/operators/changes.py
@@ -1,4 +1,4 @@
-"""Changes that operators make: whole texts, and single fields."""
+"""Configuration changes by operators: whole texts and single fields."""
 
 from __future__ import annotations
 
@@ -44,19 +44,21 @@
 from rattanpier._internal.utils.clock import Clock
 from rattanpier._internal.utils.metrics import Metrics
 
-CHANGE_TIMEOUT_S = 10.0  # Until a silent store leaves a change undecided.
+# After this time without a reply of the store, a change is undecided.
+CHANGE_TIMEOUT_S = 10.0
 
 Check = Callable[[str], Configuration]
 
 
 @attrs.frozen
 class Order:
-    """Who makes a change, and how it is known.
+    """Author, id and waiting time of a change.
 
     Attributes:
-      author: Who.
+      author: Name of the operator.
       change: Unique id of the change.
-      wait_s: Seconds to wait until it is in force everywhere.
+      wait_s: Maximum seconds to wait until the change is in force on all
+        members.
     """
 
     author: str
@@ -66,10 +68,10 @@
 
 @attrs.define
 class Changes:
-    """Carries out operators' changes.
+    """Applies changes by operators to the configuration.
 
     Attributes:
-      check: Parses and checks a text; raises ConfigurationError.
+      check: Parses and validates a text; raises ConfigurationError.
     """
 
     table: Table
@@ -80,10 +82,10 @@
     check: Check = parse_configuration
 
     async def replace(self, text: str, base: int, order: Order) -> ChangeReport:
-        """Proposes a whole text to follow a revision.
+        """Proposes a whole text as the successor of revision `base`.
 
         Raises:
-          ConfigurationError: The text can't be used.
+          ConfigurationError: The text is invalid.
         """
         self.check(text)
         draft = self.draft(order)
@@ -94,7 +96,11 @@
         return await self.report(outcome, revision, order)
 
     async def decide(self, revision: int, order: Order) -> ChangeReport:
-        """Finds out what became of a change; fences off one not there."""
+        """Resolves the outcome of a change.
+
+        A change that was not stored is fenced, so that it can't be accepted
+        later.
+        """
         draft = attrs.evolve(self.draft(order), revision=revision)
         outcome = await resolve_change(
             self.table, self.clock, revision, order.change, CHANGE_TIMEOUT_S
@@ -102,9 +108,9 @@
         return await self.report(outcome, draft, order)
 
     async def withdraw(self, version: str, order: Order) -> ChangeReport:
-        """Withdraws a version: braked at once, then by configuration.
+        """Brakes a version at once and withdraws it in the configuration.
 
-        The brake stands also if the store can't be reached.
+        The brake stays in place even if the store can't be reached.
 
         Raises:
           ConfigurationError: There is no such version.
@@ -118,7 +124,7 @@
         return attrs.evolve(report, braked=version)
 
     async def drain(self, upstream: str, order: Order) -> ChangeReport:
-        """Stops new work for an upstream.
+        """Stops new requests to an upstream.
 
         Raises:
           ConfigurationError: There is no such upstream.
@@ -129,7 +135,7 @@
         )
 
     async def halt(self, rollout: str, order: Order) -> ChangeReport:
-        """Halts a roll-out; its candidate is braked at once.
+        """Brakes the candidate of a roll-out at once and halts the roll-out.
 
         Raises:
           ConfigurationError: There is no such roll-out.
@@ -146,13 +152,14 @@
     async def widen(
         self, rollout: str, fields: dict[str, Value], order: Order
     ) -> ChangeReport:
-        """Starts or widens a roll-out on the revision that is accepted now.
+        """Starts or widens a roll-out, based on the newest accepted revision.
 
-        A change that races with it wins; the operator decides anew.
+        If another change is accepted first, this one is not applied, and the
+        operator has to decide again.
 
         Raises:
-          ConfigurationError: The result can't be used.
-          StoreUnavailableError: The store did not answer; nothing changed.
+          ConfigurationError: The resulting configuration is invalid.
+          StoreUnavailableError: The store did not reply; nothing changed.
         """
         base = await read_newest(self.table)
         text = set_fields(base.text, ["rollouts", rollout], fields)
@@ -161,7 +168,11 @@
     async def narrow(
         self, path: list[str], fields: dict[str, Value], order: Order
     ) -> ChangeReport:
-        """Proposes an edit that narrows, on top of whatever came first."""
+        """Proposes an edit that only restricts traffic.
+
+        If other changes are accepted first, the edit is applied on top of
+        them.
+        """
         edit = self.checked(lambda text: set_fields(text, path, fields))
         done = await propose_edit(
             self.table, self.clock, edit, self.draft(order), CHANGE_TIMEOUT_S
@@ -175,7 +186,7 @@
         return attrs.evolve(report, over=over)
 
     def checked(self, edit: Edit) -> Edit:
-        """Returns an edit whose result is checked."""
+        """Returns an edit that also validates its result."""
 
         def checked_edit(text: str) -> str:
             edited = edit(text)
@@ -185,7 +196,7 @@
         return checked_edit
 
     def draft(self, order: Order) -> Revision:
-        """Returns a revision without number and text."""
+        """Returns a revision whose number and text are not set yet."""
         return Revision(0, "", order.author, order.change, self.clock.time())
 
     @property
@@ -194,7 +205,7 @@
         return self.inforce.follower.configuration
 
     def require(self, known: bool, kind: str, name: str) -> None:
-        """Raises ConfigurationError unless a name is known."""
+        """Raises ConfigurationError unless `known` is true."""
         if not known:
             raise ConfigurationError(
                 f"there is no {kind} {name!r}",
@@ -204,7 +215,7 @@
     async def report(
         self, outcome: ChangeOutcome, revision: Revision, order: Order
     ) -> ChangeReport:
-        """Follows an outcome up and returns its report."""
+        """Counts an outcome, completes its follow-up and returns a report."""
         report = report_of(outcome, revision)
         self.metrics.count(f"config.change.{report.outcome}")
         match outcome:
@@ -219,11 +230,12 @@
     async def follow_up(
         self, report: ChangeReport, number: int, order: Order
     ) -> ChangeReport:
-        """Spreads an accepted revision and waits until it is in force."""
+        """Broadcasts an accepted revision and waits until it is in force."""
         try:
             accepted = await read_revision(self.table, number)
         except StoreUnavailableError:
-            # The polls bring it; `GET /operator/status` tells when.
+            # Nodes get the revision by polling; `GET /operator/status` shows
+            # when it is in force.
             return report
         assert accepted is not None
         self.inforce.begin(accepted)
@@ -231,7 +243,7 @@
         return with_progress(report, progress)
 
     async def describe(self, other: Revision) -> OtherChange:
-        """Returns somebody else's change, with what it changed."""
+        """Returns the description of another change, with its diff."""
         try:
             before = await read_revision(self.table, other.revision - 1)
         except StoreUnavailableError:
--- a/src/rattanpier/_internal/operators/intake.py
+++ b/src/rattanpier/_internal/operators/intake.py
@@ -1,4 +1,4 @@
-"""What an operator's request says, and who sends it."""
+"""Authentication and parsing of operators' requests."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 DEFAULT_WAIT_S = 8.0
 MAX_WAIT_S = 60.0
-KEY_NAME_LENGTH = 8  # Characters of a key's digest that name its owner.
+KEY_NAME_LENGTH = 8  # Digest characters used as the default author name.
 ROLLOUT_FIELDS = ("stable", "candidate", "share", "max_share")
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
@@ -29,13 +29,13 @@
 
 
 class RequestError(RattanpierError):
-    """An operator's request is not well formed."""
+    """An operator's request is malformed."""
 
     code = "bad_request"
 
 
 def require_key(digests: list[str]) -> Middleware:
-    """Returns the middleware that lets operators in and nobody else.
+    """Returns a middleware that rejects requests without an operator key.
 
     Args:
       digests: SHA-256 digests of the operators' keys, in hexadecimal.
@@ -60,7 +60,7 @@
 async def report_errors(
     request: web.Request, handler: Handler
 ) -> web.StreamResponse:
-    """Turns coded errors into answers."""
+    """Converts exceptions with an error code to JSON responses."""
     try:
         return await handler(request)
     except (ConfigurationError, RequestError) as error:
@@ -73,10 +73,10 @@
 
 
 def order_of(request: web.Request) -> Order:
-    """Returns who makes a change, and how it is known.
+    """Returns the author, id and waiting time of a change.
 
     Raises:
-      RequestError: `wait_s` is not a number.
+      RequestError: `wait_s` is not a non-negative number.
     """
     key = bearer_key(request.headers.get("Authorization", ""))
     author = request.headers.get(
@@ -90,10 +90,10 @@
 
 
 def number_of(text: str | None, name: str, kind: Callable[[str], Any]) -> Any:
-    """Returns a number of the query, not negative.
+    """Parses a non-negative number of the query.
 
     Raises:
-      RequestError: It is missing or not such a number.
+      RequestError: The number is missing, malformed or negative.
     """
     try:
         number = kind(text or "")
@@ -105,10 +105,10 @@
 
 
 async def rollout_fields(request: web.Request) -> dict[str, Any]:
-    """Returns the fields of a roll-out in the body.
+    """Returns the roll-out fields of the request body.
 
     Raises:
-      RequestError: The body is not an object of such fields.
+      RequestError: The body is not a JSON object with only these fields.
     """
     try:
         body = json.loads(await request.read() or b"{}")
--- a/src/rattanpier/_internal/operators/messages.py
+++ b/src/rattanpier/_internal/operators/messages.py
@@ -1,4 +1,4 @@
-"""What the operators' interface answers."""
+"""Responses of the operator API."""
 
 from __future__ import annotations
 
@@ -21,18 +21,18 @@
 
 @attrs.frozen
 class ChangeReport:
-    """What became of an operator's change.
+    """Outcome of an operator's change.
 
     Attributes:
       outcome: accepted, raced, not_accepted or undecided.
-      change: Id of the change, to ask again.
-      revision: Number that the change has, or was to have.
-      reason: Why it was not accepted, or empty.
-      in_force: Whether it is in force everywhere.
-      waiting: Members that may still work by an older revision.
-      other: The change that came first, if it raced.
-      over: Changes of others that an edit was put on top of.
-      braked: Version that was stopped at once, or empty.
+      change: Id of the change, for later queries.
+      revision: Revision number of the change, or the one it was proposed for.
+      reason: Why the change was not accepted or is undecided, or empty.
+      in_force: Whether the change is in force on all members.
+      waiting: Members that may still use an older revision.
+      other: Change that was accepted first, if this one raced.
+      over: Changes by others on top of which an edit was applied.
+      braked: Version that was braked at once, or empty.
     """
 
     outcome: str
@@ -48,14 +48,14 @@
 
 @attrs.frozen
 class OtherChange:
-    """Somebody else's change.
+    """A change in the history, or one that preceded the reported change.
 
     Attributes:
-      revision: Its number.
-      author: Who made it.
-      change: Its id.
-      time: Seconds since the epoch.
-      diff: What it changed, as a unified diff.
+      revision: Revision number.
+      author: Author of the change.
+      change: Id of the change.
+      time: Time of the change, in seconds since the Unix epoch.
+      diff: Unified diff from the preceding revision.
     """
 
     revision: int
@@ -74,7 +74,7 @@
 
 
 def report_of(outcome: ChangeOutcome, revision: Revision) -> ChangeReport:
-    """Returns the report on a change; what it raced with is added later."""
+    """Returns the report on a change, without the change it raced with."""
     report = ChangeReport("accepted", revision.change, revision.revision)
     match outcome:
         case Accepted():
@@ -95,7 +95,7 @@
 
 
 def with_progress(report: ChangeReport, progress: Progress) -> ChangeReport:
-    """Adds how far an accepted revision has come."""
+    """Returns a report with the propagation progress of its revision."""
     reached = progress.revision >= report.revision
     return attrs.evolve(
         report,
@@ -105,7 +105,7 @@
 
 
 def other_change(before: str, revision: Revision) -> OtherChange:
-    """Returns somebody else's change with its diff."""
+    """Returns the description of a revision, with its diff."""
     lines = difflib.unified_diff(
         before.splitlines(),
         revision.text.splitlines(),
@@ -123,5 +123,5 @@
 
 
 def error_body(code: str, message: str, hint: str = "") -> dict[str, Any]:
-    """Returns the JSON body of an error."""
+    """Returns the JSON body of an error response."""
     return {"error": {"code": code, "message": message, "hint": hint}}
