--- a/tests/failure/test_orders.py
+++ b/tests/failure/test_orders.py
@@ -20,13 +20,13 @@
 KINDS = pytest.mark.parametrize("fencing", [True, False])
 
 
-class Wire:
+class DelayableConnection:
     """The way of orders to one engine; may hold them back."""
 
     def __init__(self, desk):
         self.desk = desk
-        self.holding = False
-        self.held = []
+        self.delaying = False
+        self.delayed = []
         self.before_send = None
 
     async def read(self, worker):
@@ -36,13 +36,13 @@
         if self.before_send is not None:
             hook, self.before_send = self.before_send, None
             await hook()
-        if self.holding:
-            self.held.append(order)
+        if self.delaying:
+            self.delayed.append(order)
         else:
             self.desk.take(order)
 
 
-class Fleet:
+class OrdersSimulation:
     """Two control processes over one table service and one engine."""
 
     def __init__(self, fencing):
@@ -63,9 +63,9 @@
             me=me,
             clock=self.clock,
             follower=Follower(table, self.clock),
-            members=Live(),
+            members=StubMembers(),
             leases=Leases(me, table, self.clock),
-            engines=Wire(self.desk),
+            engines=DelayableConnection(self.desk),
             metrics=Metrics(),
         )
 
@@ -112,148 +112,152 @@
         assert self.desk.state().versions == sorted(NEW)
 
 
-class Live:
+class StubMembers:
     def __init__(self):
         self.live = BehaviorSubject({})
 
 
 @KINDS
-async def test_workers_get_what_is_wanted(fencing):
-    fleet = Fleet(fencing)
-    await fleet.start()
-    fleet.want(NEW)
-    await fleet.steps(3, fleet.reconcilers)
-    assert fleet.desk.state().versions == sorted(NEW)
-    assert len(fleet.desk.taken) == 1
+async def test_workers_are_ordered_to_serve_wanted_versions(fencing):
+    simulation = OrdersSimulation(fencing)
+    await simulation.start()
+    simulation.want(NEW)
+    await simulation.steps(3, simulation.reconcilers)
+    assert simulation.desk.state().versions == sorted(NEW)
+    assert len(simulation.desk.taken) == 1
 
 
 @KINDS
-async def test_paused_sender_that_thaws_orders_nothing(fencing):
+async def test_sender_resumed_after_lease_change_sends_no_order(fencing):
     """It froze before its step and believes that it still holds the lease."""
-    fleet = Fleet(fencing)
-    first, second = await fleet.start()
-    await fleet.replace(first, second)
-    taken = len(fleet.desk.taken)
-    await fleet.steps(1, [first])
-    await fleet.steps(20, [first, second])
-    assert fleet.desk.state().versions == sorted(NEW)
-    assert len(fleet.desk.taken) == taken
+    simulation = OrdersSimulation(fencing)
+    first, second = await simulation.start()
+    await simulation.replace(first, second)
+    taken = len(simulation.desk.taken)
+    await simulation.steps(1, [first])
+    await simulation.steps(20, [first, second])
+    assert simulation.desk.state().versions == sorted(NEW)
+    assert len(simulation.desk.taken) == taken
 
 
 @KINDS
-async def test_sender_that_pauses_while_it_reads_orders_nothing(fencing):
+async def test_sender_paused_during_read_sends_no_order(fencing):
     """Between its first look at the lease and the sending."""
-    fleet = Fleet(fencing)
-    first, second = await fleet.start()
-    fleet.want([LARGE], [first])
-    wire = fleet.reconcilers[first].engines
-    read = wire.read
+    simulation = OrdersSimulation(fencing)
+    first, second = await simulation.start()
+    simulation.want([LARGE], [first])
+    connection = simulation.reconcilers[first].engines
+    read = connection.read
 
     async def slow_read(worker):
         state = await read(worker)
-        wire.read = read
-        await fleet.replace(first, second)
+        connection.read = read
+        await simulation.replace(first, second)
         return state
 
-    wire.read = slow_read
-    await fleet.steps(1, [first])
-    assert [o.versions for o in fleet.desk.taken] == [sorted(NEW)]
+    connection.read = slow_read
+    await simulation.steps(1, [first])
+    assert [o.versions for o in simulation.desk.taken] == [sorted(NEW)]
 
 
 @KINDS
-async def test_sender_frozen_between_check_and_send_is_repaired(fencing):
+async def test_stale_order_sent_after_lease_check_is_corrected(fencing):
     """Nothing can prevent it at an engine that obeys anyone."""
-    fleet = Fleet(fencing)
-    first, second = await fleet.start()
-    fleet.want([LARGE], [first])
+    simulation = OrdersSimulation(fencing)
+    first, second = await simulation.start()
+    simulation.want([LARGE], [first])
 
     async def freeze():
-        await fleet.replace(first, second)
+        await simulation.replace(first, second)
 
-    fleet.reconcilers[first].engines.before_send = freeze
-    await fleet.steps(1, [first])
+    simulation.reconcilers[first].engines.before_send = freeze
+    await simulation.steps(1, [first])
     if fencing:
-        assert [o.versions for o in fleet.desk.refused] == [[LARGE]]
-    await fleet.steps(2, [second])
-    assert fleet.desk.state().versions == sorted(NEW)
+        assert [o.versions for o in simulation.desk.refused] == [[LARGE]]
+    await simulation.steps(2, [second])
+    assert simulation.desk.state().versions == sorted(NEW)
 
 
 @KINDS
-async def test_late_order_of_an_earlier_owner(fencing):
+async def test_late_order_of_an_earlier_owner_does_not_prevail(fencing):
     """It is under way as long as it may be, while the owner changes."""
-    fleet = Fleet(fencing)
-    first, second = await fleet.start()
-    wire = fleet.reconcilers[first].engines
-    wire.holding = True
-    fleet.want([LARGE], [first])
-    await fleet.steps(1, [first])
-    assert len(wire.held) == 1
-    sent = fleet.clock.now
-    fleet.announce([second])
-    fleet.want(NEW, [second])
-    while not fleet.desk.taken:
-        await fleet.steps(1, [second])
+    simulation = OrdersSimulation(fencing)
+    first, second = await simulation.start()
+    connection = simulation.reconcilers[first].engines
+    connection.delaying = True
+    simulation.want([LARGE], [first])
+    await simulation.steps(1, [first])
+    assert len(connection.delayed) == 1
+    sent = simulation.clock.now
+    simulation.announce([second])
+    simulation.want(NEW, [second])
+    while not simulation.desk.taken:
+        await simulation.steps(1, [second])
     if not fencing:
         # Nothing was sent while the old order could still arrive.
-        assert fleet.clock.now - sent > MAX_IN_FLIGHT_S + TERM_S
-    fleet.desk.take(wire.held[0])
-    await fleet.steps(2, [second])
-    assert fleet.desk.state().versions == sorted(NEW)
-    assert bool(fleet.desk.refused) == fencing
+        assert simulation.clock.now - sent > MAX_IN_FLIGHT_S + TERM_S
+    simulation.desk.take(connection.delayed[0])
+    await simulation.steps(2, [second])
+    assert simulation.desk.state().versions == sorted(NEW)
+    assert bool(simulation.desk.refused) == fencing
 
 
 @KINDS
-async def test_repeated_and_reordered_orders_of_one_owner(fencing):
-    fleet = Fleet(fencing)
-    first, _ = await fleet.start()
-    wire = fleet.reconcilers[first].engines
-    wire.holding = True
+async def test_repeated_and_reordered_orders_converge(fencing):
+    simulation = OrdersSimulation(fencing)
+    first, _ = await simulation.start()
+    connection = simulation.reconcilers[first].engines
+    connection.delaying = True
     for versions in ([LARGE], NEW, [LARGE], NEW):
-        fleet.want(versions, [first])
-        await fleet.steps(1, [first])
-    wire.holding = False
-    for order in [*reversed(wire.held), *wire.held, wire.held[0]]:
-        fleet.desk.take(order)
-    await fleet.steps(3, [first])
-    assert fleet.desk.state().versions == sorted(NEW)
+        simulation.want(versions, [first])
+        await simulation.steps(1, [first])
+    connection.delaying = False
+    for order in [
+        *reversed(connection.delayed),
+        *connection.delayed,
+        connection.delayed[0],
+    ]:
+        simulation.desk.take(order)
+    await simulation.steps(3, [first])
+    assert simulation.desk.state().versions == sorted(NEW)
 
 
 @KINDS
-async def test_no_orders_once_the_lease_lapsed_in_a_store_outage(fencing):
-    fleet = Fleet(fencing)
-    first, _ = await fleet.start()
-    fleet.reconcilers[first].leases.table.down = True
-    await fleet.steps(int(TERM_S) + 1, [first])
-    fleet.want(NEW, [first])
-    await fleet.steps(5, [first])
-    assert fleet.desk.taken == []
-    fleet.reconcilers[first].leases.table.down = False
-    await fleet.steps(5, [first])
-    assert fleet.desk.state().versions == sorted(NEW)
+async def test_no_order_after_lease_expired_in_store_outage(fencing):
+    simulation = OrdersSimulation(fencing)
+    first, _ = await simulation.start()
+    simulation.reconcilers[first].leases.table.down = True
+    await simulation.steps(int(TERM_S) + 1, [first])
+    simulation.want(NEW, [first])
+    await simulation.steps(5, [first])
+    assert simulation.desk.taken == []
+    simulation.reconcilers[first].leases.table.down = False
+    await simulation.steps(5, [first])
+    assert simulation.desk.state().versions == sorted(NEW)
 
 
 @KINDS
-async def test_no_order_that_could_outlast_the_lease(fencing):
+async def test_no_order_that_could_take_effect_after_the_lease(fencing):
     """An engine that checks numbers may still be sent one."""
-    fleet = Fleet(fencing)
-    first, _ = await fleet.start()
-    leases = fleet.reconcilers[first].leases
+    simulation = OrdersSimulation(fencing)
+    first, _ = await simulation.start()
+    leases = simulation.reconcilers[first].leases
     leases.table.down = True
-    left = leases.held["pool"].valid_until - fleet.clock.now
-    await fleet.steps(int(left - MAX_IN_FLIGHT_S) + 1, [first])
-    fleet.want(NEW, [first])
-    await fleet.steps(1, [first])
+    left = leases.held["pool"].valid_until - simulation.clock.now
+    await simulation.steps(int(left - MAX_IN_FLIGHT_S) + 1, [first])
+    simulation.want(NEW, [first])
+    await simulation.steps(1, [first])
     assert leases.valid("pool") is not None
-    assert len(fleet.desk.taken) == int(fencing)
+    assert len(simulation.desk.taken) == int(fencing)
 
 
 @KINDS
 async def test_lost_answer_of_a_renewal_keeps_the_lease(fencing):
-    fleet = Fleet(fencing)
-    first, _ = await fleet.start()
-    fleet.reconcilers[first].leases.table.lose_answers = 2
-    await fleet.steps(6, [first])
-    fleet.want(NEW, [first])
-    await fleet.steps(3, [first])
-    assert fleet.desk.state().versions == sorted(NEW)
-    assert fleet.reconcilers[first].leases.held["pool"].lease.epoch == 1
+    simulation = OrdersSimulation(fencing)
+    first, _ = await simulation.start()
+    simulation.reconcilers[first].leases.table.lose_answers = 2
+    await simulation.steps(6, [first])
+    simulation.want(NEW, [first])
+    await simulation.steps(3, [first])
+    assert simulation.desk.state().versions == sorted(NEW)
+    assert simulation.reconcilers[first].leases.held["pool"].lease.epoch == 1
--- a/tests/failure/test_orders_processes.py
+++ b/tests/failure/test_orders_processes.py
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize("fencing", [False, True])
-async def test_orders_go_on_after_the_sender_is_killed(tmp_path, fencing):
+async def test_orders_continue_after_the_sender_is_killed(tmp_path, fencing):
     async with Cluster(tmp_path) as cluster:
         await cluster.start_table()
         url = await cluster.start_standin(
--- a/tests/unit/test_check_examples.py
+++ b/tests/unit/test_check_examples.py
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("name", SIZES)
-def test_sizes_are_those_of_the_brief(name):
+def test_example_has_the_specified_size(name):
     configuration, _ = read(name)
     domains, counts = SIZES[name]
     workers = collections.Counter(
