--- a/tests/failure/test_orders.py
+++ b/tests/failure/test_orders.py
@@ -1,4 +1,7 @@
-"""Orders to engines of both kinds while senders pause and orders are late."""
+"""Tests orders to engines with paused senders and delayed orders.
+
+Each test covers engines with and without a check of fencing numbers.
+"""
 
 import attrs
 import pytest
@@ -21,7 +24,7 @@
 
 
 class DelayableConnection:
-    """The way of orders to one engine; may hold them back."""
+    """Connection to one engine that can delay orders."""
 
     def __init__(self, desk):
         self.desk = desk
@@ -75,7 +78,7 @@
             self.reconcilers[name].members.live.on_next(live)
 
     def want(self, versions, names=("control-a", "control-b")):
-        """Puts a configuration in force on some processes."""
+        """Sets the wanted versions on some processes."""
         base = build_configuration()
         worker = attrs.evolve(
             base.upstreams["pool"].workers["w1"], versions=versions
@@ -98,14 +101,14 @@
                 await self.reconcilers[name].step()
 
     async def start(self):
-        """Lets one process own the orders; returns first and second."""
+        """Steps until a process holds the lease; returns owner and other."""
         await self.steps(8, self.reconcilers)
         first = next(n for n, k in self.reconcilers.items() if k.leases.held)
         second = next(n for n in self.reconcilers if n != first)
         return first, second
 
     async def replace(self, first, second):
-        """The first is frozen; the second takes over and wants NEW."""
+        """Lets the second process take over with NEW; the first is paused."""
         self.announce([second])
         self.want(NEW, [second])
         await self.steps(40, [second])
@@ -129,7 +132,7 @@
 
 @KINDS
 async def test_sender_resumed_after_lease_change_sends_no_order(fencing):
-    """It froze before its step and believes that it still holds the lease."""
+    """The sender pauses before a step and still has the lease recorded."""
     simulation = OrdersSimulation(fencing)
     first, second = await simulation.start()
     await simulation.replace(first, second)
@@ -142,7 +145,7 @@
 
 @KINDS
 async def test_sender_paused_during_read_sends_no_order(fencing):
-    """Between its first look at the lease and the sending."""
+    """The sender pauses between its first check of the lease and the send."""
     simulation = OrdersSimulation(fencing)
     first, second = await simulation.start()
     simulation.want([LARGE], [first])
@@ -162,7 +165,7 @@
 
 @KINDS
 async def test_stale_order_sent_after_lease_check_is_corrected(fencing):
-    """Nothing can prevent it at an engine that obeys anyone."""
+    """Without fencing, a stale order can't be prevented, only corrected."""
     simulation = OrdersSimulation(fencing)
     first, second = await simulation.start()
     simulation.want([LARGE], [first])
@@ -180,7 +183,7 @@
 
 @KINDS
 async def test_late_order_of_an_earlier_owner_does_not_prevail(fencing):
-    """It is under way as long as it may be, while the owner changes."""
+    """An order stays in flight for the maximum time while the owner changes."""
     simulation = OrdersSimulation(fencing)
     first, second = await simulation.start()
     connection = simulation.reconcilers[first].engines
@@ -194,7 +197,7 @@
     while not simulation.desk.taken:
         await simulation.steps(1, [second])
     if not fencing:
-        # Nothing was sent while the old order could still arrive.
+        # No order was sent while the old one could still arrive.
         assert simulation.clock.now - sent > MAX_IN_FLIGHT_S + TERM_S
     simulation.desk.take(connection.delayed[0])
     await simulation.steps(2, [second])
@@ -238,7 +241,7 @@
 
 @KINDS
 async def test_no_order_that_could_take_effect_after_the_lease(fencing):
-    """An engine that checks numbers may still be sent one."""
+    """Only engines that check fencing numbers may still be sent an order."""
     simulation = OrdersSimulation(fencing)
     first, _ = await simulation.start()
     leases = simulation.reconcilers[first].leases
--- a/tests/failure/test_orders_processes.py
+++ b/tests/failure/test_orders_processes.py
@@ -1,4 +1,4 @@
-"""Orders to engines on separate processes; the sender is killed."""
+"""Tests orders to engines when the sending process is killed."""
 
 import json
 import signal
--- a/tests/functional/test_operators.py
+++ b/tests/functional/test_operators.py
@@ -1,4 +1,4 @@
-"""The operators' interface of a running system."""
+"""Tests the operator API of a running system."""
 
 import pytest
 
--- a/tests/lib/operators.py
+++ b/tests/lib/operators.py
@@ -1,4 +1,4 @@
-"""An operator who uses the interface of a control process."""
+"""Client of the operator API of a control process."""
 
 import attrs
 
@@ -8,11 +8,11 @@
 
 @attrs.define
 class Operator:
-    """Calls one control process.
+    """Calls the operator API of one control process.
 
     Attributes:
-      cluster: The cluster.
-      url: Address of the control process's interface.
+      cluster: Cluster whose HTTP session is used.
+      url: Base URL of the control process's operator API.
       key: The operator's key.
     """
 
@@ -36,7 +36,7 @@
 
 
 async def find_operator(cluster, name="control-1"):
-    """Waits until a control process serves operators."""
+    """Waits until a control process serves the operator API."""
 
     async def found():
         row = await cluster.table.get(f"member/{name}")
--- a/tests/unit/test_check_examples.py
+++ b/tests/unit/test_check_examples.py
@@ -1,4 +1,4 @@
-"""The examples are complete, pass the check, and have the brief's sizes."""
+"""Tests that the example configurations are valid and of the specified size."""
 
 import collections
 import pathlib
@@ -12,7 +12,7 @@
 )
 
 EXAMPLES = pathlib.Path(__file__).parents[2] / "examples"
-# Failure domains, and workers by upstream.
+# Expected failure domains and number of workers by upstream.
 SIZES = {
     "federation": (
         {"ain-sebaa", "sidi-maarouf", "bouskoura", "mohammedia"},
