--- a/src/rattanpier/_internal/cascade/ratings.py
+++ b/src/rattanpier/_internal/cascade/ratings.py
@@ -147,7 +147,7 @@
             items.append(item)
         if items:
             self.metrics.count("cascade.sample.handed_in", len(items))
-            await self.ratings.hand_in(items)
+            await self.ratings.submit(items)
 
     async def fetch_results(self) -> None:
         """Fetches and applies new results."""
--- a/src/rattanpier/_internal/operators/app.py
+++ b/src/rattanpier/_internal/operators/app.py
@@ -16,20 +16,20 @@
 from rattanpier._internal.exceptions import StoreUnavailableError
 from rattanpier._internal.models.settings import MEBIBYTE
 from rattanpier._internal.operators.changes import Changes
-from rattanpier._internal.operators.intake import (
-    RequestError,
-    number_of,
-    order_of,
-    report_errors,
-    require_key,
-    rollout_fields,
-)
 from rattanpier._internal.operators.messages import (
     HTTP_STATUS,
     ChangeReport,
     error_body,
     other_change,
 )
+from rattanpier._internal.operators.request_parsing import (
+    RequestError,
+    change_context,
+    parse_number,
+    report_errors,
+    require_key,
+    rollout_fields,
+)
 from rattanpier._internal.rollout.status import rollout_status
 from rattanpier._internal.store.table import Table
 from rattanpier._internal.utils.codec import encode
@@ -53,14 +53,16 @@
 
     async def apply(self, request: web.Request) -> web.Response:
         """Handles `POST /operator/config?base=N` with the text as body."""
-        base = number_of(request.query.get("base"), "base", int)
+        base = parse_number(request.query.get("base"), "base", int)
         text = (await request.read()).decode("utf-8", "replace")
-        return answer(await self.changes.replace(text, base, order_of(request)))
+        return answer(
+            await self.changes.replace(text, base, change_context(request))
+        )
 
     async def show(self, request: web.Request) -> web.Response:
         """Handles `GET /operator/config[?revision=N]`."""
         head = await read_head(self.table)
-        wanted = number_of(
+        wanted = parse_number(
             request.query.get("revision", str(head)), "revision", int
         )
         found = await read_revision(self.table, wanted) if wanted else None
@@ -70,7 +72,7 @@
 
     async def history(self, request: web.Request) -> web.Response:
         """Handles `GET /operator/history[?limit=N]`; newest changes first."""
-        limit = number_of(
+        limit = parse_number(
             request.query.get("limit", str(HISTORY_LIMIT)), "limit", int
         )
         head = await read_head(self.table)
@@ -90,28 +92,30 @@
 
     async def change(self, request: web.Request) -> web.Response:
         """Handles `GET /operator/changes/ID?revision=N`; resolves a change."""
-        revision = number_of(request.query.get("revision"), "revision", int)
-        order = attrs.evolve(
-            order_of(request), change=request.match_info["change"]
+        revision = parse_number(request.query.get("revision"), "revision", int)
+        context = attrs.evolve(
+            change_context(request), change=request.match_info["change"]
         )
-        return answer(await self.changes.decide(revision, order))
+        return answer(await self.changes.resolve(revision, context))
 
     async def withdraw(self, request: web.Request) -> web.Response:
         """Handles `POST /operator/versions/NAME/withdraw`."""
         name = request.match_info["name"]
-        return answer(await self.changes.withdraw(name, order_of(request)))
+        return answer(
+            await self.changes.withdraw(name, change_context(request))
+        )
 
     async def drain(self, request: web.Request) -> web.Response:
         """Handles `POST /operator/upstreams/NAME/drain`."""
         name = request.match_info["name"]
-        return answer(await self.changes.drain(name, order_of(request)))
+        return answer(await self.changes.drain(name, change_context(request)))
 
     async def rollout(self, request: web.Request) -> web.Response:
         """Handles `POST /operator/rollouts/NAME/start`, `widen` and `halt`."""
-        name, order = request.match_info["name"], order_of(request)
+        name, context = request.match_info["name"], change_context(request)
         match request.match_info["action"]:
             case "halt":
-                return answer(await self.changes.halt(name, order))
+                return answer(await self.changes.halt(name, context))
             case "start":
                 fields = await rollout_fields(request)
                 fields = {"state": "running", **fields}
@@ -123,7 +127,7 @@
                 self.changes.require(known, "roll-out", name)
             case action:
                 return not_found(f"there is no action {action!r}")
-        return answer(await self.changes.widen(name, fields, order))
+        return answer(await self.changes.widen(name, fields, context))
 
     async def rollout_status(self, request: web.Request) -> web.Response:
         """Handles `GET /operator/rollouts/NAME`."""
--- a/src/rattanpier/_internal/operators/changes.py
+++ b/src/rattanpier/_internal/operators/changes.py
@@ -51,7 +51,7 @@
 
 
 @attrs.frozen
-class Order:
+class ChangeContext:
     """Author, id and waiting time of a change.
 
     Attributes:
@@ -81,33 +81,39 @@
     metrics: Metrics
     check: Check = parse_configuration
 
-    async def replace(self, text: str, base: int, order: Order) -> ChangeReport:
+    async def replace(
+        self, text: str, base: int, context: ChangeContext
+    ) -> ChangeReport:
         """Proposes a whole text as the successor of revision `base`.
 
         Raises:
           ConfigurationError: The text is invalid.
         """
         self.check(text)
-        draft = self.draft(order)
+        draft = self.draft(context)
         revision = attrs.evolve(draft, revision=base + 1, text=text)
         outcome = await propose_with_retry(
             self.table, self.clock, revision, CHANGE_TIMEOUT_S
         )
-        return await self.report(outcome, revision, order)
+        return await self.report(outcome, revision, context)
 
-    async def decide(self, revision: int, order: Order) -> ChangeReport:
+    async def resolve(
+        self, revision: int, context: ChangeContext
+    ) -> ChangeReport:
         """Resolves the outcome of a change.
 
         A change that was not stored is fenced, so that it can't be accepted
         later.
         """
-        draft = attrs.evolve(self.draft(order), revision=revision)
+        draft = attrs.evolve(self.draft(context), revision=revision)
         outcome = await resolve_change(
-            self.table, self.clock, revision, order.change, CHANGE_TIMEOUT_S
+            self.table, self.clock, revision, context.change, CHANGE_TIMEOUT_S
         )
-        return await self.report(outcome, draft, order)
+        return await self.report(outcome, draft, context)
 
-    async def withdraw(self, version: str, order: Order) -> ChangeReport:
+    async def withdraw(
+        self, version: str, context: ChangeContext
+    ) -> ChangeReport:
         """Brakes a version at once and withdraws it in the configuration.
 
         The brake stays in place even if the store can't be reached.
@@ -116,25 +122,27 @@
           ConfigurationError: There is no such version.
         """
         self.require(version in self.present.versions, "version", version)
-        self.brakes.apply(version, "withdrawn", order.author)
+        self.brakes.apply(version, "withdrawn", context.author)
         state = VersionState.WITHDRAWN.value
-        report = await self.narrow(
-            ["versions", version], {"state": state}, order
+        report = await self.apply_restriction(
+            ["versions", version], {"state": state}, context
         )
         return attrs.evolve(report, braked=version)
 
-    async def drain(self, upstream: str, order: Order) -> ChangeReport:
+    async def drain(
+        self, upstream: str, context: ChangeContext
+    ) -> ChangeReport:
         """Stops new requests to an upstream.
 
         Raises:
           ConfigurationError: There is no such upstream.
         """
         self.require(upstream in self.present.upstreams, "upstream", upstream)
-        return await self.narrow(
-            ["upstreams", upstream], {"draining": True}, order
+        return await self.apply_restriction(
+            ["upstreams", upstream], {"draining": True}, context
         )
 
-    async def halt(self, rollout: str, order: Order) -> ChangeReport:
+    async def halt(self, rollout: str, context: ChangeContext) -> ChangeReport:
         """Brakes the candidate of a roll-out at once and halts the roll-out.
 
         Raises:
@@ -143,14 +151,16 @@
         known = self.present.rollouts.get(rollout)
         self.require(known is not None, "roll-out", rollout)
         assert known is not None
-        self.brakes.apply(known.candidate, "halted", order.author, rollout)
+        self.brakes.apply(known.candidate, "halted", context.author, rollout)
         state = RolloutState.HALTED.value
         fields = {"state": state, "halts": known.halts + 1}
-        report = await self.narrow(["rollouts", rollout], fields, order)
+        report = await self.apply_restriction(
+            ["rollouts", rollout], fields, context
+        )
         return attrs.evolve(report, braked=known.candidate)
 
     async def widen(
-        self, rollout: str, fields: dict[str, Value], order: Order
+        self, rollout: str, fields: dict[str, Value], context: ChangeContext
     ) -> ChangeReport:
         """Starts or widens a roll-out, based on the newest accepted revision.
 
@@ -163,10 +173,10 @@
         """
         base = await read_newest(self.table)
         text = set_fields(base.text, ["rollouts", rollout], fields)
-        return await self.replace(text, base.revision, order)
+        return await self.replace(text, base.revision, context)
 
-    async def narrow(
-        self, path: list[str], fields: dict[str, Value], order: Order
+    async def apply_restriction(
+        self, path: list[str], fields: dict[str, Value], context: ChangeContext
     ) -> ChangeReport:
         """Proposes an edit that only restricts traffic.
 
@@ -175,13 +185,13 @@
         """
         edit = self.checked(lambda text: set_fields(text, path, fields))
         done = await propose_edit(
-            self.table, self.clock, edit, self.draft(order), CHANGE_TIMEOUT_S
+            self.table, self.clock, edit, self.draft(context), CHANGE_TIMEOUT_S
         )
-        revision = self.draft(order)
+        revision = self.draft(context)
         if isinstance(done.outcome, Accepted):
             number = done.outcome.revision
             revision = attrs.evolve(revision, revision=number)
-        report = await self.report(done.outcome, revision, order)
+        report = await self.report(done.outcome, revision, context)
         over = [await self.describe(other) for other in done.over]
         return attrs.evolve(report, over=over)
 
@@ -195,9 +205,11 @@
 
         return checked_edit
 
-    def draft(self, order: Order) -> Revision:
+    def draft(self, context: ChangeContext) -> Revision:
         """Returns a revision whose number and text are not set yet."""
-        return Revision(0, "", order.author, order.change, self.clock.time())
+        return Revision(
+            0, "", context.author, context.change, self.clock.time()
+        )
 
     @property
     def present(self) -> Configuration:
@@ -213,14 +225,14 @@
             )
 
     async def report(
-        self, outcome: ChangeOutcome, revision: Revision, order: Order
+        self, outcome: ChangeOutcome, revision: Revision, context: ChangeContext
     ) -> ChangeReport:
         """Counts an outcome, completes its follow-up and returns a report."""
         report = report_of(outcome, revision)
         self.metrics.count(f"config.change.{report.outcome}")
         match outcome:
             case Accepted(number):
-                return await self.follow_up(report, number, order)
+                return await self.follow_up(report, number, context)
             case Raced(other):
                 described = await self.describe(other)
                 return attrs.evolve(report, other=described)
@@ -228,7 +240,7 @@
                 return report
 
     async def follow_up(
-        self, report: ChangeReport, number: int, order: Order
+        self, report: ChangeReport, number: int, context: ChangeContext
     ) -> ChangeReport:
         """Broadcasts an accepted revision and waits until it is in force."""
         try:
@@ -239,7 +251,7 @@
             return report
         assert accepted is not None
         self.inforce.begin(accepted)
-        progress = await self.inforce.wait(number, order.wait_s)
+        progress = await self.inforce.wait(number, context.wait_s)
         return with_progress(report, progress)
 
     async def describe(self, other: Revision) -> OtherChange:
--- a/src/rattanpier/_internal/operators/intake.py
+++ b/src/rattanpier/_internal/operators/request_parsing.py
@@ -15,7 +15,7 @@
     RattanpierError,
     StoreUnavailableError,
 )
-from rattanpier._internal.operators.changes import Order
+from rattanpier._internal.operators.changes import ChangeContext
 from rattanpier._internal.operators.messages import error_body
 from rattanpier._internal.utils.hashing import sha256_hex
 
@@ -72,7 +72,7 @@
     return web.json_response(body, status=status)
 
 
-def order_of(request: web.Request) -> Order:
+def change_context(request: web.Request) -> ChangeContext:
     """Returns the author, id and waiting time of a change.
 
     Raises:
@@ -82,14 +82,16 @@
     author = request.headers.get(
         "X-Operator", f"key-{sha256_hex(key)[:KEY_NAME_LENGTH]}"
     )
-    wait_s = number_of(
+    wait_s = parse_number(
         request.query.get("wait_s", str(DEFAULT_WAIT_S)), "wait_s", float
     )
     change = request.headers.get("X-Change-Id") or uuid.uuid4().hex
-    return Order(author, change, min(wait_s, MAX_WAIT_S))
+    return ChangeContext(author, change, min(wait_s, MAX_WAIT_S))
 
 
-def number_of(text: str | None, name: str, kind: Callable[[str], Any]) -> Any:
+def parse_number(
+    text: str | None, name: str, kind: Callable[[str], Any]
+) -> Any:
     """Parses a non-negative number of the query.
 
     Raises:
--- a/src/rattanpier/_internal/store/ratings.py
+++ b/src/rattanpier/_internal/store/ratings.py
@@ -65,7 +65,7 @@
 class Ratings(Protocol):
     """Interface to the rating service."""
 
-    async def hand_in(self, items: Sequence[RatingItem]) -> None:
+    async def submit(self, items: Sequence[RatingItem]) -> None:
         """Submits answers for rating."""
         ...
 
@@ -92,7 +92,7 @@
         self.url = url.rstrip("/")
         self.timeout = aiohttp.ClientTimeout(total=timeout_s)
 
-    async def hand_in(self, items: Sequence[RatingItem]) -> None:
+    async def submit(self, items: Sequence[RatingItem]) -> None:
         """Submits answers for rating.
 
         Failed calls are not retried, since each submission costs money.
--- a/tests/lib/cascades.py
+++ b/tests/lib/cascades.py
@@ -30,7 +30,7 @@
         self.down = False
         self.keep_back = False
 
-    async def hand_in(self, items):
+    async def submit(self, items):
         if self.down:
             raise PlatformUnavailableError("down")
         self.items.extend(items)
