--- a/src/rattanpier/_internal/dispatch/runner.py
+++ b/src/rattanpier/_internal/dispatch/runner.py
@@ -91,7 +91,7 @@
     configuration: Callable[[], Configuration]
     claims: Claims
     dispatcher: UpstreamDispatcher
-    keeper: ClaimManager
+    claim_manager: ClaimManager
     clock: Clock
     metrics: Metrics
     holder: str
@@ -119,7 +119,7 @@
         parts = self.attempt(request, request_id)
         if request.idempotent:
             return parts
-        return detached(parts, self.keeper.spawn_tracked)
+        return detached(parts, self.claim_manager.spawn_tracked)
 
     async def attempt(
         self, request: RouteRequest, request_id: str
@@ -136,7 +136,7 @@
             log.exception("Request failed.", request=attempt.ask.holder)
             yield Refused(internal_failure())
         finally:
-            self.keeper.abandon(attempt)
+            self.claim_manager.abandon(attempt)
 
     async def run_with_replanning(
         self, attempt: Attempt
@@ -151,7 +151,7 @@
         if request.keyed:
             # The outcome of an earlier attempt takes precedence over any
             # refusal of this one.
-            self.keeper.start(attempt)
+            self.claim_manager.start(attempt)
         for plans in range(1, MAX_PLANS + 1):
             try:
                 async with aclosing(self.plan_and_run(attempt)) as parts:
@@ -160,7 +160,9 @@
                 return
             except DispatchError as error:
                 if plans == MAX_PLANS or not is_plan_stale(error, attempt):
-                    yield await self.keeper.refuse(attempt, error.refusal)
+                    yield await self.claim_manager.refuse(
+                        attempt, error.refusal
+                    )
                     return
                 self.metrics.count("dispatch.planned_again")
 
@@ -173,11 +175,11 @@
         configuration = self.configuration()
         plan = self.plan(configuration, attempt.request)
         if isinstance(plan, Refusal):
-            yield await self.keeper.refuse(attempt, plan)
+            yield await self.claim_manager.refuse(attempt, plan)
             return
         async with self.admit(attempt.request, plan) as refusal:
             if refusal is not None:
-                yield await self.keeper.refuse(attempt, refusal)
+                yield await self.claim_manager.refuse(attempt, refusal)
                 return
             run = self.claim_and_run(attempt, configuration, plan)
             async with aclosing(run) as parts:
@@ -210,7 +212,7 @@
         Raises:
           DispatchError: There is no answer, or no more of it.
         """
-        reply = await self.keeper.claim_before_dispatch(attempt)
+        reply = await self.claim_manager.claim_before_dispatch(attempt)
         if reply is not None and not may_dispatch(attempt.request, reply):
             yield refuse_claim(attempt, reply)
             return
@@ -238,7 +240,7 @@
         async with aclosing(run.chunks()) as steps:
             async for step in steps:
                 if not chunks:
-                    reply = await self.keeper.wait(attempt)
+                    reply = await self.claim_manager.wait(attempt)
                     if not is_granted(reply):
                         yield refuse_claim(attempt, reply)
                         return
@@ -250,7 +252,7 @@
                 else:
                     yield ReleasedChunk(step.chunk)
         yield Flush()
-        bill = make_bill(configuration, attempt.request, run.spent)
+        bill = make_bill(configuration, attempt.request, run.step_usages)
         refusal = await self.settle(attempt, version, bill, chunks)
         if refusal is not None:
             yield Refused(refusal)
@@ -295,7 +297,7 @@
         # The key of an unkeyed request was generated here, so no caller can
         # ask for its answer.
         keep = attempt.request.keyed
-        outcome = await self.keeper.settle(
+        outcome = await self.claim_manager.settle(
             attempt,
             ClaimResult.ANSWERED,
             bill,
--- a/src/rattanpier/_internal/dispatch/service_runner.py
+++ b/src/rattanpier/_internal/dispatch/service_runner.py
@@ -66,7 +66,7 @@
 
     configuration: Callable[[], Configuration]
     dispatcher: UpstreamDispatcher
-    keeper: ClaimManager
+    claim_manager: ClaimManager
     holder: str
     admit: Admit = admit_all
 
@@ -87,7 +87,7 @@
         work = self.attempt(request, plan, call, request_id)
         if request.idempotent:
             return await work
-        return await asyncio.shield(self.keeper.spawn_tracked(work))
+        return await asyncio.shield(self.claim_manager.spawn_tracked(work))
 
     def mark(
         self, request: RouteRequest, service: str, call: ServiceCall
@@ -127,32 +127,32 @@
             if request.keyed:
                 # The outcome of an earlier attempt takes precedence over any
                 # refusal of this one.
-                self.keeper.start(attempt)
+                self.claim_manager.start(attempt)
             if isinstance(plan, Refusal):
-                return await self.keeper.refuse(attempt, plan)
+                return await self.claim_manager.refuse(attempt, plan)
             async with self.admit(request, plan) as refusal:
                 if refusal is not None:
-                    return await self.keeper.refuse(attempt, refusal)
+                    return await self.claim_manager.refuse(attempt, refusal)
                 return await self.claim_and_run(attempt, plan.service, call)
         except DispatchError as error:
-            return await self.keeper.refuse(attempt, error.refusal)
+            return await self.claim_manager.refuse(attempt, error.refusal)
         except AssertionError:
             raise
         except Exception:
             log.exception("Call failed.", request=attempt.ask.holder)
             return Refused(internal_failure())
         finally:
-            self.keeper.abandon(attempt)
+            self.claim_manager.abandon(attempt)
 
     async def claim_and_run(
         self, attempt: Attempt, service: str, call: ServiceCall
     ) -> ServiceResult:
         """Claims and runs a call unless its claim is refused."""
-        reply = await self.keeper.claim_before_dispatch(attempt)
+        reply = await self.claim_manager.claim_before_dispatch(attempt)
         if reply is not None and not may_dispatch(attempt.request, reply):
             return refuse_claim(attempt, reply)
         answer = await dispatch_call(self.dispatcher, attempt, service, call)
-        reply = await self.keeper.wait(attempt)
+        reply = await self.claim_manager.wait(attempt)
         if not is_granted(reply):
             return refuse_claim(attempt, reply)
         refusal = await self.settle(attempt, service, answer)
@@ -167,7 +167,7 @@
           None if the answer may be released, else the refusal.
         """
         request = attempt.request
-        outcome = await self.keeper.settle(
+        outcome = await self.claim_manager.settle(
             attempt,
             ClaimResult.ANSWERED,
             Bill(request.workspace, request.key, service, 0, 0, 0.0),
--- a/src/rattanpier/_internal/dispatch/steps.py
+++ b/src/rattanpier/_internal/dispatch/steps.py
@@ -58,20 +58,20 @@
     """Runs one request through the steps of its plan.
 
     Attributes:
-      walk: Position in the steps.
+      progress: Position in the steps.
       policy: Decides whether the answer of a step is accepted.
       open_stream: Returns the stream of chunks from a version.
       may_serve: Returns whether a version may take new work.
       may_retry: Returns whether the retry budget allows another dispatch.
-      spent: Usage of each step whose answer was complete.
+      step_usages: Usage of each step whose answer was complete.
     """
 
-    walk: CascadeProgress
+    progress: CascadeProgress
     policy: CascadePolicy
     open_stream: OpenStream
     may_serve: MayServe
     may_retry: Callable[[], bool]
-    spent: list[StepUsage] = attrs.Factory(list)
+    step_usages: list[StepUsage] = attrs.Factory(list)
 
     async def chunks(self) -> AsyncIterator[StepChunk]:
         """Yields the chunks of the first step whose answer is accepted.
@@ -82,8 +82,8 @@
         Raises:
           DispatchError: No step gave an answer.
         """
-        while not self.walk.is_last:
-            version = self.walk.version
+        while not self.progress.is_last:
+            version = self.progress.version
             chunks = await self.run_step(version)
             if chunks is not None:
                 for chunk in chunks:
@@ -91,7 +91,7 @@
                 return
         async with aclosing(self.last_step()) as rest:
             async for chunk in rest:
-                yield StepChunk(self.walk.version, chunk)
+                yield StepChunk(self.progress.version, chunk)
 
     async def run_step(self, version: str) -> list[Chunk] | None:
         """Returns the accepted answer, or None to continue with the next step.
@@ -104,14 +104,14 @@
         except DispatchError:
             # The next step counts as a retry, so that failures don't double
             # the load.
-            if escalate(self.walk, self.may_serve) is Verdict.ACCEPT:
+            if escalate(self.progress, self.may_serve) is Verdict.ACCEPT:
                 raise
             if not self.may_retry():
                 raise
             return None
-        self.spent.append(step_usage(version, chunks))
+        self.step_usages.append(step_usage(version, chunks))
         verdict = self.policy.evaluate(
-            self.walk, assemble_answer(chunks), self.may_serve
+            self.progress, assemble_answer(chunks), self.may_serve
         )
         return chunks if verdict is Verdict.ACCEPT else None
 
@@ -125,7 +125,7 @@
 
     async def last_step(self) -> AsyncIterator[Chunk]:
         """Yields the chunks of the last step as they arrive."""
-        version = self.walk.version
+        version = self.progress.version
         chunks: list[Chunk] = []
         async with aclosing(self.open_stream(version)) as source:
             async for chunk in source:
@@ -133,6 +133,8 @@
                 yield chunk
         if not is_complete(chunks):
             raise incomplete_answer()
-        self.spent.append(step_usage(version, chunks))
+        self.step_usages.append(step_usage(version, chunks))
         # The verdict is not used, but the policy may still rate the answer.
-        self.policy.evaluate(self.walk, assemble_answer(chunks), self.may_serve)
+        self.policy.evaluate(
+            self.progress, assemble_answer(chunks), self.may_serve
+        )
--- a/src/rattanpier/_internal/programs/entry.py
+++ b/src/rattanpier/_internal/programs/entry.py
@@ -59,7 +59,7 @@
     )
     follow_incarnation(members, claims, handler, services)
     gate = add_gate(kernel)
-    add_detached_drain(kernel, gate, handler.runner.keeper)
+    add_detached_drain(kernel, gate, handler.runner.claim_manager)
     add_workers(kernel, settings, handler.runner.dispatcher)
     server = HttpServer(edge.app(), settings.callers, gate)
     kernel.add("edge", server, stop=server.stop)
@@ -223,7 +223,7 @@
         configuration=lambda: follower.configuration,
         claims=claims,
         dispatcher=dispatcher,
-        keeper=claim_manager,
+        claim_manager=claim_manager,
         clock=clock,
         metrics=metrics,
         holder=f"{claims.me.name}/{claims.me.incarnation}",
@@ -290,7 +290,7 @@
     runner = ServiceRunner(
         configuration=chat.runner.configuration,
         dispatcher=chat.runner.dispatcher,
-        keeper=chat.runner.keeper,
+        claim_manager=chat.runner.claim_manager,
         holder=chat.runner.holder,
     )
     return ServiceHandler(runner, settings.edge, chat.clock, chat.metrics)
--- a/tests/lib/dispatch.py
+++ b/tests/lib/dispatch.py
@@ -96,7 +96,7 @@
 
     async def __aenter__(self):
         self.session = aiohttp.ClientSession()
-        self.keeper = ClaimManager(
+        self.claim_manager = ClaimManager(
             self.claims, self.clock, self.metrics, self.spawn
         )
         dispatcher = UpstreamDispatcher(
@@ -110,7 +110,7 @@
             domain="a",
             rng=random.Random(1),
             spawn=self.spawn,
-            confirm=self.keeper.confirm,
+            confirm=self.claim_manager.confirm,
             budget=RetryBudget(self.clock),
             placement=Placement("entry-1"),
         )
@@ -118,7 +118,7 @@
             configuration=lambda: self.configuration,
             claims=self.claims,
             dispatcher=dispatcher,
-            keeper=self.keeper,
+            claim_manager=self.claim_manager,
             clock=self.clock,
             metrics=self.metrics,
             holder="entry-1/a",
@@ -127,7 +127,7 @@
         return self
 
     async def __aexit__(self, *_):
-        await self.keeper.drain()
+        await self.claim_manager.drain()
         while self.tasks:
             await asyncio.wait(list(self.tasks))
         await self.session.close()
--- a/tests/unit/test_dispatch_order.py
+++ b/tests/unit/test_dispatch_order.py
@@ -86,7 +86,7 @@
         assert upstream.runs == []
         assert part.refusal.code is RefusalCode.DEADLINE
         assert part.refusal.not_run is True
-        await harness.keeper.drain()
+        await harness.claim_manager.drain()
         claim = harness.claims.book.claims["desk", "k1"]
         assert claim.result is ClaimResult.RELEASED
 
@@ -103,7 +103,7 @@
     async with RawUpstream() as upstream, make_harness(upstream) as harness:
         harness.claims.lose_replies = True
         part = await harness.ask(NON_IDEMPOTENT)
-        await harness.keeper.drain()
+        await harness.claim_manager.drain()
         assert part.refusal.code is RefusalCode.CLAIM_UNAVAILABLE
         claim = harness.claims.book.claims["desk", "k1"]
         assert claim.result is ClaimResult.RELEASED
@@ -219,7 +219,7 @@
     async with RawUpstream() as upstream, make_harness(upstream) as harness:
         harness.runner.admit = refuse
         part = await harness.ask(build_request(keyed=keyed))
-        await harness.keeper.drain()
+        await harness.claim_manager.drain()
         assert part.refusal.code is RefusalCode.QUEUE_FULL
         assert part.refusal.not_run is True
         assert part.refusal.retry_after_s == 3.0
