--- a/src/rattanpier/_internal/placement/eligibility.py
+++ b/src/rattanpier/_internal/placement/eligibility.py
@@ -59,7 +59,7 @@
 
 
 def filter_eligible(
-    conditions: Sequence[Condition], course: RequestProgress, workers: Workers
+    conditions: Sequence[Condition], progress: RequestProgress, workers: Workers
 ) -> EligibleWorkers:
     """Returns the workers that no condition excludes.
 
@@ -67,7 +67,7 @@
     """
     excluded: dict[str, int] = {}
     for condition in conditions:
-        selected = condition.select(course, workers)
+        selected = condition.select(progress, workers)
         if len(selected) < len(workers):
             excluded[condition.name] = len(workers) - len(selected)
         workers = selected
@@ -92,14 +92,14 @@
 
 
 def in_regions(
-    region_of: Mapping[str, str], course: RequestProgress, workers: Workers
+    region_of: Mapping[str, str], progress: RequestProgress, workers: Workers
 ) -> Workers:
     """Returns the workers in the regions that route and workspace allow.
 
     If both name regions, both must allow the worker's region. A worker whose
     failure domain has no known region is excluded if any regions are named.
     """
-    request = course.request
+    request = progress.request
     allowed = [request.route.regions]
     if request.workspace is not None:
         allowed.append(request.workspace.regions)
@@ -110,17 +110,17 @@
     return workers
 
 
-def untried(course: RequestProgress, workers: Workers) -> Workers:
+def untried(progress: RequestProgress, workers: Workers) -> Workers:
     """Returns the workers that the request has not been sent to yet."""
-    if not course.tried:
+    if not progress.tried:
         return workers
-    return [each for each in workers if each.id not in course.tried]
+    return [each for each in workers if each.id not in progress.tried]
 
 
 def separate_suspects(
     is_suspect: Callable[[str], bool],
     suspect_count: Callable[[str], int],
-    course: RequestProgress,
+    progress: RequestProgress,
     workers: Workers,
 ) -> Workers:
     """Returns the workers with the fewest suspect requests.
@@ -133,10 +133,10 @@
       is_suspect: Returns whether a worker crashed while it ran a content.
       suspect_count: Returns how many suspect requests of this entry a worker
         is running.
-      course: State of the request so far.
+      progress: State of the request so far.
       workers: The workers to choose from.
     """
-    if not is_suspect(course.request.content):
+    if not is_suspect(progress.request.content):
         return workers
     counts = [suspect_count(worker.id) for worker in workers]
     least = min(counts, default=0)
--- a/src/rattanpier/_internal/programs/relay_dispatch.py
+++ b/src/rattanpier/_internal/programs/relay_dispatch.py
@@ -50,7 +50,9 @@
     pool = ConnectionPool()
     health = Health(clock, settings.policy)
     dialect = WorkerDialect(upstream.encode_request, upstream.decode_answer)
-    ends = TerminationChecks(clock, HEARTBEATS_TO_EXPIRY * settings.heartbeat_s)
+    terminations = TerminationChecks(
+        clock, HEARTBEATS_TO_EXPIRY * settings.heartbeat_s
+    )
     quarantine = Quarantine(clock)
     shares = SharedRates(fleet, clock)
     warm_ups = make_warm_ups(settings, state, shares)
@@ -88,7 +90,9 @@
     # workers that reach it. If it ran first, workers that a later requirement
     # excludes would count towards that half.
     conditions = (
-        Condition(eligibility.ENDED, lambda _, some: ends.running(some)),
+        Condition(
+            eligibility.ENDED, lambda _, some: terminations.running(some)
+        ),
         Condition(
             eligibility.DRAINED_DOMAIN,
             lambda _, some: state.domains.open_workers(some),
@@ -132,12 +136,12 @@
             settings.policy,
         ),
         sender=Sender(pool, dialect, loads, record_answer_head),
-        ends=ends,
+        terminations=terminations,
         conditions=conditions,
         available_in_s=available_in_s,
         on_request_started=record_request_started,
         limits=limits,
-        rests=backoffs,
+        backoffs=backoffs,
         quarantine=quarantine,
         rollouts=state.rollouts,
         budgets=ServiceRetryBudgets(settings.bounds, fleet.size, clock),
--- a/src/rattanpier/_internal/programs/relay_store.py
+++ b/src/rattanpier/_internal/programs/relay_store.py
@@ -111,7 +111,11 @@
         kernel.find("clock"),
         lambda: health.available,
         lambda era: entry.gossip.broadcast(StateUpdate(restored=era)),
-        (rows.lost, quarantine_rows.find_lost_rows, driver.find_lost_rows),
+        (
+            rows.find_lost_rows,
+            quarantine_rows.find_lost_rows,
+            driver.find_lost_rows,
+        ),
     )
     kernel.spawn(driver.run())
     kernel.spawn(restorer.run())
--- a/src/rattanpier/_internal/programs/relay_workers.py
+++ b/src/rattanpier/_internal/programs/relay_workers.py
@@ -60,7 +60,7 @@
     def check_incarnation(incarnation: str) -> None:
         for worker in entry.state.directory.workers.values():
             if worker.incarnation == incarnation:
-                dispatcher.ends.start_check(worker)
+                dispatcher.terminations.start_check(worker)
 
     dispatcher.quarantine.on_peer_crash = check_incarnation
     checks = LivenessChecks(
@@ -69,7 +69,7 @@
         entry.fleet,
         dispatcher.clock,
         identity_checker(session, entry.state.health_path_of, read_report),
-        dispatcher.ends.record_alive,
+        dispatcher.terminations.record_alive,
     )
     entry.kernel.spawn(checks.run())
 
@@ -77,7 +77,7 @@
 def add_queue_watch(entry: RelayEntry, read_report: ReadReport) -> None:
     """Adds the reader of engine queues and the handlers of peers' updates."""
     state = entry.state
-    backoffs = entry.edge.dispatcher.rests
+    backoffs = entry.edge.dispatcher.backoffs
     queues = QueueWatch(
         fleet=entry.fleet,
         directory=state.directory,
--- a/src/rattanpier/_internal/relay/dispatch.py
+++ b/src/rattanpier/_internal/relay/dispatch.py
@@ -76,14 +76,14 @@
       loads: Load of each worker.
       chooser: Selects among eligible workers.
       sender: Sends requests to workers.
-      ends: Which worker processes have ended.
+      terminations: Which worker processes have ended.
       conditions: Filters of eligible workers, applied in this order.
       available_in_s: Returns the seconds until a worker accepts a request; 0
         if it does now.
       on_request_started: Called with the worker of each upstream request when
         it starts.
       limits: Rate limits that workers have declared.
-      rests: Workers that asked this entry to back off.
+      backoffs: Workers that asked this entry to back off.
       quarantine: Requests under which workers crashed.
       rollouts: Roll-outs of versions.
       budgets: Upstream requests beyond the first of each request, by service.
@@ -99,12 +99,12 @@
     loads: Loads
     chooser: Chooser
     sender: Sender
-    ends: TerminationChecks
+    terminations: TerminationChecks
     conditions: Sequence[Condition]
     available_in_s: Callable[[RegisteredWorker], float]
     on_request_started: Callable[[RegisteredWorker], None]
     limits: RateLimits
-    rests: Backoffs
+    backoffs: Backoffs
     quarantine: Quarantine
     rollouts: Rollouts
     budgets: Mapping[str, ServiceRetryBudget]
@@ -332,7 +332,7 @@
         self, request: RelayRequest, worker: RegisteredWorker
     ) -> None:
         """Attributes a crash of a worker to a request, if it crashed."""
-        if not await self.ends.has_terminated(worker):
+        if not await self.terminations.has_terminated(worker):
             return
         self.metrics.count("relay.worker_ended")
         log.info(
--- a/src/rattanpier/_internal/relay/membership.py
+++ b/src/rattanpier/_internal/relay/membership.py
@@ -111,7 +111,7 @@
         log.info("Own row not written.", outcome=repr(outcome))
         return False
 
-    def lost(self, page: Page) -> Iterator[LostRow]:
+    def find_lost_rows(self, page: Page) -> Iterator[LostRow]:
         """Yields rows of live entries that are missing from the table."""
         present_keys = {row.key for row in page.rows}
         for state in self.fleet.live():
--- a/tests/placement/test_eligibility.py
+++ b/tests/placement/test_eligibility.py
@@ -37,7 +37,7 @@
 ]
 
 
-def make_course(route=(), workspace=None):
+def make_progress(route=(), workspace=None):
     request = make_request(
         route=make_route(regions=frozenset(route)),
         workspace=None
@@ -63,8 +63,8 @@
     ],
 )
 def test_regions_of_route_and_workspace_both_apply(route, workspace, allowed):
-    course = make_course(route, workspace)
-    assert ids(in_regions(REGIONS, course, WORKERS)) == allowed
+    progress = make_progress(route, workspace)
+    assert ids(in_regions(REGIONS, progress, WORKERS)) == allowed
 
 
 def test_each_condition_counts_the_workers_it_excluded():
@@ -73,7 +73,7 @@
         Condition("second", lambda _course, workers: workers),
         Condition("third", lambda _course, workers: workers[:0]),
     ]
-    found = filter_eligible(conditions, make_course(), WORKERS)
+    found = filter_eligible(conditions, make_progress(), WORKERS)
     assert found.workers == []
     assert found.excluded == {"first": 1, "third": 2}
 
@@ -83,18 +83,18 @@
     separate = functools.partial(
         separate_suspects, lambda _content: True, counts.get
     )
-    assert ids(separate(make_course(), WORKERS)) == ["w2", "w3"]
+    assert ids(separate(make_progress(), WORKERS)) == ["w2", "w3"]
     separate = functools.partial(
         separate_suspects, lambda _content: False, counts.get
     )
-    assert ids(separate(make_course(), WORKERS)) == ["w1", "w2", "w3"]
+    assert ids(separate(make_progress(), WORKERS)) == ["w1", "w2", "w3"]
 
 
 def test_refusal_names_the_conditions_that_excluded_workers():
-    course = make_course()
-    course.excluded = {"drained_domain": 2, "warming_up": 1}
-    course.available_in_s = 0.2
-    refusal = final_answer(course, 1.0).refusal
+    progress = make_progress()
+    progress.excluded = {"drained_domain": 2, "warming_up": 1}
+    progress.available_in_s = 0.2
+    refusal = final_answer(progress, 1.0).refusal
     assert refusal.not_run
     assert refusal.retry_after_s == 0.2
     assert "drained_domain 2, warming_up 1" in refusal.message
--- a/tests/relay/test_crashing_requests.py
+++ b/tests/relay/test_crashing_requests.py
@@ -175,7 +175,8 @@
     entries = [site.entries[name] for name in site.entries]
     await until(
         lambda: all(
-            entry.edge.dispatcher.ends.terminated_at for entry in entries
+            entry.edge.dispatcher.terminations.terminated_at
+            for entry in entries
         )
     )
     for entry in site.entries:
--- a/tests/relay/test_resting_workers.py
+++ b/tests/relay/test_resting_workers.py
@@ -63,9 +63,11 @@
     assert (await site.ask()).status == 503
     worker.fault = WorkerFault.NONE
     assert (await site.ask()).status == 503
-    rests = entry.edge.dispatcher.rests
+    backoffs = entry.edge.dispatcher.backoffs
     await until(
-        lambda: rests.open_workers(list(entry.state.directory.workers.values()))
+        lambda: backoffs.open_workers(
+            list(entry.state.directory.workers.values())
+        )
     )
     assert (await site.ask()).status == 200
 
@@ -78,8 +80,8 @@
     for worker in site.workers.values():
         start_shedding(worker)
     await site.ask(entry="entry-1")
-    assert first.edge.dispatcher.rests.until
-    assert not second.edge.dispatcher.rests.until
+    assert first.edge.dispatcher.backoffs.until
+    assert not second.edge.dispatcher.backoffs.until
 
 
 async def test_a_worker_that_sheds_without_retry_after_is_asked_again(site):
@@ -102,9 +104,9 @@
     workers = entry.state.directory.workers
     split = VersionSplit([workers["new"]], [workers["old"]])
     dispatcher.rollouts = types.SimpleNamespace(split=lambda *_: split)
-    dispatcher.rests.record_backoff(workers["new"].incarnation, BACKOFF_S)
-    course = RequestProgress(make_request(session=session), 1e9, "plain")
-    choice = dispatcher.find_worker(course, "")
+    dispatcher.backoffs.record_backoff(workers["new"].incarnation, BACKOFF_S)
+    progress = RequestProgress(make_request(session=session), 1e9, "plain")
+    choice = dispatcher.find_worker(progress, "")
     assert (choice and choice.worker.id) == found
-    assert course.excluded == {"resting": 1}
-    assert course.available_in_s > 0.0
+    assert progress.excluded == {"resting": 1}
+    assert progress.available_in_s > 0.0
--- a/tests/retries/test_quarantine.py
+++ b/tests/retries/test_quarantine.py
@@ -190,14 +190,14 @@
     assert not quarantine.explains_crash("w3")
 
 
-def make_course(**more):
+def make_progress(**more):
     return RequestProgress(
         make_request(), 10.0, "s", quarantined_s=500.0, **more
     )
 
 
 def test_quarantined_request_is_refused_with_retry_after():
-    found = final_answer(make_course(), 5.0)
+    found = final_answer(make_progress(), 5.0)
     assert isinstance(found, AnswerRefused)
     assert (found.status, found.refusal.code) == (503, RefusalCode.QUARANTINED)
     assert found.refusal.not_run
@@ -205,7 +205,7 @@
 
 
 def test_quarantined_request_that_may_have_run_gets_no_retry_after():
-    found = final_answer(make_course(sent=3, may_have_run=True), 5.0)
+    found = final_answer(make_progress(sent=3, may_have_run=True), 5.0)
     assert isinstance(found, AnswerRefused)
     assert (found.status, found.refusal.not_run) == (502, False)
     assert found.refusal.retry_after_s is None
@@ -213,5 +213,5 @@
 
 def test_failure_response_of_worker_is_still_forwarded():
     failure = CompleteAnswer(500, (), b"")
-    course = make_course(sent=1, may_have_run=True, failure=failure)
-    assert final_answer(course, 5.0) is failure
+    progress = make_progress(sent=1, may_have_run=True, failure=failure)
+    assert final_answer(progress, 5.0) is failure
