--- a/src/rattanpier/_internal/relay/connection.py
+++ b/src/rattanpier/_internal/relay/connection.py
@@ -92,7 +92,7 @@
       idle_since: End of the last exchange, in seconds of the loop's clock.
       idle_limit_s: Seconds for which the connection may be idle and be reused.
       closed: Whether nothing more can be sent.
-      eof_fed: Whether the parser was told of an orderly end.
+      eof_fed: Whether the parser received the orderly end.
       reset_error: Error by which the connection was lost, or None.
       answered_requests: Number of exchanges finished on the connection.
     """
@@ -145,7 +145,7 @@
         self.wake_reader()
 
     def feed_eof(self) -> None:
-        """Tells the parser once that the connection ended in an orderly way."""
+        """Signals an orderly end of the connection to the parser, once."""
         if self.parser is not None and not self.eof_fed:
             self.eof_fed = True
             self.parser.receive_data(b"")
--- a/src/rattanpier/_internal/relay/exchange.py
+++ b/src/rattanpier/_internal/relay/exchange.py
@@ -153,7 +153,7 @@
         """Sends a request and yields its answer once the head was received.
 
         Leaving the context before the answer is complete closes the connection,
-        which tells the worker to stop.
+        which signals the worker to stop.
 
         Args:
           request: Request to send.
--- a/src/rattanpier/_internal/relay/exposure.py
+++ b/src/rattanpier/_internal/relay/exposure.py
@@ -2,8 +2,8 @@
 
 Operators limit the requests that a bad version may get between its order and
 the order's deadline. Some versions are bad only under a load that doesn't occur
-in that time, and can't be told from good ones. Therefore the limit is kept for
-every version: it takes over only when the rest of the limit covers the
+in that time, and can't be distinguished from good ones. Therefore the limit is
+kept for every version: it takes over only when the rest of the limit covers the
 remaining requests, however good the evidence is.
 
 Pure functions of answer counts, without a clock or a network.
--- a/src/rattanpier/_internal/rollout/changes.py
+++ b/src/rattanpier/_internal/rollout/changes.py
@@ -54,7 +54,7 @@
 
 @attrs.frozen
 class ChangeWriter:
-    """What is needed to write a change.
+    """Dependencies for writing a change to the configuration.
 
     Attributes:
       table: The table service.
@@ -75,7 +75,7 @@
     Args:
       writer: Where to write.
       held_lease: The driver's lease.
-      change: What is changed.
+      change: Subject and author of the change.
       share: The new share, from 0 to 1.
     """
     done = share >= FULL_SHARE
@@ -102,7 +102,7 @@
     Args:
       writer: Where to write.
       held_lease: The driver's lease.
-      change: What is changed.
+      change: Subject and author of the change.
       withdraw: Whether to withdraw the candidate, so that it gets no new work
         at all. If an operator halted it, this is left to the operator.
     """
--- a/tests/relay/test_restored_workers.py
+++ b/tests/relay/test_restored_workers.py
@@ -1,8 +1,8 @@
 """Registrations in a store that was restored from a backup.
 
 The backup may list workers that were removed, list draining ones as ready, and
-lack those that registered later. The sequence of a registration tells which of
-two is newer, where the store's versions don't.
+lack those that registered later. The sequence of a registration shows which of
+two is newer where the versions of the store can't.
 """
 
 import pytest
