--- a/tests/lib/restored_store.py
+++ b/tests/lib/restored_store.py
@@ -31,7 +31,7 @@
         await until(
             lambda entry=entry: (
                 len(entry.fleet.live()) == count
-                and all(news.store for news in entry.fleet.live())
+                and all(state.store for state in entry.fleet.live())
             )
         )
 
--- a/tests/placement/test_eligibility.py
+++ b/tests/placement/test_eligibility.py
@@ -172,8 +172,8 @@
         url = f"http://{asked.settings.directory}/rattanpier/resolve"
         query = {"name": HOST, "region": region, "zone": "zone-a"}
         async with site.session.get(url, params=query) as response:
-            told = (await response.json())["addresses"]
-        assert set(told) == {
+            addresses = (await response.json())["addresses"]
+        assert set(addresses) == {
             str(site.entries[name].settings.callers) for name in names
         }
 
--- a/tests/relay/test_early_callers.py
+++ b/tests/relay/test_early_callers.py
@@ -175,7 +175,7 @@
         for name in ("e2", "e3", "e4")
     )
     snapshots = Snapshots(fleet, None, clock, None, None, None)
-    names = [news.member.name for news in snapshots.candidate_peers()]
+    names = [state.member.name for state in snapshots.candidate_peers()]
     assert set(names[: len(asked)]) == asked
     assert len(names) == (len(asked) if reaches_store else MAX_PEERS_ASKED)
 
--- a/tests/relay/test_queue_watch.py
+++ b/tests/relay/test_queue_watch.py
@@ -46,7 +46,7 @@
         directory=directory,
         loads=Loads(clock),
         notify_all=published.append,
-        notify_one=lambda news, name: sent.append((name, news)),
+        notify_one=lambda message, name: sent.append((name, message)),
         clock=clock,
         engines=lambda: ["engine"],
         read=read,
@@ -119,11 +119,11 @@
     for name in names:
         others = [other for other in names if other != name]
         watch, polled[name], _ = make_watch(clock, reports, others, name)
-        watch.notify_all = lambda news, name=name: published.append(
-            (name, news)
+        watch.notify_all = lambda message, name=name: published.append(
+            (name, message)
         )
-        watch.notify_one = lambda news, to: watches[to].receive_part(
-            news.queue_part
+        watch.notify_one = lambda message, to: watches[to].receive_part(
+            message.queue_part
         )
         watches[name] = watch
     return watches, polled, published
--- a/tests/relay/test_spread.py
+++ b/tests/relay/test_spread.py
@@ -124,7 +124,7 @@
     entry = ring.entries["e003"]
     entry.fleet.update_own_state(ready=False)
     await ring.run_rounds(2)
-    assert ring.share_knowing("e003", lambda news: not news.ready) == 1.0
+    assert ring.share_knowing("e003", lambda state: not state.ready) == 1.0
     _, mean_bytes = ring.max_and_mean("bytes")
     assert mean_bytes <= 2 * 6 * 100 + 1000
 
@@ -137,7 +137,7 @@
     written = []
     for entry in ring.entries.values():
         written.append(entry.fleet.me)
-        entry.fleet.apply_states(news for news in written[:-1])
+        entry.fleet.apply_states(state for state in written[:-1])
     await ring.run_rounds(6)
     assert all(len(e.fleet.peers) == size - 1 for e in ring.live())
     _, mean = ring.max_and_mean("messages")
@@ -178,7 +178,7 @@
     await ring.run_rounds(2)
     for number in range(0, size, 10):
         assert (
-            ring.share_knowing(f"e{number:03}", lambda news: not news.listed)
+            ring.share_knowing(f"e{number:03}", lambda state: not state.listed)
             == 1.0
         )
 
@@ -196,7 +196,9 @@
     else:
         ring.partitioned = set(lost)
     await ring.run_rounds(14)
-    known = [ring.share_knowing(name, lambda news: news.down) for name in lost]
+    known = [
+        ring.share_knowing(name, lambda state: state.down) for name in lost
+    ]
     assert min(known) == 1.0
 
 
@@ -222,9 +224,9 @@
     ring.loss_ratio = 0.0
     await ring.run_rounds(4)
     assert all(
-        not news.down
+        not state.down
         for entry in ring.live()
-        for news in entry.fleet.peers.values()
+        for state in entry.fleet.peers.values()
     )
 
 
--- a/tests/retries/test_quarantine.py
+++ b/tests/retries/test_quarantine.py
@@ -108,9 +108,9 @@
     clock = ManualClock()
     first, second = make_quarantine(clock), make_quarantine(clock)
     crash_workers(first, DEADLY, CRASHES_TO_QUARANTINE)
-    news = first.full_update()
-    second.apply_update(attrs.evolve(news, ends=news.ends[::-1]))
-    second.apply_update(news)
+    update = first.full_update()
+    second.apply_update(attrs.evolve(update, ends=update.ends[::-1]))
+    second.apply_update(update)
     assert second.crashes == first.crashes
 
 
