--- a/src/rattanpier/_internal/commands/losses.py
+++ b/src/rattanpier/_internal/commands/losses.py
@@ -6,12 +6,12 @@
 
 from rattanpier._internal.commands.result import Result, make_table
 from rattanpier._internal.exceptions import CommandError
-from rattanpier._internal.trace.causes import Timeline, by_request
+from rattanpier._internal.trace.causes import Timeline, group_by_request
 from rattanpier._internal.trace.log_lines import read_lines
 from rattanpier._internal.trace.losses import (
-    by_moment,
-    by_route,
-    read_end,
+    group_by_route,
+    group_by_time,
+    read_outcome,
 )
 
 STEP_S = 5.0
@@ -29,10 +29,10 @@
     if not 0.1 <= step_s < float("inf"):
         raise CommandError(f"step_s is {step_s!r}", "give 0.1 or more")
     timeline = Timeline()
-    found = by_request(read_lines(files or ("-",)), timeline)
-    ends = [read_end(lines, timeline) for lines in found.values()]
-    routes = list(by_route(ends))
-    moments = list(by_moment(ends, step_s))
+    found = group_by_request(read_lines(files or ("-",)), timeline)
+    ends = [read_outcome(lines, timeline) for lines in found.values()]
+    routes = list(group_by_route(ends))
+    moments = list(group_by_time(ends, step_s))
     table = make_table(
         "Losses by route",
         ("route", "requests", "lost by", "of them", "median s", "95 % s"),
--- a/src/rattanpier/_internal/commands/trace_request.py
+++ b/src/rattanpier/_internal/commands/trace_request.py
@@ -12,8 +12,8 @@
 from rattanpier._internal.trace.causes import (
     Cause,
     Timeline,
-    by_request,
     find_cause,
+    group_by_request,
 )
 from rattanpier._internal.trace.log_lines import LogLine, read_lines
 
@@ -28,7 +28,7 @@
       files: With the lines of all entries; standard input if there are none.
     """
     timeline = Timeline()
-    found = by_request(read_lines(files or ("-",)), timeline)
+    found = group_by_request(read_lines(files or ("-",)), timeline)
     # An id of digits alone arrives as a number.
     lines = found.get(str(id))
     if not lines:
@@ -46,7 +46,7 @@
         "lines": [attrs.asdict(line) for line in lines],
         "eras": timeline.eras,
     }
-    return Result(data, [table, cause.sentence, *timeline.tell_eras()])
+    return Result(data, [table, cause.sentence, *timeline.describe_eras()])
 
 
 def why(*files: str, since: str = "", until: str = "") -> Result:
@@ -58,7 +58,7 @@
       until: Requests whose first line is earlier than this.
     """
     timeline = Timeline()
-    found = by_request(read_lines(files or ("-",)), timeline)
+    found = group_by_request(read_lines(files or ("-",)), timeline)
     counted: dict[str, list[tuple[str, str, Cause]]] = collections.defaultdict(
         list
     )
@@ -97,7 +97,7 @@
             "causes": data,
             "eras": timeline.eras,
         },
-        [table, sentence, *timeline.tell_eras()],
+        [table, sentence, *timeline.describe_eras()],
         code,
     )
 
--- a/src/rattanpier/_internal/programs/entry.py
+++ b/src/rattanpier/_internal/programs/entry.py
@@ -80,9 +80,9 @@
     kernel.add("trace", recorder, stop=recorder.close)
     follower = kernel.find("follower")
     follower.current.subscribe(
-        lambda current: recorder.note_revision(current, follower.text)
+        lambda current: recorder.record_revision(current, follower.text)
     )
-    handler.runner.observe = recorder.note_plan
+    handler.runner.observe = recorder.record_plan
 
 
 def follow_incarnation(
--- a/src/rattanpier/_internal/trace/causes.py
+++ b/src/rattanpier/_internal/trace/causes.py
@@ -11,13 +11,13 @@
 from rattanpier._internal.trace.log_lines import LogLine
 
 SENT = "dispatch: Sent."
-FAILED = "dispatch: Send failed."
+SEND_FAILED = "dispatch: Send failed."
 WORKER_FAILED = "dispatch: Worker failed."
 STARTED = "main: Started."
 STOPPING = "main: Stopping."
-ERA_BEGAN = "store: Store came back from an older copy."
-FIRST_FAILURE = 500
-NO_WORKER = "no worker takes work: "
+STORE_RESTORED = "store: Store came back from an older copy."
+MIN_FAILURE_STATUS = 500
+NO_WORKER_PREFIX = "no worker takes work: "
 
 
 @attrs.frozen
@@ -54,17 +54,17 @@
         lambda: collections.defaultdict(list)
     )
 
-    def take(self, line: LogLine) -> None:
+    def record(self, line: LogLine) -> None:
         """Takes a line in, whatever it says."""
         if line.event == STARTED:
             bisect.insort(self.started[line.node], line.at)
         elif line.event == STOPPING:
             bisect.insort(self.stopping[line.node], line.at)
-        elif line.event == ERA_BEGAN:
+        elif line.event == STORE_RESTORED:
             era = int(line.fields.get("era", 0))
             self.eras[era] = min(line.at, self.eras.get(era, line.at))
 
-    def tell_eras(self) -> list[str]:
+    def describe_eras(self) -> list[str]:
         """Returns a sentence for each return of the store from a copy."""
         return [
             f"The store came back from an older copy at {at} (era {era}): what "
@@ -84,22 +84,22 @@
         index = bisect.bisect_right(stops, until)
         if index == 0:
             return False
-        began = bisect.bisect_left(self.started[node], until)
-        before = self.started[node][began - 1] if began else ""
+        start_index = bisect.bisect_left(self.started[node], until)
+        before = self.started[node][start_index - 1] if start_index else ""
         return stops[index - 1] > before
 
 
-def by_request(
+def group_by_request(
     lines: Iterable[LogLine], timeline: Timeline
 ) -> dict[str, list[LogLine]]:
     """Returns the lines of each request in the order of their times."""
     found: dict[str, list[LogLine]] = collections.defaultdict(list)
     for line in lines:
-        timeline.take(line)
+        timeline.record(line)
         if line.request:
             found[line.request].append(line)
-    for of_one in found.values():
-        of_one.sort(key=lambda line: line.at)
+    for request_lines in found.values():
+        request_lines.sort(key=lambda line: line.at)
     return found
 
 
@@ -111,78 +111,80 @@
       timeline: Of all VMs.
     """
     for line in reversed(lines):
-        judge = ENDS.get(line.event)
-        if judge is not None:
-            return judge(line, lines)
-    return unfinished(lines[-1], timeline)
+        classify = END_CLASSIFIERS.get(line.event)
+        if classify is not None:
+            return classify(line, lines)
+    return unfinished_cause(lines[-1], timeline)
 
 
-def left(line: LogLine, lines: Sequence[LogLine]) -> Cause:
+def caller_left_cause(line: LogLine, lines: Sequence[LogLine]) -> Cause:
     """Returns the cause where the caller did not wait."""
     return Cause(
         "caller left",
         f"The caller left after {line.fields.get('total_s')} s; "
-        f"{tell_sends(lines)}.",
+        f"{list_sends(lines)}.",
         True,
     )
 
 
-def refused(line: LogLine, lines: Sequence[LogLine]) -> Cause:
+def refusal_cause(line: LogLine, lines: Sequence[LogLine]) -> Cause:
     """Returns the cause of a refusal."""
     code = str(line.fields.get("code"))
-    kept_by = conditions_of(str(line.fields.get("reason")))
+    conditions = parse_conditions(str(line.fields.get("reason")))
     ran = "has not run" if line.fields.get("not_run") else "may have run"
     return Cause(
-        f"refused: {code}" + (f", {kept_by}" if kept_by else ""),
+        f"refused: {code}" + (f", {conditions}" if conditions else ""),
         f"Refused with {line.fields.get('status')} ({code}), since "
-        f"{line.fields.get('reason')!r}; it {ran}; {tell_sends(lines)}.",
+        f"{line.fields.get('reason')!r}; it {ran}; {list_sends(lines)}.",
         True,
     )
 
 
-def conditions_of(reason: str) -> str:
+def parse_conditions(reason: str) -> str:
     """Returns the conditions that left no worker, as a refusal tells them.
 
-    >>> conditions_of("no worker takes work: resting 2, tried 1")
+    >>> parse_conditions("no worker takes work: resting 2, tried 1")
     'resting, tried'
     """
-    _, told, counts = reason.partition(NO_WORKER)
+    _, matched, counts = reason.partition(NO_WORKER_PREFIX)
     names = (each.split(" ")[0] for each in counts.split(", "))
-    return ", ".join(names) if told else ""
+    return ", ".join(names) if matched else ""
 
 
-def answered(line: LogLine, lines: Sequence[LogLine]) -> Cause:
+def answer_cause(line: LogLine, lines: Sequence[LogLine]) -> Cause:
     """Returns the cause of an answer, which may be a worker's failure."""
     outcome = str(line.fields.get("outcome"))
     took = f"after {line.fields.get('total_s')} s"
     if outcome.startswith("cut"):
         return Cause(
             "cut",
-            f"The answer broke off {took} ({outcome}); {tell_sends(lines)}.",
+            f"The answer broke off {took} ({outcome}); {list_sends(lines)}.",
             True,
         )
-    if outcome.isdecimal() and int(outcome) >= FIRST_FAILURE:
+    if outcome.isdecimal() and int(outcome) >= MIN_FAILURE_STATUS:
         workers = [each for each in lines if each.event == WORKER_FAILED]
         return Cause(
             "worker failed",
             f"{len(workers)} workers ran it and failed, the last with "
-            f"{outcome}; {tell_sends(lines)}.",
+            f"{outcome}; {list_sends(lines)}.",
             True,
         )
     return Cause(
-        "answered", f"Answered {took} ({outcome}); {tell_sends(lines)}.", False
+        "answered",
+        f"Answered {took} ({outcome}); {list_sends(lines)}.",
+        False,
     )
 
 
 # The lines that tell a request's end.
-ENDS: dict[str, Callable[[LogLine, Sequence[LogLine]], Cause]] = {
-    "edge: Refused.": refused,
-    "edge: Answered.": answered,
-    "edge: Caller left.": left,
+END_CLASSIFIERS: dict[str, Callable[[LogLine, Sequence[LogLine]], Cause]] = {
+    "edge: Refused.": refusal_cause,
+    "edge: Answered.": answer_cause,
+    "edge: Caller left.": caller_left_cause,
 }
 
 
-def unfinished(last: LogLine, timeline: Timeline) -> Cause:
+def unfinished_cause(last: LogLine, timeline: Timeline) -> Cause:
     """Returns the cause where no line tells the end."""
     start = timeline.next_start(last.node, last.at)
     if not start:
@@ -206,13 +208,13 @@
     )
 
 
-def tell_sends(lines: Sequence[LogLine]) -> str:
+def list_sends(lines: Sequence[LogLine]) -> str:
     """Returns in words to whom a request was sent and what failed."""
-    parts = list(send_words(lines))
+    parts = list(iter_send_phrases(lines))
     return ", then ".join(parts) if parts else "it was sent to no worker"
 
 
-def send_words(lines: Sequence[LogLine]) -> Iterator[str]:
+def iter_send_phrases(lines: Sequence[LogLine]) -> Iterator[str]:
     """Yields a phrase for each send."""
     for index, line in enumerate(lines):
         if line.event != SENT:
@@ -229,7 +231,7 @@
                 each
                 for each in lines[index + 1 :]
                 if each.fields.get("worker") == worker
-                and each.event in (FAILED, WORKER_FAILED)
+                and each.event in (SEND_FAILED, WORKER_FAILED)
             ),
             None,
         )
--- a/src/rattanpier/_internal/trace/losses.py
+++ b/src/rattanpier/_internal/trace/losses.py
@@ -14,7 +14,7 @@
 import attrs
 
 from rattanpier._internal.trace.causes import (
-    FAILED,
+    SEND_FAILED,
     WORKER_FAILED,
     Timeline,
     find_cause,
@@ -26,11 +26,11 @@
 JUDGED = "dispatch: Answer judged."
 # A first answer that is late by more than this share of its objective at the
 # smaller model is blamed on it, not on the larger one asked after it.
-HALF = 0.5
+LARGER_MODEL_MIN_SHARE = 0.5
 
 
 @attrs.frozen
-class Ended:
+class RequestOutcome:
     """How one request ended.
 
     Attributes:
@@ -65,7 +65,9 @@
     most_s: float
 
 
-def read_end(lines: Sequence[LogLine], timeline: Timeline) -> Ended:
+def read_outcome(
+    lines: Sequence[LogLine], timeline: Timeline
+) -> RequestOutcome:
     """Returns how a request ended.
 
     Args:
@@ -85,7 +87,7 @@
         heading = ""
     else:
         heading = find_lateness(last, lines) or find_doubt(lines)
-    return Ended(lines[0].at, route, heading, first_s)
+    return RequestOutcome(lines[0].at, route, heading, first_s)
 
 
 def find_last(lines: Sequence[LogLine], event: str) -> LogLine | None:
@@ -102,32 +104,36 @@
     if taken_s is None:
         taken_s = end.fields.get("total_s") or 0.0
     if taken_s > objective_s > 0.0:
-        return f"late: {blame(lines, objective_s)}"
+        return f"late: {find_lateness_reason(lines, objective_s)}"
     if gap_s > allowed_s > 0.0:
-        failed = any(line.event == FAILED for line in lines)
+        failed = any(line.event == SEND_FAILED for line in lines)
         return "late: pause, worker failed" if failed else "late: pause"
     return ""
 
 
-def blame(lines: Sequence[LogLine], objective_s: float) -> str:
+def find_lateness_reason(lines: Sequence[LogLine], objective_s: float) -> str:
     """Returns what took the time until an answer's first piece."""
-    failures = [line for line in lines if line.event in (FAILED, WORKER_FAILED)]
+    failures = [
+        line for line in lines if line.event in (SEND_FAILED, WORKER_FAILED)
+    ]
     if failures:
         return "a worker failed first"
     judged = find_last(lines, JUDGED)
     first = find_last(lines, FIRST_EVENT)
     if judged is not None and judged.fields.get("kept") is None:
         at_larger_s = 0.0 if first is None else first.fields.get("worker_s", 0)
-        if at_larger_s < HALF * objective_s:
+        if at_larger_s < LARGER_MODEL_MIN_SHARE * objective_s:
             return "the first answer came late, then a larger model's"
-        return f"a larger model began late{predicted(judged, at_larger_s)}"
+        return (
+            f"a larger model began late{prediction_suffix(judged, at_larger_s)}"
+        )
     return "the worker began late"
 
 
-def predicted(judged: LogLine, took_s: float) -> str:
+def prediction_suffix(judged: LogLine, took_s: float) -> str:
     """Says whether that was foreseen when the larger model was asked."""
-    foreseen_s = judged.fields.get("first_s") or 0.0
-    return ", unforeseen" if took_s > 2 * foreseen_s else ""
+    predicted_s = judged.fields.get("first_s") or 0.0
+    return ", unforeseen" if took_s > 2 * predicted_s else ""
 
 
 def find_doubt(lines: Sequence[LogLine]) -> str:
@@ -138,26 +144,26 @@
     return f"doubtful, kept for {judged.fields['kept']}"
 
 
-def by_route(ends: Iterable[Ended]) -> Iterator[RouteLosses]:
+def group_by_route(ends: Iterable[RequestOutcome]) -> Iterator[RouteLosses]:
     """Yields each route's losses, the route with most requests first."""
-    found: dict[str, list[Ended]] = collections.defaultdict(list)
+    found: dict[str, list[RequestOutcome]] = collections.defaultdict(list)
     for end in ends:
         found[end.route].append(end)
-    for route, of_one in sorted(found.items(), key=lambda item: -len(item[1])):
+    for route, group in sorted(found.items(), key=lambda item: -len(item[1])):
         headings = collections.Counter(
-            end.heading for end in of_one if end.heading
+            end.heading for end in group if end.heading
         )
-        firsts = [end.first_s for end in of_one if end.first_s is not None]
-        median_s, most_s = middle_and_most(firsts)
+        firsts = [end.first_s for end in group if end.first_s is not None]
+        median_s, most_s = median_and_p95(firsts)
         yield RouteLosses(
-            route, len(of_one), dict(headings.most_common()), median_s, most_s
+            route, len(group), dict(headings.most_common()), median_s, most_s
         )
 
 
-def middle_and_most(samples: Sequence[float]) -> tuple[float, float]:
+def median_and_p95(samples: Sequence[float]) -> tuple[float, float]:
     """Returns the median and the 95th of 100; zeros for none.
 
-    >>> middle_and_most([1.0, 2.0, 3.0])[0]
+    >>> median_and_p95([1.0, 2.0, 3.0])[0]
     2.0
     """
     if len(samples) < 2:
@@ -166,8 +172,8 @@
     return parts[9], parts[18]
 
 
-def by_moment(
-    ends: Iterable[Ended], step_s: float
+def group_by_time(
+    ends: Iterable[RequestOutcome], step_s: float
 ) -> Iterator[tuple[float, int, dict[str, int]]]:
     """Yields for each step of time its start, requests and headings.
 
@@ -176,21 +182,21 @@
     timed = sorted(ends, key=lambda end: end.at)
     if not timed:
         return
-    began = seconds_of(timed[0].at)
-    steps: dict[int, list[Ended]] = collections.defaultdict(list)
+    began = unix_seconds(timed[0].at)
+    steps: dict[int, list[RequestOutcome]] = collections.defaultdict(list)
     for end in timed:
-        steps[int((seconds_of(end.at) - began) / step_s)].append(end)
-    for step, of_one in sorted(steps.items()):
+        steps[int((unix_seconds(end.at) - began) / step_s)].append(end)
+    for step, group in sorted(steps.items()):
         headings = collections.Counter(
-            end.heading for end in of_one if end.heading
+            end.heading for end in group if end.heading
         )
-        yield step * step_s, len(of_one), dict(headings.most_common())
+        yield step * step_s, len(group), dict(headings.most_common())
 
 
-def seconds_of(at: str) -> float:
+def unix_seconds(at: str) -> float:
     """Returns a line's time in Unix seconds; 0 where it can't be read.
 
-    >>> seconds_of("1970-01-01T00:00:01.5Z")
+    >>> unix_seconds("1970-01-01T00:00:01.5Z")
     1.5
     """
     try:
--- a/src/rattanpier/_internal/trace/record.py
+++ b/src/rattanpier/_internal/trace/record.py
@@ -52,12 +52,12 @@
         if self.written >= MAX_CHARACTERS:
             log.warning("Trace is full.", characters=self.written)
 
-    def note_revision(self, configuration: Configuration, text: str) -> None:
+    def record_revision(self, configuration: Configuration, text: str) -> None:
         """Records a revision that came into force."""
         if configuration.revision > 0:
             self.write(RevisionOffered(configuration.revision, text))
 
-    def note_plan(
+    def record_plan(
         self,
         request: RouteRequest,
         plan: Plan | Refusal,
--- a/src/rattanpier/_internal/trace/replay.py
+++ b/src/rattanpier/_internal/trace/replay.py
@@ -25,7 +25,7 @@
 
 
 @attrs.define
-class State:
+class ReplayState:
     """What the decisions rest on."""
 
     configuration: Configuration = attrs.Factory(Configuration)
@@ -35,12 +35,12 @@
 
 def replay_events(events: Iterable[Event]) -> Iterator[str]:
     """Yields what is decided at each event, in words."""
-    state = State()
+    state = ReplayState()
     for event in events:
-        yield decide(state, event)
+        yield replay_event(state, event)
 
 
-def decide(state: State, event: Event) -> str:
+def replay_event(state: ReplayState, event: Event) -> str:
     """Takes an event in and returns what is decided."""
     match event:
         case Started():
@@ -49,7 +49,7 @@
             state.braked = []
             return "started"
         case RevisionOffered():
-            return take_revision(state, event)
+            return apply_revision(state, event)
         case Braked():
             state.braked = event.versions
             return f"braked {' '.join(event.versions)}".strip()
@@ -59,12 +59,12 @@
             )
         case Asked():
             decision = state.book.ask(event.ask, lambda _: event.holder_alive)
-            return take_decision(state, decision)
+            return apply_decision(state, decision)
         case Settled():
-            return take_decision(state, state.book.settle(event.op))
+            return apply_decision(state, state.book.settle(event.op))
 
 
-def take_revision(state: State, event: RevisionOffered) -> str:
+def apply_revision(state: ReplayState, event: RevisionOffered) -> str:
     """Puts a revision in force unless it is not newer."""
     if event.revision > state.configuration.revision:
         parsed = parse_configuration(event.text, "trace")
@@ -72,7 +72,7 @@
     return f"revision {state.configuration.revision}"
 
 
-def take_decision(state: State, decision: Decision) -> str:
+def apply_decision(state: ReplayState, decision: Decision) -> str:
     """Applies a decision on a claim and returns it in words."""
     if decision.op is not None:
         state.book.apply(decision.op)
--- a/tests/unit/test_replay.py
+++ b/tests/unit/test_replay.py
@@ -51,11 +51,11 @@
     path = tmp_path / "trace.jsonl"
     recorder = open_recorder(str(path), NodeSettings("entry-1", "a"))
     configuration = build_configuration()
-    recorder.note_revision(configuration, make_text(["http://127.0.0.1:1"]))
+    recorder.record_revision(configuration, make_text(["http://127.0.0.1:1"]))
     request = build_request(body={"secret": "words"}, pinned=LARGE)
     for braked in ([], [LARGE], [SMALL, LARGE]):
         plan = make_plan(configuration, request, braked)
-        recorder.note_plan(request, plan, braked)
+        recorder.record_plan(request, plan, braked)
     await recorder.close()
     assert "words" not in path.read_text()
     assert replay_file(str(path)) == [
