--- a/src/rattanpier/_internal/trace/causes.py
+++ b/src/rattanpier/_internal/trace/causes.py
@@ -1,4 +1,4 @@
-"""What decided a request's end, found from its log lines."""
+"""Determines from log lines why a request ended as it did."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
     """Why a request ended as it did.
 
     Attributes:
-      code: Stable name, to count by.
-      sentence: For people.
-      failed: The caller got no whole answer of a worker.
+      code: Stable name to group causes by.
+      sentence: Explanation for people.
+      failed: Whether the caller got no complete answer from a worker.
     """
 
     code: str
@@ -37,13 +37,13 @@
 
 @attrs.define
 class Timeline:
-    """When VMs' processes started and were told to stop, and more.
+    """Process starts, planned stops and store restorations of all VMs.
 
     Attributes:
-      eras: When the store came back from an older copy, by the era that began
-        then: the first line of any VM that says so.
-      started: Sorted times by node.
-      stopping: The same of planned stops.
+      eras: When the store was restored from an older copy, by the era that
+        began then. The earliest line of any VM counts.
+      started: Sorted start times by node.
+      stopping: Sorted times of planned stops by node.
     """
 
     eras: dict[int, str] = attrs.Factory(dict)
@@ -55,7 +55,7 @@
     )
 
     def record(self, line: LogLine) -> None:
-        """Takes a line in, whatever it says."""
+        """Records a log line; lines of other events are ignored."""
         if line.event == STARTED:
             bisect.insort(self.started[line.node], line.at)
         elif line.event == STOPPING:
@@ -65,7 +65,7 @@
             self.eras[era] = min(line.at, self.eras.get(era, line.at))
 
     def describe_eras(self) -> list[str]:
-        """Returns a sentence for each return of the store from a copy."""
+        """Returns one sentence for each restoration of the store."""
         return [
             f"The store came back from an older copy at {at} (era {era}): what "
             "was written to it just before was lost until it was written again."
@@ -73,13 +73,16 @@
         ]
 
     def next_start(self, node: str, at: str) -> str:
-        """Returns when a node started next after a time, or nothing."""
+        """Returns the first start of a node after a time, empty if none."""
         times = self.started[node]
         index = bisect.bisect_right(times, at)
         return times[index] if index < len(times) else ""
 
     def was_planned(self, node: str, until: str) -> bool:
-        """Says whether the last stop before a start was a planned one."""
+        """Returns whether a planned stop preceded the start at `until`.
+
+        Stops before the previous start of the node do not count.
+        """
         stops = self.stopping[node]
         index = bisect.bisect_right(stops, until)
         if index == 0:
@@ -92,7 +95,10 @@
 def group_by_request(
     lines: Iterable[LogLine], timeline: Timeline
 ) -> dict[str, list[LogLine]]:
-    """Returns the lines of each request in the order of their times."""
+    """Returns the log lines by request id, each list sorted by time.
+
+    Every line is also recorded in the timeline.
+    """
     found: dict[str, list[LogLine]] = collections.defaultdict(list)
     for line in lines:
         timeline.record(line)
@@ -104,11 +110,11 @@
 
 
 def find_cause(lines: Sequence[LogLine], timeline: Timeline) -> Cause:
-    """Returns what decided a request's end.
+    """Returns why a request ended as it did.
 
     Args:
-      lines: All of the request, in order; at least one.
-      timeline: Of all VMs.
+      lines: All log lines of the request, sorted by time; at least one.
+      timeline: Starts and stops of all VMs.
     """
     for line in reversed(lines):
         classify = END_CLASSIFIERS.get(line.event)
@@ -118,7 +124,7 @@
 
 
 def caller_left_cause(line: LogLine, lines: Sequence[LogLine]) -> Cause:
-    """Returns the cause where the caller did not wait."""
+    """Returns the cause for a caller that disconnected."""
     return Cause(
         "caller left",
         f"The caller left after {line.fields.get('total_s')} s; "
@@ -128,7 +134,7 @@
 
 
 def refusal_cause(line: LogLine, lines: Sequence[LogLine]) -> Cause:
-    """Returns the cause of a refusal."""
+    """Returns the cause for a refused request."""
     code = str(line.fields.get("code"))
     conditions = parse_conditions(str(line.fields.get("reason")))
     ran = "has not run" if line.fields.get("not_run") else "may have run"
@@ -141,7 +147,9 @@
 
 
 def parse_conditions(reason: str) -> str:
-    """Returns the conditions that left no worker, as a refusal tells them.
+    """Returns the conditions that excluded all workers, from a reason.
+
+    The result is empty if the reason names none.
 
     >>> parse_conditions("no worker takes work: resting 2, tried 1")
     'resting, tried'
@@ -152,7 +160,7 @@
 
 
 def answer_cause(line: LogLine, lines: Sequence[LogLine]) -> Cause:
-    """Returns the cause of an answer, which may be a worker's failure."""
+    """Returns the cause for an answer, which may report a worker failure."""
     outcome = str(line.fields.get("outcome"))
     took = f"after {line.fields.get('total_s')} s"
     if outcome.startswith("cut"):
@@ -176,7 +184,7 @@
     )
 
 
-# The lines that tell a request's end.
+# Maps events that end a request to the functions that classify them.
 END_CLASSIFIERS: dict[str, Callable[[LogLine, Sequence[LogLine]], Cause]] = {
     "edge: Refused.": refusal_cause,
     "edge: Answered.": answer_cause,
@@ -185,7 +193,7 @@
 
 
 def unfinished_cause(last: LogLine, timeline: Timeline) -> Cause:
-    """Returns the cause where no line tells the end."""
+    """Returns the cause for a request whose end was not logged."""
     start = timeline.next_start(last.node, last.at)
     if not start:
         return Cause(
@@ -209,13 +217,13 @@
 
 
 def list_sends(lines: Sequence[LogLine]) -> str:
-    """Returns in words to whom a request was sent and what failed."""
+    """Returns a phrase that lists the workers and their failures."""
     parts = list(iter_send_phrases(lines))
     return ", then ".join(parts) if parts else "it was sent to no worker"
 
 
 def iter_send_phrases(lines: Sequence[LogLine]) -> Iterator[str]:
-    """Yields a phrase for each send."""
+    """Yields a phrase for each time the request was sent to a worker."""
     for index, line in enumerate(lines):
         if line.event != SENT:
             continue
--- a/src/rattanpier/_internal/trace/events.py
+++ b/src/rattanpier/_internal/trace/events.py
@@ -1,4 +1,7 @@
-"""What a trace holds: one event a line, in the order of their coming."""
+"""Events of a trace file, one JSON object per line in order of occurrence.
+
+Class and attribute names are part of the file format.
+"""
 
 from __future__ import annotations
 
@@ -14,10 +17,10 @@
 
 @attrs.frozen
 class Started:
-    """The process started; whatever it knew before is gone.
+    """The process started; earlier in-memory state is lost.
 
     Attributes:
-      node: Who it is; secrets are never recorded.
+      node: Settings of the node; secrets are never recorded.
     """
 
     node: NodeSettings
@@ -25,7 +28,7 @@
 
 @attrs.frozen
 class RevisionOffered:
-    """The store or a peer gave a configuration revision."""
+    """The store or a peer supplied a configuration revision."""
 
     revision: int
     text: str
@@ -33,18 +36,18 @@
 
 @attrs.frozen
 class Braked:
-    """The versions that get no new work changed to these."""
+    """The set of versions that get no new requests changed."""
 
     versions: list[str] = attrs.Factory(list)
 
 
 @attrs.frozen
 class Requested:
-    """A request came; its body is left out.
+    """A request arrived; its body is not recorded.
 
     Attributes:
-      request: The request as the rules see it.
-      decided: What was decided, as `describe_plan` writes it.
+      request: The request as the routing rules see it.
+      decided: The decision, as `describe_plan` formats it.
     """
 
     request: RouteRequest
@@ -53,11 +56,11 @@
 
 @attrs.frozen
 class Asked:
-    """An entry asked for a claim.
+    """An entry requested a claim.
 
     Attributes:
-      ask: The claim.
-      holder_alive: Whether the present holder was taken to be running.
+      ask: The requested claim.
+      holder_alive: Whether the current holder was believed to be running.
     """
 
     ask: Ask
@@ -66,7 +69,7 @@
 
 @attrs.frozen
 class Settled:
-    """An attempt was to end a claim."""
+    """An attempt asked to settle a claim."""
 
     op: SettleOp
 
@@ -78,14 +81,14 @@
 
 
 def encode_event(event: Event) -> str:
-    """Returns the line of an event."""
+    """Returns an event as a line of JSON, without the line break."""
     return converter.dumps(event, Event, separators=(",", ":"))
 
 
 def decode_event(line: str) -> Event:
-    """Returns the event of a line.
+    """Returns the event that a line holds.
 
     Raises:
-      cattrs.BaseValidationError: The line is not an event.
+      cattrs.BaseValidationError: The line is not a valid event.
     """
     return converter.loads(line, Event)
--- a/src/rattanpier/_internal/trace/log_lines.py
+++ b/src/rattanpier/_internal/trace/log_lines.py
@@ -1,4 +1,4 @@
-"""Log lines of the relay, read back from files."""
+"""Parser for the log lines of the relay."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 @attrs.frozen
 class LogLine:
-    """One line.
+    """One log line.
 
     Attributes:
-      at: When it was written, as ISO 8601 in UTC: sorts by time.
+      at: Time in UTC as ISO 8601, so that lines sort by time as text.
       node: Name of the VM.
-      event: Its part and sentence.
-      request: Id of the request that it is about, or empty.
-      fields: Everything else.
+      event: Part and log sentence.
+      request: Id of the request concerned, or empty.
+      fields: All other fields.
     """
 
     at: str
@@ -34,14 +34,14 @@
 
 
 def read_lines(paths: Iterable[str]) -> Iterator[LogLine]:
-    """Yields the lines of files that hold any; what is no line is skipped.
+    """Yields the log lines of files; any other text is skipped.
 
     Args:
-      paths: Of the files; "-" is the standard input. What stands before a
-        line's first brace, such as a collector's prefix, is left out.
+      paths: Paths of the files; "-" is the standard input. Text before the
+        first brace of a line, such as a log collector's prefix, is ignored.
 
     Raises:
-      CommandError: A file can't be read.
+      CommandError: A file cannot be read.
     """
     for path in paths:
         try:
@@ -58,7 +58,7 @@
 
 
 def parse_lines(texts: Iterable[str]) -> Iterator[LogLine]:
-    """Yields the log lines among some lines of text."""
+    """Yields the log lines among lines of text."""
     for text in texts:
         line = parse_line(text)
         if line is not None:
@@ -66,7 +66,7 @@
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Returns a log line, or None for any other text.
+    """Returns the log line in a text, or None if it holds none.
 
     >>> parse_line('1.5 e1 {"event": "main: Started.", "node": "e1"}').node
     'e1'
--- a/src/rattanpier/_internal/trace/losses.py
+++ b/src/rattanpier/_internal/trace/losses.py
@@ -1,7 +1,7 @@
-"""Where requests lost worth, found from the log lines of all entries.
+"""Classifies from the log lines of all entries how requests lost value.
 
-Each request's course is read back from its lines and put under one heading:
-why it failed, why it was late, or why a doubtful answer was kept.
+Each request gets at most one heading: why it failed, why it was late, or why
+an answer of low confidence was kept.
 """
 
 from __future__ import annotations
@@ -24,8 +24,8 @@
 ANSWERED = "edge: Answered."
 FIRST_EVENT = "dispatch: First event."
 JUDGED = "dispatch: Answer judged."
-# A first answer that is late by more than this share of its objective at the
-# smaller model is blamed on it, not on the larger one asked after it.
+# If the larger model took less than this share of the objective, the delay is
+# attributed to the first answer rather than to the larger model.
 LARGER_MODEL_MIN_SHARE = 0.5
 
 
@@ -34,10 +34,10 @@
     """How one request ended.
 
     Attributes:
-      at: Its first line's time.
-      route: Empty where no line names one.
-      heading: What it lost by; empty where it lost nothing.
-      first_s: Until the first piece, None where none came.
+      at: Time of its first log line.
+      route: Route name; empty if no line names one.
+      heading: How it lost value; empty if it did not.
+      first_s: Seconds until the first chunk; None if none was logged.
     """
 
     at: str
@@ -48,14 +48,14 @@
 
 @attrs.frozen
 class RouteLosses:
-    """The requests of one route.
+    """Statistics on the requests of one route.
 
     Attributes:
-      route: Its name.
-      requests: All of them.
-      headings: How many lost worth, by what they lost it by.
-      median_s: Half of the first pieces came within it.
-      most_s: Nineteen of twenty did.
+      route: Route name.
+      requests: Number of requests.
+      headings: Number of requests that lost value, by heading.
+      median_s: Median of the seconds until the first chunk.
+      most_s: 95th percentile of the same.
     """
 
     route: str
@@ -71,8 +71,8 @@
     """Returns how a request ended.
 
     Args:
-      lines: All of the request, in order; at least one.
-      timeline: Of all VMs.
+      lines: All log lines of the request, sorted by time; at least one.
+      timeline: Starts and stops of all VMs.
     """
     last = find_last(lines, ANSWERED)
     route = next(
@@ -91,12 +91,12 @@
 
 
 def find_last(lines: Sequence[LogLine], event: str) -> LogLine | None:
-    """Returns a request's last line of an event, or None."""
+    """Returns the last log line with an event, or None."""
     return next((line for line in reversed(lines) if line.event == event), None)
 
 
 def find_lateness(end: LogLine, lines: Sequence[LogLine]) -> str:
-    """Returns what made an answer late, or nothing if it was in time."""
+    """Returns why an answer was late, or an empty string if it was not."""
     objective_s = end.fields.get("objective_s") or 0.0
     gap_s = end.fields.get("longest_gap_s") or 0.0
     allowed_s = end.fields.get("allowed_gap_s") or 0.0
@@ -112,7 +112,7 @@
 
 
 def find_lateness_reason(lines: Sequence[LogLine], objective_s: float) -> str:
-    """Returns what took the time until an answer's first piece."""
+    """Returns what delayed the first chunk of an answer."""
     failures = [
         line for line in lines if line.event in (SEND_FAILED, WORKER_FAILED)
     ]
@@ -131,13 +131,13 @@
 
 
 def prediction_suffix(judged: LogLine, took_s: float) -> str:
-    """Says whether that was foreseen when the larger model was asked."""
+    """Returns a suffix if the larger model took over twice its prediction."""
     predicted_s = judged.fields.get("first_s") or 0.0
     return ", unforeseen" if took_s > 2 * predicted_s else ""
 
 
 def find_doubt(lines: Sequence[LogLine]) -> str:
-    """Returns why an answer of little confidence was kept, or nothing."""
+    """Returns why a low-confidence answer was kept, or an empty string."""
     judged = find_last(lines, JUDGED)
     if judged is None or judged.fields.get("kept") is None:
         return ""
@@ -145,7 +145,7 @@
 
 
 def group_by_route(ends: Iterable[RequestOutcome]) -> Iterator[RouteLosses]:
-    """Yields each route's losses, the route with most requests first."""
+    """Yields the losses by route, the route with most requests first."""
     found: dict[str, list[RequestOutcome]] = collections.defaultdict(list)
     for end in ends:
         found[end.route].append(end)
@@ -161,7 +161,7 @@
 
 
 def median_and_p95(samples: Sequence[float]) -> tuple[float, float]:
-    """Returns the median and the 95th of 100; zeros for none.
+    """Returns the median and the 95th percentile; zeros without samples.
 
     >>> median_and_p95([1.0, 2.0, 3.0])[0]
     2.0
@@ -175,9 +175,10 @@
 def group_by_time(
     ends: Iterable[RequestOutcome], step_s: float
 ) -> Iterator[tuple[float, int, dict[str, int]]]:
-    """Yields for each step of time its start, requests and headings.
+    """Yields start, number of requests and headings of each time step.
 
-    Starts are in seconds since the first request.
+    Starts are in seconds since the first request; steps without requests are
+    left out.
     """
     timed = sorted(ends, key=lambda end: end.at)
     if not timed:
@@ -194,7 +195,7 @@
 
 
 def unix_seconds(at: str) -> float:
-    """Returns a line's time in Unix seconds; 0 where it can't be read.
+    """Returns an ISO 8601 time in Unix seconds; 0 if it is invalid.
 
     >>> unix_seconds("1970-01-01T00:00:01.5Z")
     1.5
--- a/src/rattanpier/_internal/trace/record.py
+++ b/src/rattanpier/_internal/trace/record.py
@@ -1,4 +1,4 @@
-"""Records what comes in and what is decided, one event a line."""
+"""Records inputs and routing decisions in a trace file for replay."""
 
 from __future__ import annotations
 
@@ -25,17 +25,17 @@
 
 log = structlog.get_logger(part="trace")
 
-MAX_CHARACTERS = 256 * 2**20  # Then the recorder stops, and says so.
+MAX_CHARACTERS = 256 * 2**20  # Then recording stops with a warning.
 
 
 @attrs.define
 class Recorder:
-    """Writes one process's trace.
+    """Writes the trace of one process.
 
     Attributes:
-      file: Where to; buffered, so the last lines come with `close`.
-      written: Characters so far.
-      braked: The brakes as last recorded.
+      file: Output file; buffered, so the last lines are written by `close`.
+      written: Characters written so far.
+      braked: Braked versions as last recorded.
     """
 
     file: TextIO
@@ -43,7 +43,7 @@
     braked: list[str] = attrs.Factory(list)
 
     def write(self, event: Event) -> None:
-        """Writes an event, unless the trace is as long as it may be."""
+        """Writes an event, unless the trace reached `MAX_CHARACTERS`."""
         if self.written >= MAX_CHARACTERS:
             return
         line = encode_event(event) + "\n"
@@ -53,7 +53,7 @@
             log.warning("Trace is full.", characters=self.written)
 
     def record_revision(self, configuration: Configuration, text: str) -> None:
-        """Records a revision that came into force."""
+        """Records a configuration revision that came into force."""
         if configuration.revision > 0:
             self.write(RevisionOffered(configuration.revision, text))
 
@@ -63,7 +63,7 @@
         plan: Plan | Refusal,
         braked: Collection[str],
     ) -> None:
-        """Records a request without its body, and what was decided."""
+        """Records a request without its body, and the decision on it."""
         versions = sorted(braked)
         if versions != self.braked:
             self.braked = versions
@@ -72,13 +72,13 @@
         self.write(Requested(bare, describe_plan(plan)))
 
     async def close(self) -> None:
-        """Writes what is buffered and closes the file."""
+        """Flushes the buffer and closes the file."""
         self.file.close()
 
 
 def open_recorder(path: str, node: NodeSettings) -> Recorder:
-    """Starts a trace; an older one at the same path is replaced."""
-    file = open(path, "w", encoding="utf-8")  # noqa: SIM115 - see close
+    """Starts a trace and replaces an older one at the same path."""
+    file = open(path, "w", encoding="utf-8")  # noqa: SIM115 - closed by close()
     recorder = Recorder(file)
     recorder.write(Started(node))
     return recorder
--- a/src/rattanpier/_internal/trace/replay.py
+++ b/src/rattanpier/_internal/trace/replay.py
@@ -1,4 +1,4 @@
-"""Runs the decision code on a recorded trace."""
+"""Replays a recorded trace through the decision code."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @attrs.define
 class ReplayState:
-    """What the decisions rest on."""
+    """State that the decisions depend on."""
 
     configuration: Configuration = attrs.Factory(Configuration)
     braked: list[str] = attrs.Factory(list)
@@ -34,17 +34,17 @@
 
 
 def replay_events(events: Iterable[Event]) -> Iterator[str]:
-    """Yields what is decided at each event, in words."""
+    """Yields the decision on each event as text."""
     state = ReplayState()
     for event in events:
         yield replay_event(state, event)
 
 
 def replay_event(state: ReplayState, event: Event) -> str:
-    """Takes an event in and returns what is decided."""
+    """Applies an event and returns the decision on it as text."""
     match event:
         case Started():
-            # The log of claims outlives a process; nothing else does.
+            # Only the claim log survives a restart of the process.
             state.configuration = Configuration()
             state.braked = []
             return "started"
@@ -65,7 +65,7 @@
 
 
 def apply_revision(state: ReplayState, event: RevisionOffered) -> str:
-    """Puts a revision in force unless it is not newer."""
+    """Puts a revision in force if it is newer than the current one."""
     if event.revision > state.configuration.revision:
         parsed = parse_configuration(event.text, "trace")
         state.configuration = attrs.evolve(parsed, revision=event.revision)
@@ -73,7 +73,7 @@
 
 
 def apply_decision(state: ReplayState, decision: Decision) -> str:
-    """Applies a decision on a claim and returns it in words."""
+    """Applies a decision on a claim and returns it as text."""
     if decision.op is not None:
         state.book.apply(decision.op)
     if isinstance(decision.op, ClaimOp):
@@ -82,7 +82,7 @@
 
 
 def describe_plan(plan: Plan | Refusal) -> str:
-    """Returns a plan in words.
+    """Returns a plan or refusal as text.
 
     >>> describe_plan(Plan("all", ["a@1", "b@1"], pin_lost="c@1"))
     'steps a@1 b@1, pin lost c@1'
