--- a/src/rattanpier/_internal/cli/load.py
+++ b/src/rattanpier/_internal/cli/load.py
@@ -7,17 +7,17 @@
 from rich.console import Console
 
 from rattanpier._internal.cli.common import run_fire
-from rattanpier._internal.cli.operator import printed
+from rattanpier._internal.cli.operator import result_command
 from rattanpier._internal.commands.result import ExitCode, Result, make_table
 from rattanpier._internal.load.arrivals import Shape
 from rattanpier._internal.load.report import Report
 from rattanpier._internal.load.run import run_load
 
 
-def split(text: str | tuple[str, ...]) -> list[str]:
+def split_list(text: str | tuple[str, ...]) -> list[str]:
     """Returns the items of a list with commas, which fire may have split.
 
-    >>> split("a,b"), split(("a", "b"))
+    >>> split_list("a,b"), split_list(("a", "b"))
     (['a', 'b'], ['a', 'b'])
     """
     return text.split(",") if isinstance(text, str) else list(text)
@@ -49,7 +49,7 @@
       max_tokens: Tokens asked for.
     """
     shape = Shape(
-        split(keys),
+        split_list(keys),
         rate,
         seconds,
         seed,
@@ -62,15 +62,15 @@
         report = asyncio.run(
             run_load(
                 shape,
-                split(entries),
+                split_list(entries),
                 lambda number: status.update(f"{number + 1} requests sent"),
             )
         )
     code = ExitCode.FAILED if report.faults else ExitCode.DONE
-    return Result(report.data(), show(report), code)
+    return Result(report.data(), make_tables(report), code)
 
 
-def show(report: Report) -> list[object]:
+def make_tables(report: Report) -> list[object]:
     """Returns tables for people."""
     data = report.data()
     counts = make_table("What callers saw", ("what", "count"))
@@ -86,7 +86,7 @@
 
 def main() -> None:
     """Runs the program."""
-    run_fire(printed(load), "rattanpier-load")
+    run_fire(result_command(load), "rattanpier-load")
 
 
 if __name__ == "__main__":
--- a/src/rattanpier/_internal/cli/operator.py
+++ b/src/rattanpier/_internal/cli/operator.py
@@ -24,7 +24,7 @@
 JSON_HELP = "  json: Print JSON for programs.\n"
 
 
-def printed(function: Callable[..., Result]) -> Callable[..., None]:
+def result_command(function: Callable[..., Result]) -> Callable[..., None]:
     """Returns a command that prints its result and exits with its code.
 
     The command gets the option `--json` besides its own.
@@ -63,29 +63,29 @@
 
 COMMANDS: dict[str, Any] = {
     "config": {
-        "check": printed(config.check),
-        "apply": printed(config.apply),
-        "show": printed(config.show),
-        "diff": printed(config.diff),
-        "history": printed(config.history),
-        "outcome": printed(config.outcome),
+        "check": result_command(config.check),
+        "apply": result_command(config.apply),
+        "show": result_command(config.show),
+        "diff": result_command(config.diff),
+        "history": result_command(config.history),
+        "outcome": result_command(config.outcome),
     },
-    "explain": printed(explain),
-    "replay": printed(replay),
+    "explain": result_command(explain),
+    "replay": result_command(replay),
     "rollout": {
-        "start": printed(orders.start),
-        "widen": printed(orders.widen),
-        "halt": printed(orders.halt),
-        "status": printed(orders.status),
+        "start": result_command(orders.start),
+        "widen": result_command(orders.widen),
+        "halt": result_command(orders.halt),
+        "status": result_command(orders.status),
     },
-    "version": {"withdraw": printed(orders.withdraw)},
-    "upstream": {"drain": printed(orders.drain)},
-    "entries": printed(cluster.entries),
-    "status": printed(cluster.status),
-    "bills": printed(bills),
-    "trace-request": printed(trace_request),
-    "why": printed(why),
-    "losses": printed(losses),
+    "version": {"withdraw": result_command(orders.withdraw)},
+    "upstream": {"drain": result_command(orders.drain)},
+    "entries": result_command(cluster.entries),
+    "status": result_command(cluster.status),
+    "bills": result_command(bills),
+    "trace-request": result_command(trace_request),
+    "why": result_command(why),
+    "losses": result_command(losses),
     "demo": demo,
 }
 
--- a/src/rattanpier/_internal/cli/relay.py
+++ b/src/rattanpier/_internal/cli/relay.py
@@ -24,7 +24,7 @@
 log = structlog.get_logger(part="main")
 
 EXIT_BAD_SETTINGS = 2
-FLUSH_EVERY_S = 0.2  # A line is on its way to its reader within that time.
+FLUSH_INTERVAL_S = 0.2  # A line is on its way to its reader within that time.
 
 
 def main(argv: list[str] | None = None) -> None:
@@ -108,15 +108,15 @@
         changed = found != entry.settings
         log.info("Settings read again.", changed=changed)
 
-    flusher = asyncio.create_task(flush_again(sink))
+    flusher = asyncio.create_task(flush_periodically(sink))
     try:
         await run_relay(loaded, reload, listener)
     finally:
         flusher.cancel()
 
 
-async def flush_again(sink: LogSink) -> None:
+async def flush_periodically(sink: LogSink) -> None:
     """Writes log lines out again and again."""
     while True:
-        await asyncio.sleep(FLUSH_EVERY_S)
+        await asyncio.sleep(FLUSH_INTERVAL_S)
         sink.flush()
