--- a/src/rattanpier/_internal/cli/common.py
+++ b/src/rattanpier/_internal/cli/common.py
@@ -1,4 +1,4 @@
-"""What the programs' command lines share."""
+"""Shared parts of the command lines of all programs."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from rattanpier._internal.programs.common import Build, run_until_signal
 from rattanpier._internal.utils.logs import configure_logs
 
-EXIT_INTERRUPTED = 130  # As shells say it of SIGINT.
+EXIT_INTERRUPTED = 130  # 128 + SIGINT, as shells report it.
 
 
 def run_fire(component: object, name: str) -> None:
-    """Runs fire and turns coded errors into exit codes."""
-    os.environ.setdefault("PAGER", "cat")  # Help pages stay on the terminal.
+    """Runs a fire command line and maps errors to exit codes."""
+    os.environ.setdefault("PAGER", "cat")  # Print help without a pager.
     try:
         fire.Fire(component, name=name)
         sys.stdout.flush()
     except BrokenPipeError:
-        # The reader, such as `head`, has seen enough.
+        # The reader, such as `head`, closed the pipe early.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
     except KeyboardInterrupt:
         sys.exit(EXIT_INTERRUPTED)
@@ -37,7 +37,7 @@
 
 
 def server_command(build: Build) -> Callable[[str], None]:
-    """Returns the command that runs a program with a settings file."""
+    """Returns a command that runs a program with a settings file."""
 
     def serve(settings: str) -> None:
         """Runs until SIGTERM.
--- a/src/rattanpier/_internal/cli/control.py
+++ b/src/rattanpier/_internal/cli/control.py
@@ -1,4 +1,4 @@
-"""The program `rattanpier-control`."""
+"""Command line of the program `rattanpier-control`."""
 
 from __future__ import annotations
 
--- a/src/rattanpier/_internal/cli/entry.py
+++ b/src/rattanpier/_internal/cli/entry.py
@@ -1,4 +1,4 @@
-"""The program `rattanpier-entry`."""
+"""Command line of the program `rattanpier-entry`."""
 
 from __future__ import annotations
 
--- a/src/rattanpier/_internal/cli/load.py
+++ b/src/rattanpier/_internal/cli/load.py
@@ -1,4 +1,7 @@
-"""The program `rattanpier-load`: open-loop load that checks the answers."""
+"""Command line of `rattanpier-load`, an open-loop load generator.
+
+It also checks the answers.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,9 @@
 
 
 def split_list(text: str | tuple[str, ...]) -> list[str]:
-    """Returns the items of a list with commas, which fire may have split.
+    """Returns the items of a comma-separated list.
+
+    fire may have split it into a tuple already.
 
     >>> split_list("a,b"), split_list(("a", "b"))
     (['a', 'b'], ['a', 'b'])
@@ -34,19 +39,20 @@
     repeat_share: float = 0.05,
     max_tokens: int = 32,
 ) -> Result:
-    """Sends seeded requests to entries before engine stand-ins.
+    """Sends seeded requests to entries that use stand-in engines.
 
     Args:
-      entries: Addresses of one or more entries, with commas; the others are
-        asked for.
-      keys: Workspace keys with commas, the largest workspace first.
-      rate: Requests a second, whatever the answers take.
-      seconds: How long requests arrive.
-      seed: Fixes what is sent when.
+      entries: Comma-separated addresses of one or more entries; the others
+        are discovered from them.
+      keys: Comma-separated workspace keys, the largest workspace first.
+      rate: Requests per second, independent of the response times.
+      seconds: Seconds during which requests are sent.
+      seed: Seed of the contents and times of the requests.
       stream_share: Share of streaming requests.
       session_share: Share of requests that belong to a session.
-      repeat_share: Share of requests sent once more with their key.
-      max_tokens: Tokens asked for.
+      repeat_share: Share of requests repeated once with the same idempotency
+        key.
+      max_tokens: Maximum number of tokens per answer.
     """
     shape = Shape(
         split_list(keys),
@@ -71,7 +77,7 @@
 
 
 def make_tables(report: Report) -> list[object]:
-    """Returns tables for people."""
+    """Returns the tables that show a report to people."""
     data = report.data()
     counts = make_table("What callers saw", ("what", "count"))
     for name, count in data["counts"].items():
--- a/src/rattanpier/_internal/cli/operator.py
+++ b/src/rattanpier/_internal/cli/operator.py
@@ -1,4 +1,4 @@
-"""The program `rattanpier`: the operators' command line."""
+"""Command line of the program `rattanpier`, for operators."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 def result_command(function: Callable[..., Result]) -> Callable[..., None]:
     """Returns a command that prints its result and exits with its code.
 
-    The command gets the option `--json` besides its own.
+    The command accepts `--json` in addition to its own options.
     """
 
     @functools.wraps(function)
@@ -51,13 +51,13 @@
 
 
 def print_result(result: Result, as_json: bool) -> None:
-    """Prints tables for people, or JSON for programs."""
+    """Prints a result as tables for people or as JSON for programs."""
     if as_json:
         print(json_module.dumps(result.data, indent=2))
         return
     console = Console(highlight=False)
     for item in result.shown:
-        # A sentence with a file and a line stays on one line, for `grep`.
+        # Sentences that name a file and a line are not wrapped, for `grep`.
         console.print(item, markup=False, soft_wrap=isinstance(item, str))
 
 
--- a/src/rattanpier/_internal/cli/relay.py
+++ b/src/rattanpier/_internal/cli/relay.py
@@ -1,4 +1,4 @@
-"""The program `rattanpier-relay`: an entry on the users' platform."""
+"""Command line of `rattanpier-relay`, an entry on the users' platform."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 log = structlog.get_logger(part="main")
 
 EXIT_BAD_SETTINGS = 2
-FLUSH_INTERVAL_S = 0.2  # A line is on its way to its reader within that time.
+FLUSH_INTERVAL_S = 0.2  # Longest time that a log line stays buffered.
 
 
 def main(argv: list[str] | None = None) -> None:
     """Runs the program `rattanpier-relay`, see `serve`."""
-    import fire  # Only here: an import that a start need not wait for.
+    import fire  # Deferred: a start through serve_on needs no fire.
 
     fire.Fire(serve, command=argv, name="rattanpier-relay")
 
@@ -38,9 +38,9 @@
     """Runs an entry until SIGTERM.
 
     Args:
-      settings: Path of the settings file; the platform's own if empty.
-      metrics_port: Port of the metrics address; 0 serves none.
-      policy: TOML file with what the entry decides by; the usual if empty.
+      settings: Path of the settings file; the platform's default if empty.
+      metrics_port: Port that serves metrics; 0 disables it.
+      policy: Path of a TOML policy file; the default policy if empty.
     """
     serve_on(None, settings or settings_path(), metrics_port, policy)
 
@@ -51,12 +51,12 @@
     """Runs an entry until SIGTERM.
 
     Args:
-      listener: Listens for callers already; None: it is to be opened.
-      path: Of the settings file.
-      metrics_port: Port of the metrics address; 0 serves none.
+      listener: Listening socket for callers; None opens one.
+      path: Path of the settings file.
+      metrics_port: Port that serves metrics; 0 disables it.
       policy: Path of a policy file, or empty.
     """
-    # Until the entry takes it, a reload would end the process.
+    # Before the entry installs its handler, SIGHUP would end the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
     def load() -> RelaySettings:
@@ -80,12 +80,12 @@
 
 
 def load_policy(path: str) -> Policy:
-    """Returns the policy in a TOML file; what it leaves out is as usual.
+    """Returns the policy in a TOML file; missing fields take the defaults.
 
     Raises:
-      SettingsError: The file can't be read, or has unknown or wrong fields.
+      SettingsError: The file can't be read, or has unknown or invalid fields.
     """
-    # Only here: most entries have no such file, and a start is short of time.
+    # Deferred to shorten the start: most entries have no policy file.
     from rattanpier._internal.configuration.parse import parse, read_text
 
     return parse(Policy, read_text(path, SettingsError), path, SettingsError)
@@ -97,7 +97,7 @@
     sink: LogSink,
     listener: socket.socket | None,
 ) -> None:
-    """Runs an entry and writes its log lines out."""
+    """Runs an entry and flushes its log lines periodically."""
 
     def reload(entry: RelayEntry) -> None:
         try:
@@ -116,7 +116,7 @@
 
 
 async def flush_periodically(sink: LogSink) -> None:
-    """Writes log lines out again and again."""
+    """Flushes buffered log lines every `FLUSH_INTERVAL_S`."""
     while True:
         await asyncio.sleep(FLUSH_INTERVAL_S)
         sink.flush()
--- a/src/rattanpier/_internal/cli/standin.py
+++ b/src/rattanpier/_internal/cli/standin.py
@@ -1,4 +1,4 @@
-"""The program `rattanpier-standin`: small stand-ins for the platform."""
+"""Command line of `rattanpier-standin`, stand-ins for platform services."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 async def serve_app(app: web.Application, host: str, port: int) -> None:
-    """Serves an application until SIGTERM; prints its address first."""
+    """Prints the address of an application and serves it until SIGTERM."""
     server = HttpServer(app, ListenSettings(host, port))
     await server.start()
     print(server.url, flush=True)
@@ -39,7 +39,7 @@
 
 
 def parse_versions(text: str) -> dict[str, float]:
-    """Returns skills by version.
+    """Returns the skill of each version; the default where none is given.
 
     >>> parse_versions("small@1=0.7,large@1")
     {'small@1': 0.7, 'large@1': 0.9}
@@ -52,7 +52,7 @@
 
 
 class Standins:
-    """The stand-ins, one a command."""
+    """Stand-ins for platform services, one per command."""
 
     def table(self, host: str = "127.0.0.1", port: int = 0) -> None:
         """Runs a table service."""
@@ -70,12 +70,12 @@
         Args:
           host: IP number.
           port: Port; 0 takes a free one.
-          size: Bytes of a version's weights.
+          size: Size in bytes of the weights of a version.
         """
         asyncio.run(serve_app(WeightServer(size).app(), host, port))
 
     def vms(self, host: str = "127.0.0.1", port: int = 0) -> None:
-        """Runs a list of live and leaving VMs."""
+        """Runs a service that lists live and leaving VMs."""
         asyncio.run(serve_app(VmServer().app(), host, port))
 
     def engine(
@@ -96,12 +96,12 @@
           host: IP number.
           port: Port; 0 takes a free one.
           decode_s: Seconds between tokens.
-          prefill: Prompt tokens read a second.
-          slots: Requests run at once.
-          checks_fencing: Refuse orders with old fencing numbers.
+          prefill: Prompt tokens processed per second.
+          slots: Maximum number of concurrent requests.
+          checks_fencing: Refuse orders with outdated fencing numbers.
           run_path: File that gets a line for each run.
         """
-        # fire turns a list with commas into a tuple.
+        # fire turns a comma-separated list into a tuple.
         text = versions if isinstance(versions, str) else ",".join(versions)
         server = EngineServer(
             parse_versions(text),
@@ -121,7 +121,7 @@
         """Runs a plain service.
 
         Args:
-          name: Given with each answer.
+          name: Name of the service, part of each answer.
           host: IP number.
           port: Port; 0 takes a free one.
           run_path: File that gets a line for each call.
@@ -145,10 +145,10 @@
           host: IP number.
           port: Port; 0 takes a free one.
           delay_s: Seconds until a rating is ready.
-          noise: Share of ratings that say the opposite.
-          price: Credits for each item.
-          fails: Version whose answers to some prompts are poor.
-          fails_on: Word in those prompts.
+          noise: Share of ratings that are inverted.
+          price: Credits per item.
+          fails: Version that answers some prompts poorly.
+          fails_on: Word that identifies those prompts.
         """
         behaviour = RatingBehaviour(delay_s, noise, price, fails, fails_on)
         asyncio.run(serve_app(RatingServer(behaviour).app(), host, port))
