--- a/tests/functional/test_trace.py
+++ b/tests/functional/test_trace.py
@@ -7,7 +7,7 @@
 from tests.lib.cluster import Cluster
 
 
-async def test_entry_records_what_it_decided(tmp_path):
+async def test_entry_records_replayable_trace(tmp_path):
     trace = tmp_path / "trace.jsonl"
     async with Cluster(tmp_path) as cluster:
         await cluster.start_table()
--- a/tests/unit/test_causes.py
+++ b/tests/unit/test_causes.py
@@ -22,7 +22,7 @@
 
 
 @pytest.fixture
-def written(tmp_path):
+def write_log(tmp_path):
     def write(*lines):
         path = tmp_path / "lines"
         path.write_text("\n".join(lines) + "\n")
@@ -31,8 +31,8 @@
     return write
 
 
-def test_a_refusal_says_why_and_whether_it_ran(written):
-    path = written(
+def test_refusal_states_reason_and_whether_request_ran(write_log):
+    path = write_log(
         sent("r1"),
         line(
             "dispatch: Send failed.",
@@ -57,8 +57,8 @@
     assert len(data["lines"]) == 3
 
 
-def test_workers_failures_are_counted(written):
-    path = written(
+def test_worker_failures_are_counted(write_log):
+    path = write_log(
         sent("r1"),
         line("dispatch: Worker failed.", request="r1", worker="w1", status=500),
         sent("r1", "w2"),
@@ -82,8 +82,8 @@
         ),
     ],
 )
-def test_a_request_without_an_end_is_told_by_its_process(written, after, code):
-    path = written(
+def test_unfinished_request_is_explained_by_its_process(write_log, after, code):
+    path = write_log(
         line("main: Started."),
         sent("r1"),
         *(line(event, node) for event, node in after),
@@ -91,8 +91,8 @@
     assert trace_request("r1", path).data["cause"]["code"] == code
 
 
-def test_an_earlier_planned_stop_is_not_blamed(written):
-    path = written(
+def test_earlier_planned_stop_is_not_reported_as_cause(write_log):
+    path = write_log(
         line("main: Started."),
         line("main: Stopping."),
         line("main: Started."),
@@ -103,18 +103,18 @@
     assert cause["code"] == "process ended"
 
 
-def test_lines_of_several_files_are_put_in_order(written, tmp_path):
+def test_lines_of_several_files_are_sorted_by_time(write_log, tmp_path):
     first, second = sent("r1"), sent("r1", "w2")
     end = line("edge: Answered.", request="r1", outcome="ended", total_s=1.0)
     other = tmp_path / "other"
     other.write_text(f"  12.5 e2 {second}\nno line at all\n")
-    data = trace_request("r1", written(end, first), str(other)).data
+    data = trace_request("r1", write_log(end, first), str(other)).data
     workers = [each["fields"].get("worker") for each in data["lines"]]
     assert workers == ["w1", "w2", None]
     assert data["cause"]["failed"] is False
 
 
-def test_causes_are_counted_with_the_first_id_of_each(written):
+def test_causes_are_counted_with_first_request_id(write_log):
     lines = [
         line(
             "edge: Refused.", request=f"r{number}", code="no_worker", status=503
@@ -123,7 +123,7 @@
     ]
     lines.append(line("edge: Caller left.", request="r9", total_s=2.0))
     lines.append(line("edge: Answered.", request="ok", outcome="200"))
-    result = why(written(*lines))
+    result = why(write_log(*lines))
     assert result.code is ExitCode.FAILED
     assert result.data["requests"] == 5
     counts = [
@@ -133,8 +133,8 @@
     assert counts == [("refused: no_worker", 3, "r0"), ("caller left", 1, "r9")]
 
 
-def test_conditions_that_kept_workers_from_a_request_are_named(written):
-    path = written(
+def test_conditions_that_excluded_workers_are_named(write_log):
+    path = write_log(
         sent("r1", left_out={"leaving": 2, "resting": 1}),
         line(
             "edge: Refused.",
@@ -150,27 +150,27 @@
     assert "w1 (left out: 2 leaving, 1 resting)" in cause["sentence"]
 
 
-def test_a_window_of_time_leaves_the_rest_out(written):
+def test_requests_outside_time_window_are_excluded(write_log):
     early = line("edge: Caller left.", request="r1", total_s=2.0)
     late = line("edge: Caller left.", request="r2", total_s=2.0)
     since = json.loads(late)["timestamp"]
-    path = written(early, late)
+    path = write_log(early, late)
     assert why(path, since=since).data["failed"] == 1
     assert why(path, until=since).data["causes"][0]["first_id"] == "r1"
 
 
-def test_what_can_not_be_found_is_told(written):
+def test_missing_request_or_file_is_an_error(write_log):
     with pytest.raises(CommandError, match="no line is about request"):
-        trace_request("r1", written(sent("r2")))
+        trace_request("r1", write_log(sent("r2")))
     with pytest.raises(CommandError, match="can't be read"):
         why("/no/such/file")
 
 
-def test_a_store_that_came_back_from_a_copy_is_named(written):
-    came_back = "store: Store came back from an older copy."
-    path = written(
-        line(came_back, node="e2", era=2, before=1, source="peer"),
-        line(came_back, era=2, before=1, source="store"),
+def test_store_restoration_is_reported_once(write_log):
+    restored = "store: Store came back from an older copy."
+    path = write_log(
+        line(restored, node="e2", era=2, before=1, source="peer"),
+        line(restored, era=2, before=1, source="store"),
         sent("r1"),
         line("edge: Caller left.", request="r1", total_s=0.1),
     )
--- a/tests/unit/test_losses.py
+++ b/tests/unit/test_losses.py
@@ -7,7 +7,7 @@
 from rattanpier._internal.commands.losses import losses
 from rattanpier._internal.exceptions import CommandError
 
-COURSES = {
+LINES_BY_REQUEST = {
     "good": [("edge: Answered.", {"first_s": 0.4, "longest_gap_s": 0.1})],
     "pause": [("edge: Answered.", {"first_s": 0.4, "longest_gap_s": 0.9})],
     "slow": [("edge: Answered.", {"first_s": 2.4, "longest_gap_s": 0.1})],
@@ -33,7 +33,7 @@
     "plain": [("edge: Answered.", {"outcome": "200", "total_s": 0.2})],
     "plain, slow": [("edge: Answered.", {"outcome": "200", "total_s": 3.0})],
 }
-LOST_BY = {
+EXPECTED_HEADINGS = {
     "failed: cut": 1,
     "late: pause": 1,
     "late: the worker began late": 2,
@@ -47,8 +47,8 @@
 def write_lines(path):
     second = 0
     with path.open("w") as file:
-        for request, course in COURSES.items():
-            for event, fields in [("dispatch: Sent.", {}), *course]:
+        for request, events in LINES_BY_REQUEST.items():
+            for event, fields in [("dispatch: Sent.", {}), *events]:
                 second += 1
                 line = {
                     "event": event,
@@ -64,39 +64,39 @@
                 file.write(f"  1.5 e1 {json.dumps(line)}\n")
 
 
-def test_each_request_is_put_under_what_it_lost_by(tmp_path):
+def test_each_lost_request_gets_its_heading(tmp_path):
     path = tmp_path / "lines.log"
     write_lines(path)
     data = losses(str(path)).data
-    assert data["requests"] == len(COURSES)
-    assert data["lost"] == sum(LOST_BY.values())
+    assert data["requests"] == len(LINES_BY_REQUEST)
+    assert data["lost"] == sum(EXPECTED_HEADINGS.values())
     (route,) = data["routes"]
     assert route["route"] == "r"
-    assert route["headings"] == LOST_BY
+    assert route["headings"] == EXPECTED_HEADINGS
 
 
-def test_moments_hold_all_requests(tmp_path):
+def test_time_steps_include_all_requests(tmp_path):
     path = tmp_path / "lines.log"
     write_lines(path)
     moments = losses(str(path), step_s=10).data["moments"]
     assert len(moments) > 1
-    assert sum(each["requests"] for each in moments) == len(COURSES)
+    assert sum(each["requests"] for each in moments) == len(LINES_BY_REQUEST)
     lost = sum(sum(each["lost_by"].values()) for each in moments)
-    assert lost == sum(LOST_BY.values())
+    assert lost == sum(EXPECTED_HEADINGS.values())
 
 
-def test_lines_that_can_not_be_read_are_left_out(tmp_path):
+def test_unreadable_lines_are_skipped(tmp_path):
     path = tmp_path / "lines.log"
     path.write_text('no line\n{"event": "edge: Answered.", "request": "x"}\n{')
     assert losses(str(path)).data["requests"] == 1
 
 
 @pytest.mark.parametrize("step_s", [0, -1, "x", True, float("nan")])
-def test_a_step_that_is_no_time_is_refused(step_s):
+def test_invalid_time_step_is_rejected(step_s):
     with pytest.raises(CommandError, match="step_s"):
         losses(step_s=step_s)
 
 
-def test_a_file_that_is_not_there_is_named(tmp_path):
+def test_missing_file_is_named_in_error(tmp_path):
     with pytest.raises(CommandError, match=r"none\.log"):
         losses(str(tmp_path / "none.log"))
--- a/tests/unit/test_replay.py
+++ b/tests/unit/test_replay.py
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize("trace", TRACES, ids=lambda path: path.stem)
-def test_trace_comes_to_its_outcomes(trace):
+def test_trace_replays_to_expected_outcomes(trace):
     result = replay(str(trace), str(trace.with_suffix(".toml")))
     assert [one for one in result.data if one["decided"] != one["stated"]] == []
     assert result.code is ExitCode.DONE
@@ -27,7 +27,7 @@
     assert len(TRACES) == 6
 
 
-def test_another_outcome_fails(tmp_path):
+def test_different_outcome_fails(tmp_path):
     stated = TRACES[0].with_suffix(".toml").read_text()
     other = tmp_path / "other.toml"
     other.write_text(stated.replace("started", "stopped"))
@@ -40,14 +40,14 @@
     assert replay(str(TRACES[0]), str(short)).code is ExitCode.FAILED
 
 
-def test_file_that_is_no_trace_is_refused(tmp_path):
+def test_invalid_trace_file_is_rejected(tmp_path):
     path = tmp_path / "trace.jsonl"
     path.write_text("{}\n")
     with pytest.raises(CommandError):
         replay(str(path), str(TRACES[0].with_suffix(".toml")))
 
 
-async def test_recorded_trace_replays_to_what_was_decided(tmp_path):
+async def test_recorded_trace_replays_to_same_decisions(tmp_path):
     path = tmp_path / "trace.jsonl"
     recorder = open_recorder(str(path), NodeSettings("entry-1", "a"))
     configuration = build_configuration()
