--- a/tests/functional/test_trace.py
+++ b/tests/functional/test_trace.py
@@ -1,4 +1,4 @@
-"""An entry records a trace that replays to what it decided."""
+"""A trace that an entry records replays to the decisions it made."""
 
 import aiohttp
 
--- a/tests/unit/test_causes.py
+++ b/tests/unit/test_causes.py
@@ -1,4 +1,4 @@
-"""From the lines of a failed request to what decided its end."""
+"""Causes of request ends, determined from log lines."""
 
 import itertools
 import json
--- a/tests/unit/test_losses.py
+++ b/tests/unit/test_losses.py
@@ -1,4 +1,4 @@
-"""What requests lost worth by, from the lines of all entries."""
+"""Headings that requests get for lost value, from the logs of all entries."""
 
 import json
 
--- a/tests/unit/test_replay.py
+++ b/tests/unit/test_replay.py
@@ -1,4 +1,4 @@
-"""Traces of failures that were found come to their stated outcomes."""
+"""Recorded traces of past failures replay to their expected outcomes."""
 
 import pathlib
 
