--- a/src/rattanpier/_internal/cli/load.py
+++ b/src/rattanpier/_internal/cli/load.py
@@ -1,4 +1,7 @@
-"""The program `rattanpier-load`: open-loop load that checks the answers."""
+"""Command line of `rattanpier-load`, an open-loop load generator.
+
+It also checks the answers.
+"""
 
 from __future__ import annotations
 
@@ -7,17 +10,19 @@
 from rich.console import Console
 
 from rattanpier._internal.cli.common import run_fire
-from rattanpier._internal.cli.operator import printed
+from rattanpier._internal.cli.operator import result_command
 from rattanpier._internal.commands.result import ExitCode, Result, make_table
 from rattanpier._internal.load.arrivals import Shape
 from rattanpier._internal.load.report import Report
 from rattanpier._internal.load.run import run_load
 
 
-def split(text: str | tuple[str, ...]) -> list[str]:
-    """Returns the items of a list with commas, which fire may have split.
+def split_list(text: str | tuple[str, ...]) -> list[str]:
+    """Returns the items of a comma-separated list.
+
+    fire may have split it into a tuple already.
 
-    >>> split("a,b"), split(("a", "b"))
+    >>> split_list("a,b"), split_list(("a", "b"))
     (['a', 'b'], ['a', 'b'])
     """
     return text.split(",") if isinstance(text, str) else list(text)
@@ -34,22 +39,23 @@
     repeat_share: float = 0.05,
     max_tokens: int = 32,
 ) -> Result:
-    """Sends seeded requests to entries before engine stand-ins.
+    """Sends seeded requests to entries that use stand-in engines.
 
     Args:
-      entries: Addresses of one or more entries, with commas; the others are
-        asked for.
-      keys: Workspace keys with commas, the largest workspace first.
-      rate: Requests a second, whatever the answers take.
-      seconds: How long requests arrive.
-      seed: Fixes what is sent when.
+      entries: Comma-separated addresses of one or more entries; the others
+        are discovered from them.
+      keys: Comma-separated workspace keys, the largest workspace first.
+      rate: Requests per second, independent of the response times.
+      seconds: Seconds during which requests are sent.
+      seed: Seed of the contents and times of the requests.
       stream_share: Share of streaming requests.
       session_share: Share of requests that belong to a session.
-      repeat_share: Share of requests sent once more with their key.
-      max_tokens: Tokens asked for.
+      repeat_share: Share of requests repeated once with the same idempotency
+        key.
+      max_tokens: Maximum number of tokens per answer.
     """
     shape = Shape(
-        split(keys),
+        split_list(keys),
         rate,
         seconds,
         seed,
@@ -62,16 +68,16 @@
         report = asyncio.run(
             run_load(
                 shape,
-                split(entries),
+                split_list(entries),
                 lambda number: status.update(f"{number + 1} requests sent"),
             )
         )
     code = ExitCode.FAILED if report.faults else ExitCode.DONE
-    return Result(report.data(), show(report), code)
+    return Result(report.data(), make_tables(report), code)
 
 
-def show(report: Report) -> list[object]:
-    """Returns tables for people."""
+def make_tables(report: Report) -> list[object]:
+    """Returns the tables that show a report to people."""
     data = report.data()
     counts = make_table("What callers saw", ("what", "count"))
     for name, count in data["counts"].items():
@@ -86,7 +92,7 @@
 
 def main() -> None:
     """Runs the program."""
-    run_fire(printed(load), "rattanpier-load")
+    run_fire(result_command(load), "rattanpier-load")
 
 
 if __name__ == "__main__":
--- a/src/rattanpier/_internal/trace/causes.py
+++ b/src/rattanpier/_internal/trace/causes.py
@@ -1,4 +1,4 @@
-"""What decided a request's end, found from its log lines."""
+"""Determines from log lines why a request ended as it did."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from rattanpier._internal.trace.log_lines import LogLine
 
 SENT = "dispatch: Sent."
-FAILED = "dispatch: Send failed."
+SEND_FAILED = "dispatch: Send failed."
 WORKER_FAILED = "dispatch: Worker failed."
 STARTED = "main: Started."
 STOPPING = "main: Stopping."
-ERA_BEGAN = "store: Store came back from an older copy."
-FIRST_FAILURE = 500
-NO_WORKER = "no worker takes work: "
+STORE_RESTORED = "store: Store came back from an older copy."
+MIN_FAILURE_STATUS = 500
+NO_WORKER_PREFIX = "no worker takes work: "
 
 
 @attrs.frozen
@@ -25,9 +25,9 @@
     """Why a request ended as it did.
 
     Attributes:
-      code: Stable name, to count by.
-      sentence: For people.
-      failed: The caller got no whole answer of a worker.
+      code: Stable name to group causes by.
+      sentence: Explanation for people.
+      failed: Whether the caller got no complete answer from a worker.
     """
 
     code: str
@@ -37,13 +37,13 @@
 
 @attrs.define
 class Timeline:
-    """When VMs' processes started and were told to stop, and more.
+    """Process starts, planned stops and store restorations of all VMs.
 
     Attributes:
-      eras: When the store came back from an older copy, by the era that began
-        then: the first line of any VM that says so.
-      started: Sorted times by node.
-      stopping: The same of planned stops.
+      eras: When the store was restored from an older copy, by the era that
+        began then. The earliest line of any VM counts.
+      started: Sorted start times by node.
+      stopping: Sorted times of planned stops by node.
     """
 
     eras: dict[int, str] = attrs.Factory(dict)
@@ -54,18 +54,18 @@
         lambda: collections.defaultdict(list)
     )
 
-    def take(self, line: LogLine) -> None:
-        """Takes a line in, whatever it says."""
+    def record(self, line: LogLine) -> None:
+        """Records a log line; lines of other events are ignored."""
         if line.event == STARTED:
             bisect.insort(self.started[line.node], line.at)
         elif line.event == STOPPING:
             bisect.insort(self.stopping[line.node], line.at)
-        elif line.event == ERA_BEGAN:
+        elif line.event == STORE_RESTORED:
             era = int(line.fields.get("era", 0))
             self.eras[era] = min(line.at, self.eras.get(era, line.at))
 
-    def tell_eras(self) -> list[str]:
-        """Returns a sentence for each return of the store from a copy."""
+    def describe_eras(self) -> list[str]:
+        """Returns one sentence for each restoration of the store."""
         return [
             f"The store came back from an older copy at {at} (era {era}): what "
             "was written to it just before was lost until it was written again."
@@ -73,117 +73,127 @@
         ]
 
     def next_start(self, node: str, at: str) -> str:
-        """Returns when a node started next after a time, or nothing."""
+        """Returns the first start of a node after a time, empty if none."""
         times = self.started[node]
         index = bisect.bisect_right(times, at)
         return times[index] if index < len(times) else ""
 
     def was_planned(self, node: str, until: str) -> bool:
-        """Says whether the last stop before a start was a planned one."""
+        """Returns whether a planned stop preceded the start at `until`.
+
+        Stops before the previous start of the node do not count.
+        """
         stops = self.stopping[node]
         index = bisect.bisect_right(stops, until)
         if index == 0:
             return False
-        began = bisect.bisect_left(self.started[node], until)
-        before = self.started[node][began - 1] if began else ""
+        start_index = bisect.bisect_left(self.started[node], until)
+        before = self.started[node][start_index - 1] if start_index else ""
         return stops[index - 1] > before
 
 
-def by_request(
+def group_by_request(
     lines: Iterable[LogLine], timeline: Timeline
 ) -> dict[str, list[LogLine]]:
-    """Returns the lines of each request in the order of their times."""
+    """Returns the log lines by request id, each list sorted by time.
+
+    Every line is also recorded in the timeline.
+    """
     found: dict[str, list[LogLine]] = collections.defaultdict(list)
     for line in lines:
-        timeline.take(line)
+        timeline.record(line)
         if line.request:
             found[line.request].append(line)
-    for of_one in found.values():
-        of_one.sort(key=lambda line: line.at)
+    for request_lines in found.values():
+        request_lines.sort(key=lambda line: line.at)
     return found
 
 
 def find_cause(lines: Sequence[LogLine], timeline: Timeline) -> Cause:
-    """Returns what decided a request's end.
+    """Returns why a request ended as it did.
 
     Args:
-      lines: All of the request, in order; at least one.
-      timeline: Of all VMs.
+      lines: All log lines of the request, sorted by time; at least one.
+      timeline: Starts and stops of all VMs.
     """
     for line in reversed(lines):
-        judge = ENDS.get(line.event)
-        if judge is not None:
-            return judge(line, lines)
-    return unfinished(lines[-1], timeline)
+        classify = END_CLASSIFIERS.get(line.event)
+        if classify is not None:
+            return classify(line, lines)
+    return unfinished_cause(lines[-1], timeline)
 
 
-def left(line: LogLine, lines: Sequence[LogLine]) -> Cause:
-    """Returns the cause where the caller did not wait."""
+def caller_left_cause(line: LogLine, lines: Sequence[LogLine]) -> Cause:
+    """Returns the cause for a caller that disconnected."""
     return Cause(
         "caller left",
         f"The caller left after {line.fields.get('total_s')} s; "
-        f"{tell_sends(lines)}.",
+        f"{list_sends(lines)}.",
         True,
     )
 
 
-def refused(line: LogLine, lines: Sequence[LogLine]) -> Cause:
-    """Returns the cause of a refusal."""
+def refusal_cause(line: LogLine, lines: Sequence[LogLine]) -> Cause:
+    """Returns the cause for a refused request."""
     code = str(line.fields.get("code"))
-    kept_by = conditions_of(str(line.fields.get("reason")))
+    conditions = parse_conditions(str(line.fields.get("reason")))
     ran = "has not run" if line.fields.get("not_run") else "may have run"
     return Cause(
-        f"refused: {code}" + (f", {kept_by}" if kept_by else ""),
+        f"refused: {code}" + (f", {conditions}" if conditions else ""),
         f"Refused with {line.fields.get('status')} ({code}), since "
-        f"{line.fields.get('reason')!r}; it {ran}; {tell_sends(lines)}.",
+        f"{line.fields.get('reason')!r}; it {ran}; {list_sends(lines)}.",
         True,
     )
 
 
-def conditions_of(reason: str) -> str:
-    """Returns the conditions that left no worker, as a refusal tells them.
+def parse_conditions(reason: str) -> str:
+    """Returns the conditions that excluded all workers, from a reason.
+
+    The result is empty if the reason names none.
 
-    >>> conditions_of("no worker takes work: resting 2, tried 1")
+    >>> parse_conditions("no worker takes work: resting 2, tried 1")
     'resting, tried'
     """
-    _, told, counts = reason.partition(NO_WORKER)
+    _, matched, counts = reason.partition(NO_WORKER_PREFIX)
     names = (each.split(" ")[0] for each in counts.split(", "))
-    return ", ".join(names) if told else ""
+    return ", ".join(names) if matched else ""
 
 
-def answered(line: LogLine, lines: Sequence[LogLine]) -> Cause:
-    """Returns the cause of an answer, which may be a worker's failure."""
+def answer_cause(line: LogLine, lines: Sequence[LogLine]) -> Cause:
+    """Returns the cause for an answer, which may report a worker failure."""
     outcome = str(line.fields.get("outcome"))
     took = f"after {line.fields.get('total_s')} s"
     if outcome.startswith("cut"):
         return Cause(
             "cut",
-            f"The answer broke off {took} ({outcome}); {tell_sends(lines)}.",
+            f"The answer broke off {took} ({outcome}); {list_sends(lines)}.",
             True,
         )
-    if outcome.isdecimal() and int(outcome) >= FIRST_FAILURE:
+    if outcome.isdecimal() and int(outcome) >= MIN_FAILURE_STATUS:
         workers = [each for each in lines if each.event == WORKER_FAILED]
         return Cause(
             "worker failed",
             f"{len(workers)} workers ran it and failed, the last with "
-            f"{outcome}; {tell_sends(lines)}.",
+            f"{outcome}; {list_sends(lines)}.",
             True,
         )
     return Cause(
-        "answered", f"Answered {took} ({outcome}); {tell_sends(lines)}.", False
+        "answered",
+        f"Answered {took} ({outcome}); {list_sends(lines)}.",
+        False,
     )
 
 
-# The lines that tell a request's end.
-ENDS: dict[str, Callable[[LogLine, Sequence[LogLine]], Cause]] = {
-    "edge: Refused.": refused,
-    "edge: Answered.": answered,
-    "edge: Caller left.": left,
+# Maps events that end a request to the functions that classify them.
+END_CLASSIFIERS: dict[str, Callable[[LogLine, Sequence[LogLine]], Cause]] = {
+    "edge: Refused.": refusal_cause,
+    "edge: Answered.": answer_cause,
+    "edge: Caller left.": caller_left_cause,
 }
 
 
-def unfinished(last: LogLine, timeline: Timeline) -> Cause:
-    """Returns the cause where no line tells the end."""
+def unfinished_cause(last: LogLine, timeline: Timeline) -> Cause:
+    """Returns the cause for a request whose end was not logged."""
     start = timeline.next_start(last.node, last.at)
     if not start:
         return Cause(
@@ -206,14 +216,14 @@
     )
 
 
-def tell_sends(lines: Sequence[LogLine]) -> str:
-    """Returns in words to whom a request was sent and what failed."""
-    parts = list(send_words(lines))
+def list_sends(lines: Sequence[LogLine]) -> str:
+    """Returns a phrase that lists the workers and their failures."""
+    parts = list(iter_send_phrases(lines))
     return ", then ".join(parts) if parts else "it was sent to no worker"
 
 
-def send_words(lines: Sequence[LogLine]) -> Iterator[str]:
-    """Yields a phrase for each send."""
+def iter_send_phrases(lines: Sequence[LogLine]) -> Iterator[str]:
+    """Yields a phrase for each time the request was sent to a worker."""
     for index, line in enumerate(lines):
         if line.event != SENT:
             continue
@@ -229,7 +239,7 @@
                 each
                 for each in lines[index + 1 :]
                 if each.fields.get("worker") == worker
-                and each.event in (FAILED, WORKER_FAILED)
+                and each.event in (SEND_FAILED, WORKER_FAILED)
             ),
             None,
         )
--- a/src/rattanpier/_internal/trace/replay.py
+++ b/src/rattanpier/_internal/trace/replay.py
@@ -1,4 +1,4 @@
-"""Runs the decision code on a recorded trace."""
+"""Replays a recorded trace through the decision code."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 
 
 @attrs.define
-class State:
-    """What the decisions rest on."""
+class ReplayState:
+    """State that the decisions depend on."""
 
     configuration: Configuration = attrs.Factory(Configuration)
     braked: list[str] = attrs.Factory(list)
@@ -34,22 +34,22 @@
 
 
 def replay_events(events: Iterable[Event]) -> Iterator[str]:
-    """Yields what is decided at each event, in words."""
-    state = State()
+    """Yields the decision on each event as text."""
+    state = ReplayState()
     for event in events:
-        yield decide(state, event)
+        yield replay_event(state, event)
 
 
-def decide(state: State, event: Event) -> str:
-    """Takes an event in and returns what is decided."""
+def replay_event(state: ReplayState, event: Event) -> str:
+    """Applies an event and returns the decision on it as text."""
     match event:
         case Started():
-            # The log of claims outlives a process; nothing else does.
+            # Only the claim log survives a restart of the process.
             state.configuration = Configuration()
             state.braked = []
             return "started"
         case RevisionOffered():
-            return take_revision(state, event)
+            return apply_revision(state, event)
         case Braked():
             state.braked = event.versions
             return f"braked {' '.join(event.versions)}".strip()
@@ -59,21 +59,21 @@
             )
         case Asked():
             decision = state.book.ask(event.ask, lambda _: event.holder_alive)
-            return take_decision(state, decision)
+            return apply_decision(state, decision)
         case Settled():
-            return take_decision(state, state.book.settle(event.op))
+            return apply_decision(state, state.book.settle(event.op))
 
 
-def take_revision(state: State, event: RevisionOffered) -> str:
-    """Puts a revision in force unless it is not newer."""
+def apply_revision(state: ReplayState, event: RevisionOffered) -> str:
+    """Puts a revision in force if it is newer than the current one."""
     if event.revision > state.configuration.revision:
         parsed = parse_configuration(event.text, "trace")
         state.configuration = attrs.evolve(parsed, revision=event.revision)
     return f"revision {state.configuration.revision}"
 
 
-def take_decision(state: State, decision: Decision) -> str:
-    """Applies a decision on a claim and returns it in words."""
+def apply_decision(state: ReplayState, decision: Decision) -> str:
+    """Applies a decision on a claim and returns it as text."""
     if decision.op is not None:
         state.book.apply(decision.op)
     if isinstance(decision.op, ClaimOp):
@@ -82,7 +82,7 @@
 
 
 def describe_plan(plan: Plan | Refusal) -> str:
-    """Returns a plan in words.
+    """Returns a plan or refusal as text.
 
     >>> describe_plan(Plan("all", ["a@1", "b@1"], pin_lost="c@1"))
     'steps a@1 b@1, pin lost c@1'
