--- a/src/rattanpier/_internal/commands/billing.py
+++ b/src/rattanpier/_internal/commands/billing.py
@@ -22,7 +22,7 @@
 from rattanpier._internal.store.http_objects import HttpObjects
 from rattanpier._internal.store.table import HttpTable
 
-SHOWN_EVERY = 1000
+PROGRESS_INTERVAL_BILLS = 1000
 
 Progress = Callable[[int], None]
 
@@ -49,7 +49,9 @@
             )
         )
     wanted = [one for one in found if workspace in ("", one.bill.workspace)]
-    return Result([attrs.asdict(one) for one in wanted], [sum_up(wanted)])
+    return Result(
+        [attrs.asdict(one) for one in wanted], [make_totals_table(wanted)]
+    )
 
 
 def find_platform(
@@ -83,12 +85,12 @@
         found: list[BilledClaim] = []
         async for billed in export_bills(table, objects):
             found.append(billed)
-            if len(found) % SHOWN_EVERY == 0:
+            if len(found) % PROGRESS_INTERVAL_BILLS == 0:
                 progress(len(found))
         return found
 
 
-def sum_up(found: Iterable[BilledClaim]) -> Any:
+def make_totals_table(found: Iterable[BilledClaim]) -> Any:
     """Returns the table of sums by workspace and version."""
     counts: collections.Counter[tuple[str, str]] = collections.Counter()
     credits: collections.Counter[tuple[str, str]] = collections.Counter()
--- a/src/rattanpier/_internal/commands/bills.py
+++ b/src/rattanpier/_internal/commands/bills.py
@@ -64,15 +64,17 @@
         for file in found.files:
             if not file.name or file.last <= start:
                 continue
-            for billed in in_order(await read_bills(objects, file.name)):
+            for billed in sort_by_sequence(
+                await read_bills(objects, file.name)
+            ):
                 if billed.sequence > start:
                     yield billed
-        for billed in in_order(found.tail):
+        for billed in sort_by_sequence(found.tail):
             if billed.sequence > start:
                 yield billed
 
 
-def in_order(bills: list[BilledClaim]) -> list[BilledClaim]:
+def sort_by_sequence(bills: list[BilledClaim]) -> list[BilledClaim]:
     """Returns bills in log order."""
     return sorted(bills, key=lambda billed: billed.sequence)
 
--- a/src/rattanpier/_internal/commands/changes.py
+++ b/src/rattanpier/_internal/commands/changes.py
@@ -14,8 +14,8 @@
 from rattanpier._internal.commands.api import Api, UnreachableError
 from rattanpier._internal.commands.result import ExitCode, Result
 
-ASK_AGAIN_S = 30.0  # How long an undecided change is asked about.
-ASK_PAUSE_S = 1.0
+POLL_TIMEOUT_S = 30.0  # How long an undecided change is asked about.
+POLL_INTERVAL_S = 1.0
 UNDECIDED = "undecided"
 EXIT_CODES = {
     "raced": ExitCode.RACED,
@@ -52,16 +52,18 @@
     change: str = attrs.Factory(new_id)
 
 
-def carry_out(change: Change, doing: str) -> Result:
+def submit_change(change: Change, action: str) -> Result:
     """Sends a change, and asks again for as long as it is undecided.
 
     A change is never sent twice: a lost answer is asked for by the id.
     """
-    with progress.status(f"{doing}; waiting until it is in force everywhere"):
+    with progress.status(f"{action}; waiting until it is in force everywhere"):
         report = send_change(change)
         if report["outcome"] == UNDECIDED:
-            report = ask_again(change, report, ASK_AGAIN_S, time.monotonic)
-    return show_report(report, doing)
+            report = poll_outcome(
+                change, report, POLL_TIMEOUT_S, time.monotonic
+            )
+    return show_report(report, action)
 
 
 def send_change(change: Change) -> dict[str, Any]:
@@ -82,7 +84,7 @@
         }
 
 
-def ask_again(
+def poll_outcome(
     change: Change,
     report: dict[str, Any],
     limit_s: float,
@@ -93,29 +95,31 @@
         return report
     end = clock() + limit_s
     while report["outcome"] == UNDECIDED and clock() < end:
-        time.sleep(ASK_PAUSE_S)
+        time.sleep(POLL_INTERVAL_S)
         try:
-            report = ask(change.api, change.change, report["revision"])
+            report = fetch_outcome(
+                change.api, change.change, report["revision"]
+            )
         except UnreachableError:
             continue
     return report
 
 
-def ask(api: Api, change: str, revision: int) -> dict[str, Any]:
+def fetch_outcome(api: Api, change: str, revision: int) -> dict[str, Any]:
     """Returns what became of a change."""
     return api.get(f"changes/{change}", revision=str(revision))
 
 
-def show_report(report: dict[str, Any], doing: str) -> Result:
+def show_report(report: dict[str, Any], action: str) -> Result:
     """Returns the result for a report: what became of a change."""
-    shown = list(describe(report, doing))
+    shown = list(describe(report, action))
     if report["outcome"] != "accepted":
         return Result(report, shown, EXIT_CODES[report["outcome"]])
     code = ExitCode.DONE if report["in_force"] else ExitCode.NOT_YET_IN_FORCE
     return Result(report, shown, code)
 
 
-def describe(report: dict[str, Any], doing: str) -> Iterator[RenderableType]:
+def describe(report: dict[str, Any], action: str) -> Iterator[RenderableType]:
     """Yields the sentences that tell people what became of a change."""
     if report.get("braked"):
         yield f"{report['braked']!r} gets no new work as of now."
@@ -123,14 +127,14 @@
         yield f"Put on top of revision {over['revision']} by {over['author']}."
     match report["outcome"]:
         case "accepted":
-            yield f"{doing}: accepted as revision {report['revision']}."
+            yield f"{action}: accepted as revision {report['revision']}."
             yield from describe_force(report)
         case "raced":
-            yield from describe_race(report, doing)
+            yield from describe_race(report, action)
         case "not_accepted":
-            yield f"{doing}: not accepted. {report['reason']}"
+            yield f"{action}: not accepted. {report['reason']}"
         case _:
-            yield f"{doing}: unknown. {report['reason']}"
+            yield f"{action}: unknown. {report['reason']}"
             yield (
                 f"Ask again: rattanpier config outcome {report['change']} "
                 f"--revision {report['revision']}"
@@ -147,11 +151,11 @@
 
 
 def describe_race(
-    report: dict[str, Any], doing: str
+    report: dict[str, Any], action: str
 ) -> Iterator[RenderableType]:
     """Yields whose change came first, and what it changed."""
     other = report["other"]
-    yield f"{doing}: not done; another change came first."
+    yield f"{action}: not done; another change came first."
     if other:
         yield f"Revision {other['revision']} by {other['author']} changed:"
         yield Syntax(other["diff"], "diff", background_color="default")
--- a/src/rattanpier/_internal/commands/config.py
+++ b/src/rattanpier/_internal/commands/config.py
@@ -13,9 +13,9 @@
 from rattanpier._internal.commands.api import Api, connect
 from rattanpier._internal.commands.changes import (
     Change,
-    ask,
-    carry_out,
+    fetch_outcome,
     show_report,
+    submit_change,
 )
 from rattanpier._internal.commands.result import ExitCode, Result, make_table
 from rattanpier._internal.configuration.check import (
@@ -70,7 +70,7 @@
     """
     text = read_text(file, ConfigurationError)
     parse_and_check(text, file)
-    revision = base if base is not None else base_of(text, file)
+    revision = base if base is not None else parse_base_revision(text, file)
     change = Change(
         connect(url),
         "config",
@@ -78,10 +78,10 @@
         {"base": str(revision)},
         revision + 1,
     )
-    return carry_out(change, f"Apply {file}")
+    return submit_change(change, f"Apply {file}")
 
 
-def base_of(text: str, file: str) -> int:
+def parse_base_revision(text: str, file: str) -> int:
     """Returns the revision that a file says it is based on.
 
     Raises:
@@ -196,5 +196,5 @@
       revision: Number it was to have.
       url: Operators' address of a control process.
     """
-    report = ask(connect(url), str(change), revision)
+    report = fetch_outcome(connect(url), str(change), revision)
     return show_report(report, f"Change {change}")
--- a/src/rattanpier/_internal/commands/demo.py
+++ b/src/rattanpier/_internal/commands/demo.py
@@ -41,7 +41,7 @@
 
 HOST = "127.0.0.1"
 DOMAINS = ("a", "b")
-SKILLS = {"small@1": 0.7, "large@1": 0.98}
+QUALITY_BY_VERSION = {"small@1": 0.7, "large@1": 0.98}
 WORKERS = 3
 ENTRIES = 2
 READY_LIMIT_S = 30.0
@@ -84,7 +84,7 @@
 
 async def start_platform(stack: AsyncExitStack) -> DemoPlatform:
     """Starts the stand-ins for the platform and the upstreams."""
-    engines = [EngineServer(dict(SKILLS)) for _ in range(WORKERS)]
+    engines = [EngineServer(dict(QUALITY_BY_VERSION)) for _ in range(WORKERS)]
     return DemoPlatform(
         table_url=await serve(stack, TableServer().app()),
         objects_url=await serve(stack, ObjectServer().app()),
--- a/src/rattanpier/_internal/commands/explain.py
+++ b/src/rattanpier/_internal/commands/explain.py
@@ -66,7 +66,7 @@
     plan = make_plan(configuration, route, braked)
     steps = [] if isinstance(plan, Refusal) else plan.steps
     costs = [price(configuration, route, version) for version in steps]
-    shown = [show_checks(checks, route), *show_end(plan, costs)]
+    shown = [show_checks(checks, route), *show_plan(plan, costs)]
     data = {
         "revision": configuration.revision,
         "rules": [
@@ -189,7 +189,7 @@
     return f"{name}: wants {getattr(when, name)}, has {has[name]!r}"
 
 
-def show_end(plan: Any, steps: list[Step]) -> Iterator[RenderableType]:
+def show_plan(plan: Any, steps: list[Step]) -> Iterator[RenderableType]:
     """Yields what the matching rule leads to."""
     if isinstance(plan, Refusal):
         yield f"Refused: {plan.code.value}: {plan.message}"
--- a/src/rattanpier/_internal/commands/orders.py
+++ b/src/rattanpier/_internal/commands/orders.py
@@ -7,7 +7,7 @@
 from urllib.parse import quote
 
 from rattanpier._internal.commands.api import connect
-from rattanpier._internal.commands.changes import Change, carry_out
+from rattanpier._internal.commands.changes import Change, submit_change
 from rattanpier._internal.commands.result import Result, make_table
 from rattanpier._internal.exceptions import CommandError
 
@@ -33,10 +33,10 @@
     fields = {
         "stable": stable,
         "candidate": candidate,
-        "share": checked_share(share),
-        "max_share": checked_share(max_share),
+        "share": validate_share(share),
+        "max_share": validate_share(max_share),
     }
-    path = f"rollouts/{quoted(name)}/start"
+    path = f"rollouts/{quote_segment(name)}/start"
     return send(url, path, f"Start roll-out {name}", fields)
 
 
@@ -48,8 +48,8 @@
       share: Share of new sessions that get the candidate, 0 to 1.
       url: Operators' address of a control process.
     """
-    path = f"rollouts/{quoted(name)}/widen"
-    fields = {"share": checked_share(share)}
+    path = f"rollouts/{quote_segment(name)}/widen"
+    fields = {"share": validate_share(share)}
     return send(url, path, f"Widen roll-out {name}", fields)
 
 
@@ -60,7 +60,7 @@
       name: Its name.
       url: Operators' address of a control process.
     """
-    path = f"rollouts/{quoted(name)}/halt"
+    path = f"rollouts/{quote_segment(name)}/halt"
     return send(url, path, f"Halt roll-out {name}")
 
 
@@ -71,7 +71,7 @@
       name: Its name.
       url: Operators' address of a control process.
     """
-    found = connect(url).get(f"rollouts/{quoted(name)}")
+    found = connect(url).get(f"rollouts/{quote_segment(name)}")
     table = make_table(f"Roll-out {name}", ("what", "value"))
     for key, value in found.items():
         table.add_row(key, str(value))
@@ -85,7 +85,7 @@
       version: Its name.
       url: Operators' address of a control process.
     """
-    path = f"versions/{quoted(version)}/withdraw"
+    path = f"versions/{quote_segment(version)}/withdraw"
     return send(url, path, f"Withdraw {version}")
 
 
@@ -96,14 +96,14 @@
       upstream: Its name.
       url: Operators' address of a control process.
     """
-    path = f"upstreams/{quoted(upstream)}/drain"
+    path = f"upstreams/{quote_segment(upstream)}/drain"
     return send(url, path, f"Drain {upstream}")
 
 
 def send(
     url: str,
     path: str,
-    doing: str,
+    action: str,
     fields: Mapping[str, str | float] | None = None,
 ) -> Result:
     """Sends a change and returns what became of it.
@@ -111,23 +111,23 @@
     Args:
       url: Operators' address of a control process, or empty.
       path: Path of the call.
-      doing: What is done, for people.
+      action: What is done, for people.
       fields: Fields of the body, or None for no body.
     """
     data = "" if fields is None else json.dumps(fields)
-    return carry_out(Change(connect(url), path, data), doing)
+    return submit_change(Change(connect(url), path, data), action)
 
 
-def quoted(name: str) -> str:
+def quote_segment(name: str) -> str:
     """Returns a name as a part of a path.
 
-    >>> quoted("a/b@1"), quoted(3)
+    >>> quote_segment("a/b@1"), quote_segment(3)
     ('a%2Fb%401', '3')
     """
     return quote(str(name), safe="")
 
 
-def checked_share(share: float) -> float:
+def validate_share(share: float) -> float:
     """Returns a share.
 
     Raises:
--- a/tests/functional/test_cli.py
+++ b/tests/functional/test_cli.py
@@ -57,7 +57,7 @@
     yield Cli(system.operator_urls[0], tmp_path)
 
 
-async def test_bills_are_those_of_the_answers(system, cli):
+async def test_bills_match_the_answered_requests(system, cli):
     keys = [f"k{number}" for number in range(3)]
     async with aiohttp.ClientSession() as session:
         for key in (*keys, keys[0]):
@@ -94,7 +94,7 @@
     assert found == []
 
 
-async def test_accepted_and_raced_are_told_apart(cli):
+async def test_concurrent_change_is_reported_as_raced(cli):
     code, _, _ = await cli.run("config", "show", "--out", "mine.toml")
     assert code == 0
     mine = cli.folder / "mine.toml"
@@ -136,7 +136,7 @@
     assert 'state = "withdrawn"' in found["text"]
 
 
-async def test_shows_what_runs_and_explains(cli):
+async def test_status_entries_and_explain(cli):
     code, entries = await cli.json("entries")
     assert code == 0
     assert {one["name"] for one in entries} == {"entry-1", "entry-2"}
--- a/tests/functional/test_demo.py
+++ b/tests/functional/test_demo.py
@@ -57,7 +57,7 @@
     return out.decode()
 
 
-async def test_curl_and_snippet_work_as_printed(demo):
+async def test_printed_curl_and_snippet_work(demo):
     usage = await asyncio.wait_for(read_usage(demo), START_LIMIT_S)
     curl = usage[usage.index("curl ") : usage.index("\n\nLook at it")]
     answer = await run("sh", "-c", curl)
--- a/tests/unit/test_cli_changes.py
+++ b/tests/unit/test_cli_changes.py
@@ -5,7 +5,7 @@
 
 from rattanpier._internal.commands import changes
 from rattanpier._internal.commands.api import UnreachableError
-from rattanpier._internal.commands.changes import Change, carry_out
+from rattanpier._internal.commands.changes import Change, submit_change
 from rattanpier._internal.commands.result import ExitCode
 
 
@@ -28,14 +28,14 @@
 
     answers: list
     posts: list = attrs.Factory(list)
-    asks: list = attrs.Factory(list)
+    polls: list = attrs.Factory(list)
 
     def post(self, path, data="", headers=None, **query):
         self.posts.append(headers["X-Change-Id"])
         return self.next_answer()
 
     def get(self, path, **query):
-        self.asks.append((path, query["revision"]))
+        self.polls.append((path, query["revision"]))
         return self.next_answer()
 
     def next_answer(self):
@@ -46,14 +46,14 @@
 
 
 @pytest.fixture(autouse=True)
-def no_pause(monkeypatch):
-    monkeypatch.setattr(changes, "ASK_PAUSE_S", 0.0)
+def no_poll_interval(monkeypatch):
+    monkeypatch.setattr(changes, "POLL_INTERVAL_S", 0.0)
 
 
-def carry(answers, revision=2):
+def submit(answers, revision=2):
     api = FakeApi(answers)
     change = Change(api, "config", "text", {}, revision, "c1")
-    return api, carry_out(change, "Apply x")
+    return api, submit_change(change, "Apply x")
 
 
 @pytest.mark.parametrize(
@@ -69,36 +69,36 @@
         (report("not_accepted"), ExitCode.NOT_ACCEPTED, "not accepted. why"),
     ],
 )
-def test_each_outcome_has_its_code_and_sentence(answer, code, words):
-    api, result = carry([answer])
+def test_each_outcome_has_its_exit_code_and_message(answer, code, words):
+    api, result = submit([answer])
     assert result.code is code
     assert words in "\n".join(map(str, result.shown))
     assert len(api.posts) == 1
 
 
-def test_a_lost_answer_is_asked_for_and_not_sent_again():
+def test_lost_response_is_polled_and_change_not_resent():
     lost = UnreachableError("connection reset")
-    api, result = carry([lost, lost, report("accepted")])
+    api, result = submit([lost, lost, report("accepted")])
     assert result.code is ExitCode.DONE
     assert api.posts == ["c1"]
-    assert api.asks == [("changes/c1", "2")] * 2
+    assert api.polls == [("changes/c1", "2")] * 2
 
 
-def test_an_undecided_change_is_asked_about():
-    api, result = carry([report("undecided"), report("raced")])
+def test_undecided_change_is_polled():
+    api, result = submit([report("undecided"), report("raced")])
     assert result.code is ExitCode.RACED
     assert api.posts == ["c1"]
 
 
-def test_what_stays_undecided_is_unknown(monkeypatch):
-    monkeypatch.setattr(changes, "ASK_AGAIN_S", 0.0)
-    _, result = carry([report("undecided")])
+def test_change_undecided_after_timeout_is_unknown(monkeypatch):
+    monkeypatch.setattr(changes, "POLL_TIMEOUT_S", 0.0)
+    _, result = submit([report("undecided")])
     assert result.code is ExitCode.UNKNOWN
     shown = "\n".join(map(str, result.shown))
     assert "rattanpier config outcome c1 --revision 2" in shown
 
 
-def test_a_lost_answer_without_a_number_is_unknown():
-    api, result = carry([UnreachableError("connection reset")], revision=None)
+def test_lost_response_without_revision_is_unknown():
+    api, result = submit([UnreachableError("connection reset")], revision=None)
     assert result.code is ExitCode.UNKNOWN
-    assert api.asks == []
+    assert api.polls == []
