--- a/src/rattanpier/_internal/commands/api.py
+++ b/src/rattanpier/_internal/commands/api.py
@@ -1,4 +1,4 @@
-"""Calls the operators' interface of a control process."""
+"""Client for the operator API of a control process."""
 
 from __future__ import annotations
 
@@ -23,21 +23,24 @@
 
 
 class UnreachableError(CommandError):
-    """The control process did not answer; a change may have taken effect."""
+    """The control process did not answer.
+
+    A change that was sent may have taken effect nevertheless.
+    """
 
     code = "unreachable"
     exit_code = ExitCode.UNREACHABLE
 
 
 class NotAllowedError(CommandError):
-    """The operator's key is missing or not known."""
+    """The operator key is missing or unknown."""
 
     code = "bad_key"
     exit_code = ExitCode.NOT_ALLOWED
 
 
 class ApiError(CommandError):
-    """The control process refused a call."""
+    """The control process rejected a call."""
 
     code = "refused"
     exit_code = ExitCode.BAD_INPUT
@@ -45,7 +48,12 @@
 
 @attrs.frozen
 class Reply:
-    """An answer of the control process."""
+    """A response of the control process.
+
+    Attributes:
+      status: HTTP status code.
+      body: Decoded JSON body.
+    """
 
     status: int
     body: Any
@@ -53,21 +61,21 @@
 
 @attrs.frozen
 class Api:
-    """Where the control process is, and who calls.
+    """Connection parameters of the operator API.
 
     Attributes:
-      url: Its operators' address.
-      key: The operator's key.
+      url: Base URL of the control process for operators.
+      key: Operator key, sent as a bearer token.
     """
 
     url: str
     key: str
 
     def get(self, path: str, **query: str) -> Any:
-        """Returns the answer to a read.
+        """Sends a GET request and returns the decoded body.
 
         Raises:
-          CommandError: The call was refused, or not answered.
+          CommandError: The call was rejected or not answered.
         """
         return self.call("GET", path, query).body
 
@@ -78,10 +86,10 @@
         headers: Mapping[str, str] | None = None,
         **query: str,
     ) -> Any:
-        """Returns the answer to a change.
+        """Sends a POST request and returns the decoded body.
 
         Raises:
-          CommandError: The call was refused, or not answered.
+          CommandError: The call was rejected or not answered.
         """
         return self.call("POST", path, query, data, headers).body
 
@@ -93,7 +101,11 @@
         data: str = "",
         headers: Mapping[str, str] | None = None,
     ) -> Reply:
-        """Makes one call and raises what it says is wrong."""
+        """Sends one request and raises the error that its response reports.
+
+        Raises:
+          CommandError: The call was rejected or not answered.
+        """
         reply = asyncio.run(
             send(self, method, path, query, data, headers or {})
         )
@@ -109,7 +121,11 @@
     data: str,
     headers: Mapping[str, str],
 ) -> Reply:
-    """Sends one call and reads its answer."""
+    """Sends one request and reads its response.
+
+    Raises:
+      UnreachableError: No valid response arrived within the timeout.
+    """
     url = f"{api.url.rstrip('/')}/operator/{path}"
     sent = {"Authorization": f"Bearer {api.key}", **headers}
     timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
@@ -128,13 +144,19 @@
     except (aiohttp.ClientError, TimeoutError, ValueError) as error:
         raise UnreachableError(
             f"no answer from {url}: {error or type(error).__name__}",
-            f"see that a control process serves operators there, or give "
-            f"another by --url or {URL_VARIABLE}",
+            f"check that a control process serves operators there, or set "
+            f"another URL with --url or {URL_VARIABLE}",
         ) from error
 
 
 def raise_error(reply: Reply) -> None:
-    """Raises the error in an answer, if it has one."""
+    """Raises the error that a response reports, if any.
+
+    Raises:
+      NotAllowedError: The operator key was rejected.
+      UnreachableError: The control process cannot reach the store.
+      ApiError: Any other error.
+    """
     error = reply.body.get("error") if isinstance(reply.body, dict) else None
     if error is None:
         return
@@ -147,16 +169,20 @@
 
 
 def connect(url: str = "") -> Api:
-    """Returns the interface that options and environment name.
+    """Returns a client configured from an option and the environment.
+
+    Args:
+      url: Operator URL of a control process; if empty, the environment
+        variable is used.
 
     Raises:
-      CommandError: Address or key are not given.
+      CommandError: The URL or the key is missing.
     """
     address = url or os.environ.get(URL_VARIABLE, "")
     if not address:
         raise CommandError(
-            "no control process is named",
-            f"give its operators' address by --url or {URL_VARIABLE}",
+            "no URL of a control process is given",
+            f"set its operator URL with --url or {URL_VARIABLE}",
         )
     key = os.environ.get(KEY_VARIABLE, "")
     if not key:
