--- a/src/rattanpier/_internal/commands/billing.py
+++ b/src/rattanpier/_internal/commands/billing.py
@@ -1,4 +1,4 @@
-"""`rattanpier bills`: reads every bill from the platform and sums them."""
+"""`rattanpier bills`: reads all bills from the platform and totals them."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
     objects_url: str = "",
     workspace: str = "",
 ) -> Result:
-    """Shows what each workspace is billed; `--json` prints every bill.
+    """Shows the total billed to each workspace; `--json` prints every bill.
 
     Args:
-      settings: Settings file of a process, for the platform's addresses.
-      table_url: Table service, in place of a settings file.
-      objects_url: Object store, in place of a settings file.
-      workspace: Only this workspace.
+      settings: Settings file of a process, which gives the platform's URLs.
+      table_url: URL of the table service, instead of a settings file.
+      objects_url: URL of the object store, instead of a settings file.
+      workspace: Show only this workspace.
     """
     platform = find_platform(settings, table_url, objects_url)
     with Console(stderr=True).status("Reading bills") as status:
@@ -57,16 +57,16 @@
 def find_platform(
     settings: str, table_url: str, objects_url: str
 ) -> PlatformSettings:
-    """Returns the platform's addresses.
+    """Returns the platform settings from the command's options.
 
     Raises:
-      CommandError: None are given.
+      CommandError: Neither a settings file nor a table URL is given.
     """
     if settings:
         return load_settings(settings).platform
     if not table_url:
         raise CommandError(
-            "no table service is named",
+            "no URL of a table service is given",
             "give --settings or --table_url",
         )
     return PlatformSettings(table_url, objects_url)
@@ -75,7 +75,7 @@
 async def read_all(
     platform: PlatformSettings, progress: Progress
 ) -> list[BilledClaim]:
-    """Returns every bill."""
+    """Returns all bills; reports the number read so far to `progress`."""
     async with aiohttp.ClientSession() as session:
         timeout_s = platform.timeout_s
         table = HttpTable(session, platform.table_url, timeout_s)
@@ -91,7 +91,7 @@
 
 
 def make_totals_table(found: Iterable[BilledClaim]) -> Any:
-    """Returns the table of sums by workspace and version."""
+    """Returns a table of totals by workspace and version."""
     counts: collections.Counter[tuple[str, str]] = collections.Counter()
     credits: collections.Counter[tuple[str, str]] = collections.Counter()
     for one in found:
--- a/src/rattanpier/_internal/commands/bills.py
+++ b/src/rattanpier/_internal/commands/bills.py
@@ -1,8 +1,8 @@
-"""`rattanpier bills`: every bill, each once.
+"""Exports all bills exactly once for `rattanpier bills`.
 
-Bills are read where they are certain: in the objects that compaction wrote
-and in the log rows behind them. Nothing is asked of an entry, so a bill that
-is printed is one that no fault can take back.
+Bills are read only from durable storage: the objects written by compaction
+and the log rows that follow them. Entries are not queried, so no later fault
+can revoke an exported bill.
 """
 
 from __future__ import annotations
@@ -29,10 +29,10 @@
 
 @attrs.frozen
 class ShardBills:
-    """A shard's bills at one moment.
+    """A consistent view of the bills of a shard.
 
     Attributes:
-      files: Bill objects, in order.
+      files: Bill objects written by compaction, in order.
       tail: Bills that are still in the log.
     """
 
@@ -45,16 +45,17 @@
     objects: Objects | None = None,
     after: Mapping[int, int] | None = None,
 ) -> AsyncIterator[BilledClaim]:
-    """Yields every bill once, shard by shard, in log order.
+    """Yields every bill exactly once, shard by shard, in log order.
 
     Args:
       table: The table service.
-      objects: Where compaction keeps bills; the table if None.
-      after: For each shard, the last log position already exported.
+      objects: Object store that compaction writes bills to; the table if
+        None.
+      after: Last log position already exported, by shard.
 
     Raises:
-      StoreUnavailableError: The store did not answer; what was yielded so
-        far stands, and `after` says where to go on.
+      StoreUnavailableError: The store did not answer. Bills yielded so far
+        are valid; pass their positions as `after` to resume.
     """
     objects = objects or TableObjects(table)
     for row in await scan_all(table, LEASE_PREFIX):
@@ -82,7 +83,11 @@
 async def read_shard(
     table: Table, objects: Objects, shard: int, row: Row
 ) -> ShardBills:
-    """Reads a shard's bills, again if it was compacted meanwhile."""
+    """Reads the bills of a shard; retries if it was compacted meanwhile.
+
+    Raises:
+      StoreUnavailableError: The store did not answer.
+    """
     while True:
         lease = decode(ShardLease, row.value)
         try:
@@ -90,7 +95,7 @@
             book, _ = await recover(table, shard, objects)
             failure = None
         except StoreUnavailableError as error:
-            # A snapshot may just have been replaced by the next.
+            # Compaction may have replaced the snapshot during the read.
             failure = error
         again = await table.get(lease_key(shard))
         assert again is not None, "a shard's lease row is never deleted"
