--- a/src/rattanpier/_internal/commands/changes.py
+++ b/src/rattanpier/_internal/commands/changes.py
@@ -1,4 +1,4 @@
-"""Carries a change to an outcome, and says what became of it."""
+"""Submits configuration changes and reports their outcome."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from rattanpier._internal.commands.api import Api, UnreachableError
 from rattanpier._internal.commands.result import ExitCode, Result
 
-POLL_TIMEOUT_S = 30.0  # How long an undecided change is asked about.
+POLL_TIMEOUT_S = 30.0  # Limit for polling an undecided change.
 POLL_INTERVAL_S = 1.0
 UNDECIDED = "undecided"
 EXIT_CODES = {
@@ -27,21 +27,24 @@
 
 
 def new_id() -> str:
-    """Returns an id that no command line takes for a number."""
+    """Returns a change id.
+
+    The prefix keeps the command line from parsing an id as a number.
+    """
     return f"change-{uuid.uuid4().hex}"
 
 
 @attrs.frozen
 class Change:
-    """A change under its own id, so that it can be asked about.
+    """A change with a unique id, by which its outcome can be queried.
 
     Attributes:
-      api: Where it is sent.
-      path: Path of the call.
-      data: Body of the call.
-      query: Query of the call.
-      revision: Number it is to have, or None where the server finds one.
-      change: Its id.
+      api: Client that sends the change.
+      path: Path of the request.
+      data: Body of the request.
+      query: Query parameters of the request.
+      revision: Requested revision, or None if the server assigns it.
+      change: Id of the change.
     """
 
     api: Api
@@ -53,9 +56,10 @@
 
 
 def submit_change(change: Change, action: str) -> Result:
-    """Sends a change, and asks again for as long as it is undecided.
+    """Sends a change and polls its outcome while it is undecided.
 
-    A change is never sent twice: a lost answer is asked for by the id.
+    A change is never sent twice: if the response is lost, the outcome is
+    queried by the id of the change.
     """
     with progress.status(f"{action}; waiting until it is in force everywhere"):
         report = send_change(change)
@@ -67,7 +71,7 @@
 
 
 def send_change(change: Change) -> dict[str, Any]:
-    """Returns the report on a change; undecided if the answer was lost."""
+    """Returns the report on a change; undecided if the response was lost."""
     try:
         return change.api.post(
             change.path,
@@ -90,7 +94,11 @@
     limit_s: float,
     clock: Callable[[], float],
 ) -> dict[str, Any]:
-    """Asks what became of a change until it is decided or time is up."""
+    """Polls the outcome of a change until it is decided or `limit_s` passed.
+
+    Without a revision number the outcome cannot be queried, and the report
+    is returned unchanged.
+    """
     if not report["revision"]:
         return report
     end = clock() + limit_s
@@ -106,12 +114,12 @@
 
 
 def fetch_outcome(api: Api, change: str, revision: int) -> dict[str, Any]:
-    """Returns what became of a change."""
+    """Returns the report on the outcome of a change."""
     return api.get(f"changes/{change}", revision=str(revision))
 
 
 def show_report(report: dict[str, Any], action: str) -> Result:
-    """Returns the result for a report: what became of a change."""
+    """Returns the command result for the report on a change."""
     shown = list(describe(report, action))
     if report["outcome"] != "accepted":
         return Result(report, shown, EXIT_CODES[report["outcome"]])
@@ -120,7 +128,7 @@
 
 
 def describe(report: dict[str, Any], action: str) -> Iterator[RenderableType]:
-    """Yields the sentences that tell people what became of a change."""
+    """Yields the human-readable description of the outcome of a change."""
     if report.get("braked"):
         yield f"{report['braked']!r} gets no new work as of now."
     for over in report.get("over") or []:
@@ -142,7 +150,7 @@
 
 
 def describe_force(report: dict[str, Any]) -> Iterator[str]:
-    """Yields whether an accepted change is in force everywhere."""
+    """Yields a line on whether an accepted change is in force everywhere."""
     if report["in_force"]:
         yield "In force everywhere."
         return
@@ -153,7 +161,7 @@
 def describe_race(
     report: dict[str, Any], action: str
 ) -> Iterator[RenderableType]:
-    """Yields whose change came first, and what it changed."""
+    """Yields the author and the diff of the change that came first."""
     other = report["other"]
     yield f"{action}: not done; another change came first."
     if other:
--- a/tests/unit/test_cli_changes.py
+++ b/tests/unit/test_cli_changes.py
@@ -1,4 +1,7 @@
-"""What became of a change: told apart, and never sent twice."""
+"""Tests of change outcomes.
+
+Each outcome has its own exit code, and a change is never sent twice.
+"""
 
 import attrs
 import pytest
@@ -24,7 +27,7 @@
 
 @attrs.define
 class FakeApi:
-    """Answers in the given order; an exception is raised."""
+    """Returns the given answers in order; raises those that are exceptions."""
 
     answers: list
     posts: list = attrs.Factory(list)
