--- a/src/rattanpier/_internal/commands/cluster.py
+++ b/src/rattanpier/_internal/commands/cluster.py
@@ -1,4 +1,4 @@
-"""`rattanpier entries` and `rattanpier status`: what runs."""
+"""`rattanpier entries` and `rattanpier status`: running processes."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 def entries(url: str = "") -> Result:
-    """Lists the entries, as callers get them.
+    """Lists the entries as callers see them.
 
     Args:
-      url: Operators' address of a control process.
+      url: URL of the operator API of a control process.
     """
     members = connect(url).get("status")["members"]
     found = [one for one in members if one["role"] == Role.ENTRY]
@@ -28,14 +28,14 @@
     """Shows the revision in force, brakes, and every process.
 
     Args:
-      url: Operators' address of a control process.
+      url: URL of the operator API of a control process.
     """
     found = connect(url).get("status")
     return Result(found, list(show_status(found)))
 
 
 def show_status(found: dict[str, Any]) -> Iterator[RenderableType]:
-    """Yields what people see of the status."""
+    """Yields the human-readable form of the status."""
     where = "everywhere" if found["in_force"] else "not known everywhere"
     store = "answers" if found["store_reachable"] else "DOES NOT ANSWER"
     yield f"Revision {found['revision']}, in force {where}; the store {store}."
@@ -51,7 +51,7 @@
 def table_of(
     title: str, names: tuple[str, ...], items: list[dict[str, Any]]
 ) -> RenderableType:
-    """Returns a table of some fields of items."""
+    """Returns a table with the named fields of each item."""
     table = make_table(title, names)
     for item in items:
         table.add_row(*(str(item.get(name, "")) for name in names))
--- a/src/rattanpier/_internal/commands/config.py
+++ b/src/rattanpier/_internal/commands/config.py
@@ -60,13 +60,13 @@
 
 
 def apply(file: str, base: int | None = None, url: str = "") -> Result:
-    """Makes a file the next revision, unless another change came first.
+    """Applies a file as the next revision unless another change came first.
 
     Args:
       file: Path of the TOML file.
-      base: Revision that the file is based on; if left out, the one that
+      base: Revision that the file is based on; by default the one that
         `config show --out` wrote into its first line.
-      url: Operators' address of a control process.
+      url: URL of the operator API of a control process.
     """
     text = read_text(file, ConfigurationError)
     parse_and_check(text, file)
@@ -82,10 +82,10 @@
 
 
 def parse_base_revision(text: str, file: str) -> int:
-    """Returns the revision that a file says it is based on.
+    """Returns the base revision stated in the first line of a file.
 
     Raises:
-      CommandError: It says none.
+      CommandError: The first line states no base revision.
     """
     found = BASE_LINE.match(text)
     if not found:
@@ -100,9 +100,9 @@
     """Shows a revision, by default the newest accepted one.
 
     Args:
-      revision: Its number.
-      out: File to write it to, with the revision it is based on.
-      url: Operators' address of a control process.
+      revision: Number of the revision.
+      out: File to write it to, with its number in the first line.
+      url: URL of the operator API of a control process.
     """
     found = fetch(connect(url), revision)
     if out:
@@ -116,19 +116,19 @@
 
 
 def fetch(api: Api, revision: int | None) -> dict[str, Any]:
-    """Returns an accepted revision."""
+    """Returns an accepted revision, the newest one if `revision` is None."""
     if revision is None:
         return api.get("config")
     return api.get("config", revision=str(revision))
 
 
 def diff(file: str, revision: int | None = None, url: str = "") -> Result:
-    """Shows what a file would change.
+    """Shows the changes that applying a file would make.
 
     Args:
       file: Path of the TOML file.
       revision: Revision to compare with; by default the newest.
-      url: Operators' address of a control process.
+      url: URL of the operator API of a control process.
     """
     text = BASE_LINE.sub("", read_text(file, ConfigurationError), count=1)
     found = fetch(connect(url), revision)
@@ -151,8 +151,8 @@
     """Lists accepted changes, newest first.
 
     Args:
-      limit: At most so many.
-      url: Operators' address of a control process.
+      limit: Maximum number of changes.
+      url: URL of the operator API of a control process.
     """
     items = connect(url).get("history", limit=str(limit))
     table = make_table("Changes", ("revision", "time", "author", "lines"))
@@ -167,7 +167,7 @@
 
 
 def show_time(seconds: float) -> str:
-    """Returns a time as people read it.
+    """Formats a Unix time in seconds as UTC.
 
     >>> show_time(0.0)
     '1970-01-01 00:00:00Z'
@@ -177,7 +177,7 @@
 
 
 def count_lines(changed: str) -> str:
-    r"""Returns how many lines a diff adds and takes away.
+    r"""Returns the numbers of lines that a unified diff adds and removes.
 
     >>> count_lines("--- a\n+++ b\n@@ -1 +1 @@\n-x\n+y\n+z")
     '+2 -1'
@@ -189,12 +189,12 @@
 
 
 def outcome(change: str, revision: int, url: str = "") -> Result:
-    """Finds out what became of a change whose outcome was unknown.
+    """Shows the outcome of a change that was reported as unknown.
 
     Args:
-      change: Its id, as `config apply` printed it.
-      revision: Number it was to have.
-      url: Operators' address of a control process.
+      change: Id of the change, as printed by `config apply`.
+      revision: Revision number requested for the change.
+      url: URL of the operator API of a control process.
     """
     report = fetch_outcome(connect(url), str(change), revision)
     return show_report(report, f"Change {change}")
--- a/src/rattanpier/_internal/commands/orders.py
+++ b/src/rattanpier/_internal/commands/orders.py
@@ -1,4 +1,4 @@
-"""`rollout`, `version` and `upstream`: changes of a single field."""
+"""`rollout`, `version` and `upstream`: commands that change a single field."""
 
 from __future__ import annotations
 
@@ -23,12 +23,13 @@
     """Starts a roll-out.
 
     Args:
-      name: Its name.
+      name: Name of the roll-out.
       stable: Version in service.
-      candidate: Version rolled out.
+      candidate: Version to roll out.
       share: Share of new sessions that get the candidate, 0 to 1.
-      max_share: Share that evidence may widen to without an operator.
-      url: Operators' address of a control process.
+      max_share: Maximum share that the roll-out may widen to automatically,
+        on evidence and without an operator.
+      url: URL of the operator API of a control process.
     """
     fields = {
         "stable": stable,
@@ -44,9 +45,9 @@
     """Widens a roll-out.
 
     Args:
-      name: Its name.
+      name: Name of the roll-out.
       share: Share of new sessions that get the candidate, 0 to 1.
-      url: Operators' address of a control process.
+      url: URL of the operator API of a control process.
     """
     path = f"rollouts/{quote_segment(name)}/widen"
     fields = {"share": validate_share(share)}
@@ -54,22 +55,22 @@
 
 
 def halt(name: str, url: str = "") -> Result:
-    """Halts a roll-out; its candidate gets no new work as of now.
+    """Halts a roll-out; its candidate gets no new work from now on.
 
     Args:
-      name: Its name.
-      url: Operators' address of a control process.
+      name: Name of the roll-out.
+      url: URL of the operator API of a control process.
     """
     path = f"rollouts/{quote_segment(name)}/halt"
     return send(url, path, f"Halt roll-out {name}")
 
 
 def status(name: str, url: str = "") -> Result:
-    """Shows where a roll-out stands.
+    """Shows the state of a roll-out.
 
     Args:
-      name: Its name.
-      url: Operators' address of a control process.
+      name: Name of the roll-out.
+      url: URL of the operator API of a control process.
     """
     found = connect(url).get(f"rollouts/{quote_segment(name)}")
     table = make_table(f"Roll-out {name}", ("what", "value"))
@@ -79,11 +80,11 @@
 
 
 def withdraw(version: str, url: str = "") -> Result:
-    """Withdraws a version; it gets no new work as of now.
+    """Withdraws a version; it gets no new work from now on.
 
     Args:
-      version: Its name.
-      url: Operators' address of a control process.
+      version: Name of the version.
+      url: URL of the operator API of a control process.
     """
     path = f"versions/{quote_segment(version)}/withdraw"
     return send(url, path, f"Withdraw {version}")
@@ -93,8 +94,8 @@
     """Stops new work for an upstream.
 
     Args:
-      upstream: Its name.
-      url: Operators' address of a control process.
+      upstream: Name of the upstream.
+      url: URL of the operator API of a control process.
     """
     path = f"upstreams/{quote_segment(upstream)}/drain"
     return send(url, path, f"Drain {upstream}")
@@ -106,20 +107,20 @@
     action: str,
     fields: Mapping[str, str | float] | None = None,
 ) -> Result:
-    """Sends a change and returns what became of it.
+    """Sends a change and returns its outcome.
 
     Args:
-      url: Operators' address of a control process, or empty.
-      path: Path of the call.
-      action: What is done, for people.
-      fields: Fields of the body, or None for no body.
+      url: URL of the operator API of a control process, or empty.
+      path: Path of the request.
+      action: Human-readable description of the change.
+      fields: Fields of the JSON body, or None for no body.
     """
     data = "" if fields is None else json.dumps(fields)
     return submit_change(Change(connect(url), path, data), action)
 
 
 def quote_segment(name: str) -> str:
-    """Returns a name as a part of a path.
+    """Returns a name percent-encoded as one segment of a URL path.
 
     >>> quote_segment("a/b@1"), quote_segment(3)
     ('a%2Fb%401', '3')
@@ -128,10 +129,10 @@
 
 
 def validate_share(share: float) -> float:
-    """Returns a share.
+    """Returns a share as a float.
 
     Raises:
-      CommandError: It is not a number from 0 to 1.
+      CommandError: The share is not a number from 0 to 1.
     """
     wrong = isinstance(share, bool) or not isinstance(share, int | float)
     if wrong or not 0 <= share <= 1:
