--- a/src/rattanpier/_internal/commands/demo.py
+++ b/src/rattanpier/_internal/commands/demo.py
@@ -1,4 +1,4 @@
-"""`rattanpier demo`: the whole system in one process, on loopback."""
+"""`rattanpier demo`: runs the whole system in one process on loopback."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 @attrs.frozen
 class DemoPlatform:
-    """Addresses of the embedded stand-ins."""
+    """URLs of the embedded stand-ins."""
 
     table_url: str
     objects_url: str
@@ -61,12 +61,12 @@
 
 @attrs.frozen
 class DemoSystem:
-    """Addresses of the running system.
+    """URLs of the running system.
 
     Attributes:
       platform: The embedded stand-ins.
-      entry_urls: Where callers connect, one an entry.
-      operator_urls: Where operators connect, one a control process.
+      entry_urls: URLs for callers, one per entry.
+      operator_urls: URLs for operators, one per control process.
     """
 
     platform: DemoPlatform
@@ -75,7 +75,7 @@
 
 
 async def serve(stack: AsyncExitStack, app: web.Application) -> str:
-    """Serves an application until the stack closes; returns its address."""
+    """Serves an application until the stack closes; returns its URL."""
     server = HttpServer(app, ListenSettings(HOST))
     await server.start()
     stack.push_async_callback(server.stop)
@@ -95,7 +95,7 @@
 
 
 async def apply_configuration(platform: DemoPlatform) -> None:
-    """Makes the demo's configuration the first revision."""
+    """Stores the demo's configuration as the first revision."""
     text = configuration_text(
         platform.engine_urls, platform.plain_url, DOMAINS, ENTRIES
     )
@@ -108,7 +108,7 @@
 def node_settings(
     platform: DemoPlatform, ports: list[int]
 ) -> Iterator[Settings]:
-    """Yields the settings of the entries."""
+    """Yields the settings of one entry per port."""
     session_key = secrets.token_hex(16)
     for number, port in enumerate(ports):
         yield Settings(
@@ -122,7 +122,7 @@
 
 
 def control_settings(entry: Settings) -> Settings:
-    """Returns the settings of the control process beside an entry."""
+    """Returns the settings of the control process paired with an entry."""
     name = entry.node.name.replace("entry", "control")
     return attrs.evolve(
         entry,
@@ -140,7 +140,7 @@
         control = await build_control(control_settings(settings))
         stack.push_async_callback(control.stop)
         entry = await build_entry(settings)
-        # Without a drain: a demo has no callers to wait for.
+        # Stops without draining, since a demo has no callers to wait for.
         stack.push_async_callback(entry.stop)
         entry_urls.append(entry.find("edge").url)
         operator_urls.append(control.find("operators").url)
@@ -149,10 +149,10 @@
 
 
 async def wait_ready(urls: list[str]) -> None:
-    """Waits until every entry takes callers and lists all the others.
+    """Waits until every entry is ready and lists all entries.
 
     Raises:
-      TimeoutError: An entry is not ready within the limit.
+      TimeoutError: An entry is not ready within `READY_LIMIT_S`.
     """
     async with (
         asyncio.timeout(READY_LIMIT_S),
@@ -166,7 +166,7 @@
 async def is_ready(
     session: aiohttp.ClientSession, url: str, entries: int
 ) -> bool:
-    """Says whether an entry is ready and lists all entries."""
+    """Returns whether an entry is ready and lists all entries."""
     async with session.get(f"{url}/readyz") as response:
         if response.status != web.HTTPOk.status_code:
             return False
@@ -177,7 +177,7 @@
 
 @asynccontextmanager
 async def running_demo(ports: list[int]) -> AsyncIterator[DemoSystem]:
-    """Runs the whole system as long as the context is open."""
+    """Runs the whole system while the context is open."""
     async with AsyncExitStack() as stack:
         platform = await start_platform(stack)
         await apply_configuration(platform)
@@ -207,8 +207,9 @@
     """Runs the whole system with stand-ins on loopback, until Ctrl-C.
 
     Args:
-      port: Port of the first entry, the next ones follow; 0 takes free ones.
-      log_level: Least level of the log lines shown.
+      port: Port of the first entry; further entries use the ports after it.
+        0 chooses free ports.
+      log_level: Minimum level of the log lines shown.
     """
     configure_logs(False, log_level)
     asyncio.run(run_demo(port))
--- a/src/rattanpier/_internal/commands/demo_text.py
+++ b/src/rattanpier/_internal/commands/demo_text.py
@@ -1,4 +1,4 @@
-"""Texts of the demo: its configuration, and what it prints."""
+"""Text templates of the demo: its configuration and usage message."""
 
 from __future__ import annotations
 
@@ -108,7 +108,7 @@
 def worker_text(
     upstream: str, number: int, url: str, domains: Sequence[str], more: str = ""
 ) -> str:
-    """Returns the table of one worker."""
+    """Returns the TOML table of one worker."""
     return (
         f"\n[upstreams.{upstream}.workers.{upstream}-{number + 1}]\n"
         f'url = "{url}"\n'
@@ -138,7 +138,7 @@
 
 @attrs.frozen
 class Addresses:
-    """Addresses that the demo prints."""
+    """URLs that the demo prints."""
 
     entries: Sequence[str]
     operators: Sequence[str]
@@ -147,7 +147,7 @@
 
 
 def usage_text(addresses: Addresses) -> str:
-    """Returns what the demo prints once it is ready."""
+    """Returns the usage message that the demo prints once it is ready."""
     first = addresses.entries[0]
     return USAGE.format(
         entries="  ".join(addresses.entries),
--- a/tests/functional/test_demo.py
+++ b/tests/functional/test_demo.py
@@ -1,4 +1,4 @@
-"""`rattanpier demo`: what it prints works as printed."""
+"""Tests that the commands printed by `rattanpier demo` work."""
 
 import asyncio
 import os
@@ -17,7 +17,7 @@
 
 
 async def read_usage(process):
-    """The text that the demo prints, up to the end of the snippet."""
+    """Returns the printed usage text up to the end of the snippet."""
     lines = []
     while not lines or lines[-1].strip() != "print()":
         line = await process.stdout.readline()
