--- a/src/rattanpier/_internal/commands/explain.py
+++ b/src/rattanpier/_internal/commands/explain.py
@@ -1,4 +1,4 @@
-"""`rattanpier explain`: which rule matches a request, and what it leads to."""
+"""`rattanpier explain`: the rule that matches a request, and its plan."""
 
 from __future__ import annotations
 
@@ -34,11 +34,11 @@
 
 @attrs.frozen
 class Step:
-    """A version that is left, with what it would cost.
+    """A version in the plan of a request, with its estimated cost.
 
     Attributes:
-      version: Its name.
-      cost: Credits for the prompt and all tokens asked for.
+      version: Name of the version.
+      cost: Credits for the prompt and the maximum number of output tokens.
       quality: Expected share of good answers, before any rating.
     """
 
@@ -48,12 +48,12 @@
 
 
 def explain(request: str, config: str = "", url: str = "") -> Result:
-    """Explains what happens to a request, without sending it.
+    """Explains how a request would be routed, without sending it.
 
     Args:
       request: JSON file: workspace, body and headers of the request.
-      config: Configuration file to use in place of the one in force.
-      url: Operators' address of a control process.
+      config: Configuration file to use instead of the one in force.
+      url: URL of the operator API of a control process.
     """
     route = read_request(request)
     configuration, braked = read_configuration(config, url)
@@ -86,20 +86,22 @@
 
 
 def read_request(path: str) -> RouteRequest:
-    """Returns the request in a file.
+    """Reads a request from a JSON file.
 
     Raises:
-      CommandError: The file is not of the right shape.
+      CommandError: The file is not JSON or lacks the expected structure.
     """
     try:
         data = json.loads(read_text(path, CommandError))
     except ValueError as error:
         raise CommandError(f"{path} is not JSON: {error}", HINT) from error
     if not isinstance(data, dict) or not set(data) <= set(KNOWN_KEYS):
-        raise CommandError(f"{path} has not the keys of a request", HINT)
+        raise CommandError(
+            f"{path} is not an object with the keys of a request", HINT
+        )
     body, headers = data.get("body", {}), data.get("headers", {})
     if not isinstance(body, dict) or not isinstance(headers, dict):
-        raise CommandError(f"{path}: body and headers are objects", HINT)
+        raise CommandError(f"{path}: body and headers must be objects", HINT)
     if not isinstance(data.get("workspace"), str):
         raise CommandError(f"{path} names no workspace", HINT)
     return make_request(data, body, headers)
@@ -108,7 +110,7 @@
 def make_request(
     data: dict[str, Any], body: dict[str, Any], headers: dict[str, Any]
 ) -> RouteRequest:
-    """Returns a request as the rules see it."""
+    """Converts a request to the form that rules are matched against."""
     named = {name.lower(): str(value) for name, value in headers.items()}
     messages = body.get("messages") or []
     characters = sum(len(str(one.get("content", ""))) for one in messages)
@@ -131,7 +133,7 @@
 def read_configuration(
     config: str, url: str
 ) -> tuple[Configuration, list[str]]:
-    """Returns the configuration to use, and the versions braked."""
+    """Returns the configuration to use and the names of braked versions."""
     if config:
         text = read_text(config, ConfigurationError)
         return parse_and_check(text, config), []
@@ -148,7 +150,7 @@
 def price(
     configuration: Configuration, request: RouteRequest, name: str
 ) -> Step:
-    """Returns what a version would cost and is expected to be worth."""
+    """Returns the estimated cost and expected quality of a version."""
     version = configuration.versions[name]
     credits = (
         request.prompt_tokens * version.input_price
@@ -160,7 +162,7 @@
 def show_checks(
     checks: list[RuleCheck], request: RouteRequest
 ) -> RenderableType:
-    """Returns the table of rules up to the one that matches."""
+    """Returns a table of the rules up to the one that matches."""
     table = make_table("Rules", ("rule", "matches", "why not"))
     for one in checks:
         reasons = "; ".join(
@@ -171,7 +173,7 @@
 
 
 def reason(name: str, when: When, request: RouteRequest) -> str:
-    """Returns why a condition does not hold.
+    """Returns the reason why a condition does not hold.
 
     >>> reason("stream", When(stream=True), RouteRequest("w", "k"))
     'stream: wants True, has False'
@@ -190,7 +192,7 @@
 
 
 def show_plan(plan: Any, steps: list[Step]) -> Iterator[RenderableType]:
-    """Yields what the matching rule leads to."""
+    """Yields the human-readable form of a plan or refusal."""
     if isinstance(plan, Refusal):
         yield f"Refused: {plan.code.value}: {plan.message}"
         return
--- a/src/rattanpier/_internal/commands/replay.py
+++ b/src/rattanpier/_internal/commands/replay.py
@@ -1,4 +1,4 @@
-"""`rattanpier replay`: runs the decision code on a recorded trace."""
+"""`rattanpier replay`: runs the routing decisions on a recorded trace."""
 
 from __future__ import annotations
 
@@ -17,19 +17,19 @@
 
 @attrs.frozen
 class Outcomes:
-    """What a trace has to come to: one outcome for each of its lines."""
+    """Expected outcomes of a trace, one for each of its lines."""
 
     outcomes: list[str]
 
 
 @attrs.frozen
 class Compared:
-    """One line of a trace.
+    """Comparison of one line of a trace with its expected outcome.
 
     Attributes:
-      line: Its number, from 1.
-      decided: What the code decides now; empty if the trace has no such line.
-      stated: What was stated; empty if nothing was.
+      line: Line number, from 1.
+      decided: Current decision; empty if the trace has no such line.
+      stated: Expected outcome; empty if none is given.
     """
 
     line: int
@@ -38,16 +38,16 @@
 
     @property
     def same(self) -> bool:
-        """Whether the code decides what was stated."""
+        """Whether the current decision equals the expected outcome."""
         return self.decided == self.stated
 
 
 def replay(trace: str, expect: str) -> Result:
-    """Replays a trace and compares each decision with a stated outcome.
+    """Replays a trace and compares each decision with its expected outcome.
 
     Args:
-      trace: File of a trace, one JSON event a line.
-      expect: TOML file with the list `outcomes`, one for each line.
+      trace: Trace file with one JSON event per line.
+      expect: TOML file with the list `outcomes`, one item per line.
     """
     decided = replay_file(trace)
     stated = read_outcomes(expect).outcomes
@@ -64,10 +64,10 @@
 
 
 def replay_file(path: str) -> list[str]:
-    """Returns what is decided at each line of a trace.
+    """Returns the decision at each line of a trace.
 
     Raises:
-      CommandError: The file is not a trace.
+      CommandError: The file is not a valid trace.
     """
     lines = read_text(path, CommandError).splitlines()
     try:
@@ -79,15 +79,16 @@
 
 
 def read_outcomes(path: str) -> Outcomes:
-    """Returns the outcomes in a TOML file.
+    """Reads the expected outcomes from a TOML file.
 
     Raises:
-      CommandError: The file is not of the right shape.
+      CommandError: The file is not TOML or lacks the list `outcomes`.
     """
     try:
         data = tomllib.loads(read_text(path, CommandError))
         return converter.structure(data, Outcomes)
     except (BaseValidationError, ValueError) as error:
         raise CommandError(
-            f"{path} holds no outcomes: {error}", 'write outcomes = ["…", …]'
+            f"{path} is not a list of outcomes: {error}",
+            'write outcomes = ["…", …]',
         ) from error
