--- a/src/rattanpier/_internal/commands/losses.py
+++ b/src/rattanpier/_internal/commands/losses.py
@@ -1,4 +1,4 @@
-"""`rattanpier losses`: what requests lost worth by, from log lines."""
+"""`rattanpier losses`: causes of lost request value, from log lines."""
 
 from __future__ import annotations
 
@@ -21,8 +21,11 @@
     """Counts requests that failed, were late or were answered doubtfully.
 
     Args:
-      files: With the lines of all entries; standard input if there are none.
-      step_s: Seconds of each row of the table by moment.
+      files: Log files of all entries; standard input if none are given.
+      step_s: Interval in seconds that each row of the table by moment covers.
+
+    Raises:
+      CommandError: `step_s` is not a finite number of at least 0.1.
     """
     if isinstance(step_s, bool) or not isinstance(step_s, int | float):
         raise CommandError(f"step_s is {step_s!r}", "give a number of seconds")
--- a/src/rattanpier/_internal/commands/result.py
+++ b/src/rattanpier/_internal/commands/result.py
@@ -1,4 +1,4 @@
-"""What a command of the operators' command line ends with."""
+"""Results and exit codes of the operator commands."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
     """Exit codes; docs/OPERATORS.md lists them."""
 
     DONE = 0
-    INTERNAL = 1  # A fault of the program.
-    BAD_INPUT = 2  # Arguments, settings or a configuration can't be used.
+    INTERNAL = 1  # Internal error.
+    BAD_INPUT = 2  # Invalid arguments, settings or configuration.
     RACED = 3  # Another operator's change came first.
-    NOT_ACCEPTED = 4  # Certainly not in the store.
-    UNKNOWN = 5  # May be in the store or not; ask again by its id.
+    NOT_ACCEPTED = 4  # Definitely not in the store.
+    UNKNOWN = 5  # Possibly in the store; query the outcome by change id.
     NOT_YET_IN_FORCE = 6  # Accepted, but not everywhere yet.
     UNREACHABLE = 7  # No answer from the control process or the store.
-    NOT_ALLOWED = 8  # The operator's key is missing or not known.
-    FAILED = 9  # The check that was asked for found something.
+    NOT_ALLOWED = 8  # The operator key is missing or unknown.
+    FAILED = 9  # The requested check found a problem.
 
 
 @attrs.frozen
 class Result:
-    """A command's end.
+    """The result of a command.
 
     Attributes:
-      data: What `--json` prints.
-      shown: What people see.
+      data: Data that `--json` prints.
+      shown: Human-readable output, printed without `--json`.
       code: Exit code.
     """
 
--- a/src/rattanpier/_internal/commands/trace_request.py
+++ b/src/rattanpier/_internal/commands/trace_request.py
@@ -1,4 +1,4 @@
-"""`rattanpier trace-request` and `rattanpier why`: causes from log lines."""
+"""`rattanpier trace-request` and `rattanpier why`: causes of failures."""
 
 from __future__ import annotations
 
@@ -17,24 +17,27 @@
 )
 from rattanpier._internal.trace.log_lines import LogLine, read_lines
 
-LAST_TIME = "9999"  # After any time in a line.
+LAST_TIME = "9999"  # Sorts after the time of any log line.
 
 
 def trace_request(id: str, *files: str) -> Result:
-    """Shows the log lines of one request, and what decided its end.
+    """Shows the log lines of one request and the cause of its outcome.
 
     Args:
-      id: Of the request, as the caller sent it.
-      files: With the lines of all entries; standard input if there are none.
+      id: Id of the request, as the caller sent it.
+      files: Log files of all entries; standard input if none are given.
+
+    Raises:
+      CommandError: No log line belongs to the request.
     """
     timeline = Timeline()
     found = by_request(read_lines(files or ("-",)), timeline)
-    # An id of digits alone arrives as a number.
+    # The command line parses an id of digits alone as a number.
     lines = found.get(str(id))
     if not lines:
         raise CommandError(
             f"no line is about request {id!r}",
-            "give the lines of all entries, of the time in question",
+            "give the log lines of all entries for the time in question",
         )
     cause = find_cause(lines, timeline)
     table = make_table(f"Request {id}", ("at", "node", "event", "fields"))
@@ -53,9 +56,10 @@
     """Counts failed requests by cause, with the first id of each.
 
     Args:
-      files: With the lines of all entries; standard input if there are none.
-      since: Requests whose first line is at least this late, as in the lines.
-      until: Requests whose first line is earlier than this.
+      files: Log files of all entries; standard input if none are given.
+      since: Include requests whose first line is not before this time, in
+        the format of the log lines.
+      until: Include requests whose first line is before this time.
     """
     timeline = Timeline()
     found = by_request(read_lines(files or ("-",)), timeline)
@@ -103,7 +107,7 @@
 
 
 def show_fields(line: LogLine) -> str:
-    """Returns a line's own fields in short."""
+    """Formats the fields of a log line, without its level."""
     hidden = ("level",)
     return " ".join(
         f"{name}={json.dumps(value)}"
