--- a/tests/functional/test_cli.py
+++ b/tests/functional/test_cli.py
@@ -1,4 +1,4 @@
-"""The operators' command line against a running system."""
+"""Tests of the operator command line against a running system."""
 
 import asyncio
 import json
@@ -16,7 +16,7 @@
 
 
 class Cli:
-    """Runs `rattanpier` as an operator does."""
+    """Runs `rattanpier` in a subprocess as an operator would."""
 
     def __init__(self, url, folder):
         self.folder = folder
@@ -84,7 +84,7 @@
 
     found = await wait_for(billed, LIMIT_S)
     assert sorted(one["bill"]["key"] for one in found) == keys
-    # 10 prompt tokens at 10, the generated ones at 20 credits a million.
+    # 10 prompt tokens cost 10 credits per million, generated tokens 20.
     price = (10 * 10 + tokens * 20) / 1_000_000
     assert all(one["bill"]["credits"] == pytest.approx(price) for one in found)
     code, out, _ = await cli.run("bills", *table, *objects)
@@ -158,7 +158,8 @@
     assert code == 0
     assert found["plan"]["rule"] == "large-by-name"
     assert [one["version"] for one in found["steps"]] == ["large@1"]
-    # 10 prompt tokens at 10, 256 generated ones at 20 credits a million.
+    # 10 prompt tokens at 10 and 256 generated tokens at 20 credits per
+    # million.
     assert found["steps"][0]["cost"] == pytest.approx(0.00522)
     request["body"]["model"] = "auto"
     (cli.folder / "request.json").write_text(json.dumps(request))
