--- a/src/rattanpier/_internal/commands/changes.py
+++ b/src/rattanpier/_internal/commands/changes.py
@@ -1,4 +1,4 @@
-"""Carries a change to an outcome, and says what became of it."""
+"""Submits configuration changes and reports their outcome."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from rattanpier._internal.commands.api import Api, UnreachableError
 from rattanpier._internal.commands.result import ExitCode, Result
 
-ASK_AGAIN_S = 30.0  # How long an undecided change is asked about.
-ASK_PAUSE_S = 1.0
+POLL_TIMEOUT_S = 30.0  # Limit for polling an undecided change.
+POLL_INTERVAL_S = 1.0
 UNDECIDED = "undecided"
 EXIT_CODES = {
     "raced": ExitCode.RACED,
@@ -27,21 +27,24 @@
 
 
 def new_id() -> str:
-    """Returns an id that no command line takes for a number."""
+    """Returns a change id.
+
+    The prefix keeps the command line from parsing an id as a number.
+    """
     return f"change-{uuid.uuid4().hex}"
 
 
 @attrs.frozen
 class Change:
-    """A change under its own id, so that it can be asked about.
+    """A change with a unique id, by which its outcome can be queried.
 
     Attributes:
-      api: Where it is sent.
-      path: Path of the call.
-      data: Body of the call.
-      query: Query of the call.
-      revision: Number it is to have, or None where the server finds one.
-      change: Its id.
+      api: Client that sends the change.
+      path: Path of the request.
+      data: Body of the request.
+      query: Query parameters of the request.
+      revision: Requested revision, or None if the server assigns it.
+      change: Id of the change.
     """
 
     api: Api
@@ -52,20 +55,23 @@
     change: str = attrs.Factory(new_id)
 
 
-def carry_out(change: Change, doing: str) -> Result:
-    """Sends a change, and asks again for as long as it is undecided.
+def submit_change(change: Change, action: str) -> Result:
+    """Sends a change and polls its outcome while it is undecided.
 
-    A change is never sent twice: a lost answer is asked for by the id.
+    A change is never sent twice: if the response is lost, the outcome is
+    queried by the id of the change.
     """
-    with progress.status(f"{doing}; waiting until it is in force everywhere"):
+    with progress.status(f"{action}; waiting until it is in force everywhere"):
         report = send_change(change)
         if report["outcome"] == UNDECIDED:
-            report = ask_again(change, report, ASK_AGAIN_S, time.monotonic)
-    return show_report(report, doing)
+            report = poll_outcome(
+                change, report, POLL_TIMEOUT_S, time.monotonic
+            )
+    return show_report(report, action)
 
 
 def send_change(change: Change) -> dict[str, Any]:
-    """Returns the report on a change; undecided if the answer was lost."""
+    """Returns the report on a change; undecided if the response was lost."""
     try:
         return change.api.post(
             change.path,
@@ -82,55 +88,61 @@
         }
 
 
-def ask_again(
+def poll_outcome(
     change: Change,
     report: dict[str, Any],
     limit_s: float,
     clock: Callable[[], float],
 ) -> dict[str, Any]:
-    """Asks what became of a change until it is decided or time is up."""
+    """Polls the outcome of a change until it is decided or `limit_s` passed.
+
+    Without a revision number the outcome cannot be queried, and the report
+    is returned unchanged.
+    """
     if not report["revision"]:
         return report
     end = clock() + limit_s
     while report["outcome"] == UNDECIDED and clock() < end:
-        time.sleep(ASK_PAUSE_S)
+        time.sleep(POLL_INTERVAL_S)
         try:
-            report = ask(change.api, change.change, report["revision"])
+            report = fetch_outcome(
+                change.api, change.change, report["revision"]
+            )
         except UnreachableError:
             continue
     return report
 
 
-def ask(api: Api, change: str, revision: int) -> dict[str, Any]:
-    """Returns what became of a change."""
+def fetch_outcome(api: Api, change: str, revision: int) -> dict[str, Any]:
+    """Returns the report on the outcome of a change."""
     return api.get(f"changes/{change}", revision=str(revision))
 
 
-def show_report(report: dict[str, Any], doing: str) -> Result:
-    """Returns the result for a report: what became of a change."""
-    shown = list(describe(report, doing))
+def show_report(report: dict[str, Any], action: str) -> Result:
+    """Returns the command result for the report on a change."""
+    shown = list(describe(report, action))
     if report["outcome"] != "accepted":
         return Result(report, shown, EXIT_CODES[report["outcome"]])
     code = ExitCode.DONE if report["in_force"] else ExitCode.NOT_YET_IN_FORCE
     return Result(report, shown, code)
 
 
-def describe(report: dict[str, Any], doing: str) -> Iterator[RenderableType]:
-    """Yields the sentences that tell people what became of a change."""
+def describe(report: dict[str, Any], action: str) -> Iterator[RenderableType]:
+    """Yields the human-readable description of the outcome of a change."""
     if report.get("braked"):
         yield f"{report['braked']!r} gets no new work as of now."
     for over in report.get("over") or []:
         yield f"Put on top of revision {over['revision']} by {over['author']}."
     match report["outcome"]:
         case "accepted":
-            yield f"{doing}: accepted as revision {report['revision']}."
+            yield f"{action}: accepted as revision {report['revision']}."
             yield from describe_force(report)
         case "raced":
-            yield from describe_race(report, doing)
+            yield from describe_race(report, action)
         case "not_accepted":
-            yield f"{doing}: not accepted. {report['reason']}"
+            yield f"{action}: not accepted. {report['reason']}"
         case _:
-            yield f"{doing}: unknown. {report['reason']}"
+            yield f"{action}: unknown. {report['reason']}"
             yield (
                 f"Ask again: rattanpier config outcome {report['change']} "
                 f"--revision {report['revision']}"
@@ -138,7 +150,7 @@
 
 
 def describe_force(report: dict[str, Any]) -> Iterator[str]:
-    """Yields whether an accepted change is in force everywhere."""
+    """Yields a line on whether an accepted change is in force everywhere."""
     if report["in_force"]:
         yield "In force everywhere."
         return
@@ -147,11 +159,11 @@
 
 
 def describe_race(
-    report: dict[str, Any], doing: str
+    report: dict[str, Any], action: str
 ) -> Iterator[RenderableType]:
-    """Yields whose change came first, and what it changed."""
+    """Yields the author and the diff of the change that came first."""
     other = report["other"]
-    yield f"{doing}: not done; another change came first."
+    yield f"{action}: not done; another change came first."
     if other:
         yield f"Revision {other['revision']} by {other['author']} changed:"
         yield Syntax(other["diff"], "diff", background_color="default")
--- a/tests/functional/test_cli.py
+++ b/tests/functional/test_cli.py
@@ -1,4 +1,4 @@
-"""The operators' command line against a running system."""
+"""Tests of the operator command line against a running system."""
 
 import asyncio
 import json
@@ -16,7 +16,7 @@
 
 
 class Cli:
-    """Runs `rattanpier` as an operator does."""
+    """Runs `rattanpier` in a subprocess as an operator would."""
 
     def __init__(self, url, folder):
         self.folder = folder
@@ -57,7 +57,7 @@
     yield Cli(system.operator_urls[0], tmp_path)
 
 
-async def test_bills_are_those_of_the_answers(system, cli):
+async def test_bills_match_the_answered_requests(system, cli):
     keys = [f"k{number}" for number in range(3)]
     async with aiohttp.ClientSession() as session:
         for key in (*keys, keys[0]):
@@ -84,7 +84,7 @@
 
     found = await wait_for(billed, LIMIT_S)
     assert sorted(one["bill"]["key"] for one in found) == keys
-    # 10 prompt tokens at 10, the generated ones at 20 credits a million.
+    # 10 prompt tokens cost 10 credits per million, generated tokens 20.
     price = (10 * 10 + tokens * 20) / 1_000_000
     assert all(one["bill"]["credits"] == pytest.approx(price) for one in found)
     code, out, _ = await cli.run("bills", *table, *objects)
@@ -94,7 +94,7 @@
     assert found == []
 
 
-async def test_accepted_and_raced_are_told_apart(cli):
+async def test_concurrent_change_is_reported_as_raced(cli):
     code, _, _ = await cli.run("config", "show", "--out", "mine.toml")
     assert code == 0
     mine = cli.folder / "mine.toml"
@@ -136,7 +136,7 @@
     assert 'state = "withdrawn"' in found["text"]
 
 
-async def test_shows_what_runs_and_explains(cli):
+async def test_status_entries_and_explain(cli):
     code, entries = await cli.json("entries")
     assert code == 0
     assert {one["name"] for one in entries} == {"entry-1", "entry-2"}
@@ -158,7 +158,8 @@
     assert code == 0
     assert found["plan"]["rule"] == "large-by-name"
     assert [one["version"] for one in found["steps"]] == ["large@1"]
-    # 10 prompt tokens at 10, 256 generated ones at 20 credits a million.
+    # 10 prompt tokens at 10 and 256 generated tokens at 20 credits per
+    # million.
     assert found["steps"][0]["cost"] == pytest.approx(0.00522)
     request["body"]["model"] = "auto"
     (cli.folder / "request.json").write_text(json.dumps(request))
--- a/tests/functional/test_demo.py
+++ b/tests/functional/test_demo.py
@@ -1,4 +1,4 @@
-"""`rattanpier demo`: what it prints works as printed."""
+"""Tests that the commands printed by `rattanpier demo` work."""
 
 import asyncio
 import os
@@ -17,7 +17,7 @@
 
 
 async def read_usage(process):
-    """The text that the demo prints, up to the end of the snippet."""
+    """Returns the printed usage text up to the end of the snippet."""
     lines = []
     while not lines or lines[-1].strip() != "print()":
         line = await process.stdout.readline()
@@ -57,7 +57,7 @@
     return out.decode()
 
 
-async def test_curl_and_snippet_work_as_printed(demo):
+async def test_printed_curl_and_snippet_work(demo):
     usage = await asyncio.wait_for(read_usage(demo), START_LIMIT_S)
     curl = usage[usage.index("curl ") : usage.index("\n\nLook at it")]
     answer = await run("sh", "-c", curl)
