--- a/src/rattanpier/_internal/standin/engine.py
+++ b/src/rattanpier/_internal/standin/engine.py
@@ -1,7 +1,7 @@
-"""A stand-in for a model engine: chat completions at a set pace.
+"""Stand-in for a model engine: streams chat completions at a set speed.
 
-The text depends only on version and prompt, so that a test can tell a whole,
-right answer from any other. Runs are counted here.
+The text depends only on version and prompt, so that a test can tell a
+complete, correct answer from any other. The stand-in records its runs itself.
 """
 
 from __future__ import annotations
@@ -32,20 +32,21 @@
 from rattanpier._internal.utils.hashing import stable_hash
 
 DEFAULT_MAX_TOKENS = 32
-MAX_WORDS = 512  # Of one answer; a word counts as a token.
+MAX_WORDS = 512  # Per answer; a word counts as a token.
 MAX_BODY_BYTES = 64 * 2**20
 CONFIDENCE_NOISE = 0.15  # Standard deviation.
 
 
 @attrs.frozen
 class EngineSpeed:
-    """How fast an engine is.
+    """Speed and concurrency of an engine.
 
     Attributes:
-      prefill_tokens_per_s: Prompt tokens read a second.
-      decode_s: Seconds between tokens of one answer.
-      slots: Requests run at once; more of them wait.
-      resume_s: Seconds a cut or ended stream can be resumed.
+      prefill_tokens_per_s: Prompt tokens processed per second.
+      decode_s: Seconds between two tokens of an answer.
+      slots: Maximum number of concurrent requests; others wait.
+      resume_s: Seconds for which a stream can be resumed after a
+        disconnection or its end.
     """
 
     prefill_tokens_per_s: float = 20_000.0
@@ -55,24 +56,25 @@
 
 
 CUTS = (EngineFault.CUT, EngineFault.FORGET)
-# How often the event in the middle is sent under a fault; else once.
+# Number of times the middle event is sent under a fault; otherwise once.
 WRITTEN_TIMES = {EngineFault.MISSING: 0, EngineFault.DUPLICATE: 2}
 
 
 @attrs.define
 class EngineServer:
-    """One engine.
+    """HTTP server of one engine.
 
     Attributes:
-      versions: Versions it serves, with the skill (0 to 1) of each.
-      runs: Everything it ran, in order.
-      streams: Answers that can be resumed.
-      checks_fencing: Whether it refuses orders with old fencing numbers.
-      run_file: Keeps the start of each run beyond a kill.
-      waiting_swap: Waits for the second one of two requests.
-      swapped: The answer of the first one.
-      ids: Numbers the answers.
-      free: Slots that are free.
+      versions: Skill (0 to 1) of each served version, by version.
+      runs: All runs, in the order of their start.
+      streams: Streams that can be resumed.
+      checks_fencing: Whether orders with outdated fencing numbers are
+        refused.
+      run_file: Records the start of each run so that it survives a kill.
+      waiting_swap: Resolved by the second of two swapped requests.
+      swapped: Stream of the first of two swapped requests.
+      ids: Counter for the identifiers of answers.
+      free: Semaphore of free slots.
     """
 
     versions: dict[str, float]
@@ -96,7 +98,7 @@
     )
 
     async def chat(self, request: web.Request) -> web.StreamResponse:
-        """Answers a chat-completions request with a stream."""
+        """Handles a chat-completions request; answers with a stream."""
         body = await request.json()
         fault = self.faults.take()
         if fault is EngineFault.REFUSE:
@@ -127,7 +129,7 @@
         return await self.send(request, stream, 0, fault)
 
     async def resume(self, request: web.Request) -> web.StreamResponse:
-        """Sends the rest of an answer; runs nothing."""
+        """Sends the rest of an answer without starting a run."""
         stream = self.streams.find(request.headers.get("X-Request-Id", ""))
         if stream is None or "Last-Event-ID" not in request.headers:
             return web.json_response({"error": "not known"}, status=410)
@@ -136,14 +138,14 @@
         return await self.send(request, stream, start, EngineFault.NONE)
 
     async def cancel(self, request: web.Request) -> web.Response:
-        """Stops a run."""
+        """Cancels the run of a request."""
         stream = self.streams.find(request.headers.get("X-Request-Id", ""))
         if stream is not None:
             self.streams.stop(stream)
         return web.Response(status=204)
 
     async def swap(self, stream: Stream) -> Stream:
-        """Returns the answer of the other one of two requests."""
+        """Returns the stream of the other of two requests."""
         if self.waiting_swap is None or self.waiting_swap.done():
             future = asyncio.get_running_loop().create_future()
             self.waiting_swap, self.swapped = future, stream
@@ -154,7 +156,7 @@
         return self.swapped
 
     def start(self, body: dict[str, Any], run: Run) -> Stream:
-        """Starts to generate an answer."""
+        """Starts generating an answer in a task."""
         stream = Stream(run, len(self.words(body)))
         self.streams.add(stream)
         loop = asyncio.get_running_loop()
@@ -162,7 +164,7 @@
         return stream
 
     async def generate(self, body: dict[str, Any], stream: Stream) -> None:
-        """Generates an answer at the engine's pace."""
+        """Generates an answer at the speed of the engine."""
         async with self.free:
             await self.pause(self.prefill_s(body))
             async for number, event in self.events(body, self.words(body)):
@@ -172,11 +174,11 @@
         self.streams.end(stream)
 
     async def pause(self, seconds: float) -> None:
-        """Takes its time."""
+        """Sleeps for a duration, scaled by the slowdown factor."""
         await asyncio.sleep(seconds * self.faults.slowdown)
 
     def prefill_s(self, body: dict[str, Any]) -> float:
-        """Returns how long the prompt takes."""
+        """Returns the seconds needed to process the prompt."""
         tokens = estimate_tokens(len(prompt_text(body)))
         return tokens / self.speed.prefill_tokens_per_s
 
@@ -187,7 +189,7 @@
         start: int,
         fault: EngineFault,
     ) -> web.StreamResponse:
-        """Sends an answer's events from a number on, as they come."""
+        """Sends the events of an answer from number `start` on."""
         response = web.StreamResponse(
             headers={"X-Request-Id": stream.run.request}
         )
@@ -207,7 +209,7 @@
                 if fault is EngineFault.NO_END and number >= stream.total:
                     return response
                 event = stream.events[number]
-                # With MISSING and DUPLICATE, only the middle event is hit.
+                # MISSING and DUPLICATE affect only the middle event.
                 times = WRITTEN_TIMES.get(fault, 1) if number == half else 1
                 for _ in range(times):
                     await response.write(event)
@@ -221,7 +223,7 @@
     async def events(
         self, body: dict[str, Any], words: list[str]
     ) -> AsyncIterator[tuple[int, dict[str, Any]]]:
-        """Yields numbered chat-completion chunks at the decoding pace."""
+        """Yields numbered chat-completion chunks at the decoding speed."""
         identity = f"chatcmpl-{next(self.ids)}"
         for number, word in enumerate(words):
             await self.pause(self.speed.decode_s)
@@ -243,13 +245,13 @@
         return answer_words(body["model"], prompt_text(body), count, good)
 
     def is_good(self, body: dict[str, Any]) -> bool:
-        """Says whether the version is skilled enough for the prompt."""
+        """Returns whether the version is skilled enough for the prompt."""
         if body["model"] in self.faults.bad_versions:
             return False
         return difficulty(prompt_text(body)) < self.versions[body["model"]]
 
     def confidence(self, body: dict[str, Any]) -> float:
-        """Returns a measure of the answer that tells a little of it."""
+        """Returns a noisy confidence (0 to 1), higher for good answers."""
         noise = random.Random(stable_hash(prompt_text(body))).gauss(
             0, CONFIDENCE_NOISE
         )
@@ -257,16 +259,16 @@
         return min(1.0, max(0.0, base + noise))
 
     async def set_faults(self, request: web.Request) -> web.Response:
-        """Sets the fault switch."""
+        """Replaces the fault settings."""
         self.faults = decode(EngineFaults, await request.read())
         return web.Response(text=encode(self.faults))
 
     async def get_runs(self, _request: web.Request) -> web.Response:
-        """Answers with everything that ran."""
+        """Answers with all runs."""
         return web.Response(text=encode(self.runs))
 
     def app(self) -> web.Application:
-        """Returns the aiohttp application."""
+        """Returns the aiohttp application of this stand-in."""
         app = web.Application(client_max_size=MAX_BODY_BYTES)
         app.router.add_post("/v1/chat/completions", self.chat)
         app.router.add_get("/v1/chat/completions", self.resume)
