--- a/src/rattanpier/_internal/standin/faults.py
+++ b/src/rattanpier/_internal/standin/faults.py
@@ -1,4 +1,4 @@
-"""What can be made wrong with a stand-in engine or plain service."""
+"""Faults that a stand-in engine or plain service can be set to show."""
 
 from __future__ import annotations
 
@@ -8,32 +8,36 @@
 
 
 class EngineFault(enum.StrEnum):
-    """What is wrong with an engine."""
+    """Fault of an engine."""
 
     NONE = "none"
-    REFUSE = "refuse"  # 503, says that it did not run the request.
-    FAIL = "fail"  # 500, says nothing.
-    CUT = "cut"  # Ends the stream half way.
-    CUT_BEFORE_ANSWER = "cut_before_answer"  # Runs, then closes.
-    STALL = "stall"  # Takes the request and says nothing.
-    FORGET = "forget"  # Cuts the stream half way; can't resume it.
-    SWAP = "swap"  # Answers two requests with each other's answer.
+    REFUSE = "refuse"  # 503, states that the request was not run.
+    FAIL = "fail"  # 500, does not state whether the request was run.
+    CUT = "cut"  # Aborts the stream half way.
+    CUT_BEFORE_ANSWER = (
+        "cut_before_answer"  # Runs, then aborts without answering.
+    )
+    STALL = "stall"  # Accepts the request, never answers.
+    FORGET = "forget"  # Aborts the stream half way; it can't be resumed.
+    SWAP = "swap"  # Exchanges the answers of two requests.
     DUPLICATE = "duplicate"  # Sends a chunk twice.
-    MISSING = "missing"  # Leaves a chunk out.
-    REDIRECT = "redirect"  # Sends the caller elsewhere.
-    NO_END = "no_end"  # Ends the stream after the text, without its end.
+    MISSING = "missing"  # Omits a chunk.
+    REDIRECT = "redirect"  # Redirects the caller.
+    NO_END = (
+        "no_end"  # Ends the stream after the text, without its final event.
+    )
 
 
 @attrs.define
 class EngineFaults:
-    """The fault switch.
+    """Fault settings.
 
     Attributes:
-      fault: What is wrong now.
-      count: How many more requests it hits; -1 for all.
+      fault: Fault that is active.
+      count: Number of further requests affected; -1 for all.
       slowdown: Factor on every duration; 1 for none.
-      redirect: Address for the fault of that name.
-      bad_versions: Versions whose answers are poor.
+      redirect: Base URL that REDIRECT sends callers to.
+      bad_versions: Versions that always give poor answers.
     """
 
     fault: EngineFault = EngineFault.NONE
@@ -43,7 +47,7 @@
     bad_versions: list[str] = attrs.Factory(list)
 
     def take(self) -> EngineFault:
-        """Returns the fault that hits this request, and counts it."""
+        """Returns the fault for this request and counts the request."""
         if self.count == 0:
             return EngineFault.NONE
         if self.fault is not EngineFault.NONE and self.count > 0:
