--- a/src/rattanpier/_internal/standin/objects.py
+++ b/src/rattanpier/_internal/standin/objects.py
@@ -1,4 +1,4 @@
-"""A stand-in for the object store, kept in memory."""
+"""In-memory stand-in for the object store, with faults."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 @attrs.define
 class MemoryObjects:
-    """Objects in memory.
+    """In-memory object store.
 
     Attributes:
-      texts: Objects by name.
-      down: True to refuse everything.
+      texts: Text of each object, by name.
+      down: Whether every call is refused.
     """
 
     texts: dict[str, str] = attrs.Factory(dict)
@@ -46,7 +46,7 @@
 
 
 class ObjectFault(enum.StrEnum):
-    """What is wrong with the object store."""
+    """Fault of the object store."""
 
     NONE = "none"
     DOWN = "down"  # Refuses everything.
@@ -55,10 +55,10 @@
 
 @attrs.define
 class ObjectFaults:
-    """The fault switch.
+    """Fault settings.
 
     Attributes:
-      fault: What is wrong now.
+      fault: Fault that is active.
       delay_s: Seconds added to every call.
     """
 
@@ -68,13 +68,13 @@
 
 @attrs.define
 class ObjectServer:
-    """The stand-in's HTTP face."""
+    """HTTP server of the stand-in."""
 
     objects: MemoryObjects = attrs.Factory(MemoryObjects)
     faults: ObjectFaults = attrs.Factory(ObjectFaults)
 
     async def hinder(self) -> bool:
-        """Applies the faults before a call; True if it must be refused."""
+        """Applies the faults; returns whether the call is refused."""
         if self.faults.delay_s:
             await asyncio.sleep(self.faults.delay_s)
         return self.faults.fault is ObjectFault.DOWN
@@ -98,14 +98,14 @@
         )
 
     async def delete(self, request: web.Request) -> web.Response:
-        """Deletes an object, also one that is not there."""
+        """Deletes an object; succeeds also if it does not exist."""
         if await self.hinder():
             return web.Response(status=503)
         await self.objects.delete(request.match_info["name"])
         return self.answer_write(request)
 
     async def list_names(self, request: web.Request) -> web.Response:
-        """Answers with the names of a prefix, in order."""
+        """Answers with the sorted names that start with a prefix."""
         if await self.hinder():
             return web.Response(status=503)
         prefix = request.query.get("prefix", "")
@@ -113,19 +113,19 @@
         return web.Response(text=encode(sorted(names)))
 
     def answer_write(self, request: web.Request) -> web.Response:
-        """Answers a write, unless its answer is to be lost."""
+        """Answers a write; aborts if its answer is to be lost."""
         if self.faults.fault is ObjectFault.LOSE_ANSWERS:
             assert request.transport is not None
             request.transport.abort()
         return web.Response(status=204)
 
     async def set_faults(self, request: web.Request) -> web.Response:
-        """Sets the fault switch."""
+        """Replaces the fault settings."""
         self.faults = decode(ObjectFaults, await request.read())
         return web.Response(text=encode(self.faults))
 
     def app(self) -> web.Application:
-        """Returns the aiohttp application."""
+        """Returns the aiohttp application of this stand-in."""
         app = web.Application(client_max_size=64 * 2**20)
         app.router.add_put("/v1/objects/{name:.+}", self.put)
         app.router.add_get("/v1/objects/{name:.+}", self.get)
