--- a/src/rattanpier/_internal/standin/orders.py
+++ b/src/rattanpier/_internal/standin/orders.py
@@ -1,4 +1,4 @@
-"""The part of a stand-in engine that takes orders."""
+"""Handling of version orders by a stand-in engine."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 @attrs.define
 class OrderDesk:
-    """Takes orders, with or without a check of fencing numbers.
+    """Applies orders, with or without a check of fencing numbers.
 
     Attributes:
-      skills: Versions served, with the skill of each; the engine's own.
-      checks_fencing: Whether an order with an old number is refused.
+      skills: Skill of each served version; shared with the engine.
+      checks_fencing: Whether orders with outdated numbers are refused.
       default_skill: Skill of a version that an order adds.
-      epoch: Highest number seen.
-      taken: Orders that took effect, in order.
-      refused: Orders that were refused.
+      epoch: Highest fencing number received.
+      taken: Applied orders, oldest first.
+      refused: Refused orders, oldest first.
     """
 
     skills: dict[str, float]
@@ -31,7 +31,7 @@
     refused: list[Order] = attrs.Factory(list)
 
     def take(self, order: Order) -> bool:
-        """Carries out an order, unless it is refused."""
+        """Applies an order; returns False if it is refused instead."""
         if self.checks_fencing and order.epoch < self.epoch:
             self.refused.append(order)
             return False
@@ -46,12 +46,12 @@
         return True
 
     def state(self) -> WorkerState:
-        """Returns what the worker says of itself."""
+        """Returns the state that the worker reports."""
         epoch = self.epoch if self.checks_fencing else 0
         return WorkerState(sorted(self.skills), epoch)
 
     async def post_order(self, request: web.Request) -> web.Response:
-        """Answers an order."""
+        """Handles an order; answers 409 if it is refused."""
         taken = self.take(decode(Order, await request.read()))
         return web.Response(status=200 if taken else 409)
 
@@ -60,6 +60,6 @@
         return web.Response(text=encode(self.state()))
 
     def add_routes(self, app: web.Application) -> None:
-        """Adds the routes to an engine's application."""
+        """Adds the order routes to the application of an engine."""
         app.router.add_post(PATH, self.post_order)
         app.router.add_get(PATH, self.get_state)
