--- a/src/rattanpier/_internal/standin/plain.py
+++ b/src/rattanpier/_internal/standin/plain.py
@@ -1,4 +1,4 @@
-"""A stand-in for a plain service; it counts what it ran."""
+"""Stand-in for a plain service, which records the calls it ran."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @attrs.define
 class PlainServer:
-    """Echoes calls under any path."""
+    """HTTP server that echoes calls under any path."""
 
     name: str
     faults: EngineFaults = attrs.Factory(EngineFaults)
@@ -33,7 +33,7 @@
     run_file: RunFile = attrs.Factory(RunFile)
 
     async def serve(self, request: web.Request) -> web.Response:
-        """Runs one call."""
+        """Runs and records one call, unless a fault prevents it."""
         fault = self.faults.take()
         if fault is EngineFault.REFUSE:
             return refuse("the service is full", not_run=True)
@@ -63,16 +63,16 @@
         )
 
     async def set_faults(self, request: web.Request) -> web.Response:
-        """Sets the fault switch."""
+        """Replaces the fault settings."""
         self.faults = decode(EngineFaults, await request.read())
         return web.Response(text=encode(self.faults))
 
     async def get_calls(self, _request: web.Request) -> web.Response:
-        """Answers with everything that ran."""
+        """Answers with all calls that ran."""
         return web.Response(text=encode(self.calls))
 
     def app(self) -> web.Application:
-        """Returns the aiohttp application."""
+        """Returns the aiohttp application of this stand-in."""
         app = web.Application(client_max_size=64 * 2**20)
         app.router.add_get("/health", health)
         app.router.add_post("/standin/faults", self.set_faults)
