--- a/src/rattanpier/_internal/standin/platform_store.py
+++ b/src/rattanpier/_internal/standin/platform_store.py
@@ -1,6 +1,6 @@
-"""A stand-in for the users' platform store: rows, feeds and their faults.
+"""Stand-in for the store of the users' platform: rows, feeds and faults.
 
-It speaks the published calls of that platform as far as the relay uses them.
+It implements those published calls of the platform that the relay uses.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 
 
 class StoreFault(enum.StrEnum):
-    """What is wrong with the store."""
+    """Fault of the store."""
 
     NONE = "none"
-    BUSY = "busy"  # 503, nothing was done.
-    SILENT = "silent"  # No answer at all.
-    LOST = "lost"  # Writes are done and not answered.
+    BUSY = "busy"  # 503; the call has no effect.
+    SILENT = "silent"  # Never answers.
+    LOST = "lost"  # Writes take effect but are never answered.
 
 
 @attrs.define
@@ -34,9 +34,8 @@
     """A listener of the store.
 
     Attributes:
-      closed: It turns its callers away.
-      slow_s: Seconds that a whole table takes, by its name, as over a slow
-        link.
+      closed: Whether calls are refused.
+      slow_s: Seconds that a full read takes, by table; simulates a slow link.
     """
 
     closed: bool = False
@@ -48,7 +47,7 @@
 
 @attrs.define
 class StoredRow:
-    """A row and the version of its last change."""
+    """Row with the version of its last change."""
 
     value: str
     version: int
@@ -57,7 +56,7 @@
 
 @attrs.frozen
 class StoreCopy:
-    """All rows as of a version."""
+    """Backup of all rows as of a version."""
 
     rows: dict[tuple[str, str], StoredRow]
     version: int
@@ -65,15 +64,15 @@
 
 @attrs.define
 class PlatformStoreServer:
-    """Rows in tables, with a history that can be dropped or lost.
+    """Server of tables with a history that can be compacted or lost.
 
     Attributes:
-      rows: By table and key; removed ones stay, marked.
-      version: Of the newest change.
-      kept_from: Changes before this version are no longer told.
-      fault: What is wrong now.
-      calls: Calls that came, by name.
-      era: Raised each time that the store comes back from a copy.
+      rows: Rows by table and key; removed rows stay as tombstones.
+      version: Version of the newest change.
+      kept_from: Oldest version whose changes feeds still deliver.
+      fault: Fault that is active.
+      calls: Names of received calls, in order.
+      era: Incremented each time the store is restored from a backup.
     """
 
     rows: dict[tuple[str, str], StoredRow] = attrs.Factory(dict)
@@ -85,7 +84,7 @@
     changed: asyncio.Event = attrs.Factory(asyncio.Event)
 
     def app(self, door: Door | None = None) -> web.Application:
-        """Returns the application behind one listener."""
+        """Returns the aiohttp application of one listener."""
         app = web.Application()
         app[DOOR] = door or Door()
         app.on_response_prepare.append(self.add_era)
@@ -97,37 +96,38 @@
     async def add_era(
         self, _request: web.Request, response: web.StreamResponse
     ) -> None:
-        """Tells the era in all answers, refusals too."""
+        """Adds the era to every answer, also to refusals."""
         response.headers[ERA] = str(self.era)
 
     def put(self, table: str, key: str, value: Any) -> None:
-        """Writes a row as the operators or a worker do."""
+        """Writes a row as operators or a worker would."""
         text = base64.b64encode(json.dumps(value).encode()).decode()
         self.version += 1
         self.rows[table, key] = StoredRow(text, self.version)
         self.tell()
 
     def remove(self, table: str, key: str) -> None:
-        """Removes a row."""
+        """Removes a row and leaves a tombstone."""
         self.version += 1
         self.rows[table, key] = StoredRow("", self.version, deleted=True)
         self.tell()
 
     def value(self, table: str, key: str) -> Any:
-        """Returns what a row holds, None if there is none."""
+        """Returns the decoded value of a row, or None if there is no row."""
         row = self.rows.get((table, key))
         if row is None or row.deleted:
             return None
         return json.loads(base64.b64decode(row.value))
 
     def keep_copy(self) -> StoreCopy:
-        """Returns what the store can come back from."""
+        """Returns a backup that the store can be restored from."""
         return StoreCopy(copy.deepcopy(self.rows), self.version)
 
     def come_back(self, kept: StoreCopy) -> None:
-        """Comes back from a copy: what was written since is gone.
+        """Restores the store from a backup; later writes are lost.
 
-        Versions are given out again, and calls that wait are told an error.
+        Versions are assigned again, and waiting feeds whose version is newer
+        than the backup get an error.
         """
         self.rows = copy.deepcopy(kept.rows)
         self.version = kept.version
@@ -135,29 +135,29 @@
         self.tell()
 
     def write_again(self, table: str, key: str, row: StoredRow) -> None:
-        """Writes a row that was lost as its author does: it gets a version."""
+        """Rewrites a lost row as its author would, with a new version."""
         self.version += 1
         self.rows[table, key] = StoredRow(row.value, self.version, row.deleted)
         self.tell()
 
     def compact(self) -> None:
-        """Drops the history."""
+        """Drops the history of changes."""
         self.kept_from = self.version + 1
 
     def set_fault(self, fault: StoreFault) -> None:
-        """Sets what is wrong, also for calls that wait."""
+        """Sets the fault, also for feeds that are waiting."""
         self.fault = fault
         self.tell()
 
     def tell(self) -> None:
-        """Wakes the feeds."""
+        """Wakes the waiting feeds."""
         self.changed.set()
         self.changed = asyncio.Event()
 
     async def check(
         self, request: web.Request, call: str
     ) -> web.Response | None:
-        """Notes a call; returns the answer of a store that is away."""
+        """Records a call; returns a refusal if the store is unavailable."""
         self.calls.append(call)
         if self.fault is StoreFault.BUSY or request.app[DOOR].closed:
             return web.Response(status=503)
@@ -166,7 +166,7 @@
         return None
 
     async def transact(self, request: web.Request) -> web.Response:
-        """Carries out a transaction."""
+        """Handles a transaction, applied atomically."""
         if (refused := await self.check(request, "rows-tx")) is not None:
             return refused
         body = await request.json()
@@ -189,7 +189,7 @@
         return self.answer({})
 
     async def scan(self, request: web.Request) -> web.Response:
-        """Returns the rows of a table."""
+        """Handles a read of the rows of a table."""
         if (refused := await self.check(request, "rows-get")) is not None:
             return refused
         table = request.query["table"]
@@ -206,14 +206,14 @@
         return self.answer({"rows": rows, "truncated": len(keys) > limit})
 
     async def feed(self, request: web.Request) -> web.Response:
-        """Waits for changes of a table."""
+        """Handles a long poll for changes of a table."""
         if (refused := await self.check(request, "rows-feed")) is not None:
             return refused
         table = request.query["table"]
         since = int(request.query["sinceRevision"])
         end = time.monotonic() + int(request.query["waitMs"]) / 1000
         while True:
-            # What it does not have yet, it had before it came back.
+            # A version above the current one dates from before a restore.
             if since + 1 < self.kept_from or since > self.version:
                 return web.Response(status=410)
             changed = sorted(
@@ -234,7 +234,7 @@
                 return web.Response(status=503)
 
     def encode(self, table: str, key: str) -> dict[str, Any]:
-        """Returns a row as it is told."""
+        """Returns a row in its wire format."""
         row = self.rows.get((table, key), StoredRow("", 0, deleted=True))
         told: dict[str, Any] = {"table": table, "part": "", "key": key}
         told["ver"] = row.version
