--- a/src/rattanpier/_internal/standin/platform_worker.py
+++ b/src/rattanpier/_internal/standin/platform_worker.py
@@ -1,6 +1,6 @@
-"""A stand-in for a worker of the users' platform, which can spoil answers.
+"""Stand-in for a worker of the users' platform, with faulty answers.
 
-It writes its bytes itself, since what it has to get wrong no library does.
+It writes raw bytes, since no HTTP library produces the faults it has to show.
 """
 
 from __future__ import annotations
@@ -18,26 +18,26 @@
 
 
 class WorkerFault(enum.StrEnum):
-    """What a worker gets wrong."""
+    """Fault of a worker."""
 
     NONE = "none"
-    FAIL = "fail"  # 500 with its receipt: it ran.
-    SHED = "shed"  # 503, did not run it.
-    RESET = "reset"  # Runs it, then resets the connection.
-    CUT = "cut"  # Resets in the middle of its answer.
-    EXTRA = "extra"  # Sends its answer twice.
-    EXTRA_LATE = "extra_late"  # The second one comes a little later.
-    UNFRAMED = "unframed"  # No length; ends with the connection.
-    UNFRAMED_RESET = "unframed_reset"  # The same, but reset before its end.
+    FAIL = "fail"  # 500 with a receipt: the request ran.
+    SHED = "shed"  # 503; the request did not run.
+    RESET = "reset"  # Runs the request, then resets the connection.
+    CUT = "cut"  # Resets in the middle of the answer.
+    EXTRA = "extra"  # Sends the answer twice.
+    EXTRA_LATE = "extra_late"  # Sends the answer again after a delay.
+    UNFRAMED = "unframed"  # No length; the end of the connection ends it.
+    UNFRAMED_RESET = "unframed_reset"  # No length; reset instead of an end.
     NO_RECEIPT = "no_receipt"
     ENCODED = "encoded"
-    GIBBERISH = "gibberish"  # What comes is not HTTP.
-    HANG = "hang"  # Runs it and says nothing.
+    GIBBERISH = "gibberish"  # The answer is not HTTP.
+    HANG = "hang"  # Runs the request, never answers.
 
 
 @attrs.frozen
 class WorkerRun:
-    """A request as the worker ran it; header names in lower case."""
+    """Request as the worker ran it; header names are in lower case."""
 
     method: str
     target: str
@@ -46,41 +46,42 @@
 
     @property
     def id(self) -> str:
-        """The request's id."""
+        """Id of the attempt."""
         return self.headers.get("x-attempt-id", "")
 
 
 REPORT = "/rattanpier/report"
 HEALTH = "/healthz"
-CRASH_S = 0.05  # From a run's start to the end of its worker, as logged.
+CRASH_S = 0.05  # From the start of a run to the crash, as logged.
 
 
 @attrs.define
 class PlatformWorkerServer:
-    """One worker.
+    """HTTP server of one worker.
 
     Attributes:
-      id: Its name for this start.
-      fault: What it gets wrong, for `count` more requests; -1: all.
-      runs: What it ran.
-      shed: How many requests it turned away.
-      stopped: Ids of the runs that ended because their caller left.
-      events: Events of a stream.
-      event_gap_s: Pause between them.
-      cut_after: Event after which the fault CUT strikes.
-      work_s: Time before an answer.
-      confidence: Told with streams, by model; None: none.
-      deadly: Body of requests that end its process once they run; none if
+      id: Name of this incarnation.
+      fault: Fault that is active.
+      count: Number of further requests affected; -1 for all.
+      runs: Requests that it ran, in order.
+      shed: Number of requests refused without a run.
+      stopped: Ids of the runs stopped because the caller disconnected.
+      events: Number of events of a stream.
+      event_gap_s: Seconds before each event.
+      cut_after: Number of the last complete event under the fault CUT.
+      work_s: Seconds of work before an answer.
+      confidence: Confidence sent with streams, by model; a model without an
+        entry sends none.
+      deadly: Body of requests that crash the worker when they run; none if
         empty.
-      crash_s: From such a run's start to that end.
-      ended: Called at such an end.
-      born: When it says that it started, in Unix ms; None: it does not tell.
-      limit: What it names as its limit in answers; none if empty.
-      leaving: It says in answers that it leaves.
-      state: What its reports say of it, empty: nothing.
-      rest: For how long it asks to be left alone when it turns a request away;
-        for none if empty.
-      address: IP number and port, once started.
+      crash_s: Seconds from the start of such a run to the crash.
+      ended: Called after such a crash.
+      born: Reported start time, in Unix ms; not reported if None.
+      limit: Limit announced in answers; none if empty.
+      leaving: Whether answers announce that it is leaving.
+      state: State given in reports; omitted if empty.
+      rest: Backoff (`Retry-After`) sent with refusals; none if empty.
+      address: IP address and port, once started.
     """
 
     id: str
@@ -115,7 +116,7 @@
         self.address = f"{host}:{port}"
 
     async def stop(self) -> None:
-        """Ends all connections and listens no more."""
+        """Stops listening and resets all connections."""
         assert self.server is not None
         self.server.close()
         for writer in list(self.connections):
@@ -131,20 +132,20 @@
                 if not await self.answer(run, writer):
                     break
         except (ConnectionError, asyncio.IncompleteReadError):
-            return  # The caller left; what ran for it is noted elsewhere.
+            return  # Caller disconnected; its run is already recorded.
         finally:
             self.connections.pop(writer, None)
             reset(writer)
 
     def report(self) -> dict[str, Any]:
-        """Returns its load; it has no queue of its own."""
+        """Returns the reported load; the worker has no queue."""
         load: dict[str, Any] = {"queued": 0, "active": len(self.connections)}
         if self.state:
             load["state"] = self.state
         return load if self.born is None else {**load, "born": self.born}
 
     def take_fault(self) -> WorkerFault:
-        """Returns what goes wrong with this request."""
+        """Returns the fault for this request and counts the request."""
         if self.count == 0:
             return WorkerFault.NONE
         if self.fault is not WorkerFault.NONE and self.count > 0:
@@ -154,7 +155,7 @@
     async def answer(
         self, run: WorkerRun, writer: asyncio.StreamWriter
     ) -> bool:
-        """Answers one request; says whether the connection is kept."""
+        """Answers a request; returns whether the connection stays open."""
         expected = run.headers.get("x-expected-instance", self.id)
         if expected != self.id:
             other = [("X-Served-By", self.id), *self.words()]
@@ -195,9 +196,10 @@
         return await self.plain(run, writer, fault)
 
     async def crash(self, run: WorkerRun, writer: asyncio.StreamWriter) -> None:
-        """Ends as a process does that a request crashes.
+        """Terminates as a process that a request crashes.
 
-        Answers that began break off, that request's own after its head.
+        Answers in progress are reset; that of the request itself after its
+        head.
         """
         headers = self.own_headers(run, WorkerFault.NONE)
         writer.write(head(200, [*headers, ("Transfer-Encoding", "chunked")]))
@@ -212,7 +214,7 @@
         writer: asyncio.StreamWriter,
         seconds: float | None = None,
     ) -> None:
-        """Works, unless the caller leaves."""
+        """Simulates work; stops if the caller disconnects."""
         until = self.work_s if seconds is None else seconds
         loop = asyncio.get_running_loop()
         end = loop.time() + until
@@ -236,7 +238,9 @@
                 writer.write_eof()
                 await asyncio.sleep(0.05)
             else:
-                await asyncio.sleep(0.02)  # So that the bytes are read first.
+                await asyncio.sleep(
+                    0.02
+                )  # Lets the caller read the bytes first.
             return False
         whole = head(status, headers, len(body)) + body
         if fault is WorkerFault.CUT:
@@ -256,7 +260,7 @@
     async def stream(
         self, run: WorkerRun, writer: asyncio.StreamWriter, fault: WorkerFault
     ) -> bool:
-        """Answers with a series of events."""
+        """Answers with a stream of events."""
         if fault is WorkerFault.FAIL:
             return await self.plain(run, writer, fault)
         headers = self.own_headers(run, fault)
@@ -269,7 +273,7 @@
         async for number in self.numbers(run, writer, first):
             event = f"id: {number}\ndata: piece {number}\n\n".encode()
             if fault is WorkerFault.CUT and number > self.cut_after:
-                # In the middle of an event, as a worker that crashes.
+                # In the middle of an event, as when a worker crashes.
                 writer.write(chunk(event[:8]))
                 await writer.drain()
                 await asyncio.sleep(0.02)
@@ -283,7 +287,7 @@
     async def numbers(
         self, run: WorkerRun, writer: asyncio.StreamWriter, first: int
     ) -> AsyncIterator[int]:
-        """Yields the events' numbers at their pace."""
+        """Yields the numbers of the events, `event_gap_s` apart."""
         for number in range(first, self.events + 1):
             if self.event_gap_s:
                 await self.work(run, writer, self.event_gap_s)
@@ -301,13 +305,13 @@
         return headers + self.words()
 
     def words(self) -> list[tuple[str, str]]:
-        """Returns the headers in which it tells how it is."""
+        """Returns the headers that announce the state of the worker."""
         words = [("Server-Limit", self.limit)] if self.limit else []
         return [*words, ("Server-Leaving", "1")] if self.leaving else words
 
 
 async def read_request(reader: asyncio.StreamReader) -> WorkerRun | None:
-    """Returns the next request of a connection, None at its end."""
+    """Returns the next request of a connection, or None at its end."""
     with contextlib.suppress(asyncio.IncompleteReadError):
         text = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
         first, *lines = text.rstrip().split("\r\n")
@@ -323,7 +327,7 @@
 def head(
     status: int, headers: list[tuple[str, str]], length: int | None = None
 ) -> bytes:
-    """Returns the head of an answer."""
+    """Returns the status line and headers of an answer."""
     lines = [f"HTTP/1.1 {status} X"]
     lines += [f"{name}: {value}" for name, value in headers]
     if length is not None:
@@ -332,7 +336,7 @@
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
-    """Ends a connection by a reset, not by an orderly end."""
+    """Closes a connection by a TCP reset instead of an orderly end."""
     sock = writer.get_extra_info("socket")
     if sock is not None and not writer.transport.is_closing():
         linger = struct.pack("ii", 1, 0)
@@ -341,5 +345,5 @@
 
 
 def chunk(data: bytes) -> bytes:
-    """Returns bytes as one chunk of a body."""
+    """Returns data encoded as one chunk of a chunked body."""
     return f"{len(data):x}\r\n".encode() + data + b"\r\n"
