--- a/src/rattanpier/_internal/standin/ratings.py
+++ b/src/rattanpier/_internal/standin/ratings.py
@@ -1,4 +1,4 @@
-"""A stand-in for the answer-rating service: late, noisy, and paid for."""
+"""Stand-in for the answer-rating service: delayed, noisy, priced."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 )
 from rattanpier._internal.utils.codec import decode, encode
 
-GOOD_ANSWER = "good"  # How the engine stand-in's good answers begin.
+GOOD_ANSWER = "good"  # First word of good answers of the engine stand-in.
 
 
 @attrs.define
 class RatingFaults:
-    """The fault switch.
+    """Fault settings.
 
     Attributes:
-      down: Refuses every call.
-      stall_s: Seconds that each call takes.
-      keep_back: Gives no results, but takes items.
+      down: Whether every call is refused.
+      stall_s: Seconds added to every call.
+      keep_back: Whether results are withheld; items are still accepted.
     """
 
     down: bool = False
@@ -35,14 +35,15 @@
 
 @attrs.frozen
 class RatingBehaviour:
-    """How the service rates.
+    """Behaviour of the ratings.
 
     Attributes:
       delay_s: Seconds until a rating is ready.
-      noise: Share of ratings that say the opposite.
-      price: Credits for each item.
-      fails: Version whose answers to some prompts are poor, or empty.
-      fails_on: Word in those prompts.
+      noise: Fraction of ratings that are inverted.
+      price: Credits per item.
+      fails: Version whose answers to some prompts are rated as poor; none if
+        empty.
+      fails_on: Text that these prompts contain.
     """
 
     delay_s: float = 0.2
@@ -54,10 +55,10 @@
 
 @attrs.define
 class RatingServer:
-    """The service.
+    """HTTP server of the rating service.
 
     Attributes:
-      items: Everything handed in, in order.
+      items: All submitted items, in order.
       ready: Results by client.
     """
 
@@ -69,7 +70,7 @@
     tasks: set[asyncio.Task] = attrs.Factory(set)
 
     async def take(self, request: web.Request) -> web.Response:
-        """Takes items."""
+        """Accepts items and schedules their ratings."""
         await self.obey_faults()
         items = decode(list[RatingItem], await request.read())
         self.items.extend(items)
@@ -81,14 +82,14 @@
         return web.json_response({"price": price}, status=202)
 
     async def rate(self, item: RatingItem) -> None:
-        """Rates an item, later."""
+        """Rates an item after the delay."""
         await asyncio.sleep(self.behaviour.delay_s)
         good = self.is_good(item) ^ (self.rng.random() < self.behaviour.noise)
         results = self.ready.setdefault(item.client, [])
         results.append(RatingResult(len(results) + 1, item.id, good))
 
     def is_good(self, item: RatingItem) -> bool:
-        """Says whether an answer is good."""
+        """Returns whether an answer is good."""
         behaviour = self.behaviour
         if (
             item.version == behaviour.fails
@@ -106,7 +107,7 @@
         return web.Response(text=encode(RatingPage(page)))
 
     async def obey_faults(self) -> None:
-        """Refuses or stalls a call as switched.
+        """Refuses or delays a call according to the fault settings.
 
         Raises:
           HTTPServiceUnavailable: The service is down.
@@ -116,16 +117,16 @@
         await asyncio.sleep(self.faults.stall_s)
 
     async def set_faults(self, request: web.Request) -> web.Response:
-        """Sets the fault switch."""
+        """Replaces the fault settings."""
         self.faults = decode(RatingFaults, await request.read())
         return web.Response(text=encode(self.faults))
 
     async def get_items(self, _request: web.Request) -> web.Response:
-        """Answers with everything handed in."""
+        """Answers with all submitted items."""
         return web.Response(text=encode(self.items))
 
     def app(self) -> web.Application:
-        """Returns the aiohttp application."""
+        """Returns the aiohttp application of this stand-in."""
         app = web.Application(client_max_size=64 * 2**20)
         app.router.add_post("/v1/items", self.take)
         app.router.add_get("/v1/results", self.results)
