--- a/src/rattanpier/_internal/standin/replies.py
+++ b/src/rattanpier/_internal/standin/replies.py
@@ -1,4 +1,4 @@
-"""Answers that several stand-ins give."""
+"""Replies shared by several stand-ins."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 async def health(_request: web.Request) -> web.Response:
-    """Answers that the process runs; counted nowhere."""
+    """Answers a health check, which is not recorded."""
     return web.Response(text="ok")
 
 
 def abort(request: web.Request) -> None:
-    """Closes the connection at once."""
+    """Aborts the connection of a request."""
     if request.transport is not None:
         request.transport.abort()
 
 
 def refuse(message: str, not_run: bool) -> web.Response:
-    """Returns a refusal."""
+    """Returns a 503 that states whether the request was not run."""
     return web.json_response(
         {"error": message, "not_run": not_run},
         status=503,
