--- a/src/rattanpier/_internal/standin/runs.py
+++ b/src/rattanpier/_internal/standin/runs.py
@@ -1,4 +1,4 @@
-"""What a stand-in ran, kept in a file so that a kill does not hide it."""
+"""File of the runs of a stand-in, so that they survive a kill."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @attrs.define
 class RunFile:
-    """Takes a line of JSON for each run, written before the run starts.
+    """Stores a line of JSON for each run, written before the run starts.
 
     Attributes:
       path: Path of the file; nothing is written if empty.
@@ -21,7 +21,7 @@
     path: str = ""
 
     def add(self, run: Any) -> None:
-        """Writes a run; what is written outlasts the process."""
+        """Appends a run; the line survives a kill of the process."""
         if not self.path:
             return
         flags = os.O_WRONLY | os.O_APPEND | os.O_CREAT
