--- a/src/rattanpier/_internal/standin/streams.py
+++ b/src/rattanpier/_internal/standin/streams.py
@@ -1,4 +1,4 @@
-"""What a stand-in engine runs, and the answers it keeps for a while."""
+"""Runs of a stand-in engine, and their answers while resumable."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
     """One request as the engine ran it.
 
     Attributes:
-      request: The request's id, as the caller of the engine named it.
-      version: The version it ran on.
-      prompt: The text of all messages.
-      started: Seconds since the epoch.
+      request: Request id that the caller of the engine sent.
+      version: Version that ran it.
+      prompt: Text of all messages.
+      started: Start, in seconds since the Unix epoch.
       chunks: Events generated so far.
-      finished: Whether the answer was generated whole.
-      cancelled: Whether it was stopped before.
-      resumes: How often its answer was asked for again.
+      finished: Whether the complete answer was generated.
+      cancelled: Whether it was stopped before that.
+      resumes: Number of requests to resume its answer.
     """
 
     request: str
@@ -35,15 +35,15 @@
 
 @attrs.define
 class Stream:
-    """The answer of a run, kept for a while so that it can be resumed.
+    """Answer of a run, retained for a time so that it can be resumed.
 
     Attributes:
-      total: How many words the answer has.
-      events: The events so far, in order.
-      over: True once there will be no more.
-      readers: Connections that follow it.
-      changed: Set with each event.
-      task: What generates it, once that began.
+      total: Number of words of the answer.
+      events: Events generated so far, in order.
+      over: Whether no more events will follow.
+      readers: Number of connections that read it.
+      changed: Set at each new event and at the end.
+      task: Task that generates it, once started.
     """
 
     run: Run
@@ -55,14 +55,14 @@
     task: asyncio.Task[None] | None = None
 
     async def wait(self, number: int) -> bool:
-        """Waits for an event; False if the stream ended before it."""
+        """Waits for an event; returns False if the stream ends before it."""
         while len(self.events) <= number and not self.over:
             self.changed.clear()
             await self.changed.wait()
         return len(self.events) > number
 
     def add(self, event: bytes) -> None:
-        """Adds an event."""
+        """Appends an event and wakes the readers."""
         self.events.append(event)
         self.run.chunks += 1
         self.changed.set()
@@ -70,10 +70,11 @@
 
 @attrs.define
 class Streams:
-    """The answers that can be resumed.
+    """Streams that can be resumed.
 
     Attributes:
-      resume_s: Seconds a cut or ended stream can be resumed.
+      resume_s: Seconds for which a stream can be resumed after a
+        disconnection or its end.
       kept: Streams by request id.
     """
 
@@ -85,11 +86,11 @@
         return self.kept.get(request)
 
     def add(self, stream: Stream) -> None:
-        """Keeps a stream from now on."""
+        """Registers a stream under its request id."""
         self.kept[stream.run.request] = stream
 
     def forget(self, stream: Stream) -> None:
-        """Stops a run and its answer, which can't be resumed any more."""
+        """Cancels a run and drops its stream, so that it can't be resumed."""
         self.stop(stream)
         self.kept.pop(stream.run.request, None)
 
@@ -103,20 +104,20 @@
         self.end(stream)
 
     def end(self, stream: Stream) -> None:
-        """Ends a stream and forgets it after a while."""
+        """Ends a stream and drops it after `resume_s`."""
         stream.over = True
         stream.changed.set()
         loop = asyncio.get_running_loop()
         loop.call_later(self.resume_s, self.kept.pop, stream.run.request, None)
 
     def leave(self, stream: Stream) -> None:
-        """Notes that a reader left; a run without one is stopped later."""
+        """Removes a reader; a run without any is cancelled after `resume_s`."""
         stream.readers -= 1
         if stream.readers == 0 and not stream.over:
             loop = asyncio.get_running_loop()
             loop.call_later(self.resume_s, self.stop_unread, stream)
 
     def stop_unread(self, stream: Stream) -> None:
-        """Cancels a run that nobody came back for."""
+        """Cancels a run that still has no reader."""
         if stream.readers == 0:
             self.stop(stream)
