--- a/src/rattanpier/_internal/standin/table.py
+++ b/src/rattanpier/_internal/standin/table.py
@@ -1,7 +1,7 @@
-"""A stand-in for the platform's table service, kept in memory.
+"""In-memory stand-in for the platform's table service, with faults.
 
-It counts what really took effect, so that tests need not trust the product's
-word, and has switches for its faults.
+It counts the writes that took effect, so that tests need not rely on what the
+product reports.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class TableFault(enum.StrEnum):
-    """What is wrong with the table service."""
+    """Fault of the table service."""
 
     NONE = "none"
     DOWN = "down"  # Refuses everything.
@@ -40,11 +40,11 @@
 
 @attrs.define
 class TableFaults:
-    """The fault switch.
+    """Fault settings.
 
     Attributes:
-      fault: What is wrong now.
-      count: How many more writes lose their answer; -1 for all.
+      fault: Fault that is active.
+      count: Number of further writes that lose their answer; -1 for all.
       delay_s: Seconds added to every call.
     """
 
@@ -55,7 +55,7 @@
 
 @attrs.define
 class TableStats:
-    """What reached the service."""
+    """Counts of calls that reached the rows."""
 
     reads: int = 0
     writes: int = 0
@@ -82,7 +82,7 @@
     async def scan(
         self, prefix: str, after: str = "", limit: int = SCAN_LIMIT
     ) -> list[Row]:
-        """Returns rows of a prefix in key order, behind `after`."""
+        """Returns rows of a prefix in key order, after key `after`."""
         self.stats.reads += 1
         start = max(prefix, after)
         found: list[Row] = []
@@ -93,7 +93,7 @@
         return found
 
     async def transact(self, transaction: Transaction) -> WriteOutcome:
-        """Carries out a transaction as a whole, or not at all."""
+        """Applies a transaction atomically."""
         for check in transaction.checks:
             row = self.rows.get(check.key)
             version = row.version if row else ABSENT
@@ -113,13 +113,13 @@
 
 @attrs.define
 class TableServer:
-    """The stand-in's HTTP face."""
+    """HTTP server of the stand-in."""
 
     table: MemoryTable = attrs.Factory(MemoryTable)
     faults: TableFaults = attrs.Factory(TableFaults)
 
     async def hinder(self) -> bool:
-        """Applies the faults before a call; True if it must be refused."""
+        """Applies the faults; returns whether the call is refused."""
         if self.faults.delay_s:
             await asyncio.sleep(self.faults.delay_s)
         if self.faults.fault is TableFault.SILENT:
@@ -127,14 +127,14 @@
         return self.faults.fault is TableFault.DOWN
 
     async def get_row(self, request: web.Request) -> web.Response:
-        """Answers a read of one row."""
+        """Handles a read of one row."""
         if await self.hinder():
             return web.Response(status=503)
         row = await self.table.get(request.query["key"])
         return web.Response(text=encode(RowPage([row] if row else [])))
 
     async def get_rows(self, request: web.Request) -> web.Response:
-        """Answers a scan."""
+        """Handles a scan."""
         if await self.hinder():
             return web.Response(status=503)
         rows = await self.table.scan(
@@ -145,7 +145,7 @@
         return web.Response(text=encode(RowPage(rows)))
 
     async def transact(self, request: web.Request) -> web.Response:
-        """Answers a transaction, unless its answer is to be lost."""
+        """Handles a transaction; aborts if its answer is to be lost."""
         if await self.hinder():
             return web.Response(status=503)
         transaction = decode(Transaction, await request.read())
@@ -161,7 +161,7 @@
         return web.Response(text=encode(reply))
 
     def lose_answer(self) -> bool:
-        """Says whether the answer to this write is lost."""
+        """Returns whether the answer to this write is lost."""
         if self.faults.fault is not TableFault.LOSE_ANSWERS:
             return False
         if self.faults.count == 0:
@@ -171,7 +171,7 @@
         return True
 
     async def set_faults(self, request: web.Request) -> web.Response:
-        """Sets the fault switch."""
+        """Replaces the fault settings."""
         self.faults = decode(TableFaults, await request.read())
         return web.Response(text=encode(self.faults))
 
@@ -180,7 +180,7 @@
         return web.Response(text=encode(self.table.stats))
 
     def app(self) -> web.Application:
-        """Returns the aiohttp application."""
+        """Returns the aiohttp application of this stand-in."""
         app = web.Application(client_max_size=64 * 2**20)
         app.router.add_get("/v1/row", self.get_row)
         app.router.add_get("/v1/rows", self.get_rows)
