--- a/src/rattanpier/_internal/standin/texts.py
+++ b/src/rattanpier/_internal/standin/texts.py
@@ -1,4 +1,4 @@
-"""The texts of a stand-in engine: the same for a version and prompt."""
+"""Texts of a stand-in engine, determined by version and prompt."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 def difficulty(prompt: str) -> float:
-    """Returns how hard a prompt is, 0 to 1, the same every time."""
+    """Returns the difficulty of a prompt (0 to 1), deterministically."""
     return (
         stable_hash(f"difficulty\x1f{prompt}")
         % DIFFICULTY_STEPS
@@ -49,7 +49,7 @@
 def answer_words(
     version: str, prompt: str, count: int, good: bool
 ) -> list[str]:
-    """Returns the words of an answer; the first says whether it is good."""
+    """Returns the words of an answer; the first one is "good" or "poor"."""
     rng = random.Random(stable_hash(f"{version}\x1f{prompt}"))
     words = [
         f" w{rng.randrange(VOCABULARY_WORDS)}" for _ in range(max(0, count - 1))
