--- a/src/rattanpier/_internal/standin/weights.py
+++ b/src/rattanpier/_internal/standin/weights.py
@@ -1,4 +1,4 @@
-"""A stand-in for the weight store: whole files at a limited rate."""
+"""Stand-in for the weight store: sends files at a limited rate."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 
 
 class WeightFault(enum.StrEnum):
-    """What is wrong with the weight store."""
+    """Fault of the weight store."""
 
     NONE = "none"
     DOWN = "down"  # Refuses everything.
-    CUT = "cut"  # Ends a transfer half way.
+    CUT = "cut"  # Aborts a transfer half way.
 
 
 @attrs.define
 class WeightFaults:
-    """The fault switch.
+    """Fault settings.
 
     Attributes:
-      fault: What is wrong now.
-      bytes_per_s: Rate of all transfers together.
+      fault: Fault that is active.
+      bytes_per_s: Total rate of all transfers.
     """
 
     fault: WeightFault = WeightFault.NONE
@@ -38,7 +38,7 @@
 
 @attrs.define
 class WeightStats:
-    """What went out."""
+    """Counts of transfers and bytes sent."""
 
     transfers: int = 0
     finished: int = 0
@@ -47,11 +47,11 @@
 
 @attrs.define
 class WeightServer:
-    """Weights of any version, all of one size.
+    """Server of weights of any version, all of the same size.
 
     Attributes:
-      size: Bytes of a version's weights.
-      turn: Held while a chunk goes out, so that transfers share the rate.
+      size: Size of the weights of a version, in bytes.
+      turn: Held while a chunk is paced, so that transfers share the rate.
     """
 
     size: int = DEFAULT_BYTES
@@ -77,18 +77,18 @@
         return response
 
     def cuts(self, start: int) -> bool:
-        """Says whether a transfer ends here."""
+        """Returns whether a transfer is aborted at this offset."""
         return self.faults.fault is WeightFault.CUT and start >= self.size // 2
 
     async def send(self, response: web.StreamResponse, count: int) -> None:
-        """Sends one chunk when the rate allows it."""
+        """Sends one chunk, paced to the total rate."""
         async with self.turn:
             await asyncio.sleep(count / self.faults.bytes_per_s)
         await response.write(bytes(count))
         self.stats.sent_bytes += count
 
     async def set_faults(self, request: web.Request) -> web.Response:
-        """Sets the fault switch."""
+        """Replaces the fault settings."""
         self.faults = decode(WeightFaults, await request.read())
         return web.Response(text=encode(self.faults))
 
@@ -97,7 +97,7 @@
         return web.Response(text=encode(self.stats))
 
     def app(self) -> web.Application:
-        """Returns the aiohttp application."""
+        """Returns the aiohttp application of this stand-in."""
         app = web.Application()
         app.router.add_get("/v1/weights/{version}", self.get_weights)
         app.router.add_post("/standin/faults", self.set_faults)
