--- a/tests/functional/test_standins.py
+++ b/tests/functional/test_standins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for object store and weight store, and their switches."""
+"""Tests of the stand-ins for object store and weight store, with faults."""
 
 import aiohttp
 import pytest
