--- a/src/rattanpier/_internal/standin/objects.py
+++ b/src/rattanpier/_internal/standin/objects.py
@@ -73,7 +73,7 @@
     objects: MemoryObjects = attrs.Factory(MemoryObjects)
     faults: ObjectFaults = attrs.Factory(ObjectFaults)
 
-    async def hinder(self) -> bool:
+    async def apply_faults(self) -> bool:
         """Applies the faults; returns whether the call is refused."""
         if self.faults.delay_s:
             await asyncio.sleep(self.faults.delay_s)
@@ -81,14 +81,14 @@
 
     async def put(self, request: web.Request) -> web.Response:
         """Writes an object."""
-        if await self.hinder():
+        if await self.apply_faults():
             return web.Response(status=503)
         await self.objects.put(request.match_info["name"], await request.text())
         return self.answer_write(request)
 
     async def get(self, request: web.Request) -> web.Response:
         """Answers with an object's text."""
-        if await self.hinder():
+        if await self.apply_faults():
             return web.Response(status=503)
         text = await self.objects.get(request.match_info["name"])
         return (
@@ -99,14 +99,14 @@
 
     async def delete(self, request: web.Request) -> web.Response:
         """Deletes an object; succeeds also if it does not exist."""
-        if await self.hinder():
+        if await self.apply_faults():
             return web.Response(status=503)
         await self.objects.delete(request.match_info["name"])
         return self.answer_write(request)
 
     async def list_names(self, request: web.Request) -> web.Response:
         """Answers with the sorted names that start with a prefix."""
-        if await self.hinder():
+        if await self.apply_faults():
             return web.Response(status=503)
         prefix = request.query.get("prefix", "")
         names = [name for name in self.objects.texts if name.startswith(prefix)]
--- a/src/rattanpier/_internal/standin/platform_store.py
+++ b/src/rattanpier/_internal/standin/platform_store.py
@@ -30,7 +30,7 @@
 
 
 @attrs.define
-class Door:
+class StoreListener:
     """A listener of the store.
 
     Attributes:
@@ -42,7 +42,7 @@
     slow_s: dict[str, float] = attrs.Factory(dict)
 
 
-DOOR = web.AppKey("door", Door)
+LISTENER = web.AppKey("door", StoreListener)
 
 
 @attrs.define
@@ -83,10 +83,10 @@
     era: int = 1
     changed: asyncio.Event = attrs.Factory(asyncio.Event)
 
-    def app(self, door: Door | None = None) -> web.Application:
+    def app(self, door: StoreListener | None = None) -> web.Application:
         """Returns the aiohttp application of one listener."""
         app = web.Application()
-        app[DOOR] = door or Door()
+        app[LISTENER] = door or StoreListener()
         app.on_response_prepare.append(self.add_era)
         app.router.add_post(f"{ROOT}/rows-tx", self.transact)
         app.router.add_get(f"{ROOT}/rows-get", self.scan)
@@ -104,13 +104,13 @@
         text = base64.b64encode(json.dumps(value).encode()).decode()
         self.version += 1
         self.rows[table, key] = StoredRow(text, self.version)
-        self.tell()
+        self.wake_feeds()
 
     def remove(self, table: str, key: str) -> None:
         """Removes a row and leaves a tombstone."""
         self.version += 1
         self.rows[table, key] = StoredRow("", self.version, deleted=True)
-        self.tell()
+        self.wake_feeds()
 
     def value(self, table: str, key: str) -> Any:
         """Returns the decoded value of a row, or None if there is no row."""
@@ -119,11 +119,11 @@
             return None
         return json.loads(base64.b64decode(row.value))
 
-    def keep_copy(self) -> StoreCopy:
+    def take_backup(self) -> StoreCopy:
         """Returns a backup that the store can be restored from."""
         return StoreCopy(copy.deepcopy(self.rows), self.version)
 
-    def come_back(self, kept: StoreCopy) -> None:
+    def restore_backup(self, kept: StoreCopy) -> None:
         """Restores the store from a backup; later writes are lost.
 
         Versions are assigned again, and waiting feeds whose version is newer
@@ -132,13 +132,13 @@
         self.rows = copy.deepcopy(kept.rows)
         self.version = kept.version
         self.era += 1
-        self.tell()
+        self.wake_feeds()
 
     def write_again(self, table: str, key: str, row: StoredRow) -> None:
         """Rewrites a lost row as its author would, with a new version."""
         self.version += 1
         self.rows[table, key] = StoredRow(row.value, self.version, row.deleted)
-        self.tell()
+        self.wake_feeds()
 
     def compact(self) -> None:
         """Drops the history of changes."""
@@ -147,9 +147,9 @@
     def set_fault(self, fault: StoreFault) -> None:
         """Sets the fault, also for feeds that are waiting."""
         self.fault = fault
-        self.tell()
+        self.wake_feeds()
 
-    def tell(self) -> None:
+    def wake_feeds(self) -> None:
         """Wakes the waiting feeds."""
         self.changed.set()
         self.changed = asyncio.Event()
@@ -159,7 +159,7 @@
     ) -> web.Response | None:
         """Records a call; returns a refusal if the store is unavailable."""
         self.calls.append(call)
-        if self.fault is StoreFault.BUSY or request.app[DOOR].closed:
+        if self.fault is StoreFault.BUSY or request.app[LISTENER].closed:
             return web.Response(status=503)
         if self.fault is StoreFault.SILENT:
             await asyncio.Event().wait()
@@ -183,7 +183,7 @@
         for gone in body["remove"]:
             row = StoredRow("", self.version, deleted=True)
             self.rows[gone["table"], gone["key"]] = row
-        self.tell()
+        self.wake_feeds()
         if self.fault is StoreFault.LOST:
             await asyncio.Event().wait()
         return self.answer({})
@@ -193,7 +193,7 @@
         if (refused := await self.check(request, "rows-get")) is not None:
             return refused
         table = request.query["table"]
-        await asyncio.sleep(request.app[DOOR].slow_s.get(table, 0.0))
+        await asyncio.sleep(request.app[LISTENER].slow_s.get(table, 0.0))
         limit = int(request.query.get("limit", "500"))
         keys = sorted(
             key
@@ -230,7 +230,10 @@
                     await self.changed.wait()
             except TimeoutError:
                 continue
-            if self.fault is not StoreFault.NONE or request.app[DOOR].closed:
+            if (
+                self.fault is not StoreFault.NONE
+                or request.app[LISTENER].closed
+            ):
                 return web.Response(status=503)
 
     def encode(self, table: str, key: str) -> dict[str, Any]:
--- a/src/rattanpier/_internal/standin/ratings.py
+++ b/src/rattanpier/_internal/standin/ratings.py
@@ -71,7 +71,7 @@
 
     async def take(self, request: web.Request) -> web.Response:
         """Accepts items and schedules their ratings."""
-        await self.obey_faults()
+        await self.apply_faults()
         items = decode(list[RatingItem], await request.read())
         self.items.extend(items)
         for item in items:
@@ -100,13 +100,13 @@
 
     async def results(self, request: web.Request) -> web.Response:
         """Answers with the results of a client."""
-        await self.obey_faults()
+        await self.apply_faults()
         ready = self.ready.get(request.query["client"], [])
         after = int(request.query.get("after", "0"))
         page = [] if self.faults.keep_back else ready[after:]
         return web.Response(text=encode(RatingPage(page)))
 
-    async def obey_faults(self) -> None:
+    async def apply_faults(self) -> None:
         """Refuses or delays a call according to the fault settings.
 
         Raises:
--- a/src/rattanpier/_internal/standin/table.py
+++ b/src/rattanpier/_internal/standin/table.py
@@ -118,7 +118,7 @@
     table: MemoryTable = attrs.Factory(MemoryTable)
     faults: TableFaults = attrs.Factory(TableFaults)
 
-    async def hinder(self) -> bool:
+    async def apply_faults(self) -> bool:
         """Applies the faults; returns whether the call is refused."""
         if self.faults.delay_s:
             await asyncio.sleep(self.faults.delay_s)
@@ -128,14 +128,14 @@
 
     async def get_row(self, request: web.Request) -> web.Response:
         """Handles a read of one row."""
-        if await self.hinder():
+        if await self.apply_faults():
             return web.Response(status=503)
         row = await self.table.get(request.query["key"])
         return web.Response(text=encode(RowPage([row] if row else [])))
 
     async def get_rows(self, request: web.Request) -> web.Response:
         """Handles a scan."""
-        if await self.hinder():
+        if await self.apply_faults():
             return web.Response(status=503)
         rows = await self.table.scan(
             request.query["prefix"],
@@ -146,7 +146,7 @@
 
     async def transact(self, request: web.Request) -> web.Response:
         """Handles a transaction; aborts if its answer is to be lost."""
-        if await self.hinder():
+        if await self.apply_faults():
             return web.Response(status=503)
         transaction = decode(Transaction, await request.read())
         outcome = await self.table.transact(transaction)
--- a/tests/functional/test_standins.py
+++ b/tests/functional/test_standins.py
@@ -75,7 +75,7 @@
     assert server.objects.texts == {"a": "x"}
 
 
-async def test_a_slow_object_store_is_given_up(serve, session):
+async def test_a_slow_object_store_raises_at_the_timeout(serve, session):
     server = ObjectServer()
     server.faults = ObjectFaults(delay_s=60.0)
     objects = HttpObjects(session, await serve(server.app()), timeout_s=0.05)
@@ -83,7 +83,7 @@
         await objects.get("a")
 
 
-async def test_weights_come_whole_or_cut(serve, session):
+async def test_weights_are_complete_truncated_or_refused(serve, session):
     server = WeightServer(size=300_000)
     url = f"{await serve(server.app())}/v1/weights/small@1"
     async with session.get(url) as response:
--- a/tests/placement/test_drained_domains.py
+++ b/tests/placement/test_drained_domains.py
@@ -16,9 +16,9 @@
 )
 from rattanpier._internal.programs.relay import close
 from rattanpier._internal.standin.platform_store import (
-    Door,
     StoredRow,
     StoreFault,
+    StoreListener,
 )
 from rattanpier._internal.standin.platform_worker import WorkerFault
 from tests.lib.clock import ManualClock
@@ -262,7 +262,7 @@
     site.store.version += 1
     # Base64 of bytes that are not JSON.
     site.store.rows["op", DRAIN_KEY] = StoredRow("/wD+", site.store.version)
-    site.store.tell()
+    site.store.wake_feeds()
     await until(has_drained(entry, "zone-a"))
     assert await send_requests(site) == {200}
     assert runs_in_zone_a(site) == []
@@ -328,14 +328,14 @@
 
 
 async def test_entries_without_store_access_follow_order_and_removal(site):
-    door = Door()
+    door = StoreListener()
     first = await site.add_entry("entry-1")
     address = await site.add_door(door)
     second = await site.add_entry("entry-2", store=address)
     await until(lambda: len(second.fleet.entries()) == 2)
     await until(lambda: len(first.fleet.entries()) == 2)
     door.closed = True
-    site.store.tell()
+    site.store.wake_feeds()
     await until(lambda: not second.state.health.available)
     site.store.put("op", DRAIN_KEY, {})
     for entry in (first, second):
--- a/tests/relay/test_checkpoints.py
+++ b/tests/relay/test_checkpoints.py
@@ -28,7 +28,7 @@
     TABLE,
     OwnTable,
 )
-from rattanpier._internal.standin.platform_store import Door
+from rattanpier._internal.standin.platform_store import StoreListener
 from tests.lib.clock import ManualClock
 from tests.lib.platform_site import (
     manifest,
@@ -73,7 +73,7 @@
 
 async def start_slowly(site):
     """Starts an entry with slow full reads; returns it and the seconds."""
-    door = await site.add_door(Door(slow_s={OPERATORS: SLOW_READ_S}))
+    door = await site.add_door(StoreListener(slow_s={OPERATORS: SLOW_READ_S}))
     began = time.monotonic()
     entry = await site.add_entry("entry-2", store=door)
     return entry, time.monotonic() - began
--- a/tests/relay/test_early_callers.py
+++ b/tests/relay/test_early_callers.py
@@ -22,7 +22,10 @@
     Snapshot,
     Snapshots,
 )
-from rattanpier._internal.standin.platform_store import Door, StoreFault
+from rattanpier._internal.standin.platform_store import (
+    StoreFault,
+    StoreListener,
+)
 from rattanpier._internal.utils.codec import unpack
 from tests.lib.clock import ManualClock
 from tests.lib.platform_site import (
@@ -121,7 +124,7 @@
 
 async def test_routes_are_loaded_from_a_peer_if_the_store_is_slow(site):
     first = await site.add_entry("entry-1")
-    door = Door(slow_s={"op": 8.0})
+    door = StoreListener(slow_s={"op": 8.0})
     second = await site.add_entry(
         "entry-2",
         ready=False,
@@ -146,7 +149,7 @@
         str((await site.add_entry(f"entry-{number}")).settings.peers)
         for number in range(3)
     ]
-    door = Door(slow_s={"entries": 8.0})
+    door = StoreListener(slow_s={"entries": 8.0})
     new_entry = await site.add_entry(
         "entry-9",
         ready=False,
--- a/tests/relay/test_fleet.py
+++ b/tests/relay/test_fleet.py
@@ -10,7 +10,10 @@
     EntryState,
     Fleet,
 )
-from rattanpier._internal.standin.platform_store import Door, StoreFault
+from rattanpier._internal.standin.platform_store import (
+    StoreFault,
+    StoreListener,
+)
 from tests.lib.clock import ManualClock
 from tests.lib.platform_site import manifest, platform_site, until
 
@@ -142,13 +145,13 @@
 
 
 async def test_change_reaches_entry_that_the_store_refuses(site):
-    door = Door()
+    door = StoreListener()
     first = await site.add_entry("entry-1")
     address = await site.add_door(door)
     second = await site.add_entry("entry-2", store=address)
     await until(lambda: len(listed(second)) == 2)
     door.closed = True
-    site.store.tell()
+    site.store.wake_feeds()
     await until(lambda: not second.state.health.available)
     site.store.put("op", "config", manifest(version=9))
     site.register("w1", state="draining")
--- a/tests/relay/test_restored_store.py
+++ b/tests/relay/test_restored_store.py
@@ -33,14 +33,14 @@
 @pytest.mark.parametrize("later", [2 * LOST_VERSIONS, 0])
 async def test_changes_under_a_reassigned_version_are_applied(later):
     async with restorable_site(entries=3) as site:
-        backup = site.store.keep_copy()
+        backup = site.store.take_backup()
         advance_version(site.store, LOST_VERSIONS)
         site.register("w2", sequence=2, coldRemainingMs=1)
         site.store.put("op", "config", manifest(version=2))
         await until(lambda: all_entries_match(site, is_warming_up))
         await until(lambda: all_entries_match(site, has_manifest(2)))
         async with store_outage(site):
-            site.store.come_back(backup)
+            site.store.restore_backup(backup)
             site.register("w1", state="draining", sequence=2)
             site.store.put("op", "config", manifest(version=3))
             advance_version(site.store, later)
@@ -50,11 +50,11 @@
 
 async def test_a_restored_registration_sends_no_requests_to_a_draining_worker():
     async with restorable_site(entries=3) as site:
-        backup = site.store.keep_copy()
+        backup = site.store.take_backup()
         site.register("w1", state="draining", sequence=2)
         await until(lambda: all_entries_match(site, is_draining))
         async with store_outage(site):
-            site.store.come_back(backup)
+            site.store.restore_backup(backup)
         runs = len(site.workers["w1"].runs)
         await until(
             lambda: all_entries_match(site, lambda each: era_of(each) == 2)
@@ -71,11 +71,11 @@
 
 async def test_a_starting_entry_prefers_a_peers_routes_to_a_restored_backup():
     async with restorable_site(entries=2) as site:
-        backup = site.store.keep_copy()
+        backup = site.store.take_backup()
         site.store.put("op", "config", manifest(version=2))
         await until(lambda: all_entries_match(site, has_manifest(2)))
         async with store_outage(site):
-            site.store.come_back(backup)
+            site.store.restore_backup(backup)
         await until(
             lambda: all_entries_match(site, lambda each: era_of(each) == 2)
         )
--- a/tests/relay/test_restoring.py
+++ b/tests/relay/test_restoring.py
@@ -66,7 +66,7 @@
 
 async def test_one_entry_restores_the_rows_that_the_backup_lacks():
     async with restorable_site(entries=3) as site:
-        backup = site.store.keep_copy()
+        backup = site.store.take_backup()
         await complete_a_rollout(site)
         quarantine_request(site)
         expected = [
@@ -79,7 +79,7 @@
             if key[0] == "entries":
                 del backup.rows[key]
         async with store_outage(site):
-            site.store.come_back(backup)
+            site.store.restore_backup(backup)
             order = {"service": "plain", "to": "v2", "deadlineS": 20}
             site.store.put("op", "rollout/plain", order)
             site.store.calls.clear()
@@ -103,7 +103,7 @@
         await until(
             lambda: QUARANTINED_PREFIX + CONTENT in own_table_keys(site.store)
         )
-        backup = site.store.keep_copy()
+        backup = site.store.take_backup()
         for entry in site.entries.values():
             entry.edge.dispatcher.quarantine.record_answer(CONTENT)
         await until(
@@ -112,7 +112,7 @@
             )
         )
         async with store_outage(site):
-            site.store.come_back(backup)
+            site.store.restore_backup(backup)
             assert QUARANTINED_PREFIX + CONTENT in own_table_keys(site.store)
         await until(
             lambda: (
--- a/tests/relay/test_store_eras.py
+++ b/tests/relay/test_store_eras.py
@@ -49,15 +49,15 @@
 async def test_each_response_reports_its_era_even_on_errors(
     site, client, history
 ):
-    backup = site.store.keep_copy()
+    backup = site.store.take_backup()
     site.store.put(TABLE, KEY, "x")
     page = await client.scan(TABLE)
     assert (page.revision.era, history.era) == (1, 1)
-    site.store.come_back(backup)
+    site.store.restore_backup(backup)
     with pytest.raises(HistoryGoneError):
         await client.changes(TABLE, page.revision, 0.0)
     assert history.era == 2
-    site.store.come_back(backup)
+    site.store.restore_backup(backup)
     assert isinstance(await write(client, at(99, 2), b"y"), Conflict)
     assert history.era == 3
 
@@ -65,8 +65,8 @@
 async def test_a_check_from_an_earlier_era_fails_without_a_call(site, client):
     written = await write(client, at(0, 0), b"1")
     assert isinstance(written, WrittenAt)
-    backup = site.store.keep_copy()
-    site.store.come_back(backup)
+    backup = site.store.take_backup()
+    site.store.restore_backup(backup)
     page = await client.scan(TABLE)
     site.store.calls.clear()
     assert isinstance(await write(client, written.revision, b"2"), Conflict)
@@ -76,9 +76,9 @@
 
 
 async def test_a_check_that_matches_another_row_is_uncertain(site, client):
-    backup = site.store.keep_copy()
+    backup = site.store.take_backup()
     written = await write(client, at(0, 0), b"1")
-    site.store.come_back(backup)
+    site.store.restore_backup(backup)
     # The restored store assigns the same version to another row.
     site.store.put(TABLE, KEY, "other")
     assert site.store.version == written.revision.version
@@ -93,7 +93,7 @@
     async def scan_and_restore(server, request):
         answer = await scan(server, request)
         await answer.prepare(request)
-        server.come_back(server.keep_copy())
+        server.restore_backup(server.take_backup())
         return answer
 
     monkeypatch.setattr(PlatformStoreServer, "scan", scan_and_restore)
--- a/tests/relay/test_watch.py
+++ b/tests/relay/test_watch.py
@@ -20,7 +20,10 @@
     TableUpdate,
     pack_update,
 )
-from rattanpier._internal.standin.platform_store import Door, StoreFault
+from rattanpier._internal.standin.platform_store import (
+    StoreFault,
+    StoreListener,
+)
 from rattanpier._internal.utils.codec import unpack
 from rattanpier._internal.utils.metrics import Metrics
 from tests.lib.clock import ManualClock
@@ -342,7 +345,7 @@
         doors = {}
         for number in range(3):
             name = f"entry-{number}"
-            doors[name] = Door()
+            doors[name] = StoreListener()
             address = await site.add_door(doors[name])
             await site.add_entry(name, store=address)
         await wait_until_up_to_date(site)
@@ -352,7 +355,7 @@
             if entry.gossip.followers["op"].is_watcher()
         )
         doors[first].closed = True
-        site.store.tell()
+        site.store.wake_feeds()
         entry = site.entries[first]
         await until(lambda: not entry.gossip.followers["op"].is_watcher())
         site.store.put("op", "config", manifest(version=8))
@@ -525,12 +528,12 @@
 async def test_only_watchers_read_the_tables_of_a_new_era(site):
     await wait_until_up_to_date(site)
     await asyncio.sleep(STARTUP_GRACE_S)
-    kept = site.store.keep_copy()
+    kept = site.store.take_backup()
     site.store.put("op", "config", manifest(version=8))
     for each in followers(site):
         await until(lambda each=each: each.since.version > kept.version)
     site.store.calls.clear()
-    site.store.come_back(kept)
+    site.store.restore_backup(kept)
     site.store.put("op", "config", manifest(version=9))
     for entry in site.entries.values():
         await until(lambda entry=entry: entry.state.table_version == 9)
--- a/tests/soak/site.py
+++ b/tests/soak/site.py
@@ -308,7 +308,7 @@
 async def go_back(run, fault):
     """The store comes back from a copy; authors write again what was lost."""
     store = run.site.store
-    kept, kept_at = store.keep_copy(), time.monotonic()
+    kept, kept_at = store.take_backup(), time.monotonic()
     await asyncio.sleep(fault.for_s)
     store.set_fault(StoreFault.BUSY)
     await asyncio.sleep(AWAY_S)
@@ -317,7 +317,7 @@
         for where, row in store.rows.items()
         if where[0] in ("op", "servers") and row.version > kept.version
     ]
-    store.come_back(kept)
+    store.restore_backup(kept)
     lost_at = time.monotonic()
     store.set_fault(StoreFault.NONE)
     for _, where, row in sorted(lost, key=lambda each: each[0]):
