--- a/src/rattanpier/_internal/cli/load.py
+++ b/src/rattanpier/_internal/cli/load.py
@@ -9,7 +9,7 @@
 from rattanpier._internal.cli.common import run_fire
 from rattanpier._internal.cli.operator import printed
 from rattanpier._internal.commands.result import ExitCode, Result, make_table
-from rattanpier._internal.load.arrivals import Shape
+from rattanpier._internal.load.arrivals import LoadProfile
 from rattanpier._internal.load.report import Report
 from rattanpier._internal.load.run import run_load
 
@@ -48,7 +48,7 @@
       repeat_share: Share of requests sent once more with their key.
       max_tokens: Tokens asked for.
     """
-    shape = Shape(
+    shape = LoadProfile(
         split(keys),
         rate,
         seconds,
--- a/src/rattanpier/_internal/kernel.py
+++ b/src/rattanpier/_internal/kernel.py
@@ -73,9 +73,9 @@
             raise KernelError(f"there is no service {name!r}")
         return self.services[name].value
 
-    def spawn(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
+    def spawn(self, coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
         """Runs a coroutine until it ends or the kernel stops."""
-        task = asyncio.get_running_loop().create_task(work)
+        task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.finish_task)
         return task
--- a/src/rattanpier/_internal/load/arrivals.py
+++ b/src/rattanpier/_internal/load/arrivals.py
@@ -13,7 +13,7 @@
 
 
 @attrs.frozen
-class Shape:
+class LoadProfile:
     """The shape of a load.
 
     Attributes:
@@ -60,30 +60,30 @@
     repeats: bool
 
 
-def plan_arrivals(shape: Shape) -> Iterator[Arrival]:
+def plan_arrivals(profile: LoadProfile) -> Iterator[Arrival]:
     """Yields requests with exponential pauses between them.
 
-    >>> shape = Shape(["a", "b"], rate=5.0, seconds=2.0)
-    >>> list(plan_arrivals(shape)) == list(plan_arrivals(shape))
+    >>> profile = LoadProfile(["a", "b"], rate=5.0, seconds=2.0)
+    >>> list(plan_arrivals(profile)) == list(plan_arrivals(profile))
     True
     """
-    rng = random.Random(shape.seed)
+    rng = random.Random(profile.seed)
     weights = [
-        1 / (rank + 1) ** SIZE_EXPONENT for rank in range(len(shape.keys))
+        1 / (rank + 1) ** SIZE_EXPONENT for rank in range(len(profile.keys))
     ]
-    at, number = rng.expovariate(shape.rate), 0
-    while at < shape.seconds:
-        (place,) = rng.choices(range(len(shape.keys)), weights)
+    at, number = rng.expovariate(profile.rate), 0
+    while at < profile.seconds:
+        (workspace_index,) = rng.choices(range(len(profile.keys)), weights)
         yield Arrival(
             at=at,
             number=number,
-            workspace_key=shape.keys[place],
+            workspace_key=profile.keys[workspace_index],
             prompt=make_prompt(rng, number),
-            stream=rng.random() < shape.stream_share,
-            session=make_session(rng, shape, place),
-            repeats=rng.random() < shape.repeat_share,
+            stream=rng.random() < profile.stream_share,
+            session=make_session(rng, profile, workspace_index),
+            repeats=rng.random() < profile.repeat_share,
         )
-        at += rng.expovariate(shape.rate)
+        at += rng.expovariate(profile.rate)
         number += 1
 
 
@@ -95,9 +95,11 @@
     return f"request {number}: {' '.join(words)}"
 
 
-def make_session(rng: random.Random, shape: Shape, place: int) -> str:
+def make_session(
+    rng: random.Random, profile: LoadProfile, workspace_index: int
+) -> str:
     """Returns a session id, or an empty string."""
     number = rng.randrange(SESSIONS_PER_WORKSPACE)
-    if rng.random() >= shape.session_share:
+    if rng.random() >= profile.session_share:
         return ""
-    return f"load-{shape.seed}-{place}-{number}"
+    return f"load-{profile.seed}-{workspace_index}-{number}"
--- a/src/rattanpier/_internal/load/caller.py
+++ b/src/rattanpier/_internal/load/caller.py
@@ -14,17 +14,17 @@
 from rattanpier._internal.load.directory import Directory
 from rattanpier._internal.standin.texts import answer_words
 
-TRIES = 4  # A caller goes to another entry when its connection breaks.
+MAX_ATTEMPTS = 4  # A caller goes to another entry when its connection breaks.
 DATA = b"data: "
 DONE = b"[DONE]"
 
 
-class BrokenAnswerError(Exception):
+class TruncatedStreamError(Exception):
     """A stream ended without its end mark."""
 
 
 @attrs.define
-class Heard:
+class CallResult:
     """What a caller heard.
 
     Attributes:
@@ -49,7 +49,7 @@
     version_lost: str = ""
     first_s: float = 0.0
     whole_s: float = 0.0
-    tries: int = 0
+    attempts: int = 0
 
 
 @attrs.frozen
@@ -74,49 +74,49 @@
     prefix: str
     pins: dict[str, Pin] = attrs.Factory(dict)
 
-    async def ask(self, arrival: Arrival) -> Heard:
+    async def ask(self, arrival: Arrival) -> CallResult:
         """Sends a request until it is answered or refused.
 
         A broken connection leads to another entry with the same key, so that
         the request can't run twice.
         """
-        heard = Heard()
+        result = CallResult()
         start = time.monotonic()
-        for number in range(TRIES):
-            heard = Heard(code="connection", tries=number + 1)
+        for number in range(MAX_ATTEMPTS):
+            result = CallResult(code="connection", attempts=number + 1)
             url = await self.directory.pick()
             try:
-                await self.send(url, arrival, heard, start)
-            except (aiohttp.ClientError, TimeoutError, BrokenAnswerError):
-                self.directory.avoid(url)
+                await self.send(url, arrival, result, start)
+            except (aiohttp.ClientError, TimeoutError, TruncatedStreamError):
+                self.directory.exclude(url)
                 continue
             break
-        heard.whole_s = time.monotonic() - start
-        if arrival.session and heard.token:
-            self.pins[arrival.session] = Pin(heard.token, heard.version)
-        return heard
+        result.whole_s = time.monotonic() - start
+        if arrival.session and result.token:
+            self.pins[arrival.session] = Pin(result.token, result.version)
+        return result
 
     async def send(
-        self, url: str, arrival: Arrival, heard: Heard, start: float
+        self, url: str, arrival: Arrival, result: CallResult, start: float
     ) -> None:
         """Sends a request to one entry."""
         pin = self.pins.get(arrival.session)
-        heard.pinned = pin.version if pin else ""
+        result.pinned = pin.version if pin else ""
         async with self.session.post(
             f"{url}/v1/chat/completions",
             json=self.body(arrival),
             headers=self.headers(arrival, pin),
         ) as response:
-            heard.status = response.status
-            heard.version = response.headers.get("X-Model-Version", "")
-            heard.token = response.headers.get("X-Session-Token", "")
+            result.status = response.status
+            result.version = response.headers.get("X-Model-Version", "")
+            result.token = response.headers.get("X-Session-Token", "")
             lost = response.headers.get("X-Session-Version-Lost", "")
-            heard.version_lost = lost
+            result.version_lost = lost
             if response.content_type == "text/event-stream":
-                await read_stream(response, heard, start)
+                await read_stream(response, result, start)
             else:
-                read_whole(await response.json(), heard)
-                heard.first_s = time.monotonic() - start
+                read_json_answer(await response.json(), result)
+                result.first_s = time.monotonic() - start
 
     def body(self, arrival: Arrival) -> dict[str, Any]:
         """Returns the JSON body of a request."""
@@ -140,17 +140,17 @@
         return headers
 
 
-def read_whole(body: dict[str, Any], heard: Heard) -> None:
+def read_json_answer(body: dict[str, Any], result: CallResult) -> None:
     """Takes an answer in one JSON body, or a refusal."""
     if "error" in body:
-        heard.code = body["error"]["code"]
+        result.code = body["error"]["code"]
         return
-    heard.code = ""
-    heard.text = body["choices"][0]["message"]["content"]
+    result.code = ""
+    result.text = body["choices"][0]["message"]["content"]
 
 
 async def read_stream(
-    response: aiohttp.ClientResponse, heard: Heard, start: float
+    response: aiohttp.ClientResponse, result: CallResult, start: float
 ) -> None:
     """Takes an answer from a stream.
 
@@ -158,35 +158,37 @@
       BrokenAnswerError: The stream ended without its end mark.
     """
     pieces = []
-    async for data in events(response):
+    async for data in iter_event_data(response):
         if data == DONE:
-            heard.code, heard.text = "", "".join(pieces)
+            result.code, result.text = "", "".join(pieces)
             return
         event = json.loads(data)
         if "error" in event:
-            heard.code = event["error"]["code"]
+            result.code = event["error"]["code"]
             return
         if not pieces:
-            heard.first_s = time.monotonic() - start
+            result.first_s = time.monotonic() - start
         pieces.append(event["choices"][0]["delta"].get("content", ""))
-    raise BrokenAnswerError
+    raise TruncatedStreamError
 
 
-async def events(response: aiohttp.ClientResponse) -> AsyncIterator[bytes]:
+async def iter_event_data(
+    response: aiohttp.ClientResponse,
+) -> AsyncIterator[bytes]:
     """Yields the data of server-sent events."""
     async for line in response.content:
         if line.startswith(DATA):
             yield line.removeprefix(DATA).strip()
 
 
-def is_right(heard: Heard, prompt: str, max_tokens: int) -> bool:
+def is_expected_text(result: CallResult, prompt: str, max_tokens: int) -> bool:
     """Says whether a text is the whole answer to a prompt.
 
     The engine stand-in's text depends only on version, prompt, and whether
     the version is skilled enough for it.
     """
     return any(
-        heard.text
-        == "".join(answer_words(heard.version, prompt, max_tokens, good))
+        result.text
+        == "".join(answer_words(result.version, prompt, max_tokens, good))
         for good in (True, False)
     )
--- a/src/rattanpier/_internal/load/directory.py
+++ b/src/rattanpier/_internal/load/directory.py
@@ -8,7 +8,7 @@
 import aiohttp
 import attrs
 
-ASK_TIMEOUT_S = 2.0
+LIST_TIMEOUT_S = 2.0
 
 
 @attrs.define
@@ -25,39 +25,39 @@
     """
 
     session: aiohttp.ClientSession
-    seeds: list[str]
+    initial_urls: list[str]
     rng: random.Random
     urls: list[str] = attrs.Factory(list)
-    until: float = 0.0
-    avoided: set[str] = attrs.Factory(set)
+    expires_at: float = 0.0
+    excluded: set[str] = attrs.Factory(set)
 
     async def pick(self) -> str:
         """Returns an entry to use."""
-        if time.monotonic() >= self.until:
+        if time.monotonic() >= self.expires_at:
             await self.refresh()
-        usable = [url for url in self.urls if url not in self.avoided]
-        return self.rng.choice(usable or self.urls or self.seeds)
+        usable = [url for url in self.urls if url not in self.excluded]
+        return self.rng.choice(usable or self.urls or self.initial_urls)
 
-    def avoid(self, url: str) -> None:
+    def exclude(self, url: str) -> None:
         """Leaves an entry out until the list is asked for again."""
-        self.avoided.add(url)
+        self.excluded.add(url)
 
     async def refresh(self) -> None:
         """Asks known entries, one after the other, for the list."""
-        for url in dict.fromkeys([*self.urls, *self.seeds]):
+        for url in dict.fromkeys([*self.urls, *self.initial_urls]):
             try:
-                await self.ask(url)
+                await self.fetch_from(url)
             except (aiohttp.ClientError, TimeoutError):
                 continue
             return
 
-    async def ask(self, url: str) -> None:
+    async def fetch_from(self, url: str) -> None:
         """Takes the list from one entry."""
-        timeout = aiohttp.ClientTimeout(total=ASK_TIMEOUT_S)
+        timeout = aiohttp.ClientTimeout(total=LIST_TIMEOUT_S)
         async with self.session.get(
             f"{url}/v1/entries", timeout=timeout
         ) as response:
             body = await response.json()
         self.urls = [entry["url"] for entry in body["entries"]]
-        self.until = time.monotonic() + body["ttl_s"]
-        self.avoided.clear()
+        self.expires_at = time.monotonic() + body["ttl_s"]
+        self.excluded.clear()
--- a/src/rattanpier/_internal/load/report.py
+++ b/src/rattanpier/_internal/load/report.py
@@ -8,15 +8,15 @@
 import attrs
 from hdrh.histogram import HdrHistogram
 
-HIGHEST_US = 3_600_000_000
-DIGITS = 3
-MICROSECONDS = 1_000_000
+MAX_LATENCY_US = 3_600_000_000
+SIGNIFICANT_DIGITS = 3
+MICROSECONDS_PER_S = 1_000_000
 PERCENTILES = (50.0, 90.0, 95.0, 99.0, 99.9, 100.0)
 
 
 def make_histogram() -> HdrHistogram:
     """Returns a histogram of microseconds up to an hour."""
-    return HdrHistogram(1, HIGHEST_US, DIGITS)
+    return HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
 @attrs.define
@@ -55,7 +55,7 @@
 
 def record(histogram: HdrHistogram, seconds: float) -> None:
     """Adds a time."""
-    histogram.record_value(max(1, int(seconds * MICROSECONDS)))
+    histogram.record_value(max(1, int(seconds * MICROSECONDS_PER_S)))
 
 
 def percentiles(histogram: HdrHistogram) -> dict[str, float]:
--- a/src/rattanpier/_internal/load/run.py
+++ b/src/rattanpier/_internal/load/run.py
@@ -10,8 +10,16 @@
 import aiohttp
 import attrs
 
-from rattanpier._internal.load.arrivals import Arrival, Shape, plan_arrivals
-from rattanpier._internal.load.caller import Caller, Heard, is_right
+from rattanpier._internal.load.arrivals import (
+    Arrival,
+    LoadProfile,
+    plan_arrivals,
+)
+from rattanpier._internal.load.caller import (
+    Caller,
+    CallResult,
+    is_expected_text,
+)
 from rattanpier._internal.load.directory import Directory
 from rattanpier._internal.load.report import Report, record
 
@@ -22,48 +30,50 @@
 class Load:
     """One run."""
 
-    shape: Shape
+    profile: LoadProfile
     caller: Caller
     report: Report
 
-    async def serve(self, arrival: Arrival) -> None:
+    async def run_request(self, arrival: Arrival) -> None:
         """Sends one request, checks its answer, and repeats it if planned."""
-        heard = await self.caller.ask(arrival)
-        self.note(arrival, heard)
-        if heard.code or not arrival.repeats:
+        result = await self.caller.ask(arrival)
+        self.record_result(arrival, result)
+        if result.code or not arrival.repeats:
             return
-        again = await self.caller.ask(arrival)
+        repeated = await self.caller.ask(arrival)
         self.report.counts["repeats"] += 1
-        if not again.code and again.text != heard.text:
+        if not repeated.code and repeated.text != result.text:
             self.report.counts["repeat_differs"] += 1
 
-    def note(self, arrival: Arrival, heard: Heard) -> None:
+    def record_result(self, arrival: Arrival, result: CallResult) -> None:
         """Counts what a caller heard."""
         counts = self.report.counts
         counts["sent"] += 1
-        counts["reconnects"] += heard.tries - 1
-        if heard.code:
-            counts[f"refused.{heard.code}"] += 1
+        counts["reconnects"] += result.attempts - 1
+        if result.code:
+            counts[f"refused.{result.code}"] += 1
             return
-        right = is_right(heard, arrival.prompt, self.shape.max_tokens)
+        right = is_expected_text(
+            result, arrival.prompt, self.profile.max_tokens
+        )
         counts["whole" if right else "wrong"] += 1
-        if arrival.stream and heard.first_s:
-            record(self.report.first, heard.first_s)
-        record(self.report.whole, heard.whole_s)
-        self.note_session(heard)
+        if arrival.stream and result.first_s:
+            record(self.report.first, result.first_s)
+        record(self.report.whole, result.whole_s)
+        self.record_session_version(result)
 
-    def note_session(self, heard: Heard) -> None:
+    def record_session_version(self, result: CallResult) -> None:
         """Counts a session that lost its version, told so or not."""
-        if heard.pinned in ("", heard.version):
+        if result.pinned in ("", result.version):
             return
-        told = heard.version_lost == heard.pinned
+        told = result.version_lost == result.pinned
         name = "session_told" if told else "session_moved"
         self.report.counts[name] += 1
 
 
 async def run_load(
-    shape: Shape,
-    seeds: list[str],
+    profile: LoadProfile,
+    initial_urls: list[str],
     progress: Progress = lambda _: None,
 ) -> Report:
     """Runs a plan against entries and returns what callers saw."""
@@ -72,15 +82,17 @@
     async with aiohttp.ClientSession(
         connector=connector, timeout=timeout
     ) as session:
-        directory = Directory(session, seeds, random.Random(shape.seed))
-        prefix = f"load-{shape.seed}-{time.time_ns():x}"
-        caller = Caller(session, directory, shape.max_tokens, prefix)
-        load = Load(shape, caller, Report())
+        directory = Directory(
+            session, initial_urls, random.Random(profile.seed)
+        )
+        prefix = f"load-{profile.seed}-{time.time_ns():x}"
+        caller = Caller(session, directory, profile.max_tokens, prefix)
+        load = Load(profile, caller, Report())
         start = time.monotonic()
         async with asyncio.TaskGroup() as group:
-            for arrival in plan_arrivals(shape):
+            for arrival in plan_arrivals(profile):
                 wait = start + arrival.at - time.monotonic()
                 await asyncio.sleep(max(0.0, wait))
-                group.create_task(load.serve(arrival))
+                group.create_task(load.run_request(arrival))
                 progress(arrival.number)
     return load.report
--- a/tests/functional/test_load.py
+++ b/tests/functional/test_load.py
@@ -5,13 +5,15 @@
 import openai
 import pytest
 
-from rattanpier._internal.load.arrivals import Shape
+from rattanpier._internal.load.arrivals import LoadProfile
 from rattanpier._internal.load.run import run_load
 from tests.lib.builders import DESK_KEY, configuration_text
 from tests.lib.cluster import Cluster, wait_for
 
 SKILLS = "small@1=1.0,large@1=1.0"
-SHAPE = Shape([DESK_KEY], rate=20.0, seconds=4.0, seed=7, repeat_share=0.2)
+PROFILE = LoadProfile(
+    [DESK_KEY], rate=20.0, seconds=4.0, seed=7, repeat_share=0.2
+)
 KILL_AFTER = 30  # Requests sent; the load goes on behind it.
 
 
@@ -32,7 +34,7 @@
         yield cluster
 
 
-def listed(cluster, count):
+def wait_for_entry_count(cluster, count):
     async def probe():
         async with cluster.session.get(
             f"{cluster.urls['entry-1']}/v1/entries"
@@ -59,15 +61,15 @@
         )
 
 
-async def all_whole(cluster, entry):
+async def all_answers_complete(cluster, entry):
     """Whether a short load through an entry is answered in full."""
-    shape = Shape([DESK_KEY], rate=20.0, seconds=0.5, seed=8)
-    report = await run_load(shape, [cluster.urls[entry]])
+    profile = LoadProfile([DESK_KEY], rate=20.0, seconds=0.5, seed=8)
+    report = await run_load(profile, [cluster.urls[entry]])
     return report.counts["whole"] == report.counts["sent"] > 0
 
 
-async def test_one_entry_is_killed_under_load(cluster):
-    await listed(cluster, 2)
+async def test_killing_one_entry_under_load_loses_no_answer(cluster):
+    await wait_for_entry_count(cluster, 2)
     kills = []
 
     def progress(number):
@@ -75,7 +77,7 @@
             kill = cluster.processes["entry-2"].kill()
             kills.append(asyncio.ensure_future(kill))
 
-    report = await run_load(SHAPE, [cluster.urls["entry-1"]], progress)
+    report = await run_load(PROFILE, [cluster.urls["entry-1"]], progress)
     await asyncio.gather(*kills)
     counts = report.counts
     assert len(kills) == 1
@@ -88,4 +90,4 @@
     )
     assert counts["whole"] + refused == counts["sent"]
     assert counts["refused.connection"] == 0, counts
-    await wait_for(lambda: all_whole(cluster, "entry-1"))
+    await wait_for(lambda: all_answers_complete(cluster, "entry-1"))
