--- a/src/rattanpier/_internal/exceptions.py
+++ b/src/rattanpier/_internal/exceptions.py
@@ -1,4 +1,4 @@
-"""Exceptions that may leave a part of the program, each with a code."""
+"""Exceptions that subsystems raise, each with a stable error code."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
     Attributes:
       code: Stable name of the error, printed and sent to callers.
-      message: One sentence that says what is wrong.
-      hint: One sentence that says what would be right, or an empty string.
+      message: One sentence that describes the error.
+      hint: One sentence that describes a correct value, or an empty string.
     """
 
     code = "internal"
@@ -21,19 +21,19 @@
 
 
 class SettingsError(RattanpierError):
-    """A settings file can't be used."""
+    """A settings file cannot be used."""
 
     code = "bad_settings"
 
 
 class ConfigurationError(RattanpierError):
-    """A configuration can't be used."""
+    """A configuration cannot be used."""
 
     code = "bad_configuration"
 
 
 class UnreadableError(RattanpierError, ValueError):
-    """What another process or writer sent can't be read."""
+    """Data from another process or writer cannot be decoded."""
 
     code = "unreadable"
 
@@ -45,7 +45,7 @@
 
 
 class HistoryGoneError(RattanpierError):
-    """The store no longer knows the changes that were asked for."""
+    """The store no longer has the requested changes."""
 
     code = "history_gone"
 
@@ -57,7 +57,7 @@
 
 
 class PeerRefusedError(PeerUnavailableError):
-    """The peer's VM answered that no process listens there."""
+    """The peer's VM refused the connection: no process is listening."""
 
     code = "peer_refused"
 
@@ -69,12 +69,12 @@
 
 
 class KernelError(RattanpierError):
-    """A service is missing from the kernel, or there twice."""
+    """A kernel service is missing or was added twice."""
 
     code = "kernel"
 
 
 class CommandError(RattanpierError):
-    """An operator's command can't be carried out."""
+    """An operator's command cannot be carried out."""
 
     code = "command"
