--- a/src/rattanpier/_internal/kernel.py
+++ b/src/rattanpier/_internal/kernel.py
@@ -1,7 +1,7 @@
-"""The micro-kernel: services that find each other by name.
+"""Service registry and lifecycle of a process.
 
-A program is a list of services. Each is added under a name, may look up the
-others, and is started in the order of addition and stopped in reverse.
+A program is a list of named services that look each other up by name. They
+start in the order of addition and stop in reverse order.
 """
 
 from __future__ import annotations
@@ -23,10 +23,10 @@
 
 @attrs.define(eq=False, repr=False)
 class Service:
-    """One named service and its hooks.
+    """A named service and its lifecycle hooks.
 
     Attributes:
-      name: Name under which other services find it.
+      name: Name by which other services look it up.
       value: The object that other services use.
       start: Called in order of addition, or None.
       stop: Called in reverse order, or None.
@@ -39,7 +39,7 @@
 
 
 class Kernel:
-    """Holds the services of one process and the tasks they run."""
+    """Manages the services of one process and their background tasks."""
 
     def __init__(self) -> None:
         self.services: dict[str, Service] = {}
@@ -53,10 +53,10 @@
         start: Hook | None = None,
         stop: Hook | None = None,
     ) -> T:
-        """Adds a service and returns its value.
+        """Registers a service and returns its value.
 
         Raises:
-          KernelError: The name is taken.
+          KernelError: The name is already registered.
         """
         if name in self.services:
             raise KernelError(f"service {name!r} was added twice")
@@ -74,14 +74,14 @@
         return self.services[name].value
 
     def spawn(self, coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Runs a coroutine until it ends or the kernel stops."""
+        """Runs a coroutine as a task that the kernel cancels when it stops."""
         task = asyncio.get_running_loop().create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.finish_task)
         return task
 
     def finish_task(self, task: asyncio.Task[Any]) -> None:
-        """Forgets a task and reports the exception that ended it."""
+        """Removes a finished task and logs the exception it raised, if any."""
         self.tasks.discard(task)
         if task.cancelled() or task.exception() is None:
             return
@@ -94,7 +94,7 @@
                 await service.start()
 
     async def stop(self) -> None:
-        """Stops every service in reverse order and cancels its tasks."""
+        """Stops every service in reverse order, then cancels all tasks."""
         self.stopping.set()
         for service in reversed(list(self.services.values())):
             if service.stop is not None:
