--- a/src/rattanpier/_internal/load/__init__.py
+++ b/src/rattanpier/_internal/load/__init__.py
@@ -1,1 +1,1 @@
-"""The load tool: seeded arrivals, checked answers, percentiles."""
+"""Load generator: seeded arrivals, answer checks, latency percentiles."""
