--- a/src/rattanpier/_internal/load/arrivals.py
+++ b/src/rattanpier/_internal/load/arrivals.py
@@ -1,4 +1,4 @@
-"""What is asked when: a plan that a seed fixes."""
+"""Reproducible request plan of the load generator, drawn from a seed."""
 
 from __future__ import annotations
 
@@ -7,24 +7,25 @@
 
 import attrs
 
-SIZE_EXPONENT = 1.0  # The n-th workspace is 1/n as large as the first.
+SIZE_EXPONENT = 1.0  # The n-th workspace sends 1/n of the first.
 SESSIONS_PER_WORKSPACE = 8
 PROMPT_WORDS = (4, 60)
 
 
 @attrs.frozen
 class LoadProfile:
-    """The shape of a load.
+    """Parameters of a generated load.
 
     Attributes:
-      keys: Workspace keys, the largest workspace first.
-      rate: Requests a second, whatever the answers take.
-      seconds: How long requests arrive.
-      seed: Fixes the whole plan.
-      stream_share: Share of streaming requests.
-      session_share: Share of requests that belong to a session.
-      repeat_share: Share of requests sent once more with their key.
-      max_tokens: Tokens asked for.
+      keys: Workspace API keys, the largest workspace first.
+      rate: Requests per second, independent of the response times.
+      seconds: Duration over which requests are sent.
+      seed: Seed from which the plan is drawn.
+      stream_share: Fraction of requests that stream.
+      session_share: Fraction of requests that belong to a session.
+      repeat_share: Fraction of requests repeated with the same idempotency
+        key.
+      max_tokens: Maximum number of tokens per answer.
     """
 
     keys: Sequence[str]
@@ -39,16 +40,16 @@
 
 @attrs.frozen
 class Arrival:
-    """One request of the plan.
+    """One planned request.
 
     Attributes:
-      at: Seconds from the start.
-      number: Its place in the plan.
-      workspace_key: Whose request it is.
-      prompt: What is asked.
+      at: Send time in seconds from the start of the run.
+      number: Index in the plan.
+      workspace_key: API key of the workspace that sends it.
+      prompt: Text of the user message.
       stream: Whether the answer is streamed.
-      session: Session id, or empty.
-      repeats: Whether it is sent once more when it was answered.
+      session: Session id, or an empty string.
+      repeats: Whether the request is repeated after a successful answer.
     """
 
     at: float
@@ -61,7 +62,7 @@
 
 
 def plan_arrivals(profile: LoadProfile) -> Iterator[Arrival]:
-    """Yields requests with exponential pauses between them.
+    """Yields the requests, with exponentially distributed intervals.
 
     >>> profile = LoadProfile(["a", "b"], rate=5.0, seconds=2.0)
     >>> list(plan_arrivals(profile)) == list(plan_arrivals(profile))
@@ -88,7 +89,7 @@
 
 
 def make_prompt(rng: random.Random, number: int) -> str:
-    """Returns a prompt that no other request of the plan has."""
+    """Returns a prompt that is unique within the plan."""
     words = [
         f"w{rng.randrange(1000)}" for _ in range(rng.randint(*PROMPT_WORDS))
     ]
@@ -98,7 +99,7 @@
 def make_session(
     rng: random.Random, profile: LoadProfile, workspace_index: int
 ) -> str:
-    """Returns a session id, or an empty string."""
+    """Returns a session id, or an empty string for no session."""
     number = rng.randrange(SESSIONS_PER_WORKSPACE)
     if rng.random() >= profile.session_share:
         return ""
