--- a/src/rattanpier/_internal/load/caller.py
+++ b/src/rattanpier/_internal/load/caller.py
@@ -1,4 +1,4 @@
-"""Sends one request as a caller does, and checks what comes back."""
+"""Client of the load generator: sends requests and checks the answers."""
 
 from __future__ import annotations
 
@@ -14,30 +14,32 @@
 from rattanpier._internal.load.directory import Directory
 from rattanpier._internal.standin.texts import answer_words
 
-MAX_ATTEMPTS = 4  # A caller goes to another entry when its connection breaks.
+MAX_ATTEMPTS = 4  # Each attempt may use another entry.
 DATA = b"data: "
 DONE = b"[DONE]"
 
 
 class TruncatedStreamError(Exception):
-    """A stream ended without its end mark."""
+    """A stream ended without the [DONE] event."""
 
 
 @attrs.define
 class CallResult:
-    """What a caller heard.
+    """Result of one request.
 
     Attributes:
       status: HTTP status.
-      code: Code of the refusal, or empty.
-      version: Version that answered.
-      text: The whole text.
-      token: Session token.
-      pinned: Version that the token sent along was for, or empty.
-      version_lost: Version that the session could not keep, or empty.
+      code: Error code of a refusal, or an empty string.
+      version: Model version that answered.
+      text: Complete text of the answer.
+      token: Session token of the answer.
+      pinned: Version of the session token sent with the request, or an empty
+        string.
+      version_lost: Version that the session could not keep, or an empty
+        string.
       first_s: Seconds until the first token.
-      whole_s: Seconds until the whole answer.
-      tries: Connections it took.
+      whole_s: Seconds until the complete answer.
+      attempts: Number of connections used.
     """
 
     status: int = 0
@@ -54,7 +56,7 @@
 
 @attrs.frozen
 class Pin:
-    """A session token, and the version it is for."""
+    """A session token and the model version it pins."""
 
     token: str
     version: str
@@ -62,10 +64,14 @@
 
 @attrs.frozen
 class Caller:
-    """Sends requests through entries.
+    """Sends requests to entries.
 
     Attributes:
-      pins: Newest session tokens by session id.
+      session: HTTP client session.
+      directory: Chooses the entry for each attempt.
+      max_tokens: Maximum number of tokens per answer.
+      prefix: Prefix of the idempotency keys, unique to the run.
+      pins: Latest session token by session id.
     """
 
     session: aiohttp.ClientSession
@@ -75,10 +81,10 @@
     pins: dict[str, Pin] = attrs.Factory(dict)
 
     async def ask(self, arrival: Arrival) -> CallResult:
-        """Sends a request until it is answered or refused.
+        """Sends a request until it is answered, refused or out of attempts.
 
-        A broken connection leads to another entry with the same key, so that
-        the request can't run twice.
+        After a connection failure it is sent again, if possible to another
+        entry, with the same idempotency key, so that it does not run twice.
         """
         result = CallResult()
         start = time.monotonic()
@@ -99,7 +105,7 @@
     async def send(
         self, url: str, arrival: Arrival, result: CallResult, start: float
     ) -> None:
-        """Sends a request to one entry."""
+        """Sends a request to one entry and fills in the result."""
         pin = self.pins.get(arrival.session)
         result.pinned = pin.version if pin else ""
         async with self.session.post(
@@ -141,7 +147,7 @@
 
 
 def read_json_answer(body: dict[str, Any], result: CallResult) -> None:
-    """Takes an answer in one JSON body, or a refusal."""
+    """Reads a non-streaming answer or a refusal into the result."""
     if "error" in body:
         result.code = body["error"]["code"]
         return
@@ -152,10 +158,10 @@
 async def read_stream(
     response: aiohttp.ClientResponse, result: CallResult, start: float
 ) -> None:
-    """Takes an answer from a stream.
+    """Reads a streamed answer or a refusal into the result.
 
     Raises:
-      BrokenAnswerError: The stream ended without its end mark.
+      TruncatedStreamError: The stream ended without the [DONE] event.
     """
     pieces = []
     async for data in iter_event_data(response):
@@ -175,17 +181,17 @@
 async def iter_event_data(
     response: aiohttp.ClientResponse,
 ) -> AsyncIterator[bytes]:
-    """Yields the data of server-sent events."""
+    """Yields the data field of each server-sent event."""
     async for line in response.content:
         if line.startswith(DATA):
             yield line.removeprefix(DATA).strip()
 
 
 def is_expected_text(result: CallResult, prompt: str, max_tokens: int) -> bool:
-    """Says whether a text is the whole answer to a prompt.
+    """Returns whether the text is the complete answer to a prompt.
 
-    The engine stand-in's text depends only on version, prompt, and whether
-    the version is skilled enough for it.
+    The text of the engine stand-in depends only on the version, the prompt,
+    the token limit and whether the version is skilled enough for the prompt.
     """
     return any(
         result.text
