--- a/src/rattanpier/_internal/load/directory.py
+++ b/src/rattanpier/_internal/load/directory.py
@@ -1,4 +1,4 @@
-"""Which entries to use: asked of any entry, and cached as it says."""
+"""Client-side discovery of entries, cached for the TTL they return."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 @attrs.define
 class Directory:
-    """Addresses of entries, cached as callers do.
+    """Cached list of entries.
 
     Attributes:
-      session: For calls.
-      seeds: Addresses to ask first.
-      rng: Picks entries.
+      session: HTTP client session.
+      initial_urls: Addresses known from the start.
+      rng: Random generator that picks entries.
       urls: Cached addresses.
-      until: Monotonic time at which the cache ends.
-      avoided: Addresses that failed since the last answer.
+      expires_at: Monotonic time in seconds at which the cache expires.
+      excluded: Addresses that failed since the last refresh.
     """
 
     session: aiohttp.ClientSession
@@ -32,18 +32,18 @@
     excluded: set[str] = attrs.Factory(set)
 
     async def pick(self) -> str:
-        """Returns an entry to use."""
+        """Returns the address of an entry, preferably one that did not fail."""
         if time.monotonic() >= self.expires_at:
             await self.refresh()
         usable = [url for url in self.urls if url not in self.excluded]
         return self.rng.choice(usable or self.urls or self.initial_urls)
 
     def exclude(self, url: str) -> None:
-        """Leaves an entry out until the list is asked for again."""
+        """Excludes an entry until the list is next refreshed."""
         self.excluded.add(url)
 
     async def refresh(self) -> None:
-        """Asks known entries, one after the other, for the list."""
+        """Fetches the list from the first known entry that answers."""
         for url in dict.fromkeys([*self.urls, *self.initial_urls]):
             try:
                 await self.fetch_from(url)
@@ -52,7 +52,7 @@
             return
 
     async def fetch_from(self, url: str) -> None:
-        """Takes the list from one entry."""
+        """Fetches the list from one entry and caches it."""
         timeout = aiohttp.ClientTimeout(total=LIST_TIMEOUT_S)
         async with self.session.get(
             f"{url}/v1/entries", timeout=timeout
