--- a/src/rattanpier/_internal/load/report.py
+++ b/src/rattanpier/_internal/load/report.py
@@ -1,4 +1,4 @@
-"""Counts and percentiles of a run."""
+"""Counters and latency percentiles of a load run."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 
 
 def make_histogram() -> HdrHistogram:
-    """Returns a histogram of microseconds up to an hour."""
+    """Returns a histogram of latencies up to an hour, in microseconds."""
     return HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
 @attrs.define
 class Report:
-    """What callers saw.
+    """Results of a load run as callers observed them.
 
     Attributes:
-      counts: Answers that were whole, wrong, broken; refusals by code.
-      first: Time to the first token of streams.
-      whole: Time to the whole answer.
+      counts: Requests, answers and faults by kind; refusals by code.
+      first: Time to the first token of streams, in microseconds.
+      whole: Time to the complete answer, in microseconds.
     """
 
     counts: collections.Counter[str] = attrs.Factory(collections.Counter)
@@ -35,16 +35,17 @@
 
     @property
     def faults(self) -> int:
-        """Answers that must never be.
+        """Number of violated guarantees.
 
-        A text that is not the answer to the request, a repeat that was
-        answered otherwise, a session moved without a word.
+        These are a text that is not the answer to the request, a repeated
+        request with a different answer, and a session that changed its
+        version without notice.
         """
         names = ("wrong", "repeat_differs", "session_moved")
         return sum(self.counts[name] for name in names)
 
     def data(self) -> dict[str, Any]:
-        """Returns the report for programs; times are in milliseconds."""
+        """Returns the report as JSON-compatible data, times in milliseconds."""
         return {
             "counts": dict(sorted(self.counts.items())),
             "faults": self.faults,
@@ -54,12 +55,12 @@
 
 
 def record(histogram: HdrHistogram, seconds: float) -> None:
-    """Adds a time."""
+    """Records a duration given in seconds."""
     histogram.record_value(max(1, int(seconds * MICROSECONDS_PER_S)))
 
 
 def percentiles(histogram: HdrHistogram) -> dict[str, float]:
-    """Returns percentiles in milliseconds; none if nothing was recorded."""
+    """Returns percentiles in milliseconds; empty if nothing was recorded."""
     if not histogram.get_total_count():
         return {}
     return {
