--- a/src/rattanpier/_internal/load/run.py
+++ b/src/rattanpier/_internal/load/run.py
@@ -1,4 +1,4 @@
-"""Runs a plan in an open loop: arrivals don't wait for answers."""
+"""Open-loop load run: requests are sent without waiting for answers."""
 
 from __future__ import annotations
 
@@ -28,14 +28,20 @@
 
 @attrs.frozen
 class Load:
-    """One run."""
+    """One load run.
+
+    Attributes:
+      profile: Parameters of the load.
+      caller: Sends the requests.
+      report: Collects the results.
+    """
 
     profile: LoadProfile
     caller: Caller
     report: Report
 
     async def run_request(self, arrival: Arrival) -> None:
-        """Sends one request, checks its answer, and repeats it if planned."""
+        """Sends one request, checks its answer and repeats it if planned."""
         result = await self.caller.ask(arrival)
         self.record_result(arrival, result)
         if result.code or not arrival.repeats:
@@ -46,7 +52,7 @@
             self.report.counts["repeat_differs"] += 1
 
     def record_result(self, arrival: Arrival, result: CallResult) -> None:
-        """Counts what a caller heard."""
+        """Checks a result and adds it to the report."""
         counts = self.report.counts
         counts["sent"] += 1
         counts["reconnects"] += result.attempts - 1
@@ -63,7 +69,7 @@
         self.record_session_version(result)
 
     def record_session_version(self, result: CallResult) -> None:
-        """Counts a session that lost its version, told so or not."""
+        """Counts a version change in a session, announced or not."""
         if result.pinned in ("", result.version):
             return
         told = result.version_lost == result.pinned
@@ -76,7 +82,13 @@
     initial_urls: list[str],
     progress: Progress = lambda _: None,
 ) -> Report:
-    """Runs a plan against entries and returns what callers saw."""
+    """Runs a load against entries and returns the report.
+
+    Args:
+      profile: Parameters of the load.
+      initial_urls: Addresses of entries; the others are discovered.
+      progress: Called with the number of each request when it is scheduled.
+    """
     connector = aiohttp.TCPConnector(limit=0)
     timeout = aiohttp.ClientTimeout(total=None, sock_connect=5)
     async with aiohttp.ClientSession(
