--- a/tests/unit/test_load.py
+++ b/tests/unit/test_load.py
@@ -1,4 +1,4 @@
-"""The load tool sees what is wrong with an answer."""
+"""The load generator detects wrong answers and reports them as faults."""
 
 import attrs
 import pytest
