--- a/tests/functional/test_load.py
+++ b/tests/functional/test_load.py
@@ -1,4 +1,4 @@
-"""Entries, control processes and stand-ins as processes, under load."""
+"""Load on entries, control processes and stand-ins run as processes."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
 PROFILE = LoadProfile(
     [DESK_KEY], rate=20.0, seconds=4.0, seed=7, repeat_share=0.2
 )
-KILL_AFTER = 30  # Requests sent; the load goes on behind it.
+KILL_AFTER = 30  # Requests scheduled before the kill; the load continues.
 
 
 @pytest.fixture
@@ -62,7 +62,7 @@
 
 
 async def all_answers_complete(cluster, entry):
-    """Whether a short load through an entry is answered in full."""
+    """Returns whether every request of a short load is answered completely."""
     profile = LoadProfile([DESK_KEY], rate=20.0, seconds=0.5, seed=8)
     report = await run_load(profile, [cluster.urls[entry]])
     return report.counts["whole"] == report.counts["sent"] > 0
@@ -82,9 +82,10 @@
     counts = report.counts
     assert len(kills) == 1
     assert counts["sent"] > KILL_AFTER
-    # No answer is cut, mixed up, or other for a repeat than the first time.
+    # No answer is truncated or belongs to another request, and a repeated
+    # request gets the same answer.
     assert report.faults == 0, counts
-    # Whoever is not answered is told why; nobody is left with silence.
+    # Every request that is not answered gets an error code.
     refused = sum(
         count for name, count in counts.items() if name.startswith("refused.")
     )
