--- a/tests/functional/test_load.py
+++ b/tests/functional/test_load.py
@@ -68,7 +68,7 @@
     return report.counts["whole"] == report.counts["sent"] > 0
 
 
-async def test_requests_are_answered_or_refused_when_an_entry_is_killed(cluster):
+async def test_requests_are_answered_or_refused_when_an_entry_dies(cluster):
     await wait_for_entry_count(cluster, 2)
     kills = []
 
