--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -10,13 +10,13 @@
 from tests.lib.platform_site import HOST, KEY
 
 PATHS = ("/safe/x", "/unsafe/x", "/chat/x")
-LIST_KEPT_S = 1.0
+ADDRESS_TTL_S = 1.0
 DEADLINE_S = 3.0
 PAUSE_S = 0.03
 
 
 @attrs.define
-class Asked:
+class CallRecord:
     """One attempt and what came of it; status 0: no answer."""
 
     id: str
@@ -26,7 +26,7 @@
     status: int = 0
     body: bytes = b""
     headers: dict = attrs.Factory(dict)
-    whole: bool = False
+    complete: bool = False
     ended: float = 0.0
 
 
@@ -37,20 +37,20 @@
     seed: str
     directories: list
     session: aiohttp.ClientSession
-    asked: list = attrs.Factory(list)
-    known: list = attrs.Factory(list)
-    known_at: float = float("-inf")
+    calls: list = attrs.Factory(list)
+    addresses: list = attrs.Factory(list)
+    fetched_at: float = float("-inf")
 
     async def run(self, until):
         rng = random.Random(self.seed)
         while time.monotonic() < until:
-            await self.look_up(rng)
-            if self.known:
+            await self.refresh_addresses(rng)
+            if self.addresses:
                 await self.ask(rng)
             await asyncio.sleep(PAUSE_S * rng.random())
 
-    async def look_up(self, rng):
-        if time.monotonic() - self.known_at < LIST_KEPT_S:
+    async def refresh_addresses(self, rng):
+        if time.monotonic() - self.fetched_at < ADDRESS_TTL_S:
             return
         for directory in rng.sample(self.directories, len(self.directories)):
             try:
@@ -59,22 +59,22 @@
                     timeout=aiohttp.ClientTimeout(total=0.5),
                 ) as response:
                     if response.status == 200:
-                        self.known = (await response.json())["addresses"]
-                        self.known_at = time.monotonic()
+                        self.addresses = (await response.json())["addresses"]
+                        self.fetched_at = time.monotonic()
                         return
             except (aiohttp.ClientError, TimeoutError, OSError):
                 continue
 
     async def ask(self, rng):
         path = rng.choice(PATHS)
-        entry = rng.choice(self.known)
-        asked = Asked(
+        entry = rng.choice(self.addresses)
+        call = CallRecord(
             f"{rng.getrandbits(64):016x}", path, time.monotonic(), entry
         )
-        self.asked.append(asked)
+        self.calls.append(call)
         headers = {
             "Host": HOST,
-            "X-Attempt-Id": asked.id,
+            "X-Attempt-Id": call.id,
             "X-Deadline-Ms": str(int(DEADLINE_S * 1000)),
             "Authorization": f"Bearer {KEY}",
         }
@@ -82,7 +82,7 @@
             headers |= {
                 "X-Model": "*",
                 "X-Token-Usage": "900,50",
-                "X-Prefix-Hash": f"a:400,b:400,{asked.id[:4]}:100",
+                "X-Prefix-Hash": f"a:400,b:400,{call.id[:4]}:100",
                 "Session": f"session-{rng.randrange(40)}",
             }
         try:
@@ -94,11 +94,11 @@
                     total=DEADLINE_S, sock_connect=0.5
                 ),
             ) as response:
-                asked.status = response.status
-                asked.headers = response.headers.copy()
+                call.status = response.status
+                call.headers = response.headers.copy()
                 async for piece in response.content.iter_any():
-                    asked.body += piece
-                asked.whole = True
+                    call.body += piece
+                call.complete = True
         except (aiohttp.ClientError, TimeoutError, OSError):
-            self.known = [each for each in self.known if each != entry]
-        asked.ended = time.monotonic()
+            self.addresses = [each for each in self.addresses if each != entry]
+        call.ended = time.monotonic()
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -9,9 +9,9 @@
 from rattanpier._internal.standin.platform_worker import WorkerFault
 from tests.soak.proxy import PathFault
 
-QUIET_S = 1.0  # At the start, so that all is up.
+STARTUP_S = 1.0  # At the start, so that all is up.
 FAULTS_S = 6.0
-LONGEST_S = 2.5
+MAX_FAULT_S = 2.5
 
 
 class Kind(enum.StrEnum):
@@ -37,8 +37,8 @@
     RESTORE = "restore"  # The store comes back from an older copy.
 
 
-RETURNS_SHARE = 0.4  # Of seeds in which the store comes back from a copy.
-DRAWN = [kind for kind in Kind if kind is not Kind.RESTORE]
+RESTORE_SHARE = 0.4  # Of seeds in which the store comes back from a copy.
+DRAWN_KINDS = [kind for kind in Kind if kind is not Kind.RESTORE]
 
 DETAILS = {
     Kind.STORE: [StoreFault.BUSY, StoreFault.SILENT, StoreFault.LOST],
@@ -69,33 +69,33 @@
     rng = random.Random(seed)
     faults = []
     for _ in range(rng.randint(3, 9)):
-        kind = rng.choice(DRAWN)
+        kind = rng.choice(DRAWN_KINDS)
         details = DETAILS.get(kind)
         many = rng.randint(1, 3) if kind in (Kind.STOP, Kind.RELOAD) else 1
-        at = QUIET_S + rng.uniform(0.0, FAULTS_S)
+        at = STARTUP_S + rng.uniform(0.0, FAULTS_S)
         for number in range(many):
             faults.append(
                 Fault(
                     at=at + 0.3 * number,
                     kind=kind,
                     target=rng.randrange(max(entries, workers)),
-                    for_s=rng.uniform(0.3, LONGEST_S),
+                    for_s=rng.uniform(0.3, MAX_FAULT_S),
                     detail=rng.choice(details) if details else None,
                 )
             )
-    faults += draw_returns(seed)
+    faults += draw_restores(seed)
     return sorted(faults, key=lambda fault: fault.at)
 
 
-def draw_returns(seed):
+def draw_restores(seed):
     """Returns of the store from a copy, up to two within seconds.
 
     Drawn apart, so that the other faults of a seed stay what they were.
     """
     rng = random.Random(f"restore/{seed}")
-    if rng.random() > RETURNS_SHARE:
+    if rng.random() > RESTORE_SHARE:
         return []
-    at = QUIET_S + rng.uniform(0.0, FAULTS_S / 2)
+    at = STARTUP_S + rng.uniform(0.0, FAULTS_S / 2)
     return [
         Fault(at + number * FAULTS_S / 2, Kind.RESTORE, 0, rng.uniform(0.3, 2))
         for number in range(rng.randint(1, 2))
--- a/tests/soak/judge.py
+++ b/tests/soak/judge.py
@@ -15,7 +15,7 @@
 # Of what a worker that names a limit gets in any four seconds.
 LIMIT_PER_S, LIMIT_WINDOW_S = 1.0, 4.0
 LIMIT_BOUND = 1.5 * LIMIT_PER_S * LIMIT_WINDOW_S + 5
-NEWS_S = 1.0  # Until all entries know what a worker told one.
+PROPAGATION_S = 1.0  # Until all entries know what a worker told one.
 REST_S = 2.0
 # Requests of one entry under way when a worker first asks for rest, those that
 # the rule allows during it, and as many when it ended.
@@ -38,11 +38,11 @@
 
 
 def judge_runs(run):
-    asked = {each.id: each for each in run.asked}
+    calls = {each.id: each for each in run.calls}
     counts = {}
     for worker in run.workers:
         for each in worker.runs:
-            if each.id not in asked:
+            if each.id not in calls:
                 yield f"{each.id} ran, and nobody asked"
                 continue
             counts[each.id] = counts.get(each.id, 0) + 1
@@ -51,15 +51,15 @@
             if KEY in str(each.headers):
                 yield f"{each.id} ran with the caller's key"
     for id, count in counts.items():
-        if count > 1 and asked[id].path == "/unsafe/x":
+        if count > 1 and calls[id].path == "/unsafe/x":
             yield f"{id} may run once and ran {count} times"
-        if asked[id].path == "/unsafe/x" and asked[id].status in PROMISES:
-            yield f"{id} was answered {asked[id].status} and ran"
+        if calls[id].path == "/unsafe/x" and calls[id].status in PROMISES:
+            yield f"{id} was answered {calls[id].status} and ran"
 
 
 def judge_answers(run):
-    for each in run.asked:
-        if each.status != 200 or not each.whole:
+    for each in run.calls:
+        if each.status != 200 or not each.complete:
             continue
         if each.path == "/chat/x":
             found = event_numbers(each.body)
@@ -74,19 +74,19 @@
 
 def judge_drains(run):
     for worker, at in run.drained:
-        if run.troubled(at, at + DRAIN_S):
+        if run.has_unplanned_fault(at, at + DRAIN_S):
             continue
-        late = [when for when in run.ran_at(worker) if when > at + DRAIN_S]
+        late = [when for when in run.run_times(worker) if when > at + DRAIN_S]
         if late:
             yield f"{worker} got {len(late)} requests after it left"
 
 
 def judge_drained_domains(run):
     for domain, since, until in run.drained_domains:
-        if run.troubled(since, until):
+        if run.has_unplanned_fault(since, until):
             continue
         for worker in run.workers_of(domain):
-            times = run.ran_at(worker)
+            times = run.run_times(worker)
             late = [when for when in times if since + DRAIN_S < when < until]
             if late:
                 yield f"{worker} got {len(late)} requests in drained {domain}"
@@ -95,9 +95,9 @@
 def judge_cold_workers(run):
     """Entries know of it within a second, whatever else is wrong with them."""
     for worker, since, until in run.cold:
-        if run.troubled(since, until):
+        if run.has_unplanned_fault(since, until):
             continue
-        times = run.ran_at(worker)
+        times = run.run_times(worker)
         known = [when for when in times if since + 1.0 < when < until]
         most = max_within(known)
         if most > COLD_BOUND:
@@ -106,10 +106,10 @@
 
 def judge_limits(run):
     for worker, since, until in run.limited:
-        if run.troubled(since, until):
+        if run.has_unplanned_fault(since, until):
             continue
-        times = run.ran_at(worker)
-        known = [when for when in times if since + NEWS_S < when < until]
+        times = run.run_times(worker)
+        known = [when for when in times if since + PROPAGATION_S < when < until]
         most = max_within(known, LIMIT_WINDOW_S)
         if most > LIMIT_BOUND:
             yield f"{worker} got {most} requests while it named a limit"
@@ -118,8 +118,8 @@
 def judge_words_of_leaving(run):
     """From the first answer on that said so."""
     for worker in run.workers:
-        at = worker.said_at
-        if at is None or run.troubled(at, at + DRAIN_S):
+        at = worker.leave_announced_at
+        if at is None or run.has_unplanned_fault(at, at + DRAIN_S):
             continue
         late = [when for when in worker.times if when > at + DRAIN_S]
         if late:
@@ -128,7 +128,7 @@
 
 def judge_rests(run):
     for worker, since, until, shed in run.rested:
-        if run.troubled(since, until):
+        if run.has_unplanned_fault(since, until):
             continue
         if shed > RESTING_SENDS * len(run.entries):
             yield f"{worker} got {shed} requests while it wanted rest"
@@ -137,20 +137,20 @@
 def judge_stops(run):
     """Planned stops alone cut nothing that was read in time."""
     for entry, at in run.stopped:
-        if run.troubled(at - CALM_S, at + CALM_S):
+        if run.has_unplanned_fault(at - CALM_S, at + CALM_S):
             continue
-        for each in run.asked:
-            cut = each.status == 200 and not each.whole
+        for each in run.calls:
+            cut = each.status == 200 and not each.complete
             near = at - 1.0 < each.at < at + 1.0
             if each.entry == entry and near and cut:
                 yield f"{each.id} was cut by a planned stop"
 
 
 def judge_end(run):
-    for name, code in run.ended_by_themselves:
+    for name, code in run.unexpected_ends:
         yield f"{name} ended by itself with {code}"
-    last = [each for each in run.asked if each.at > run.calm_from]
-    served = sum(each.status == 200 and each.whole for each in last)
+    last = [each for each in run.calls if each.at > run.recovered_at]
+    served = sum(each.status == 200 and each.complete for each in last)
     if not last or served < SERVED_SHARE * len(last):
         statuses = sorted({each.status for each in last})
         yield f"after the faults {served} of {len(last)} served: {statuses}"
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -85,13 +85,13 @@
     async def pump(self, reader, writer, back):
         try:
             while data := await reader.read(CHUNK):
-                await self.hold(back)
+                await self.wait_until_passable(back)
                 writer.write(data)
                 await writer.drain()
         except ConnectionError:
             reset(writer)
 
-    async def hold(self, back):
+    async def wait_until_passable(self, back):
         """Waits until bytes may pass."""
         if self.fault is PathFault.DELAY:
             await asyncio.sleep(DELAY_S)
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -16,42 +16,42 @@
 import fire
 
 from tests.soak.judge import judge
-from tests.soak.site import play
+from tests.soak.site import run_seed
 
-KEPT = pathlib.Path("out/soak")
+OUTPUT_FOLDER = pathlib.Path("out/soak")
 
 
-def play_one(seed):
+def run_one_seed(seed):
     """Plays a seed; returns what was broken and how much was asked.
 
     A seed that can't be played is a failure of its own: the others go on.
     """
     with tempfile.TemporaryDirectory() as folder:
         try:
-            run = asyncio.run(play(seed, pathlib.Path(folder)))
+            run = asyncio.run(run_seed(seed, pathlib.Path(folder)))
         except Exception as error:
             keep_output(seed, pathlib.Path(folder))
             return seed, [f"not played: {error!r}"], 0
     broken = list(judge(run))
     if broken:
         keep(run, broken)
-    return seed, broken, len(run.asked)
+    return seed, broken, len(run.calls)
 
 
 def keep_output(seed, folder):
     """Keeps what the processes of a seed that was not played wrote."""
-    KEPT.mkdir(parents=True, exist_ok=True)
-    shutil.copytree(folder, KEPT / str(seed), dirs_exist_ok=True)
+    OUTPUT_FOLDER.mkdir(parents=True, exist_ok=True)
+    shutil.copytree(folder, OUTPUT_FOLDER / str(seed), dirs_exist_ok=True)
 
 
 def keep(run, broken):
     """Keeps what explains a broken promise."""
-    KEPT.mkdir(parents=True, exist_ok=True)
+    OUTPUT_FOLDER.mkdir(parents=True, exist_ok=True)
     lines = sorted(
         (line for entry in run.entries for line in entry.lines),
         key=lambda line: line["timestamp"],
     )
-    with (KEPT / f"{run.seed}.jsonl").open("w") as file:
+    with (OUTPUT_FOLDER / f"{run.seed}.jsonl").open("w") as file:
         for sentence in broken:
             file.write(json.dumps({"broken": sentence}) + "\n")
         for fault in run.faults:
@@ -66,13 +66,13 @@
     began = time.monotonic()
     failed = 0
     with ProcessPoolExecutor(jobs) as pool:
-        for seed, broken, asked in pool.map(
-            play_one, range(first, first + count)
+        for seed, broken, calls in pool.map(
+            run_one_seed, range(first, first + count)
         ):
             failed += bool(broken)
             for sentence in broken:
                 print(f"seed {seed}: {sentence}")
-            print(f"seed {seed}: {asked} requests, {len(broken)} broken")
+            print(f"seed {seed}: {calls} requests, {len(broken)} broken")
     seconds = time.monotonic() - began
     print(f"{count} seeds from {first}, {failed} failed, {seconds:.0f} s")
     sys.exit(1 if failed else 0)
--- a/tests/soak/site.py
+++ b/tests/soak/site.py
@@ -16,7 +16,13 @@
 from tests.lib.platform_site import manifest, manifest_with_route, platform_site
 from tests.lib.relay_process import start_entry
 from tests.soak.callers import Caller
-from tests.soak.faults import FAULTS_S, LONGEST_S, QUIET_S, Kind, draw_faults
+from tests.soak.faults import (
+    FAULTS_S,
+    MAX_FAULT_S,
+    STARTUP_S,
+    Kind,
+    draw_faults,
+)
 from tests.soak.judge import (
     COLD_OVERSHOOT,
     COLD_PER_S,
@@ -31,7 +37,7 @@
 WORKERS = 6  # Every second one is a model engine.
 CALLERS = 6
 # After the last fault: entries start again, avoided workers are tried again.
-HEAL_S = 6.0
+RECOVERY_S = 6.0
 CALM_S = 2.0
 PLANNED = (
     Kind.STOP,
@@ -49,8 +55,8 @@
 # Two workers each; the entries stand in the first, which is never drained.
 DOMAINS = ("zone-a", "zone-b", "zone-c")
 COLD_S = 3.0
-AWAY_S = 0.4  # While the store goes back to a copy.
-REWRITE_S = 0.2  # Between two rows that their authors write again.
+RESTORE_OUTAGE_S = 0.4  # While the store goes back to a copy.
+REWRITE_INTERVAL_S = 0.2  # Between two rows that their authors write again.
 LIMIT_S = 5.0
 
 
@@ -62,7 +68,7 @@
     """
 
     times: list = attrs.Factory(list)
-    said_at: float | None = None
+    leave_announced_at: float | None = None
 
     async def answer(self, run, writer):
         before = len(self.runs)
@@ -72,8 +78,8 @@
         finally:
             if len(self.runs) > before:
                 self.times.append(time.monotonic())
-                if leaving and self.said_at is None:
-                    self.said_at = time.monotonic()
+                if leaving and self.leave_announced_at is None:
+                    self.leave_announced_at = time.monotonic()
 
 
 @attrs.define
@@ -88,7 +94,7 @@
     paths: list = attrs.Factory(list)  # From each entry to the store.
     workers: list = attrs.Factory(list)
     worker_paths: list = attrs.Factory(list)
-    asked: list = attrs.Factory(list)
+    calls: list = attrs.Factory(list)
     drained: list = attrs.Factory(list)
     drained_domains: list = attrs.Factory(list)  # Name, since, until.
     cold: list = attrs.Factory(list)  # Id, since, until.
@@ -96,13 +102,13 @@
     rested: list = attrs.Factory(list)  # Id, since, until, turned away.
     stopped: list = attrs.Factory(list)
     expected_ends: set = attrs.Factory(set)
-    ended_by_themselves: list = attrs.Factory(list)
+    unexpected_ends: list = attrs.Factory(list)
     versions: dict = attrs.Factory(dict)
     version: int = 1
     began: float = 0.0
-    calm_from: float = 0.0
+    recovered_at: float = 0.0
 
-    def ran_at(self, worker):
+    def run_times(self, worker):
         return next(each for each in self.workers if each.id == worker).times
 
     def workers_of(self, domain):
@@ -116,17 +122,17 @@
         said = {each.id for each in self.workers if each.leaving}
         return worker in {id for id, _ in self.drained} | said
 
-    def troubled(self, since, until):
+    def has_unplanned_fault(self, since, until):
         """Whether an unplanned fault was on between two times."""
         return any(
             fault.kind not in PLANNED
-            and self.began + fault.at < until + LONGEST_S
-            and self.began + fault.at + fault.for_s + LONGEST_S > since
+            and self.began + fault.at < until + MAX_FAULT_S
+            and self.began + fault.at + fault.for_s + MAX_FAULT_S > since
             for fault in self.faults
         )
 
 
-async def play(seed, folder):
+async def run_seed(seed, folder):
     """Plays a seed and returns what happened."""
     run = Run(seed, folder, draw_faults(seed, ENTRIES, WORKERS))
     async with (
@@ -136,7 +142,7 @@
         run.site = site
         await start_workers(run, stack)
         await start_entries(run, stack)
-        await use(run)
+        await run_callers(run)
         for entry in run.entries:
             lines = entry.logged("state: Routes in force.")
             # None where an entry never had routes, which the judge reports.
@@ -212,11 +218,11 @@
         await entry.kill()
 
 
-async def use(run):
+async def run_callers(run):
     """Lets callers ask while the faults strike, and after them."""
     run.began = time.monotonic()
-    heal = QUIET_S + FAULTS_S + LONGEST_S + HEAL_S
-    run.calm_from = run.began + heal
+    heal = STARTUP_S + FAULTS_S + MAX_FAULT_S + RECOVERY_S
+    run.recovered_at = run.began + heal
     async with aiohttp.ClientSession() as session:
         callers = [
             Caller(
@@ -226,29 +232,30 @@
             )
             for number in range(CALLERS)
         ]
-        strikes = [
-            asyncio.create_task(strike(run, fault)) for fault in run.faults
+        injections = [
+            asyncio.create_task(inject_fault(run, fault))
+            for fault in run.faults
         ]
-        watch = asyncio.create_task(watch_ends(run))
-        end = run.calm_from + CALM_S
+        watch = asyncio.create_task(record_unexpected_ends(run))
+        end = run.recovered_at + CALM_S
         await asyncio.gather(*(caller.run(end) for caller in callers))
-        await asyncio.gather(*strikes)
+        await asyncio.gather(*injections)
         watch.cancel()
-    run.asked = [each for caller in callers for each in caller.asked]
+    run.calls = [each for caller in callers for each in caller.calls]
 
 
-async def watch_ends(run):
+async def record_unexpected_ends(run):
     """Notes entries that end though nobody ended them."""
     while True:
         for entry in run.entries:
             code = entry.process.returncode
             if code is not None and entry.process.pid not in run.expected_ends:
                 run.expected_ends.add(entry.process.pid)
-                run.ended_by_themselves.append((entry.settings.name, code))
+                run.unexpected_ends.append((entry.settings.name, code))
         await asyncio.sleep(0.05)
 
 
-async def strike(run, fault):
+async def inject_fault(run, fault):
     """Does one fault and undoes it."""
     await asyncio.sleep(max(0.0, run.began + fault.at - time.monotonic()))
     entry = fault.target % ENTRIES
@@ -259,9 +266,9 @@
             await asyncio.sleep(fault.for_s)
             run.site.store.set_fault(StoreFault.NONE)
         case Kind.STORE_PATH:
-            await spoil(run.paths[entry], fault)
+            await apply_path_fault(run.paths[entry], fault)
         case Kind.WORKER_PATH:
-            await spoil(run.worker_paths[worker], fault)
+            await apply_path_fault(run.worker_paths[worker], fault)
         case Kind.WORKER:
             run.workers[worker].fault = fault.detail
             await asyncio.sleep(fault.for_s)
@@ -302,16 +309,16 @@
         case Kind.REST:
             await ask_for_rest(run, run.workers[worker], fault)
         case Kind.RESTORE:
-            await go_back(run, fault)
+            await restore_old_copy(run, fault)
 
 
-async def go_back(run, fault):
+async def restore_old_copy(run, fault):
     """The store comes back from a copy; authors write again what was lost."""
     store = run.site.store
     kept, kept_at = store.keep_copy(), time.monotonic()
     await asyncio.sleep(fault.for_s)
     store.set_fault(StoreFault.BUSY)
-    await asyncio.sleep(AWAY_S)
+    await asyncio.sleep(RESTORE_OUTAGE_S)
     lost = [
         (row.version, where, row)
         for where, row in store.rows.items()
@@ -321,7 +328,7 @@
     lost_at = time.monotonic()
     store.set_fault(StoreFault.NONE)
     for _, where, row in sorted(lost, key=lambda each: each[0]):
-        await asyncio.sleep(REWRITE_S)
+        await asyncio.sleep(REWRITE_INTERVAL_S)
         now = store.rows.get(where)
         if now is None or now.version <= kept.version:
             store.write_again(*where, row)
@@ -332,7 +339,7 @@
     ]
 
 
-async def spoil(path, fault):
+async def apply_path_fault(path, fault):
     path.set(fault.detail)
     await asyncio.sleep(fault.for_s)
     path.set(PathFault.NONE)
--- a/tests/soak/test_judge.py
+++ b/tests/soak/test_judge.py
@@ -4,7 +4,7 @@
 
 from rattanpier._internal.standin.platform_worker import WorkerRun
 from tests.lib.platform_site import KEY
-from tests.soak.callers import Asked
+from tests.soak.callers import CallRecord
 from tests.soak.faults import Fault, Kind, draw_faults
 from tests.soak.judge import judge
 from tests.soak.site import Run, TimedWorker
@@ -15,8 +15,8 @@
 def made_run(**more):
     run = Run(1, None, more.pop("faults", []))
     run.workers = [TimedWorker("w0"), TimedWorker("w1")]
-    run.asked = [
-        Asked("1", "/unsafe/x", 1.0, "e", 200, b"w0 ran 1", SIGNED, True)
+    run.calls = [
+        CallRecord("1", "/unsafe/x", 1.0, "e", 200, b"w0 ran 1", SIGNED, True)
     ]
     run.workers[0].runs.append(made("1"))
     run.workers[0].times.append(1.0)
@@ -51,16 +51,16 @@
 
 
 def refuse_what_ran(run):
-    run.asked[0].status = 503
+    run.calls[0].status = 503
 
 
 def give_another_answer(run):
-    run.asked[0].body = b"w0 ran 2"
+    run.calls[0].body = b"w0 ran 2"
 
 
 def lose_an_event(run):
     body = b"".join(b"id: %d\n\n" % number for number in (1, 2, 4, 5))
-    run.asked[0].path, run.asked[0].body = "/chat/x", body
+    run.calls[0].path, run.calls[0].body = "/chat/x", body
 
 
 def use_one_that_left(run):
@@ -84,7 +84,7 @@
 
 
 def use_one_that_said_it_left(run):
-    run.workers[0].said_at = 1.0
+    run.workers[0].leave_announced_at = 1.0
     run.workers[0].times.append(9.0)
 
 
@@ -94,12 +94,12 @@
 
 def cut_at_a_stop(run):
     run.stopped = [("e", 1.0)]
-    run.asked[0].whole = False
-    run.asked.append(made_run().asked[0])
+    run.calls[0].complete = False
+    run.calls.append(made_run().calls[0])
 
 
 def end_by_itself(run):
-    run.ended_by_themselves = [("entry-0", 1)]
+    run.unexpected_ends = [("entry-0", 1)]
 
 
 def stay_behind(run):
@@ -107,7 +107,7 @@
 
 
 def serve_nobody_after(run):
-    run.asked[0].status = 502
+    run.calls[0].status = 502
 
 
 @pytest.mark.parametrize(
