--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that take addresses from the entries and ask what they know."""
+"""Simulated callers that discover entries and send them requests."""
 
 import asyncio
 import random
@@ -17,7 +17,7 @@
 
 @attrs.define
 class CallRecord:
-    """One attempt and what came of it; status 0: no answer."""
+    """One request and its result; status 0 means no answer."""
 
     id: str
     path: str
@@ -32,7 +32,7 @@
 
 @attrs.define
 class Caller:
-    """Asks again and again; keeps its connections until they break."""
+    """Sends requests in a loop over persistent connections."""
 
     seed: str
     directories: list
