--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""What goes wrong in a run, drawn from its seed."""
+"""Fault schedule of a soak run, drawn from its seed."""
 
 import enum
 import random
@@ -9,35 +9,35 @@
 from rattanpier._internal.standin.platform_worker import WorkerFault
 from tests.soak.proxy import PathFault
 
-STARTUP_S = 1.0  # At the start, so that all is up.
+STARTUP_S = 1.0  # No faults at first, so that everything is up.
 FAULTS_S = 6.0
 MAX_FAULT_S = 2.5
 
 
 class Kind(enum.StrEnum):
-    """What a fault is done to, and by what."""
+    """Kind of a fault or of a planned operation."""
 
     STORE = "store"
-    STORE_PATH = "store_path"  # Of one entry.
+    STORE_PATH = "store_path"  # Path from one entry to the store.
     WORKER_PATH = "worker_path"
     WORKER = "worker"
     COMPACT = "compact"
     FREEZE = "freeze"
     KILL = "kill"
-    STOP = "stop"  # A planned stop, and a new start.
+    STOP = "stop"  # A planned stop, followed by a restart.
     RELOAD = "reload"
     MANIFEST = "manifest"
-    DRAIN = "drain"  # A worker announces that it leaves.
-    LEAVE = "leave"  # A worker's registration goes without a word.
+    DRAIN = "drain"  # A worker's registration says "draining".
+    LEAVE = "leave"  # A registration is removed without notice.
     DRAIN_DOMAIN = "drain_domain"  # Operators drain a failure domain.
-    COLD = "cold"  # A worker bears little for a while.
-    LIMIT = "limit"  # A worker names in its answers how much it takes.
-    SAY_LEAVE = "say_leave"  # A worker says in its answers that it leaves.
-    REST = "rest"  # A worker turns all away and asks for rest.
-    RESTORE = "restore"  # The store comes back from an older copy.
+    COLD = "cold"  # A worker has little capacity for a while.
+    LIMIT = "limit"  # A worker states a rate limit in its answers.
+    SAY_LEAVE = "say_leave"  # A worker announces in its answers that it leaves.
+    REST = "rest"  # A worker rejects all requests, asks for a pause.
+    RESTORE = "restore"  # The store is restored from an older copy.
 
 
-RESTORE_SHARE = 0.4  # Of seeds in which the store comes back from a copy.
+RESTORE_SHARE = 0.4  # Fraction of seeds with a restore of the store.
 DRAWN_KINDS = [kind for kind in Kind if kind is not Kind.RESTORE]
 
 DETAILS = {
@@ -54,7 +54,7 @@
 class Fault:
     """One fault.
 
-    `target` numbers an entry or a worker; `detail` says what of its kind.
+    `target` is the index of an entry or a worker, `detail` the variant.
     """
 
     at: float
@@ -65,7 +65,7 @@
 
 
 def draw_faults(seed, entries, workers):
-    """The faults of a run: in series and overlapping."""
+    """Returns the faults of a run by time; they may overlap."""
     rng = random.Random(seed)
     faults = []
     for _ in range(rng.randint(3, 9)):
@@ -88,9 +88,10 @@
 
 
 def draw_restores(seed):
-    """Returns of the store from a copy, up to two within seconds.
+    """Returns up to two restores of the store, seconds apart.
 
-    Drawn apart, so that the other faults of a seed stay what they were.
+    They use a separate generator, so that the other faults of a seed do not
+    change.
     """
     rng = random.Random(f"restore/{seed}")
     if rng.random() > RESTORE_SHARE:
