--- a/tests/soak/judge.py
+++ b/tests/soak/judge.py
@@ -1,30 +1,30 @@
-"""Whether the promises were kept, from what callers and workers saw."""
+"""Checks the guarantees against the records of callers and workers."""
 
 from tests.lib.platform_site import KEY, event_numbers
 from tests.lib.warm_fleet import max_within
 
 PROMISES = (408, 421, 429, 503)
 EVENTS = 5
-# After a stop or a drain is known everywhere, plus what a busy test machine
-# takes; the platform's own bound is two seconds.
+# Time until a stop or a drain is known everywhere. The platform's bound is 2 s;
+# the rest allows for a busy test machine.
 DRAIN_S = 3.5
-CALM_S = 3.5  # Before and after: no other fault may explain a miss.
-# Of what a cold worker bears in any second: the rate, its overshoot, the slack.
+CALM_S = 3.5  # Before and after a stop, no other fault may explain a cut.
+# Most requests of a cold worker in any second: rate, overshoot and tolerance.
 COLD_PER_S, COLD_OVERSHOOT, COLD_TOLERANCE = 2, 1.5, 2
 COLD_BOUND = COLD_PER_S * COLD_OVERSHOOT + COLD_TOLERANCE
-# Of what a worker that names a limit gets in any four seconds.
+# Most requests of a worker with a stated limit in any four seconds.
 LIMIT_PER_S, LIMIT_WINDOW_S = 1.0, 4.0
 LIMIT_BOUND = 1.5 * LIMIT_PER_S * LIMIT_WINDOW_S + 5
-PROPAGATION_S = 1.0  # Until all entries know what a worker told one.
+PROPAGATION_S = 1.0  # Until all entries know what one worker told one of them.
 REST_S = 2.0
-# Requests of one entry under way when a worker first asks for rest, those that
-# the rule allows during it, and as many when it ended.
+# Requests of one entry in flight when a worker first asks for a pause, those
+# that the rule allows during the pause, and as many after its end.
 RESTING_SENDS = 6
-SERVED_SHARE = 0.9  # Of requests sent once all faults are over.
+SERVED_SHARE = 0.9  # Of requests sent after recovery from all faults.
 
 
 def judge(run):
-    """Yields a sentence for each broken promise."""
+    """Yields one sentence for each violated guarantee."""
     yield from judge_runs(run)
     yield from judge_answers(run)
     yield from judge_drains(run)
@@ -93,7 +93,7 @@
 
 
 def judge_cold_workers(run):
-    """Entries know of it within a second, whatever else is wrong with them."""
+    """Entries must know of a cold worker within a second."""
     for worker, since, until in run.cold:
         if run.has_unplanned_fault(since, until):
             continue
@@ -116,7 +116,7 @@
 
 
 def judge_words_of_leaving(run):
-    """From the first answer on that said so."""
+    """The bound counts from the first answer that announced the leave."""
     for worker in run.workers:
         at = worker.leave_announced_at
         if at is None or run.has_unplanned_fault(at, at + DRAIN_S):
@@ -135,7 +135,7 @@
 
 
 def judge_stops(run):
-    """Planned stops alone cut nothing that was read in time."""
+    """A planned stop without other faults must not truncate an answer."""
     for entry, at in run.stopped:
         if run.has_unplanned_fault(at - CALM_S, at + CALM_S):
             continue
