--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy between two parties, which makes their path misbehave."""
+"""A loopback TCP proxy that injects network faults."""
 
 import asyncio
 import enum
@@ -12,7 +12,7 @@
 
 
 class PathFault(enum.StrEnum):
-    """What is wrong with a path."""
+    """Network fault of a path."""
 
     NONE = "none"
     DELAY = "delay"  # Bytes come late, in order.
@@ -33,7 +33,7 @@
 
 @attrs.define
 class Proxy:
-    """Passes connections on to one address."""
+    """Forwards connections to one address."""
 
     host: str
     port: int
@@ -67,7 +67,7 @@
             return
         self.open |= {writer, there[1]}
         try:
-            # The first end of either side ends both.
+            # When one direction ends, the other is cancelled.
             ways = [
                 asyncio.ensure_future(self.pump(reader, there[1], False)),
                 asyncio.ensure_future(self.pump(there[0], writer, True)),
@@ -92,7 +92,7 @@
             reset(writer)
 
     async def wait_until_passable(self, back):
-        """Waits until bytes may pass."""
+        """Waits until the fault lets bytes pass."""
         if self.fault is PathFault.DELAY:
             await asyncio.sleep(DELAY_S)
         while self.fault is PathFault.SILENT or (
