--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,6 +1,6 @@
-"""Plays seeds: `python -m tests.soak.run FIRST COUNT [--jobs=4]`.
+"""Runs soak seeds: `python -m tests.soak.run FIRST COUNT [--jobs=4]`.
 
-Prints each broken promise with its seed; keeps the log lines of such a run.
+Prints each violated guarantee with its seed and keeps the logs of that run.
 """
 
 import asyncio
@@ -22,9 +22,9 @@
 
 
 def run_one_seed(seed):
-    """Plays a seed; returns what was broken and how much was asked.
+    """Runs a seed; returns it, the violations and the number of requests.
 
-    A seed that can't be played is a failure of its own: the others go on.
+    A seed whose run raises an error counts as failed; the others continue.
     """
     with tempfile.TemporaryDirectory() as folder:
         try:
@@ -39,13 +39,13 @@
 
 
 def keep_output(seed, folder):
-    """Keeps what the processes of a seed that was not played wrote."""
+    """Keeps the output of the processes of a seed that could not be run."""
     OUTPUT_FOLDER.mkdir(parents=True, exist_ok=True)
     shutil.copytree(folder, OUTPUT_FOLDER / str(seed), dirs_exist_ok=True)
 
 
 def keep(run, broken):
-    """Keeps what explains a broken promise."""
+    """Keeps the violations, faults and log lines of a failed run."""
     OUTPUT_FOLDER.mkdir(parents=True, exist_ok=True)
     lines = sorted(
         (line for entry in run.entries for line in entry.lines),
@@ -61,7 +61,7 @@
 
 
 def main(first=0, count=10, jobs=4):
-    """Plays some seeds, fresh ones if `first` is 0."""
+    """Runs `count` seeds from `first`, or from a random one if it is 0."""
     first = first or random.randrange(10**6, 10**7)
     began = time.monotonic()
     failed = 0
