--- a/tests/soak/site.py
+++ b/tests/soak/site.py
@@ -1,4 +1,4 @@
-"""One run: real entries, a store and workers behind proxies, and faults."""
+"""One soak run: real entries, with stand-ins for store and workers."""
 
 import asyncio
 import contextlib
@@ -36,7 +36,7 @@
 ENTRIES = 3
 WORKERS = 6  # Every second one is a model engine.
 CALLERS = 6
-# After the last fault: entries start again, avoided workers are tried again.
+# After the last fault, entries restart and excluded workers are retried.
 RECOVERY_S = 6.0
 CALM_S = 2.0
 PLANNED = (
@@ -52,19 +52,19 @@
     Kind.REST,
     Kind.RESTORE,
 )
-# Two workers each; the entries stand in the first, which is never drained.
+# Two workers each. The entries are in the first, which is never drained.
 DOMAINS = ("zone-a", "zone-b", "zone-c")
 COLD_S = 3.0
-RESTORE_OUTAGE_S = 0.4  # While the store goes back to a copy.
-REWRITE_INTERVAL_S = 0.2  # Between two rows that their authors write again.
+RESTORE_OUTAGE_S = 0.4  # Store outage during a restore.
+REWRITE_INTERVAL_S = 0.2  # Between two rewritten rows.
 LIMIT_S = 5.0
 
 
 @attrs.define
 class TimedWorker(PlatformWorkerServer):
-    """A worker that notes when it ran what.
+    """A worker that records when it ran each request.
 
-    `said_at` is when an answer first said that it leaves.
+    `leave_announced_at` is when an answer first announced that it leaves.
     """
 
     times: list = attrs.Factory(list)
@@ -84,7 +84,7 @@
 
 @attrs.define
 class Run:
-    """What a run did and saw, for the judge."""
+    """Record of a run, for the checks."""
 
     seed: int
     folder: object
@@ -99,7 +99,7 @@
     drained_domains: list = attrs.Factory(list)  # Name, since, until.
     cold: list = attrs.Factory(list)  # Id, since, until.
     limited: list = attrs.Factory(list)  # Id, since, until.
-    rested: list = attrs.Factory(list)  # Id, since, until, turned away.
+    rested: list = attrs.Factory(list)  # Id, since, until, rejected.
     stopped: list = attrs.Factory(list)
     expected_ends: set = attrs.Factory(set)
     unexpected_ends: list = attrs.Factory(list)
@@ -123,7 +123,7 @@
         return worker in {id for id, _ in self.drained} | said
 
     def has_unplanned_fault(self, since, until):
-        """Whether an unplanned fault was on between two times."""
+        """Returns whether an unplanned fault was active near an interval."""
         return any(
             fault.kind not in PLANNED
             and self.began + fault.at < until + MAX_FAULT_S
@@ -133,7 +133,7 @@
 
 
 async def run_seed(seed, folder):
-    """Plays a seed and returns what happened."""
+    """Runs a seed and returns the record of the run."""
     run = Run(seed, folder, draw_faults(seed, ENTRIES, WORKERS))
     async with (
         platform_site(cold_manifest()) as site,
@@ -145,7 +145,7 @@
         await run_callers(run)
         for entry in run.entries:
             lines = entry.logged("state: Routes in force.")
-            # None where an entry never had routes, which the judge reports.
+            # None if the entry never had routes; judge_end reports it.
             version = lines[-1]["version"] if lines else None
             run.versions[entry.settings.name] = version
     return run
@@ -164,7 +164,9 @@
         stack.push_async_callback(path.stop)
         run.workers.append(worker)
         run.worker_paths.append(path)
-        run.site.workers[worker.id] = path  # Registered by the proxy.
+        run.site.workers[worker.id] = (
+            path  # Registered with the proxy's address.
+        )
         register(run, number)
 
 
@@ -186,7 +188,7 @@
 
 
 def cold_manifest(**more):
-    """A manifest in which workers bear little after a start."""
+    """Returns a manifest with a cold-start rate limit for workers."""
     document = manifest(**more)
     for service in document["services"]:
         service |= {"coldStartS": COLD_S, "coldPerS": COLD_PER_S}
@@ -219,7 +221,7 @@
 
 
 async def run_callers(run):
-    """Lets callers ask while the faults strike, and after them."""
+    """Runs the callers during the faults and after recovery."""
     run.began = time.monotonic()
     heal = STARTUP_S + FAULTS_S + MAX_FAULT_S + RECOVERY_S
     run.recovered_at = run.began + heal
@@ -245,7 +247,7 @@
 
 
 async def record_unexpected_ends(run):
-    """Notes entries that end though nobody ended them."""
+    """Records entries that exit without having been stopped."""
     while True:
         for entry in run.entries:
             code = entry.process.returncode
@@ -256,7 +258,7 @@
 
 
 async def inject_fault(run, fault):
-    """Does one fault and undoes it."""
+    """Injects one fault at its time and reverts it if it has a duration."""
     await asyncio.sleep(max(0.0, run.began + fault.at - time.monotonic()))
     entry = fault.target % ENTRIES
     worker = fault.target % WORKERS
@@ -304,7 +306,7 @@
         case Kind.LIMIT:
             await name_limit(run, run.workers[worker])
         case Kind.SAY_LEAVE:
-            # One of each service stays whatever leaves.
+            # Workers 0 and 1 never leave: one of each service stays.
             run.workers[worker].leaving = worker >= 2
         case Kind.REST:
             await ask_for_rest(run, run.workers[worker], fault)
@@ -313,7 +315,7 @@
 
 
 async def restore_old_copy(run, fault):
-    """The store comes back from a copy; authors write again what was lost."""
+    """Restores the store from a copy, then rewrites the lost rows."""
     store = run.site.store
     kept, kept_at = store.keep_copy(), time.monotonic()
     await asyncio.sleep(fault.for_s)
@@ -332,7 +334,7 @@
         now = store.rows.get(where)
         if now is None or now.version <= kept.version:
             store.write_again(*where, row)
-    # What was lost counts from when it was written again.
+    # A lost drain counts from when its row was rewritten.
     run.drained = [
         (worker, time.monotonic() if kept_at < at < lost_at else at)
         for worker, at in run.drained
@@ -353,10 +355,10 @@
 
 
 async def restart(run, number, how, pause_s):
-    """Ends an entry by a signal and starts it again."""
+    """Stops an entry by a signal and restarts it."""
     old = run.entries[number]
     if old.process.pid in run.expected_ends:
-        return  # Another fault ends it already.
+        return  # Another fault is already stopping it.
     run.expected_ends.add(old.process.pid)
     with contextlib.suppress(ProcessLookupError):
         old.process.send_signal(how)
@@ -368,9 +370,9 @@
 
 
 async def leave(run, number, fault):
-    """A worker leaves, with notice or without, and a new one comes."""
+    """Makes a worker leave, with or without notice."""
     worker = run.workers[number]
-    # One of each service stays whatever leaves.
+    # Workers 0 and 1 never leave: one of each service stays.
     if number < 2:
         return
     if fault.kind is Kind.DRAIN:
@@ -381,7 +383,7 @@
 
 
 async def drain_domain(run, domain, fault):
-    """Operators drain a failure domain, and take it back."""
+    """Drains a failure domain for a while, as operators do."""
     row = f"evacuate/{domain}"
     if run.site.store.value("op", row) is not None:
         return
@@ -393,7 +395,7 @@
 
 
 async def turn_cold(run, number):
-    """A worker says that it bears little, and later that it is warm."""
+    """Registers a worker as cold, and later as warm."""
     worker = run.workers[number].id
     if run.has_left(worker):
         return
@@ -406,7 +408,7 @@
 
 
 async def name_limit(run, worker):
-    """A worker names a limit in its answers for a while."""
+    """Makes a worker state a rate limit in its answers for a while."""
     since = time.monotonic()
     worker.limit = str(LIMIT_PER_S)
     await asyncio.sleep(LIMIT_S)
@@ -415,7 +417,7 @@
 
 
 async def ask_for_rest(run, worker, fault):
-    """A worker turns all away for a while, and asks for rest."""
+    """Makes a worker reject all requests and ask for a pause."""
     since, shed = time.monotonic(), worker.shed
     worker.fault, worker.rest = WorkerFault.SHED, str(REST_S)
     await asyncio.sleep(fault.for_s)
