--- a/tests/soak/test_judge.py
+++ b/tests/soak/test_judge.py
@@ -1,4 +1,4 @@
-"""The soak's judge finds each kind of broken promise."""
+"""The checks of the soak test detect each kind of violation."""
 
 import pytest
 
