--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,6 +1,6 @@
-"""A short run of the soak, and the seeds that ever failed.
+"""A short soak run, and the seeds that have failed before.
 
-Fifty seeds or more are played by hand: `make soak`.
+Run fifty seeds or more by hand with `make soak`.
 """
 
 import pytest
@@ -8,7 +8,7 @@
 from tests.soak.judge import judge
 from tests.soak.site import run_seed
 
-# Seed: the cause of its failure then.
+# Cause of the earlier failure by seed.
 REGRESSION_SEEDS = {
     950008: "a reload that came while an entry started ended it"
 }
