--- a/tests/soak/test_judge.py
+++ b/tests/soak/test_judge.py
@@ -30,7 +30,7 @@
     return WorkerRun("POST", "/unsafe/x", found, b"")
 
 
-def test_a_clean_run_is_clean():
+def test_run_without_faults_has_no_violations():
     assert not list(judge(made_run()))
 
 
@@ -111,7 +111,7 @@
 
 
 @pytest.mark.parametrize(
-    "spoil",
+    "violate",
     [
         run_twice,
         run_unasked,
@@ -132,19 +132,19 @@
         serve_nobody_after,
     ],
 )
-def test_each_broken_promise_is_found(spoil):
+def test_each_violation_is_detected(violate):
     run = made_run()
-    spoil(run)
+    violate(run)
     assert list(judge(run))
 
 
-def test_a_drain_beside_other_trouble_is_not_judged():
+def test_drain_during_an_unplanned_fault_is_not_checked():
     fault = Fault(1.0, Kind.KILL, 0, 1.0)
     run = made_run(faults=[fault])
     use_one_that_left(run)
     assert not list(judge(run))
 
 
-def test_a_seed_draws_the_same_faults_again():
+def test_fault_schedule_is_reproducible():
     assert draw_faults(7, 3, 6) == draw_faults(7, 3, 6)
     assert draw_faults(7, 3, 6) != draw_faults(8, 3, 6)
