--- a/src/rattanpier/_internal/load/arrivals.py
+++ b/src/rattanpier/_internal/load/arrivals.py
@@ -7,7 +7,7 @@
 
 import attrs
 
-SIZE_EXPONENT = 1.0  # The n-th workspace sends 1/n of the first.
+SIZE_EXPONENT = 1.0  # The n-th workspace is 1/n of the first.
 SESSIONS_PER_WORKSPACE = 8
 PROMPT_WORDS = (4, 60)
 
--- a/src/rattanpier/_internal/load/caller.py
+++ b/src/rattanpier/_internal/load/caller.py
@@ -14,7 +14,7 @@
 from rattanpier._internal.load.directory import Directory
 from rattanpier._internal.standin.texts import answer_words
 
-MAX_ATTEMPTS = 4  # Each attempt may use another entry.
+MAX_ATTEMPTS = 4  # A broken connection is retried at another entry.
 DATA = b"data: "
 DONE = b"[DONE]"
 
--- a/tests/soak/judge.py
+++ b/tests/soak/judge.py
@@ -93,7 +93,7 @@
 
 
 def judge_cold_workers(run):
-    """Entries must know of a cold worker within a second."""
+    """Entries must know of a cold worker within a second, in any state."""
     for worker, since, until in run.cold:
         if run.has_unplanned_fault(since, until):
             continue
--- a/tests/soak/site.py
+++ b/tests/soak/site.py
@@ -1,4 +1,4 @@
-"""One soak run: real entries, with stand-ins for store and workers."""
+"""One soak run: real entries, proxied store and workers, and faults."""
 
 import asyncio
 import contextlib
