--- a/src/rattanpier/_internal/cli/load.py
+++ b/src/rattanpier/_internal/cli/load.py
@@ -12,7 +12,7 @@
 from rattanpier._internal.cli.common import run_fire
 from rattanpier._internal.cli.operator import result_command
 from rattanpier._internal.commands.result import ExitCode, Result, make_table
-from rattanpier._internal.load.arrivals import Shape
+from rattanpier._internal.load.arrivals import LoadProfile
 from rattanpier._internal.load.report import Report
 from rattanpier._internal.load.run import run_load
 
@@ -54,7 +54,7 @@
         key.
       max_tokens: Maximum number of tokens per answer.
     """
-    shape = Shape(
+    shape = LoadProfile(
         split_list(keys),
         rate,
         seconds,
--- a/src/rattanpier/_internal/load/arrivals.py
+++ b/src/rattanpier/_internal/load/arrivals.py
@@ -1,4 +1,4 @@
-"""What is asked when: a plan that a seed fixes."""
+"""Reproducible request plan of the load generator, drawn from a seed."""
 
 from __future__ import annotations
 
@@ -7,24 +7,25 @@
 
 import attrs
 
-SIZE_EXPONENT = 1.0  # The n-th workspace is 1/n as large as the first.
+SIZE_EXPONENT = 1.0  # The n-th workspace is 1/n of the first.
 SESSIONS_PER_WORKSPACE = 8
 PROMPT_WORDS = (4, 60)
 
 
 @attrs.frozen
-class Shape:
-    """The shape of a load.
+class LoadProfile:
+    """Parameters of a generated load.
 
     Attributes:
-      keys: Workspace keys, the largest workspace first.
-      rate: Requests a second, whatever the answers take.
-      seconds: How long requests arrive.
-      seed: Fixes the whole plan.
-      stream_share: Share of streaming requests.
-      session_share: Share of requests that belong to a session.
-      repeat_share: Share of requests sent once more with their key.
-      max_tokens: Tokens asked for.
+      keys: Workspace API keys, the largest workspace first.
+      rate: Requests per second, independent of the response times.
+      seconds: Duration over which requests are sent.
+      seed: Seed from which the plan is drawn.
+      stream_share: Fraction of requests that stream.
+      session_share: Fraction of requests that belong to a session.
+      repeat_share: Fraction of requests repeated with the same idempotency
+        key.
+      max_tokens: Maximum number of tokens per answer.
     """
 
     keys: Sequence[str]
@@ -39,16 +40,16 @@
 
 @attrs.frozen
 class Arrival:
-    """One request of the plan.
+    """One planned request.
 
     Attributes:
-      at: Seconds from the start.
-      number: Its place in the plan.
-      workspace_key: Whose request it is.
-      prompt: What is asked.
+      at: Send time in seconds from the start of the run.
+      number: Index in the plan.
+      workspace_key: API key of the workspace that sends it.
+      prompt: Text of the user message.
       stream: Whether the answer is streamed.
-      session: Session id, or empty.
-      repeats: Whether it is sent once more when it was answered.
+      session: Session id, or an empty string.
+      repeats: Whether the request is repeated after a successful answer.
     """
 
     at: float
@@ -60,44 +61,46 @@
     repeats: bool
 
 
-def plan_arrivals(shape: Shape) -> Iterator[Arrival]:
-    """Yields requests with exponential pauses between them.
+def plan_arrivals(profile: LoadProfile) -> Iterator[Arrival]:
+    """Yields the requests, with exponentially distributed intervals.
 
-    >>> shape = Shape(["a", "b"], rate=5.0, seconds=2.0)
-    >>> list(plan_arrivals(shape)) == list(plan_arrivals(shape))
+    >>> profile = LoadProfile(["a", "b"], rate=5.0, seconds=2.0)
+    >>> list(plan_arrivals(profile)) == list(plan_arrivals(profile))
     True
     """
-    rng = random.Random(shape.seed)
+    rng = random.Random(profile.seed)
     weights = [
-        1 / (rank + 1) ** SIZE_EXPONENT for rank in range(len(shape.keys))
+        1 / (rank + 1) ** SIZE_EXPONENT for rank in range(len(profile.keys))
     ]
-    at, number = rng.expovariate(shape.rate), 0
-    while at < shape.seconds:
-        (place,) = rng.choices(range(len(shape.keys)), weights)
+    at, number = rng.expovariate(profile.rate), 0
+    while at < profile.seconds:
+        (workspace_index,) = rng.choices(range(len(profile.keys)), weights)
         yield Arrival(
             at=at,
             number=number,
-            workspace_key=shape.keys[place],
+            workspace_key=profile.keys[workspace_index],
             prompt=make_prompt(rng, number),
-            stream=rng.random() < shape.stream_share,
-            session=make_session(rng, shape, place),
-            repeats=rng.random() < shape.repeat_share,
+            stream=rng.random() < profile.stream_share,
+            session=make_session(rng, profile, workspace_index),
+            repeats=rng.random() < profile.repeat_share,
         )
-        at += rng.expovariate(shape.rate)
+        at += rng.expovariate(profile.rate)
         number += 1
 
 
 def make_prompt(rng: random.Random, number: int) -> str:
-    """Returns a prompt that no other request of the plan has."""
+    """Returns a prompt that is unique within the plan."""
     words = [
         f"w{rng.randrange(1000)}" for _ in range(rng.randint(*PROMPT_WORDS))
     ]
     return f"request {number}: {' '.join(words)}"
 
 
-def make_session(rng: random.Random, shape: Shape, place: int) -> str:
-    """Returns a session id, or an empty string."""
+def make_session(
+    rng: random.Random, profile: LoadProfile, workspace_index: int
+) -> str:
+    """Returns a session id, or an empty string for no session."""
     number = rng.randrange(SESSIONS_PER_WORKSPACE)
-    if rng.random() >= shape.session_share:
+    if rng.random() >= profile.session_share:
         return ""
-    return f"load-{shape.seed}-{place}-{number}"
+    return f"load-{profile.seed}-{workspace_index}-{number}"
--- a/src/rattanpier/_internal/load/caller.py
+++ b/src/rattanpier/_internal/load/caller.py
@@ -1,4 +1,4 @@
-"""Sends one request as a caller does, and checks what comes back."""
+"""Client of the load generator: sends requests and checks the answers."""
 
 from __future__ import annotations
 
@@ -14,30 +14,32 @@
 from rattanpier._internal.load.directory import Directory
 from rattanpier._internal.standin.texts import answer_words
 
-TRIES = 4  # A caller goes to another entry when its connection breaks.
+MAX_ATTEMPTS = 4  # A broken connection is retried at another entry.
 DATA = b"data: "
 DONE = b"[DONE]"
 
 
-class BrokenAnswerError(Exception):
-    """A stream ended without its end mark."""
+class TruncatedStreamError(Exception):
+    """A stream ended without the [DONE] event."""
 
 
 @attrs.define
-class Heard:
-    """What a caller heard.
+class CallResult:
+    """Result of one request.
 
     Attributes:
       status: HTTP status.
-      code: Code of the refusal, or empty.
-      version: Version that answered.
-      text: The whole text.
-      token: Session token.
-      pinned: Version that the token sent along was for, or empty.
-      version_lost: Version that the session could not keep, or empty.
+      code: Error code of a refusal, or an empty string.
+      version: Model version that answered.
+      text: Complete text of the answer.
+      token: Session token of the answer.
+      pinned: Version of the session token sent with the request, or an empty
+        string.
+      version_lost: Version that the session could not keep, or an empty
+        string.
       first_s: Seconds until the first token.
-      whole_s: Seconds until the whole answer.
-      tries: Connections it took.
+      whole_s: Seconds until the complete answer.
+      attempts: Number of connections used.
     """
 
     status: int = 0
@@ -49,12 +51,12 @@
     version_lost: str = ""
     first_s: float = 0.0
     whole_s: float = 0.0
-    tries: int = 0
+    attempts: int = 0
 
 
 @attrs.frozen
 class Pin:
-    """A session token, and the version it is for."""
+    """A session token and the model version it pins."""
 
     token: str
     version: str
@@ -62,10 +64,14 @@
 
 @attrs.frozen
 class Caller:
-    """Sends requests through entries.
+    """Sends requests to entries.
 
     Attributes:
-      pins: Newest session tokens by session id.
+      session: HTTP client session.
+      directory: Chooses the entry for each attempt.
+      max_tokens: Maximum number of tokens per answer.
+      prefix: Prefix of the idempotency keys, unique to the run.
+      pins: Latest session token by session id.
     """
 
     session: aiohttp.ClientSession
@@ -74,49 +80,49 @@
     prefix: str
     pins: dict[str, Pin] = attrs.Factory(dict)
 
-    async def ask(self, arrival: Arrival) -> Heard:
-        """Sends a request until it is answered or refused.
+    async def ask(self, arrival: Arrival) -> CallResult:
+        """Sends a request until it is answered, refused or out of attempts.
 
-        A broken connection leads to another entry with the same key, so that
-        the request can't run twice.
+        After a connection failure it is sent again, if possible to another
+        entry, with the same idempotency key, so that it does not run twice.
         """
-        heard = Heard()
+        result = CallResult()
         start = time.monotonic()
-        for number in range(TRIES):
-            heard = Heard(code="connection", tries=number + 1)
+        for number in range(MAX_ATTEMPTS):
+            result = CallResult(code="connection", attempts=number + 1)
             url = await self.directory.pick()
             try:
-                await self.send(url, arrival, heard, start)
-            except (aiohttp.ClientError, TimeoutError, BrokenAnswerError):
-                self.directory.avoid(url)
+                await self.send(url, arrival, result, start)
+            except (aiohttp.ClientError, TimeoutError, TruncatedStreamError):
+                self.directory.exclude(url)
                 continue
             break
-        heard.whole_s = time.monotonic() - start
-        if arrival.session and heard.token:
-            self.pins[arrival.session] = Pin(heard.token, heard.version)
-        return heard
+        result.whole_s = time.monotonic() - start
+        if arrival.session and result.token:
+            self.pins[arrival.session] = Pin(result.token, result.version)
+        return result
 
     async def send(
-        self, url: str, arrival: Arrival, heard: Heard, start: float
+        self, url: str, arrival: Arrival, result: CallResult, start: float
     ) -> None:
-        """Sends a request to one entry."""
+        """Sends a request to one entry and fills in the result."""
         pin = self.pins.get(arrival.session)
-        heard.pinned = pin.version if pin else ""
+        result.pinned = pin.version if pin else ""
         async with self.session.post(
             f"{url}/v1/chat/completions",
             json=self.body(arrival),
             headers=self.headers(arrival, pin),
         ) as response:
-            heard.status = response.status
-            heard.version = response.headers.get("X-Model-Version", "")
-            heard.token = response.headers.get("X-Session-Token", "")
+            result.status = response.status
+            result.version = response.headers.get("X-Model-Version", "")
+            result.token = response.headers.get("X-Session-Token", "")
             lost = response.headers.get("X-Session-Version-Lost", "")
-            heard.version_lost = lost
+            result.version_lost = lost
             if response.content_type == "text/event-stream":
-                await read_stream(response, heard, start)
+                await read_stream(response, result, start)
             else:
-                read_whole(await response.json(), heard)
-                heard.first_s = time.monotonic() - start
+                read_json_answer(await response.json(), result)
+                result.first_s = time.monotonic() - start
 
     def body(self, arrival: Arrival) -> dict[str, Any]:
         """Returns the JSON body of a request."""
@@ -140,53 +146,55 @@
         return headers
 
 
-def read_whole(body: dict[str, Any], heard: Heard) -> None:
-    """Takes an answer in one JSON body, or a refusal."""
+def read_json_answer(body: dict[str, Any], result: CallResult) -> None:
+    """Reads a non-streaming answer or a refusal into the result."""
     if "error" in body:
-        heard.code = body["error"]["code"]
+        result.code = body["error"]["code"]
         return
-    heard.code = ""
-    heard.text = body["choices"][0]["message"]["content"]
+    result.code = ""
+    result.text = body["choices"][0]["message"]["content"]
 
 
 async def read_stream(
-    response: aiohttp.ClientResponse, heard: Heard, start: float
+    response: aiohttp.ClientResponse, result: CallResult, start: float
 ) -> None:
-    """Takes an answer from a stream.
+    """Reads a streamed answer or a refusal into the result.
 
     Raises:
-      BrokenAnswerError: The stream ended without its end mark.
+      TruncatedStreamError: The stream ended without the [DONE] event.
     """
     pieces = []
-    async for data in events(response):
+    async for data in iter_event_data(response):
         if data == DONE:
-            heard.code, heard.text = "", "".join(pieces)
+            result.code, result.text = "", "".join(pieces)
             return
         event = json.loads(data)
         if "error" in event:
-            heard.code = event["error"]["code"]
+            result.code = event["error"]["code"]
             return
         if not pieces:
-            heard.first_s = time.monotonic() - start
+            result.first_s = time.monotonic() - start
         pieces.append(event["choices"][0]["delta"].get("content", ""))
-    raise BrokenAnswerError
+    raise TruncatedStreamError
 
 
-async def events(response: aiohttp.ClientResponse) -> AsyncIterator[bytes]:
-    """Yields the data of server-sent events."""
+async def iter_event_data(
+    response: aiohttp.ClientResponse,
+) -> AsyncIterator[bytes]:
+    """Yields the data field of each server-sent event."""
     async for line in response.content:
         if line.startswith(DATA):
             yield line.removeprefix(DATA).strip()
 
 
-def is_right(heard: Heard, prompt: str, max_tokens: int) -> bool:
-    """Says whether a text is the whole answer to a prompt.
+def is_expected_text(result: CallResult, prompt: str, max_tokens: int) -> bool:
+    """Returns whether the text is the complete answer to a prompt.
 
-    The engine stand-in's text depends only on version, prompt, and whether
-    the version is skilled enough for it.
+    The text of the engine stand-in depends only on the version, the prompt,
+    the token limit and whether the version is skilled enough for the prompt.
     """
     return any(
-        heard.text
-        == "".join(answer_words(heard.version, prompt, max_tokens, good))
+        result.text
+        == "".join(answer_words(result.version, prompt, max_tokens, good))
         for good in (True, False)
     )
--- a/tests/functional/test_load.py
+++ b/tests/functional/test_load.py
@@ -1,18 +1,20 @@
-"""Entries, control processes and stand-ins as processes, under load."""
+"""Load on entries, control processes and stand-ins run as processes."""
 
 import asyncio
 
 import openai
 import pytest
 
-from rattanpier._internal.load.arrivals import Shape
+from rattanpier._internal.load.arrivals import LoadProfile
 from rattanpier._internal.load.run import run_load
 from tests.lib.builders import DESK_KEY, configuration_text
 from tests.lib.cluster import Cluster, wait_for
 
 SKILLS = "small@1=1.0,large@1=1.0"
-SHAPE = Shape([DESK_KEY], rate=20.0, seconds=4.0, seed=7, repeat_share=0.2)
-KILL_AFTER = 30  # Requests sent; the load goes on behind it.
+PROFILE = LoadProfile(
+    [DESK_KEY], rate=20.0, seconds=4.0, seed=7, repeat_share=0.2
+)
+KILL_AFTER = 30  # Requests scheduled before the kill; the load continues.
 
 
 @pytest.fixture
@@ -32,7 +34,7 @@
         yield cluster
 
 
-def listed(cluster, count):
+def wait_for_entry_count(cluster, count):
     async def probe():
         async with cluster.session.get(
             f"{cluster.urls['entry-1']}/v1/entries"
@@ -59,15 +61,15 @@
         )
 
 
-async def all_whole(cluster, entry):
-    """Whether a short load through an entry is answered in full."""
-    shape = Shape([DESK_KEY], rate=20.0, seconds=0.5, seed=8)
-    report = await run_load(shape, [cluster.urls[entry]])
+async def all_answers_complete(cluster, entry):
+    """Returns whether every request of a short load is answered completely."""
+    profile = LoadProfile([DESK_KEY], rate=20.0, seconds=0.5, seed=8)
+    report = await run_load(profile, [cluster.urls[entry]])
     return report.counts["whole"] == report.counts["sent"] > 0
 
 
-async def test_one_entry_is_killed_under_load(cluster):
-    await listed(cluster, 2)
+async def test_requests_are_answered_or_refused_when_an_entry_dies(cluster):
+    await wait_for_entry_count(cluster, 2)
     kills = []
 
     def progress(number):
@@ -75,17 +77,18 @@
             kill = cluster.processes["entry-2"].kill()
             kills.append(asyncio.ensure_future(kill))
 
-    report = await run_load(SHAPE, [cluster.urls["entry-1"]], progress)
+    report = await run_load(PROFILE, [cluster.urls["entry-1"]], progress)
     await asyncio.gather(*kills)
     counts = report.counts
     assert len(kills) == 1
     assert counts["sent"] > KILL_AFTER
-    # No answer is cut, mixed up, or other for a repeat than the first time.
+    # No answer is truncated or belongs to another request, and a repeated
+    # request gets the same answer.
     assert report.faults == 0, counts
-    # Whoever is not answered is told why; nobody is left with silence.
+    # Every request that is not answered gets an error code.
     refused = sum(
         count for name, count in counts.items() if name.startswith("refused.")
     )
     assert counts["whole"] + refused == counts["sent"]
     assert counts["refused.connection"] == 0, counts
-    await wait_for(lambda: all_whole(cluster, "entry-1"))
+    await wait_for(lambda: all_answers_complete(cluster, "entry-1"))
--- a/tests/soak/site.py
+++ b/tests/soak/site.py
@@ -1,4 +1,4 @@
-"""One run: real entries, a store and workers behind proxies, and faults."""
+"""One soak run: real entries, proxied store and workers, and faults."""
 
 import asyncio
 import contextlib
@@ -16,7 +16,13 @@
 from tests.lib.platform_site import manifest, manifest_with_route, platform_site
 from tests.lib.relay_process import start_entry
 from tests.soak.callers import Caller
-from tests.soak.faults import FAULTS_S, LONGEST_S, QUIET_S, Kind, draw_faults
+from tests.soak.faults import (
+    FAULTS_S,
+    MAX_FAULT_S,
+    STARTUP_S,
+    Kind,
+    draw_faults,
+)
 from tests.soak.judge import (
     COLD_OVERSHOOT,
     COLD_PER_S,
@@ -30,8 +36,8 @@
 ENTRIES = 3
 WORKERS = 6  # Every second one is a model engine.
 CALLERS = 6
-# After the last fault: entries start again, avoided workers are tried again.
-HEAL_S = 6.0
+# After the last fault, entries restart and excluded workers are retried.
+RECOVERY_S = 6.0
 CALM_S = 2.0
 PLANNED = (
     Kind.STOP,
@@ -46,23 +52,23 @@
     Kind.REST,
     Kind.RESTORE,
 )
-# Two workers each; the entries stand in the first, which is never drained.
+# Two workers each. The entries are in the first, which is never drained.
 DOMAINS = ("zone-a", "zone-b", "zone-c")
 COLD_S = 3.0
-AWAY_S = 0.4  # While the store goes back to a copy.
-REWRITE_S = 0.2  # Between two rows that their authors write again.
+RESTORE_OUTAGE_S = 0.4  # Store outage during a restore.
+REWRITE_INTERVAL_S = 0.2  # Between two rewritten rows.
 LIMIT_S = 5.0
 
 
 @attrs.define
 class TimedWorker(PlatformWorkerServer):
-    """A worker that notes when it ran what.
+    """A worker that records when it ran each request.
 
-    `said_at` is when an answer first said that it leaves.
+    `leave_announced_at` is when an answer first announced that it leaves.
     """
 
     times: list = attrs.Factory(list)
-    said_at: float | None = None
+    leave_announced_at: float | None = None
 
     async def answer(self, run, writer):
         before = len(self.runs)
@@ -72,13 +78,13 @@
         finally:
             if len(self.runs) > before:
                 self.times.append(time.monotonic())
-                if leaving and self.said_at is None:
-                    self.said_at = time.monotonic()
+                if leaving and self.leave_announced_at is None:
+                    self.leave_announced_at = time.monotonic()
 
 
 @attrs.define
 class Run:
-    """What a run did and saw, for the judge."""
+    """Record of a run, for the checks."""
 
     seed: int
     folder: object
@@ -88,21 +94,21 @@
     paths: list = attrs.Factory(list)  # From each entry to the store.
     workers: list = attrs.Factory(list)
     worker_paths: list = attrs.Factory(list)
-    asked: list = attrs.Factory(list)
+    calls: list = attrs.Factory(list)
     drained: list = attrs.Factory(list)
     drained_domains: list = attrs.Factory(list)  # Name, since, until.
     cold: list = attrs.Factory(list)  # Id, since, until.
     limited: list = attrs.Factory(list)  # Id, since, until.
-    rested: list = attrs.Factory(list)  # Id, since, until, turned away.
+    rested: list = attrs.Factory(list)  # Id, since, until, rejected.
     stopped: list = attrs.Factory(list)
     expected_ends: set = attrs.Factory(set)
-    ended_by_themselves: list = attrs.Factory(list)
+    unexpected_ends: list = attrs.Factory(list)
     versions: dict = attrs.Factory(dict)
     version: int = 1
     began: float = 0.0
-    calm_from: float = 0.0
+    recovered_at: float = 0.0
 
-    def ran_at(self, worker):
+    def run_times(self, worker):
         return next(each for each in self.workers if each.id == worker).times
 
     def workers_of(self, domain):
@@ -116,18 +122,18 @@
         said = {each.id for each in self.workers if each.leaving}
         return worker in {id for id, _ in self.drained} | said
 
-    def troubled(self, since, until):
-        """Whether an unplanned fault was on between two times."""
+    def has_unplanned_fault(self, since, until):
+        """Returns whether an unplanned fault was active near an interval."""
         return any(
             fault.kind not in PLANNED
-            and self.began + fault.at < until + LONGEST_S
-            and self.began + fault.at + fault.for_s + LONGEST_S > since
+            and self.began + fault.at < until + MAX_FAULT_S
+            and self.began + fault.at + fault.for_s + MAX_FAULT_S > since
             for fault in self.faults
         )
 
 
-async def play(seed, folder):
-    """Plays a seed and returns what happened."""
+async def run_seed(seed, folder):
+    """Runs a seed and returns the record of the run."""
     run = Run(seed, folder, draw_faults(seed, ENTRIES, WORKERS))
     async with (
         platform_site(cold_manifest()) as site,
@@ -136,10 +142,10 @@
         run.site = site
         await start_workers(run, stack)
         await start_entries(run, stack)
-        await use(run)
+        await run_callers(run)
         for entry in run.entries:
             lines = entry.logged("state: Routes in force.")
-            # None where an entry never had routes, which the judge reports.
+            # None if the entry never had routes; judge_end reports it.
             version = lines[-1]["version"] if lines else None
             run.versions[entry.settings.name] = version
     return run
@@ -158,7 +164,9 @@
         stack.push_async_callback(path.stop)
         run.workers.append(worker)
         run.worker_paths.append(path)
-        run.site.workers[worker.id] = path  # Registered by the proxy.
+        run.site.workers[worker.id] = (
+            path  # Registered with the proxy's address.
+        )
         register(run, number)
 
 
@@ -180,7 +188,7 @@
 
 
 def cold_manifest(**more):
-    """A manifest in which workers bear little after a start."""
+    """Returns a manifest with a cold-start rate limit for workers."""
     document = manifest(**more)
     for service in document["services"]:
         service |= {"coldStartS": COLD_S, "coldPerS": COLD_PER_S}
@@ -212,11 +220,11 @@
         await entry.kill()
 
 
-async def use(run):
-    """Lets callers ask while the faults strike, and after them."""
+async def run_callers(run):
+    """Runs the callers during the faults and after recovery."""
     run.began = time.monotonic()
-    heal = QUIET_S + FAULTS_S + LONGEST_S + HEAL_S
-    run.calm_from = run.began + heal
+    heal = STARTUP_S + FAULTS_S + MAX_FAULT_S + RECOVERY_S
+    run.recovered_at = run.began + heal
     async with aiohttp.ClientSession() as session:
         callers = [
             Caller(
@@ -226,30 +234,31 @@
             )
             for number in range(CALLERS)
         ]
-        strikes = [
-            asyncio.create_task(strike(run, fault)) for fault in run.faults
+        injections = [
+            asyncio.create_task(inject_fault(run, fault))
+            for fault in run.faults
         ]
-        watch = asyncio.create_task(watch_ends(run))
-        end = run.calm_from + CALM_S
+        watch = asyncio.create_task(record_unexpected_ends(run))
+        end = run.recovered_at + CALM_S
         await asyncio.gather(*(caller.run(end) for caller in callers))
-        await asyncio.gather(*strikes)
+        await asyncio.gather(*injections)
         watch.cancel()
-    run.asked = [each for caller in callers for each in caller.asked]
+    run.calls = [each for caller in callers for each in caller.calls]
 
 
-async def watch_ends(run):
-    """Notes entries that end though nobody ended them."""
+async def record_unexpected_ends(run):
+    """Records entries that exit without having been stopped."""
     while True:
         for entry in run.entries:
             code = entry.process.returncode
             if code is not None and entry.process.pid not in run.expected_ends:
                 run.expected_ends.add(entry.process.pid)
-                run.ended_by_themselves.append((entry.settings.name, code))
+                run.unexpected_ends.append((entry.settings.name, code))
         await asyncio.sleep(0.05)
 
 
-async def strike(run, fault):
-    """Does one fault and undoes it."""
+async def inject_fault(run, fault):
+    """Injects one fault at its time and reverts it if it has a duration."""
     await asyncio.sleep(max(0.0, run.began + fault.at - time.monotonic()))
     entry = fault.target % ENTRIES
     worker = fault.target % WORKERS
@@ -259,9 +268,9 @@
             await asyncio.sleep(fault.for_s)
             run.site.store.set_fault(StoreFault.NONE)
         case Kind.STORE_PATH:
-            await spoil(run.paths[entry], fault)
+            await apply_path_fault(run.paths[entry], fault)
         case Kind.WORKER_PATH:
-            await spoil(run.worker_paths[worker], fault)
+            await apply_path_fault(run.worker_paths[worker], fault)
         case Kind.WORKER:
             run.workers[worker].fault = fault.detail
             await asyncio.sleep(fault.for_s)
@@ -297,21 +306,21 @@
         case Kind.LIMIT:
             await name_limit(run, run.workers[worker])
         case Kind.SAY_LEAVE:
-            # One of each service stays whatever leaves.
+            # Workers 0 and 1 never leave: one of each service stays.
             run.workers[worker].leaving = worker >= 2
         case Kind.REST:
             await ask_for_rest(run, run.workers[worker], fault)
         case Kind.RESTORE:
-            await go_back(run, fault)
+            await restore_old_copy(run, fault)
 
 
-async def go_back(run, fault):
-    """The store comes back from a copy; authors write again what was lost."""
+async def restore_old_copy(run, fault):
+    """Restores the store from a copy, then rewrites the lost rows."""
     store = run.site.store
     kept, kept_at = store.take_backup(), time.monotonic()
     await asyncio.sleep(fault.for_s)
     store.set_fault(StoreFault.BUSY)
-    await asyncio.sleep(AWAY_S)
+    await asyncio.sleep(RESTORE_OUTAGE_S)
     lost = [
         (row.version, where, row)
         for where, row in store.rows.items()
@@ -321,18 +330,18 @@
     lost_at = time.monotonic()
     store.set_fault(StoreFault.NONE)
     for _, where, row in sorted(lost, key=lambda each: each[0]):
-        await asyncio.sleep(REWRITE_S)
+        await asyncio.sleep(REWRITE_INTERVAL_S)
         now = store.rows.get(where)
         if now is None or now.version <= kept.version:
             store.write_again(*where, row)
-    # What was lost counts from when it was written again.
+    # A lost drain counts from when its row was rewritten.
     run.drained = [
         (worker, time.monotonic() if kept_at < at < lost_at else at)
         for worker, at in run.drained
     ]
 
 
-async def spoil(path, fault):
+async def apply_path_fault(path, fault):
     path.set(fault.detail)
     await asyncio.sleep(fault.for_s)
     path.set(PathFault.NONE)
@@ -346,10 +355,10 @@
 
 
 async def restart(run, number, how, pause_s):
-    """Ends an entry by a signal and starts it again."""
+    """Stops an entry by a signal and restarts it."""
     old = run.entries[number]
     if old.process.pid in run.expected_ends:
-        return  # Another fault ends it already.
+        return  # Another fault is already stopping it.
     run.expected_ends.add(old.process.pid)
     with contextlib.suppress(ProcessLookupError):
         old.process.send_signal(how)
@@ -361,9 +370,9 @@
 
 
 async def leave(run, number, fault):
-    """A worker leaves, with notice or without, and a new one comes."""
+    """Makes a worker leave, with or without notice."""
     worker = run.workers[number]
-    # One of each service stays whatever leaves.
+    # Workers 0 and 1 never leave: one of each service stays.
     if number < 2:
         return
     if fault.kind is Kind.DRAIN:
@@ -374,7 +383,7 @@
 
 
 async def drain_domain(run, domain, fault):
-    """Operators drain a failure domain, and take it back."""
+    """Drains a failure domain for a while, as operators do."""
     row = f"evacuate/{domain}"
     if run.site.store.value("op", row) is not None:
         return
@@ -386,7 +395,7 @@
 
 
 async def turn_cold(run, number):
-    """A worker says that it bears little, and later that it is warm."""
+    """Registers a worker as cold, and later as warm."""
     worker = run.workers[number].id
     if run.has_left(worker):
         return
@@ -399,7 +408,7 @@
 
 
 async def name_limit(run, worker):
-    """A worker names a limit in its answers for a while."""
+    """Makes a worker state a rate limit in its answers for a while."""
     since = time.monotonic()
     worker.limit = str(LIMIT_PER_S)
     await asyncio.sleep(LIMIT_S)
@@ -408,7 +417,7 @@
 
 
 async def ask_for_rest(run, worker, fault):
-    """A worker turns all away for a while, and asks for rest."""
+    """Makes a worker reject all requests and ask for a pause."""
     since, shed = time.monotonic(), worker.shed
     worker.fault, worker.rest = WorkerFault.SHED, str(REST_S)
     await asyncio.sleep(fault.for_s)
