--- a/src/rattanpier/_internal/programs/relay_workers.py
+++ b/src/rattanpier/_internal/programs/relay_workers.py
@@ -114,6 +114,6 @@
         rng=random.Random(entry.settings.name),
     )
     server = entry.kernel.find("peer_server")
-    server.on_status("prompt_sent", prompts.apply_notice)
+    server.on_notice("prompt_sent", prompts.apply_notice)
     if entry.settings.policy.prompt_news:
         dispatcher.publish_prompt = prompts.publish
